--- /dev/null
+++ b/crates/peer/tests/golden/answers.rs
@@ -0,0 +1,377 @@
+//! Final answers to requests.
+
+use super::bytes::Sample;
+use super::raft::links;
+use super::samples::{
+    QUEUE_MODES, address, closes, document, key, name, reservations, resources, run, task,
+};
+use configuration::{ConfigurationProblem, LeftOutQueues};
+use dispatch::{Decision, DecisionKind, NotPlacedReason, RunnerView};
+use peer::{
+    DecisionEntry, DecisionEvent, LicenceView, MemberView, OperationReply, PeerMessage, QueueView,
+    Refusal, RefusalCode, Reply, RequestId, TenantView,
+};
+use std::collections::BTreeMap;
+use types::*;
+
+const AT: WallTime = WallTime(1_700_000_000_444);
+
+pub const JOB_STATES: [JobState; 5] = [
+    JobState::Waiting,
+    JobState::Running,
+    JobState::Done,
+    JobState::Failed,
+    JobState::Cancelled,
+];
+
+pub const REFUSAL_CODES: [RefusalCode; 8] = [
+    RefusalCode::Invalid,
+    RefusalCode::Unauthenticated,
+    RefusalCode::Forbidden,
+    RefusalCode::NotFound,
+    RefusalCode::Conflict,
+    RefusalCode::Overloaded,
+    RefusalCode::Unavailable,
+    RefusalCode::TimedOut,
+];
+
+fn job_view(state: JobState) -> JobView {
+    JobView {
+        tenant: name("acorn"),
+        job: name("birch-7"),
+        queue: name("hazel"),
+        state,
+        reason: Some("it broke".to_owned()),
+        submitted_at: WallTime(1_700_000_000_501),
+        first_reserved_at: Some(WallTime(1_700_000_000_502)),
+        ended_at: Some(WallTime(1_700_000_000_503)),
+        steps: vec![StepView {
+            name: name("oak"),
+            tasks: 130,
+            done: 131,
+            running: 132,
+            failed: 133,
+            failed_runs: 134,
+        }],
+    }
+}
+
+fn runner_view(draining: bool) -> RunnerView {
+    RunnerView {
+        runner: name("rowan"),
+        incarnation: RunnerIncarnation(135),
+        pool: name("maple"),
+        rack: name("beech"),
+        labels: BTreeMap::from([("wood".to_owned(), "soft".to_owned())]),
+        capacity: resources(17),
+        room: resources(13),
+        open_runs: 136,
+        draining,
+        on_probation: !draining,
+        silence: Milliseconds(137),
+    }
+}
+
+fn queue_view(mode: configuration::QueueMode) -> QueueView {
+    QueueView {
+        queue: name("hazel"),
+        pool: name("maple"),
+        mode,
+        unfinished_jobs: 138,
+        ready_tasks: 139,
+        open_runs: 140,
+    }
+}
+
+fn tenant_view() -> TenantView {
+    TenantView {
+        tenant: name("acorn"),
+        unfinished_jobs: 141,
+        ready_tasks: 142,
+        holds: resources(18),
+        ceiling: resources(19),
+        ended_jobs: 143,
+        late_jobs: 144,
+        failed_jobs: 145,
+        budget_exceeded: true,
+    }
+}
+
+fn licence_view() -> LicenceView {
+    LicenceView {
+        licence: name("cedar"),
+        seats: 146,
+        taken: 147,
+        waiting: 148,
+    }
+}
+
+fn member_views() -> Vec<MemberView> {
+    let [slow, _] = links();
+    vec![
+        MemberView {
+            address: address(905, Role::Coordinator),
+            standing: "voter".to_owned(),
+            silence: Milliseconds(149),
+            configuration: Some(ConfigurationVersion(150)),
+            links: Some(slow),
+        },
+        MemberView {
+            address: address(906, Role::Gateway),
+            standing: "session".to_owned(),
+            silence: Milliseconds(151),
+            configuration: None,
+            links: None,
+        },
+    ]
+}
+
+pub fn not_placed_reasons() -> Vec<NotPlacedReason> {
+    vec![
+        NotPlacedReason::TenantAtCeiling,
+        NotPlacedReason::CeilingKeptForUrgent,
+        NotPlacedReason::NoSeat,
+        NotPlacedReason::TenantAboveShare,
+        NotPlacedReason::RunnersAway,
+        NotPlacedReason::NoRoom,
+        NotPlacedReason::NoRunnerWithLabels,
+        NotPlacedReason::RunnerOnProbation,
+        NotPlacedReason::HeldForLargerTask {
+            runner: name("rowan"),
+        },
+        NotPlacedReason::BeforeItsTime { not_before: AT },
+        NotPlacedReason::WaitingForStep,
+        NotPlacedReason::QueuePaused,
+        NotPlacedReason::QueueShadow,
+        NotPlacedReason::NoRunnerKnown,
+        NotPlacedReason::AlreadyRunning,
+    ]
+}
+
+/// A choice for each reservation, and a task left for each reason.
+pub fn decision_kinds() -> Vec<DecisionKind> {
+    let placed = reservations()
+        .into_iter()
+        .map(|reservation| DecisionKind::Placed {
+            shadow: reservation.self_stop,
+            reservation,
+            runnable_tenants: 152,
+        });
+    let not_placed = not_placed_reasons()
+        .into_iter()
+        .map(|reason| DecisionKind::NotPlaced {
+            task: task(153),
+            reason,
+        });
+    placed.chain(not_placed).collect()
+}
+
+pub fn decision_events() -> Vec<DecisionEvent> {
+    let dispatched = decision_kinds().into_iter().map(|kind| {
+        DecisionEvent::Dispatch(Decision {
+            at: AT,
+            queue: name("hazel"),
+            tenant: name("acorn"),
+            kind,
+        })
+    });
+    let ordered = DecisionEvent::Ordered {
+        run: run(154),
+        task: task(155),
+        runner: name("rowan"),
+        at: AT,
+    };
+    let closed = closes().into_iter().map(|close| DecisionEvent::Closed {
+        run: run(156),
+        task: task(157),
+        runner: name("sorb"),
+        close,
+        at: AT,
+    });
+    let ended = JOB_STATES.map(|state| DecisionEvent::JobEnded { state, at: AT });
+    let events = dispatched.chain([ordered]).chain(closed).chain(ended);
+    events.collect()
+}
+
+fn decisions() -> Vec<DecisionEntry> {
+    let numbered = (158..).zip(decision_events());
+    let entries = numbered.map(|(number, event)| DecisionEntry {
+        number,
+        term: Term(39),
+        job: (number % 2 == 0).then(|| key("acorn", "birch-8")),
+        event,
+    });
+    entries.collect()
+}
+
+fn about_jobs() -> Vec<Sample<OperationReply>> {
+    let submitted = OperationReply::Submitted {
+        number: JobNumber(200),
+        known: true,
+    };
+    let jobs = OperationReply::Jobs {
+        jobs: JOB_STATES.map(job_view).to_vec(),
+        next: Some(JobNumber(201)),
+    };
+    let cancelled = OperationReply::Cancelled {
+        cancelled: 202,
+        finished: 203,
+        unknown: vec![key("acorn", "birch-9")],
+    };
+    let explained = OperationReply::Explained {
+        lines: vec!["it waits".to_owned(), "for rain".to_owned()],
+    };
+    let job = OperationReply::Job(Box::new(job_view(JobState::Failed)));
+    let state = OperationReply::JobState(JobState::Cancelled);
+    vec![
+        Sample {
+            name: "reply.submitted",
+            value: submitted,
+        },
+        Sample {
+            name: "reply.job",
+            value: job,
+        },
+        Sample {
+            name: "reply.jobs",
+            value: jobs,
+        },
+        Sample {
+            name: "reply.cancelled",
+            value: cancelled,
+        },
+        Sample {
+            name: "reply.explained",
+            value: explained,
+        },
+        Sample {
+            name: "reply.job-state",
+            value: state,
+        },
+        Sample {
+            name: "reply.count",
+            value: OperationReply::Count(204),
+        },
+    ]
+}
+
+fn about_configuration() -> Vec<Sample<OperationReply>> {
+    let configured = OperationReply::Configured {
+        version: ConfigurationVersion(205),
+        known: true,
+    };
+    let configuration = OperationReply::Configuration {
+        version: ConfigurationVersion(206),
+        document: document(LeftOutQueues::Refuse),
+    };
+    vec![
+        Sample {
+            name: "reply.configured",
+            value: configured,
+        },
+        Sample {
+            name: "reply.configuration",
+            value: configuration,
+        },
+        Sample {
+            name: "reply.accepted",
+            value: OperationReply::Accepted,
+        },
+    ]
+}
+
+fn about_the_fleet() -> Vec<Sample<OperationReply>> {
+    let lost = OperationReply::RunsLost {
+        runs: vec![run(207), run(208)],
+    };
+    let runners = OperationReply::Runners(vec![runner_view(true), runner_view(false)]);
+    let queues = OperationReply::Queues(QUEUE_MODES.map(queue_view).to_vec());
+    let tenants = OperationReply::Tenants(vec![tenant_view()]);
+    let licences = OperationReply::Licences(vec![licence_view()]);
+    let members = OperationReply::Members(member_views());
+    let decisions = OperationReply::Decisions(decisions());
+    vec![
+        Sample {
+            name: "reply.runs-lost",
+            value: lost,
+        },
+        Sample {
+            name: "reply.runners",
+            value: runners,
+        },
+        Sample {
+            name: "reply.queues",
+            value: queues,
+        },
+        Sample {
+            name: "reply.tenants",
+            value: tenants,
+        },
+        Sample {
+            name: "reply.licences",
+            value: licences,
+        },
+        Sample {
+            name: "reply.members",
+            value: members,
+        },
+        Sample {
+            name: "reply.decisions",
+            value: decisions,
+        },
+    ]
+}
+
+/// Everything that may be answered.
+pub fn replies() -> Vec<Sample<OperationReply>> {
+    let groups = [about_jobs(), about_configuration(), about_the_fleet()];
+    groups.into_iter().flatten().collect()
+}
+
+fn refusal(code: RefusalCode) -> Refusal {
+    Refusal {
+        code,
+        message: "not now".to_owned(),
+        retry_after: Some(Milliseconds(1_250)),
+        problems: vec![ConfigurationProblem {
+            place: "maple.leaf".to_owned(),
+            problem: "is missing".to_owned(),
+        }],
+    }
+}
+
+/// A refusal under each code.
+fn refusals() -> Vec<Sample<Refusal>> {
+    let names = [
+        "refusal.invalid",
+        "refusal.unauthenticated",
+        "refusal.forbidden",
+        "refusal.not-found",
+        "refusal.conflict",
+        "refusal.overloaded",
+        "refusal.unavailable",
+        "refusal.timed-out",
+    ];
+    let refusals = names.into_iter().zip(REFUSAL_CODES.map(refusal));
+    refusals
+        .map(|(name, value)| Sample { name, value })
+        .collect()
+}
+
+pub fn samples() -> Vec<Sample<PeerMessage>> {
+    let reply = |result| {
+        PeerMessage::Reply(Reply {
+            id: RequestId(209),
+            result,
+        })
+    };
+    let answered = replies().into_iter().map(|sample| Sample {
+        name: sample.name,
+        value: reply(Ok(sample.value)),
+    });
+    let refused = refusals().into_iter().map(|sample| Sample {
+        name: sample.name,
+        value: reply(Err(sample.value)),
+    });
+    answered.chain(refused).collect()
+}
--- /dev/null
+++ b/crates/peer/tests/golden_messages.rs
@@ -0,0 +1,256 @@
+//! Messages between daemons keep the bytes of protocol version 3.
+
+mod golden;
+
+use configuration::{KeyRole, QueueMode};
+use consensus::{Message, Payload};
+use dispatch::{DecisionKind, NotPlacedReason};
+use golden::bytes::{Codec, Sample, assert_recorded, variants};
+use golden::{answers, messages, operations, orders, raft, samples};
+use peer::{
+    Bootstrap, DecisionEvent, Operation, OperationReply, PROTOCOL_VERSION, PeerMessage, RefusalCode,
+};
+use record::CancelSelector;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use types::{JobState, OrderAnswer, OrderKind, Outcome, RefusalReason, Role, RunClose};
+
+/// The version that the bytes were recorded under.
+const RECORDED_VERSION: u32 = 3;
+const MESSAGES: &str = include_str!("golden/messages.txt");
+const ENVELOPES: &str = include_str!("golden/envelopes.txt");
+
+/// The encoding of the body of a frame.
+fn codec<T: Serialize + DeserializeOwned>() -> Codec<T> {
+    Codec {
+        encode: |value| postcard::to_stdvec(value).unwrap(),
+        decode: |bytes| postcard::from_bytes(bytes).unwrap(),
+    }
+}
+
+fn values<T>(samples: &[Sample<T>]) -> impl Iterator<Item = &T> {
+    samples.iter().map(|sample| &sample.value)
+}
+
+#[test]
+fn every_message_has_its_recorded_bytes() {
+    assert_eq!(PROTOCOL_VERSION, RECORDED_VERSION);
+    assert_recorded(MESSAGES, &messages::samples(), &codec());
+}
+
+#[test]
+fn an_envelope_has_its_recorded_bytes() {
+    assert_recorded(ENVELOPES, &messages::envelopes(), &codec());
+}
+
+#[test]
+fn the_samples_hold_every_message() {
+    let samples = messages::samples();
+    variants!(PeerMessage {
+        Discover,
+        Members,
+        Bootstrap,
+        Raft,
+        Hello,
+        Lease,
+        NotLeader,
+        Configuration,
+        Request,
+        Reply,
+        AgentReport,
+        RunnerUpdate,
+        Orders,
+        OrderResults,
+        Relay,
+    })
+    .assert_covered(values(&samples));
+    variants!(Bootstrap {
+        Announce,
+        Propose,
+        Accept
+    })
+    .assert_covered(&messages::bootstraps());
+    variants!(Role {
+        Coordinator,
+        Gateway,
+        Agent
+    })
+    .assert_covered(&samples::ROLES);
+}
+
+#[test]
+fn the_samples_hold_every_message_of_consensus() {
+    variants!(Message {
+        PreVote,
+        PreVoteReply,
+        Vote,
+        VoteReply,
+        Append,
+        AppendReply,
+        SnapshotChunk,
+        SnapshotReply,
+        TimeoutNow,
+        Probe,
+        ProbeReply,
+    })
+    .assert_covered(values(&raft::messages()));
+    variants!(Payload {
+        Noop,
+        Command,
+        Membership
+    })
+    .assert_covered(&raft::payloads());
+}
+
+#[test]
+fn the_samples_hold_every_request() {
+    variants!(Operation {
+        Submit,
+        GetJob,
+        GetJobState,
+        ListJobs,
+        Cancel,
+        Explain,
+        PutConfiguration,
+        GetConfiguration,
+        GetNewestConfiguration,
+        CountJobs,
+        DrainRunner,
+        DeclareRunnerLost,
+        ListRunners,
+        ListQueues,
+        ListTenants,
+        ListLicences,
+        ListMembers,
+        Decisions,
+        UpdateConfiguration,
+        ConfirmUpdate,
+    })
+    .assert_covered(values(&operations::operations()));
+    variants!(CancelSelector { Jobs, Tenant }).assert_covered(&operations::selectors());
+    variants!(KeyRole {
+        Caller,
+        Operator,
+        Runner
+    })
+    .assert_covered(&samples::key_roles("acorn"));
+}
+
+#[test]
+fn the_samples_hold_every_answer() {
+    variants!(OperationReply {
+        Submitted,
+        Job,
+        Jobs,
+        Cancelled,
+        Explained,
+        Configured,
+        Configuration,
+        JobState,
+        Count,
+        Accepted,
+        RunsLost,
+        Runners,
+        Queues,
+        Tenants,
+        Licences,
+        Members,
+        Decisions,
+    })
+    .assert_covered(values(&answers::replies()));
+    variants!(RefusalCode {
+        Invalid,
+        Unauthenticated,
+        Forbidden,
+        NotFound,
+        Conflict,
+        Overloaded,
+        Unavailable,
+        TimedOut,
+    })
+    .assert_covered(&answers::REFUSAL_CODES);
+    variants!(JobState {
+        Waiting,
+        Running,
+        Done,
+        Failed,
+        Cancelled
+    })
+    .assert_covered(&answers::JOB_STATES);
+    variants!(QueueMode {
+        Shadow,
+        Active,
+        Paused,
+        Draining
+    })
+    .assert_covered(&samples::QUEUE_MODES);
+}
+
+#[test]
+fn the_samples_hold_every_decision() {
+    variants!(DecisionEvent {
+        Dispatch,
+        Ordered,
+        Closed,
+        JobEnded
+    })
+    .assert_covered(&answers::decision_events());
+    variants!(DecisionKind { Placed, NotPlaced }).assert_covered(&answers::decision_kinds());
+    variants!(NotPlacedReason {
+        TenantAtCeiling,
+        CeilingKeptForUrgent,
+        NoSeat,
+        TenantAboveShare,
+        RunnersAway,
+        NoRoom,
+        NoRunnerWithLabels,
+        RunnerOnProbation,
+        HeldForLargerTask,
+        BeforeItsTime,
+        WaitingForStep,
+        QueuePaused,
+        QueueShadow,
+        NoRunnerKnown,
+        AlreadyRunning,
+    })
+    .assert_covered(&answers::not_placed_reasons());
+    variants!(RunClose {
+        Ended,
+        Voided,
+        Lost,
+        Refused,
+        TimedOut
+    })
+    .assert_covered(&samples::closes());
+}
+
+#[test]
+fn the_samples_hold_every_order_and_its_answers() {
+    variants!(OrderKind { Start, Stop, Void }).assert_covered(&orders::kinds());
+    variants!(OrderAnswer {
+        Started,
+        Stopping,
+        Voided,
+        Held,
+        Ended,
+        Refused,
+        Unknown,
+    })
+    .assert_covered(&orders::answers());
+    variants!(RefusalReason {
+        StaleTerm,
+        OtherIncarnation,
+        StaleBasis,
+        KnownRun,
+        NoRoom,
+        Draining,
+        Unhealthy,
+    })
+    .assert_covered(&orders::REFUSAL_REASONS);
+    variants!(Outcome {
+        Done,
+        Failed,
+        Stopped
+    })
+    .assert_covered(&samples::outcomes());
+}
