--- a/crates/peer/tests/golden/answers.rs
+++ b/crates/peer/tests/golden/answers.rs
@@ -198,7 +198,7 @@
     let entries = numbered.map(|(number, event)| DecisionEntry {
         number,
         term: Term(39),
-        job: (number % 2 == 0).then(|| key("acorn", "birch-8")),
+        job: number.is_multiple_of(2).then(|| key("acorn", "birch-8")),
         event,
     });
     entries.collect()
--- a/crates/peer/tests/golden/orders.rs
+++ b/crates/peer/tests/golden/orders.rs
@@ -58,7 +58,7 @@
         sequence: OrderSequence(sequence),
         runner: name("rowan"),
         incarnation: RunnerIncarnation(68),
-        name: (sequence % 2 == 0).then(|| run_name(69)),
+        name: sequence.is_multiple_of(2).then(|| run_name(69)),
         kind,
     }
 }
--- a/crates/record/tests/golden_snapshot.rs
+++ b/crates/record/tests/golden_snapshot.rs
@@ -116,8 +116,10 @@
                 task: *task,
                 runner: name(&format!("rowan-{number}")),
                 incarnation: RunnerIncarnation(number + 500),
-                place: (number % 2 == 0).then(|| name(&format!("10.0.0.{number}:7000"))),
-                self_stop: number % 3 != 0,
+                place: number
+                    .is_multiple_of(2)
+                    .then(|| name(&format!("10.0.0.{number}:7000"))),
+                self_stop: !number.is_multiple_of(3),
             });
         }
         let at = self.driver.at;
