--- /dev/null
+++ b/crates/coordinator/tests/golden_data.rs
@@ -0,0 +1,373 @@
+//! A data folder that a coordinator of an earlier build left is recovered to
+//! the same record.
+//!
+//! The folder was written by the story told here, which is also told anew each
+//! time: what it leaves has to stand the same, but need not have the same
+//! bytes, since a choice of the dispatcher may change on purpose. It is left
+//! in the folder for temporary files of the build.
+
+mod common;
+
+use common::{Server, World, document};
+use configuration::{ClusterConfiguration, LicenceSettings};
+use coordinator::Input;
+use peer::{Operation, OperationReply};
+use record::{CancelSelector, Record};
+use std::collections::{BTreeMap, BTreeSet};
+use std::fs;
+use std::path::{Path, PathBuf};
+use storage::{Disk, MemoryDisk, RealDisk, Store};
+use types::*;
+
+const RECORDED_FOLDER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/folder");
+/// The record's snapshot after the recovery, in hex.
+const RECOVERED: &str = include_str!("golden/recovered.txt");
+const BYTES_OF_LINE: usize = 48;
+const PORT: u16 = 8_000;
+/// It holds nothing, and only a running daemon needs it.
+const LOCK_FILE: &str = "lock";
+/// Entries between two snapshots: the last one has entries behind it.
+const SNAPSHOT_EVERY: u64 = 16;
+const SEATS: u32 = 2;
+const GANG: u32 = 2;
+const FAR_AHEAD: WallTime = WallTime(1_900_000_000_000);
+const CHECKPOINT: &str = "half way";
+
+fn name<Name: std::str::FromStr<Err = InvalidName>>(text: &str) -> Name {
+    text.parse().unwrap()
+}
+
+fn licence() -> LicenceName {
+    name("cedar")
+}
+
+fn licensed_document() -> ClusterConfiguration {
+    let mut document = document::document();
+    let settings = LicenceSettings { seats: SEATS };
+    document.licences.insert(licence(), settings);
+    document
+}
+
+/// The second version of the document.
+fn last_document() -> ClusterConfiguration {
+    let mut document = licensed_document();
+    document.replaces = Some(ConfigurationVersion(1));
+    document.source = Some("as it was written".to_owned());
+    document
+}
+
+/// One coordinator that leads itself and writes snapshots often.
+fn alone(server: Server) -> World {
+    let mut world = World::new(1);
+    world.servers = vec![server];
+    world.options.initial_coordinators = 1;
+    world.options.snapshot_every = SNAPSHOT_EVERY;
+    world.start(0);
+    world
+}
+
+fn submit(world: &mut World, spec: JobSpec) {
+    let answer = world.answer(Operation::Submit(spec));
+    assert!(
+        matches!(answer, Ok(OperationReply::Submitted { known: false, .. })),
+        "{answer:?}"
+    );
+}
+
+/// A job of one step, changed as wanted.
+fn job(name: &str, change: impl FnOnce(&mut StepSpec)) -> JobSpec {
+    let mut spec = document::job(name);
+    change(&mut spec.steps[0]);
+    spec
+}
+
+/// Open runs of a job.
+fn open_runs(record: &Record, job: &str) -> Vec<OpenRun> {
+    let number = record.job_number(&document::key(job));
+    let runs = record.open_runs().into_iter();
+    runs.filter(|run| Some(run.task.job) == number).collect()
+}
+
+fn wait_for_runs(world: &mut World, job: &str, count: usize) {
+    world.run_until(20_000, job, |world| {
+        let held = |run: &OpenRun| world.agents.iter().any(|a| a.held.contains_key(&run.run));
+        let runs = open_runs(world.record(), job);
+        runs.len() == count && runs.iter().all(held)
+    });
+}
+
+/// Submits a job and lets its runs go.
+fn run(world: &mut World, spec: JobSpec, count: usize) {
+    let name = spec.job.clone();
+    submit(world, spec);
+    wait_for_runs(world, name.as_str(), count);
+}
+
+/// Ends the only run of a job on its runner.
+fn end(world: &mut World, job: &str, outcome: Outcome, checkpoint: Option<&str>) {
+    let run = open_runs(world.record(), job)[0].run;
+    let mut agents = world.agents.iter_mut();
+    let agent = agents.find(|a| a.held.contains_key(&run)).unwrap();
+    agent.held.remove(&run);
+    agent.ended.push(EndedRun {
+        run,
+        outcome,
+        checkpoint: checkpoint.map(str::to_owned),
+    });
+    world.run_until(2_000, "the end in the record", |world| {
+        world.record().is_closed(run)
+    });
+}
+
+/// A run that was given up as lost and may still be told of; its task runs
+/// again.
+fn lose_a_run(world: &mut World) {
+    world.add_agent(1);
+    run(world, job("given-up", |_| {}), 1);
+    // Nothing new starts on it once it is known to leave.
+    world.agents[0].draining = true;
+    world.run(500);
+    world.agents[0].silent = true;
+    let runner = world.agents[0].runner.clone();
+    let answer = world.answer(Operation::DeclareRunnerLost { runner });
+    assert!(matches!(answer, Ok(OperationReply::RunsLost { .. })));
+    world.add_agent(2);
+    world.add_agent(3);
+    wait_for_runs(world, "given-up", 1);
+}
+
+fn end_jobs(world: &mut World) {
+    run(world, job("ended", |_| {}), 1);
+    end(world, "ended", Outcome::Done, None);
+    let broke = Outcome::Failed("it broke".to_owned());
+    run(world, job("broken", |step| step.allowed_failures = 0), 1);
+    end(world, "broken", broke, None);
+    run(world, job("stopped", |_| {}), 1);
+    let selector = CancelSelector::Jobs(vec![document::key("stopped")]);
+    world.answer(Operation::Cancel(selector)).unwrap();
+    world.run_until(2_000, "the cancelled run's end", |world| {
+        open_runs(world.record(), "stopped").is_empty()
+    });
+}
+
+fn keep_jobs_running(world: &mut World) {
+    run(world, job("goes", |step| step.allowed_failures = 3), 1);
+    let broke = Outcome::Failed("it broke".to_owned());
+    end(world, "goes", broke, Some(CHECKPOINT));
+    wait_for_runs(world, "goes", 1);
+    let gang = job("together", |step| {
+        step.tasks = GANG;
+        step.rules.gang = true;
+    });
+    run(world, gang, GANG as usize);
+    let seated = job("seated", |step| {
+        step.tasks = SEATS + 1;
+        step.rules.licence = Some(licence());
+    });
+    run(world, seated, SEATS as usize);
+}
+
+fn let_jobs_wait(world: &mut World) {
+    let mut waits = job("waits", |_| {});
+    waits.start_at = Some(FAR_AHEAD);
+    submit(world, waits);
+}
+
+fn drain_a_runner(world: &mut World) {
+    let drain = Operation::DrainRunner {
+        runner: name("rowan-9"),
+        draining: true,
+    };
+    assert_eq!(world.answer(drain), Ok(OperationReply::Accepted));
+}
+
+fn configure(world: &mut World, version: u64, document: ClusterConfiguration) {
+    let version = ConfigurationVersion(version);
+    let put = Operation::PutConfiguration { version, document };
+    let known = false;
+    let taken = OperationReply::Configured { version, known };
+    assert_eq!(world.answer(put), Ok(taken));
+}
+
+/// The life of a coordinator up to a sudden end; gives its files.
+fn told() -> Files {
+    let mut world = alone(Server::new(PORT, 1));
+    world.run_until(10_000, "a leader", |world| world.leader().is_some());
+    configure(&mut world, 1, licensed_document());
+    lose_a_run(&mut world);
+    end_jobs(&mut world);
+    keep_jobs_running(&mut world);
+    let_jobs_wait(&mut world);
+    drain_a_runner(&mut world);
+    configure(&mut world, 2, last_document());
+    world.kill(0);
+    let disk = world.servers[0].store.take().unwrap().into_disk();
+    let files = disk.list().unwrap().into_iter().map(|name| {
+        let bytes = disk.read(&name).unwrap();
+        (name, bytes)
+    });
+    files.collect()
+}
+
+type Files = BTreeMap<String, Vec<u8>>;
+
+fn recorded_files() -> Files {
+    let listed = fs::read_dir(RECORDED_FOLDER).unwrap();
+    let names = listed.map(|entry| entry.unwrap().file_name().into_string().unwrap());
+    names
+        .map(|name| {
+            let bytes = fs::read(Path::new(RECORDED_FOLDER).join(&name)).unwrap();
+            (name, bytes)
+        })
+        .collect()
+}
+
+fn fresh_folder(name: &str) -> PathBuf {
+    let folders = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
+    let folder = folders.join("golden-data").join(name);
+    let _ = fs::remove_dir_all(&folder);
+    fs::create_dir_all(&folder).unwrap();
+    folder
+}
+
+fn write_files(folder: &Path, files: &Files) {
+    for (name, bytes) in files {
+        fs::write(folder.join(name), bytes).unwrap();
+    }
+}
+
+fn store_of(files: &Files) -> Store<MemoryDisk> {
+    let mut disk = MemoryDisk::new();
+    for (name, bytes) in files {
+        disk.write(name, bytes).unwrap();
+        disk.sync_file(name).unwrap();
+    }
+    disk.sync_folder().unwrap();
+    Store::open(disk).unwrap().store
+}
+
+/// A coordinator started from files, as soon as it has applied its log.
+fn recovered(files: &Files) -> World {
+    let mut world = alone(Server::from_disk(PORT, Some(store_of(files))));
+    world.input(0, Input::Tick);
+    world.run_until(10_000, "a leader", |world| world.leader().is_some());
+    world
+}
+
+fn assert_jobs_stand(record: &Record) {
+    let jobs = record.jobs(None, None, None, usize::MAX).into_iter();
+    let states: Vec<(String, JobState)> = jobs
+        .map(|(_, view)| (view.job.to_string(), view.state))
+        .collect();
+    let expected = [
+        ("given-up", JobState::Running),
+        ("ended", JobState::Done),
+        ("broken", JobState::Failed),
+        ("stopped", JobState::Cancelled),
+        ("goes", JobState::Running),
+        ("together", JobState::Running),
+        ("seated", JobState::Running),
+        ("waits", JobState::Waiting),
+    ];
+    assert_eq!(
+        states,
+        expected.map(|(name, state)| (name.to_owned(), state))
+    );
+    let broken = record.job(&document::key("broken")).unwrap();
+    let reason = "task 0 of step step failed 1 times, last: it broke";
+    assert_eq!(broken.reason.as_deref(), Some(reason));
+    assert_eq!(record.unfinished_of_tenant(&document::tenant()), 5);
+}
+
+fn assert_runs_stand(record: &Record) {
+    let counts = ["given-up", "goes", "together", "seated"];
+    let counts = counts.map(|job| open_runs(record, job).len());
+    assert_eq!(counts, [1, 1, GANG as usize, SEATS as usize]);
+    assert_eq!(record.open_runs().len(), counts.iter().sum::<usize>());
+    assert_eq!(record.seats_taken(&licence()), SEATS);
+    let again = &open_runs(record, "goes")[0];
+    assert_eq!(again.attempt, 2);
+    let start = record.run_spec(again.run).unwrap();
+    assert_eq!(start.checkpoint.as_deref(), Some(CHECKPOINT));
+    let moved = &open_runs(record, "given-up")[0];
+    assert_eq!(moved.attempt, 2);
+    let earlier = (0..moved.run.sequence).map(|sequence| RunId {
+        sequence,
+        ..moved.run
+    });
+    let awaited = earlier.filter(|run| record.awaits_late_end(*run)).count();
+    assert_eq!(awaited, 1);
+    let ready: BTreeSet<JobNumber> = record
+        .ready_tasks(None, usize::MAX)
+        .iter()
+        .map(|meta| meta.task.job)
+        .collect();
+    let waiting = ["seated", "waits"].map(|job| record.job_number(&document::key(job)).unwrap());
+    assert_eq!(ready, BTreeSet::from(waiting));
+}
+
+fn assert_operators_words_stand(record: &Record) {
+    let (version, document) = record.configuration();
+    assert_eq!(version, ConfigurationVersion(2));
+    assert_eq!(*document, last_document());
+    assert_eq!(record.draining_runners(), [name("rowan-9")]);
+}
+
+fn assert_stands(record: &Record) {
+    assert_jobs_stand(record);
+    assert_runs_stand(record);
+    assert_operators_words_stand(record);
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    let hex = |line: &[u8]| -> String { line.iter().map(|byte| format!("{byte:02x}")).collect() };
+    let lines: Vec<String> = bytes.chunks(BYTES_OF_LINE).map(hex).collect();
+    lines.join("\n")
+}
+
+#[test]
+fn the_recorded_folder_holds_a_snapshot_and_entries_behind_it() {
+    let folder = fresh_folder("recorded");
+    write_files(&folder, &recorded_files());
+    let opened = Store::open(RealDisk::open(&folder).unwrap()).unwrap();
+    assert_eq!(opened.cut_bytes, 0);
+    let identity = opened.identity.unwrap();
+    assert_eq!(identity.node, NodeId(1));
+    assert!(identity.cluster.is_some());
+    let snapshot = opened.recovered.snapshot.unwrap();
+    let taken = Record::restore(&snapshot.data).unwrap();
+    assert_eq!(
+        taken.job_state(&document::key("broken")),
+        Some(JobState::Failed)
+    );
+    assert_eq!(taken.job_state(&document::key("goes")), None);
+    assert!(!opened.recovered.entries.is_empty());
+    assert!(fs::exists(folder.join(LOCK_FILE)).unwrap());
+}
+
+#[test]
+fn the_recorded_folder_is_recovered_to_the_recorded_record() {
+    let world = recovered(&recorded_files());
+    assert_stands(world.record());
+    let snapshot = to_hex(&world.record().snapshot().unwrap());
+    assert!(snapshot == RECOVERED.trim_end(), "it is\n{snapshot}");
+}
+
+#[test]
+fn the_same_story_leaves_a_folder_that_stands_the_same() {
+    let files = told();
+    write_files(&fresh_folder("story"), &files);
+    assert_stands(recovered(&files).record());
+}
+
+#[test]
+fn the_recovered_coordinator_serves_on() {
+    let mut world = recovered(&recorded_files());
+    let again = world.answer(Operation::Submit(document::job("ended")));
+    assert!(
+        matches!(again, Ok(OperationReply::Submitted { known: true, .. })),
+        "{again:?}"
+    );
+    submit(&mut world, document::job("new"));
+    configure(&mut world, 3, licensed_document());
+}
