--- /dev/null
+++ b/crates/api/tests/golden_bodies/decisions.rs
@@ -0,0 +1,166 @@
+//! The decision log, a line each.
+
+use crate::recorded::{assert_text, read, read_back, text};
+use crate::values::{RUN, TASK, job, name};
+use api::decision::{DecisionLine, DecisionsQuery};
+use dispatch::{Decision, DecisionKind, NotPlacedReason};
+use peer::{DecisionEntry, DecisionEvent};
+use types::{JobState, Outcome, Reservation, RunClose, RunnerIncarnation, Term, WallTime};
+
+const AT: WallTime = WallTime(1_764_650_000_040);
+
+fn reservation() -> Reservation {
+    Reservation {
+        run: RUN,
+        task: TASK,
+        runner: name("stills-3"),
+        incarnation: RunnerIncarnation(6),
+        place: Some(name("127.0.0.1:7500")),
+        self_stop: true,
+    }
+}
+
+fn reasons() -> Vec<NotPlacedReason> {
+    every!(NotPlacedReason:
+        TenantAtCeiling,
+        CeilingKeptForUrgent,
+        NoSeat,
+        TenantAboveShare,
+        RunnersAway,
+        NoRoom,
+        NoRunnerWithLabels,
+        RunnerOnProbation,
+        HeldForLargerTask { runner: name("stills-3") },
+        BeforeItsTime { not_before: WallTime(1_764_650_000_050) },
+        WaitingForStep,
+        QueuePaused,
+        QueueShadow,
+        NoRunnerKnown,
+        AlreadyRunning,
+    )
+    .to_vec()
+}
+
+/// One decision of every kind, and then one for every reason.
+fn decisions() -> Vec<DecisionEvent> {
+    let kinds = every!(DecisionKind:
+        Placed { reservation: reservation(), runnable_tenants: 9, shadow: true },
+        NotPlaced { task: TASK, reason: NotPlacedReason::NoRoom },
+    );
+    let not_placed = |reason| DecisionKind::NotPlaced { task: TASK, reason };
+    let with_reasons = reasons().into_iter().map(not_placed);
+    kinds
+        .into_iter()
+        .chain(with_reasons)
+        .map(|kind| {
+            DecisionEvent::Dispatch(Decision {
+                at: AT,
+                queue: name("batch"),
+                tenant: name("poster"),
+                kind,
+            })
+        })
+        .collect()
+}
+
+fn closes() -> Vec<DecisionEvent> {
+    let outcomes = every!(Outcome: Done, Failed { 0: "out of ink".to_owned() }, Stopped);
+    let closes = every!(RunClose:
+        Ended { 0: Outcome::Done },
+        Voided,
+        Lost,
+        Refused,
+        TimedOut,
+    );
+    let ended = outcomes.into_iter().map(RunClose::Ended);
+    ended
+        .chain(closes)
+        .map(|close| DecisionEvent::Closed {
+            run: RUN,
+            task: TASK,
+            runner: name("stills-3"),
+            close,
+            at: AT,
+        })
+        .collect()
+}
+
+fn job_ends() -> Vec<DecisionEvent> {
+    let states = every!(JobState: Waiting, Running, Done, Failed, Cancelled);
+    let ended = |state| DecisionEvent::JobEnded { state, at: AT };
+    states.into_iter().map(ended).collect()
+}
+
+/// One event of every kind, and then those of every kind of decision and end.
+fn events() -> Vec<DecisionEvent> {
+    let kinds = every!(DecisionEvent:
+        Dispatch {
+            0: Decision {
+                at: AT,
+                queue: name("batch"),
+                tenant: name("poster"),
+                kind: DecisionKind::NotPlaced { task: TASK, reason: NotPlacedReason::NoRoom },
+            },
+        },
+        Ordered { run: RUN, task: TASK, runner: name("stills-3"), at: AT },
+        Closed {
+            run: RUN,
+            task: TASK,
+            runner: name("stills-3"),
+            close: RunClose::Lost,
+            at: AT,
+        },
+        JobEnded { state: JobState::Done, at: AT },
+    );
+    let rest = [decisions(), closes(), job_ends()].into_iter().flatten();
+    kinds.into_iter().chain(rest).collect()
+}
+
+/// The last line has no job.
+fn entries() -> Vec<DecisionEntry> {
+    let with_job = events().into_iter().map(|event| (Some(job()), event));
+    let without = (None, events().swap_remove(0));
+    with_job
+        .chain([without])
+        .zip(1..)
+        .map(|((job, event), number)| DecisionEntry {
+            number,
+            term: Term(4),
+            job,
+            event,
+        })
+        .collect()
+}
+
+#[test]
+fn lines_of_every_kind_are_written_as_recorded() {
+    let lines = entries().into_iter().map(DecisionLine::from);
+    let lines = lines.map(|line| serde_json::to_string(&line).unwrap() + "\n");
+    assert_text("decisions.jsonl", &lines.collect::<String>());
+}
+
+#[test]
+fn recorded_lines_are_read_as_they_were_written() {
+    let recorded = text("decisions.jsonl");
+    let lines: Vec<DecisionLine> = recorded
+        .lines()
+        .map(|line| serde_json::from_str(line).unwrap())
+        .collect();
+    let written: Vec<DecisionLine> = entries().into_iter().map(DecisionLine::from).collect();
+    assert_eq!(lines, written);
+}
+
+#[test]
+fn the_query_for_decisions_is_read_as_recorded() {
+    let query: DecisionsQuery = read_back("decisions_query_full.json");
+    let expected = DecisionsQuery {
+        after: 7,
+        term: Some(4),
+        follow: true,
+        limit: Some(12),
+    };
+    assert_eq!(query, expected);
+    let query: DecisionsQuery = read("empty.json");
+    assert_eq!(query, DecisionsQuery::default());
+    assert_eq!(query.checked_limit().unwrap(), 1_000);
+}
