--- a/crates/api/tests/golden_bodies/jobs.rs
+++ b/crates/api/tests/golden_bodies/jobs.rs
@@ -15,7 +15,7 @@
 fn full_step() -> StepSpec {
     StepSpec {
         name: name("assemble"),
-        after: vec![name("gang"), name("same-rack")],
+        after: vec![name("gang"), name("one-rack")],
         tasks: 12,
         resources: resources(3),
         labels: labels(),
@@ -71,7 +71,7 @@
         steps: vec![
             full_step(),
             step("gang", gang),
-            step("same-rack", same_rack),
+            step("one-rack", same_rack),
             step("endless", endless),
         ],
     }
