--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -117,12 +117,17 @@
     /// Starts one daemon, with whatever its data folder holds.
     pub fn start(&mut self, id: MemberId) -> Result<(), LabError> {
         let program = self.program.clone();
+        self.start_with(id, &program)
+    }
+
+    /// The same with a program other than the fleet's, for this one start.
+    pub fn start_with(&mut self, id: MemberId, program: &Program) -> Result<(), LabError> {
         let member = self.member_mut(id)?;
         if member.process.is_some() {
             return Ok(());
         }
         let arguments = member.arguments();
-        member.process = Some(Process::start(&program, &arguments, &member.log)?);
+        member.process = Some(Process::start(program, &arguments, &member.log)?);
         Ok(())
     }
 
--- a/crates/lab/src/fleet/standing.rs
+++ b/crates/lab/src/fleet/standing.rs
@@ -81,6 +81,29 @@
         }
     }
 
+    /// Waits until the leader has received something from this daemon later than
+    /// `since`: what it received from the process before does not count.
+    pub async fn wait_seen(
+        &self,
+        id: MemberId,
+        since: Instant,
+        max_wait: Duration,
+    ) -> Result<(), LabError> {
+        let started = Instant::now();
+        loop {
+            // Measured before the leader measures its part, so that the time of the
+            // request cannot make an older message count.
+            let elapsed_ms = since.elapsed().as_millis();
+            let members = self.standings_or_none().await?;
+            let mut views = members.iter().filter(|view| self.id_of(view) == Some(id));
+            if views.any(|view| u128::from(view.silence_ms) < elapsed_ms) {
+                return Ok(());
+            }
+            give_up_after(started, max_wait, &format!("the leader to see {id}"))?;
+            tokio::time::sleep(LOOK_INTERVAL).await;
+        }
+    }
+
     async fn standings(&self) -> Result<Vec<MemberViewBody>, LabError> {
         let client = self.client()?;
         let answer: MembersBody = client.get(route::MEMBERS, Vec::new()).await?;
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -26,6 +26,17 @@
         }
     }
 
+    /// A built `cypressdrum` program; the path may be relative. Its daemons end with
+    /// the trial, but not when the lab itself is killed by SIGKILL: that program
+    /// does not watch its standard input.
+    pub fn cypressdrum(path: &Path) -> Result<Self, LabError> {
+        let path = path.canonicalize().map_err(LabError::file(path))?;
+        Ok(Self {
+            path,
+            arguments: Vec::new(),
+        })
+    }
+
     /// The executable that is running now.
     pub fn current() -> Result<Self, LabError> {
         let path = std::env::current_exe().map_err(LabError::file("the lab's executable"))?;
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -11,7 +11,7 @@
 use checker::{Event, Limits, Violation};
 use clap::Args;
 use cypressdrum::Exit;
-use standin::workload::{Mix, example_configuration, pool_runners};
+use standin::workload::{Mix, RunnerTemplate, example_configuration, pool_runners};
 use std::future::Future;
 use std::path::PathBuf;
 use std::sync::atomic::Ordering;
@@ -47,6 +47,29 @@
     pub load: f64,
 }
 
+/// Which daemons and runners a trial has.
+#[derive(Debug, Clone)]
+pub struct TrialPlan {
+    /// How many daemons.
+    pub fleet: FleetPlan,
+    /// What they run at first.
+    pub program: Program,
+    /// What the runners are like, one for each agent in order.
+    pub runners: Vec<RunnerTemplate>,
+}
+
+impl TrialPlan {
+    /// Today's size; the first agents have the runners of the first pool.
+    pub fn today(program: Program) -> Self {
+        let pools = [Mix::Stills, Mix::Documents].into_iter();
+        Self {
+            fleet: FleetPlan::TODAY,
+            program,
+            runners: pools.flat_map(pool_runners).collect(),
+        }
+    }
+}
+
 /// A fleet under load. Dropping it ends every child.
 pub struct Trial {
     /// The daemons.
@@ -60,10 +83,17 @@
 }
 
 impl Trial {
-    /// Starts daemons and runners, and begins to send jobs.
+    /// Starts a fleet of today's size with the lab's own daemons, and begins to
+    /// send jobs.
     pub async fn start(arguments: TrialArguments) -> Result<Self, LabError> {
+        let plan = TrialPlan::today(Program::current()?);
+        Self::start_plan(plan, arguments).await
+    }
+
+    /// Starts the plan's daemons and runners, and begins to send jobs.
+    pub async fn start_plan(plan: TrialPlan, arguments: TrialArguments) -> Result<Self, LabError> {
         let folder = TrialFolder::create(arguments.keep)?;
-        let mut fleet = Fleet::build(&FleetPlan::TODAY, Program::current()?, folder.path())?;
+        let mut fleet = Fleet::build(&plan.fleet, plan.program, folder.path())?;
         let history = History::default();
         println!("fleet in {}", folder.path().display());
 
@@ -72,7 +102,8 @@
         let daemons = fleet.members().len();
         println!("{daemons} daemons are ready after {}", history.now());
         put_configuration(&fleet, &history, example_configuration()).await?;
-        let runners = Runners::start(runner_plans(&fleet, arguments.seed), &history).await?;
+        let runner_plans = runner_plans(&fleet, plan.runners, arguments.seed);
+        let runners = Runners::start(runner_plans, &history).await?;
         wait_for_runners(&fleet, runners.count(), READY_TIME).await?;
         println!(
             "{} runners are known after {}",
@@ -196,11 +227,8 @@
     println!("broken at {at}: {kind:?}: {detail}");
 }
 
-/// Each runner stands beside its agent; the first pool has the first five.
-fn runner_plans(fleet: &Fleet, seed: u64) -> Vec<RunnerPlan> {
-    let templates = [Mix::Stills, Mix::Documents]
-        .into_iter()
-        .flat_map(pool_runners);
+/// Each runner stands beside its agent.
+fn runner_plans(fleet: &Fleet, templates: Vec<RunnerTemplate>, seed: u64) -> Vec<RunnerPlan> {
     fleet
         .of_role(Role::Agent)
         .zip(templates)
