--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod ports;
 pub mod process;
 pub mod report;
+pub mod rolling_change;
 pub mod runners;
 pub mod scenario;
 pub mod setup;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -5,6 +5,7 @@
 use lab::daemon::{self, DaemonArguments};
 use lab::demo::{self, DemoArguments};
 use lab::losses::{self, LossesArguments};
+use lab::rolling_change::{self, RollingChangeArguments};
 use lab::scenario::{self, ScenarioArguments};
 use lab::simulate::{self, SimulateArguments};
 use std::process::ExitCode;
@@ -25,6 +26,9 @@
     Capacity(CapacityArguments),
     /// Run a fleet of today's size under load while parts of it fail.
     Trial(ScenarioArguments),
+    /// Replace one program by another in a fleet under load, daemon by daemon, and
+    /// go back.
+    RollingChange(RollingChangeArguments),
     /// Run whole fleets in one process under random or given faults.
     Simulate(SimulateArguments),
     /// Account for what jobs lose, under one policy or two side by side.
@@ -39,6 +43,7 @@
         Command::Demo(arguments) => demo::run(arguments).into(),
         Command::Capacity(arguments) => capacity::run(arguments).into(),
         Command::Trial(arguments) => scenario::run(arguments).into(),
+        Command::RollingChange(arguments) => rolling_change::run(arguments).into(),
         Command::Simulate(arguments) => simulate::run(arguments).into(),
         Command::Losses(arguments) => losses::run(arguments).into(),
         Command::Daemon(arguments) => daemon::run(arguments).into(),
--- /dev/null
+++ b/crates/lab/tests/rolling_change.rs
@@ -0,0 +1,99 @@
+//! `lab rolling-change`: a small fleet changes from one program to another and back
+//! under load, and no promise breaks.
+
+use cypressdrum::Exit;
+use lab::process::Program;
+use lab::rolling_change::{Pace, RollingChangeArguments, change_all, run};
+use lab::trial::{Trial, TrialArguments, TrialPlan};
+use lab::{Fleet, FleetPlan};
+use standin::workload::{Mix, pool_runners};
+use std::path::{Path, PathBuf};
+
+/// Two gateways, so that callers always find one.
+const FLEET: FleetPlan = FleetPlan {
+    coordinators: 3,
+    gateways: 2,
+    agents: 2,
+};
+/// The fleet works this briefly between the steps.
+const PACE: Pace = Pace {
+    mixed_seconds: 1,
+    after_seconds: 1,
+};
+/// Times the ordinary load.
+const LOAD: f64 = 0.1;
+
+fn scratch(name: &str) -> PathBuf {
+    let file = format!("{name}-{}", std::process::id());
+    Path::new(env!("CARGO_TARGET_TMPDIR")).join(file)
+}
+
+fn trial_arguments(history: Option<PathBuf>) -> TrialArguments {
+    TrialArguments {
+        keep: false,
+        history,
+        seed: 7,
+        load: LOAD,
+    }
+}
+
+/// One runner of each pool, both with accelerators.
+fn plan(program: Program) -> TrialPlan {
+    let largest = [Mix::Stills, Mix::Documents].map(|mix| pool_runners(mix).pop().unwrap());
+    TrialPlan {
+        fleet: FLEET,
+        program,
+        runners: largest.into(),
+    }
+}
+
+/// The same program under another name, so that it can be seen which one runs.
+fn same_program_elsewhere(program: &Program) -> Program {
+    let path = scratch("lab-of-the-change");
+    std::fs::hard_link(&program.path, &path).unwrap();
+    Program::lab(path)
+}
+
+fn assert_all_run(fleet: &Fleet, program: &Program) {
+    for member in fleet.members() {
+        let process = member.process_id().unwrap();
+        let running = std::fs::read_link(format!("/proc/{process}/exe")).unwrap();
+        assert_eq!(running, program.path, "{}", member.id);
+    }
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn a_small_fleet_changes_there_and_back_and_breaks_no_promise() {
+    let from = Program::lab(env!("CARGO_BIN_EXE_lab"));
+    let to = same_program_elsewhere(&from);
+    let history = scratch("rolling-change.jsonl");
+    let arguments = trial_arguments(Some(history.clone()));
+    let mut trial = Trial::start_plan(plan(from.clone()), arguments)
+        .await
+        .unwrap();
+    assert_all_run(&trial.fleet, &from);
+    change_all(&mut trial, &to, PACE).await.unwrap();
+    assert_all_run(&trial.fleet, &to);
+    change_all(&mut trial, &from, PACE).await.unwrap();
+    assert_all_run(&trial.fleet, &from);
+    assert_eq!(trial.finish().await.unwrap(), Exit::Done);
+
+    let file = std::fs::File::open(&history).unwrap();
+    let seen = checker::read_history(std::io::BufReader::new(file)).unwrap();
+    let report = checker::check(&seen, &checker::Limits::default());
+    assert_eq!(report.violations, []);
+    assert!(report.acknowledged_jobs > 0);
+    std::fs::remove_file(history).unwrap();
+    std::fs::remove_file(to.path).unwrap();
+}
+
+#[test]
+fn a_program_that_is_missing_is_a_fault_of_the_user() {
+    let arguments = RollingChangeArguments {
+        from: None,
+        to: Some(scratch("no-such-program")),
+        pace: PACE,
+        trial: trial_arguments(None),
+    };
+    assert_eq!(run(arguments), Exit::Usage);
+}
