--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -90,7 +90,7 @@
     tokio::select! {
         ended = serving => ended.map_err(|source| ServeError::Serve { listen, source }),
         () = stopped_and_grace_over(stop) => {
-            tracing::info!(%listen, "closed connections that did not end in time");
+            tracing::info!(%listen, "closed connections that outlived the grace period");
             Ok(())
         }
     }
--- a/crates/admin/tests/listener.rs
+++ b/crates/admin/tests/listener.rs
@@ -76,7 +76,7 @@
 async fn a_taken_socket_is_an_error_that_names_it() {
     let listener = listen(Readiness::starting()).await;
     let (_stop, stopping) = watch::channel(false);
-    let refused = serve(listener.socket, routes(Readiness::starting()), stopping).await;
-    let text = refused.unwrap_err().to_string();
+    let rejected = serve(listener.socket, routes(Readiness::starting()), stopping).await;
+    let text = rejected.unwrap_err().to_string();
     assert!(text.contains(&listener.socket.to_string()), "{text}");
 }
--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -7,14 +7,14 @@
 
 pub use interface::{AgentMutation, AgentOptions, Effect, HeartbeatAnswer, Input};
 
-use orders::{Accepted, OrderBook};
-use peer::{Envelope, OrderResult, PeerMessage, RunnerUpdate};
+use orders::{Accepted, OrderTable};
 use results::ResultBox;
-use runners::{RunnerTable, Standing};
+use runners::{RunnerStatus, RunnerTable};
 use session::{SessionClient, SessionEvent, SessionOptions};
 use std::net::SocketAddr;
+use transport::{Envelope, OrderResult, PeerMessage, RunnerUpdate};
 use types::{
-    Milliseconds, Monotonic, NodeId, Now, OrderAnswer, OrderKind, RefusalReason, RunnerId,
+    Milliseconds, Monotonic, NodeId, Now, OrderAnswer, OrderKind, RejectionReason, RunnerId,
     RunnerOrder, Term,
 };
 
@@ -25,8 +25,8 @@
 ///
 /// It delivers an order only if all of this holds: its session is open under
 /// the order's term, no higher term has been seen, the order names this
-/// process, and the runner's current life has sent a heartbeat since the
-/// session opened. Anything else is dropped or refused; the leader then voids
+/// process, and the runner's current incarnation has sent a heartbeat since the
+/// session opened. Anything else is dropped or rejected; the leader then revokes
 /// the run, so a dropped order costs time but never a second start.
 pub struct Agent {
     options: AgentOptions,
@@ -35,7 +35,7 @@
     session_open: bool,
     highest_term: Term,
     runners: RunnerTable,
-    orders: OrderBook,
+    orders: OrderTable,
     results: ResultBox,
     last_input: Monotonic,
     last_report: Option<Monotonic>,
@@ -60,7 +60,7 @@
             session_open: false,
             highest_term: Term::default(),
             runners: RunnerTable::default(),
-            orders: OrderBook::new(options.order_timeout),
+            orders: OrderTable::new(options.order_timeout),
             results: ResultBox::default(),
             last_input: now.monotonic,
             last_report: None,
@@ -128,9 +128,9 @@
     }
 
     fn notice_freeze(&mut self, now: Now, effects: &mut Vec<Effect>) {
-        let silence = now.monotonic.since(self.last_input);
+        let gap = now.monotonic.since(self.last_input);
         self.last_input = now.monotonic;
-        if silence < self.options.freeze_after {
+        if gap < self.options.freeze_after {
             return;
         }
         self.close_session();
@@ -152,7 +152,7 @@
         if now.monotonic < self.session.next_wakeup() {
             return;
         }
-        self.runners.forget_silent(now.monotonic);
+        self.runners.forget_unresponsive(now.monotonic);
         let mut out = Vec::new();
         let events = self.session.tick(now, &self.runners.names(), &mut out);
         send_all(out, effects);
@@ -225,7 +225,7 @@
             return;
         }
         if term < self.highest_term && !self.mutated(AgentMutation::NoTermFence) {
-            self.refuse_stale(envelope, orders, effects);
+            self.reject_stale(envelope, orders, effects);
             return;
         }
         self.raise_term(term);
@@ -237,7 +237,7 @@
         }
     }
 
-    /// True when the session is open under this very term.
+    /// Returns whether the session is open under this very term.
     fn may_take(&self, now: Now, term: Term) -> bool {
         match self.mutation {
             Some(AgentMutation::NoTermFence) => self.session_open,
@@ -247,24 +247,24 @@
     }
 
     fn take_order(&mut self, now: Now, order: &RunnerOrder, effects: &mut Vec<Effect>) {
-        match self.runners.standing(&order.runner, order.incarnation) {
-            Standing::Served if self.is_start_on_draining(order) => {
-                let answer = OrderAnswer::Refused(RefusalReason::Draining);
-                if self.orders.note(order) == Accepted::New {
+        match self.runners.status(&order.runner, order.incarnation) {
+            RunnerStatus::Served if self.is_start_on_draining(order) => {
+                let answer = OrderAnswer::Rejected(RejectionReason::Draining);
+                if self.orders.record(order) == Accepted::New {
                     self.give_result(now, order.clone(), answer, effects);
                 }
                 return;
             }
-            Standing::Served => {}
-            Standing::Ended => {
-                let answer = OrderAnswer::Refused(RefusalReason::OtherIncarnation);
-                if self.orders.note(order) == Accepted::New {
+            RunnerStatus::Served => {}
+            RunnerStatus::Ended => {
+                let answer = OrderAnswer::Rejected(RejectionReason::OtherIncarnation);
+                if self.orders.record(order) == Accepted::New {
                     self.give_result(now, order.clone(), answer, effects);
                 }
                 return;
             }
-            Standing::Unheard if self.keeps_orders() => {}
-            Standing::Unheard => return,
+            RunnerStatus::Unheard if self.keeps_orders() => {}
+            RunnerStatus::Unheard => return,
         }
         if self.orders.accept(order, now.monotonic) == Accepted::Full {
             self.give_result(now, order.clone(), OrderAnswer::Unknown, effects);
@@ -279,12 +279,12 @@
 
     /// Told to the sender alone: it may be a leader that was voted out, and
     /// the leader of this session has no use for its orders.
-    fn refuse_stale(&self, envelope: &Envelope, orders: &[RunnerOrder], effects: &mut Vec<Effect>) {
-        let refused = |order: &RunnerOrder| OrderResult {
+    fn reject_stale(&self, envelope: &Envelope, orders: &[RunnerOrder], effects: &mut Vec<Effect>) {
+        let rejected = |order: &RunnerOrder| OrderResult {
             order: order.clone(),
-            answer: OrderAnswer::Refused(RefusalReason::StaleTerm),
+            answer: OrderAnswer::Rejected(RejectionReason::StaleTerm),
         };
-        let results = orders.iter().map(refused).collect();
+        let results = orders.iter().map(rejected).collect();
         let message = PeerMessage::OrderResults { results };
         let (to, message) = session::answer_to(&self.options.address, envelope, message);
         effects.push(Effect::Send { to, message });
@@ -349,7 +349,7 @@
         }
         self.last_report = Some(now.monotonic);
         let reports = self.runners.take_unsent();
-        let report = PeerMessage::AgentReport(peer::AgentReport { reports });
+        let report = PeerMessage::AgentReport(transport::AgentReport { reports });
         self.send_to_leader(now, report, effects);
     }
 
--- a/crates/agent/src/core/interface.rs
+++ b/crates/agent/src/core/interface.rs
@@ -1,7 +1,7 @@
 //! What goes into the core and what comes out.
 
-use peer::{Envelope, NamedRun, PeerMessage};
 use std::net::SocketAddr;
+use transport::{Envelope, NamedRun, PeerMessage};
 use types::{
     Address, HeartbeatSequence, Milliseconds, OrderAnswer, RunId, RunnerIncarnation, RunnerOrder,
     RunnerReport, Term,
@@ -14,7 +14,7 @@
     pub address: Address,
     /// Peer sockets of other processes of any role; may be dead, or its own.
     pub seeds: Vec<SocketAddr>,
-    /// Time between hellos.
+    /// Time between keep-alives.
     pub session_interval: Milliseconds,
     /// An order without an answer for this long is unknown.
     pub order_timeout: Milliseconds,
@@ -82,17 +82,17 @@
 /// What a runner is told in answer to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct HeartbeatAnswer {
-    /// Highest term seen; the runner refuses lower ones.
+    /// Highest term seen; the runner rejects lower ones.
     pub term: Term,
-    /// Newest heartbeat of this life the leader confirmed.
+    /// Newest heartbeat of this incarnation the leader confirmed.
     pub confirmed: Option<HeartbeatSequence>,
-    /// The life the confirmation is for.
+    /// The incarnation the confirmation is for.
     pub incarnation: RunnerIncarnation,
     /// Run lease, counted from when the confirmed heartbeat was sent.
     pub lease: Milliseconds,
     /// Ended runs the record has.
     pub recorded: Vec<RunId>,
-    /// Held runs the record closed: stop them.
+    /// Active runs the record closed: stop them.
     pub stop: Vec<RunId>,
     /// Answers to the runs that could not be named.
     pub names: Vec<NamedRun>,
--- a/crates/agent/src/core/orders.rs
+++ b/crates/agent/src/core/orders.rs
@@ -69,14 +69,14 @@
 
 /// Queue, deliveries in flight, and what has been seen.
 #[derive(Debug)]
-pub struct OrderBook {
+pub struct OrderTable {
     timeout: Milliseconds,
     seen: BTreeMap<(Term, RunnerId), SeenOrders>,
     queued: VecDeque<Waiting>,
     in_flight: BTreeMap<OrderKey, Waiting>,
 }
 
-impl OrderBook {
+impl OrderTable {
     /// An empty book whose orders are given up after `timeout`.
     pub fn new(timeout: Milliseconds) -> Self {
         Self {
@@ -93,8 +93,8 @@
         self.queued.retain(|waiting| waiting.order.term >= term);
     }
 
-    /// Notes an order that will not be delivered.
-    pub fn note(&mut self, order: &RunnerOrder) -> Accepted {
+    /// Records an order that will not be delivered.
+    pub fn record(&mut self, order: &RunnerOrder) -> Accepted {
         let key = (order.term, order.runner.clone());
         if self.seen.entry(key).or_default().add(order.sequence) {
             Accepted::New
@@ -105,7 +105,7 @@
 
     /// Takes an order to be delivered once.
     pub fn accept(&mut self, order: &RunnerOrder, now: Monotonic) -> Accepted {
-        if self.note(order) == Accepted::Duplicate {
+        if self.record(order) == Accepted::Duplicate {
             return Accepted::Duplicate;
         }
         if self.queued.len() >= MAX_QUEUED {
--- a/crates/agent/src/core/runners.rs
+++ b/crates/agent/src/core/runners.rs
@@ -1,8 +1,8 @@
 //! The runners an agent serves.
 
 use super::HeartbeatAnswer;
-use peer::{NamedRun, RunnerUpdate};
 use std::collections::{BTreeMap, BTreeSet};
+use transport::{NamedRun, RunnerUpdate};
 use types::{
     HeartbeatSequence, Milliseconds, Monotonic, RunId, RunnerId, RunnerIncarnation, RunnerReport,
 };
@@ -14,22 +14,22 @@
 
 /// How the runner that an order is for stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
-    /// This life has sent a heartbeat since the session opened.
+pub enum RunnerStatus {
+    /// This incarnation has sent a heartbeat since the session opened.
     Served,
-    /// Nothing was heard of this life since the session opened.
+    /// Nothing was heard of this incarnation since the session opened.
     Unheard,
-    /// A later life has been heard: this one is over.
+    /// A later incarnation has been heard: this one is over.
     Ended,
 }
 
-/// A runner's current life.
+/// A runner's current incarnation.
 #[derive(Debug)]
 struct Entry {
     incarnation: RunnerIncarnation,
     newest: HeartbeatSequence,
-    heard_at: Monotonic,
-    heard_in_session: bool,
+    last_seen: Monotonic,
+    seen_in_session: bool,
     unsent: Option<RunnerReport>,
     confirmed: Option<HeartbeatSequence>,
     lease: Milliseconds,
@@ -44,8 +44,8 @@
         Self {
             incarnation: report.incarnation,
             newest: report.sequence,
-            heard_at: now,
-            heard_in_session: false,
+            last_seen: now,
+            seen_in_session: false,
             unsent: None,
             confirmed: None,
             lease: Milliseconds::default(),
@@ -83,15 +83,15 @@
             *entry = Entry::new(&report, now);
         }
         entry.newest = report.sequence;
-        entry.heard_at = now;
+        entry.last_seen = now;
         entry.draining = report.draining;
         if session_open {
-            entry.heard_in_session = true;
+            entry.seen_in_session = true;
             entry.unsent = Some(report);
         }
     }
 
-    /// Takes the leader's answer to a heartbeat of a runner's current life.
+    /// Takes the leader's answer to a heartbeat of a runner's current incarnation.
     pub fn update(&mut self, update: &RunnerUpdate) {
         let Some(entry) = self.entries.get_mut(&update.runner) else {
             return;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// True when the runner said in its last heartbeat that it leaves.
+    /// Returns whether the runner said in its last heartbeat that it leaves.
     pub fn is_draining(&self, runner: &RunnerId) -> bool {
         self.entries.get(runner).is_some_and(|entry| entry.draining)
     }
@@ -133,32 +133,32 @@
         }
     }
 
-    /// How one life of a runner stands.
-    pub fn standing(&self, runner: &RunnerId, incarnation: RunnerIncarnation) -> Standing {
+    /// How one incarnation of a runner stands.
+    pub fn status(&self, runner: &RunnerId, incarnation: RunnerIncarnation) -> RunnerStatus {
         match self.entries.get(runner) {
-            Some(entry) if entry.incarnation > incarnation => Standing::Ended,
-            Some(entry) if entry.incarnation == incarnation && entry.heard_in_session => {
-                Standing::Served
+            Some(entry) if entry.incarnation > incarnation => RunnerStatus::Ended,
+            Some(entry) if entry.incarnation == incarnation && entry.seen_in_session => {
+                RunnerStatus::Served
             }
-            _ => Standing::Unheard,
+            _ => RunnerStatus::Unheard,
         }
     }
 
     /// Each runner must be heard again before it is served.
     pub fn session_closed(&mut self) {
         for entry in self.entries.values_mut() {
-            entry.heard_in_session = false;
+            entry.seen_in_session = false;
             entry.unsent = None;
         }
     }
 
     /// Drops runners that have been silent for long.
-    pub fn forget_silent(&mut self, now: Monotonic) {
+    pub fn forget_unresponsive(&mut self, now: Monotonic) {
         self.entries
-            .retain(|_, entry| now.since(entry.heard_at) < FORGET_AFTER);
+            .retain(|_, entry| now.since(entry.last_seen) < FORGET_AFTER);
     }
 
-    /// True when a heartbeat waits for the leader.
+    /// Returns whether a heartbeat waits for the leader.
     pub fn has_unsent(&self) -> bool {
         self.entries.values().any(|entry| entry.unsent.is_some())
     }
--- a/crates/agent/src/shell.rs
+++ b/crates/agent/src/shell.rs
@@ -9,8 +9,8 @@
 use crate::{Agent, AgentOptions};
 use admin::Readiness;
 use axum::Router;
-use delivery::Courier;
-pub use delivery::OrderCarrier;
+use delivery::HttpOrderSender;
+pub use delivery::OrderSender;
 use driver::Driver;
 pub use question::Questions;
 use std::future::IntoFuture;
@@ -31,9 +31,9 @@
     /// Settings of the core.
     pub core: AgentOptions,
     /// Peer listener.
-    pub transport: peer::TransportOptions,
+    pub transport: transport::TransportOptions,
     /// Shared key of the cluster.
-    pub cluster_key: peer::ClusterKey,
+    pub cluster_key: transport::ClusterKey,
     /// HTTP listener for runners; also livez, readyz and metrics.
     pub http_listen: SocketAddr,
     /// Longest time to end after a polite stop.
@@ -45,7 +45,7 @@
 pub enum AgentError {
     /// The peer listener cannot be used.
     #[error(transparent)]
-    Transport(#[from] peer::TransportError),
+    Transport(#[from] transport::TransportError),
     /// The HTTP listener cannot be used.
     #[error("cannot listen on {listen}: {source}")]
     Http {
@@ -77,51 +77,51 @@
     options: ShellOptions,
     stop: watch::Receiver<bool>,
 ) -> Result<(), AgentError> {
-    let courier = Courier::new(options.core.order_timeout, options.core.freeze_after)?;
-    serve(listener, options, stop, courier, http::router).await
+    let order_sender = HttpOrderSender::new(options.core.order_timeout, options.core.freeze_after)?;
+    serve(listener, options, stop, order_sender, http::router).await
 }
 
 /// Runs an agent until `stop` turns true, whose runners speak another
-/// interface than that of the `api` crate: `carrier` brings them orders, and
+/// interface than that of the `api` crate: `order_sender` brings them orders, and
 /// `routes` takes what they send.
-pub async fn run_with_carrier<C: OrderCarrier>(
+pub async fn run_with_order_sender<C: OrderSender>(
     options: ShellOptions,
     stop: watch::Receiver<bool>,
-    carrier: C,
+    order_sender: C,
     routes: impl FnOnce(Questions, Readiness) -> Router,
 ) -> Result<(), AgentError> {
     let listen = options.http_listen;
     let listener = TcpListener::bind(listen)
         .await
         .map_err(|source| AgentError::Http { listen, source })?;
-    serve(listener, options, stop, carrier, routes).await
+    serve(listener, options, stop, order_sender, routes).await
 }
 
-async fn serve<C: OrderCarrier>(
+async fn serve<C: OrderSender>(
     listener: TcpListener,
     options: ShellOptions,
     stop: watch::Receiver<bool>,
-    courier: C,
+    order_sender: C,
     routes: impl FnOnce(Questions, Readiness) -> Router,
 ) -> Result<(), AgentError> {
     let listen = options.http_listen;
     let mut core = options.core;
     let own = core.address.clone();
-    let started = peer::Transport::start(options.transport, options.cluster_key, own);
+    let started = transport::Transport::start(options.transport, options.cluster_key, own);
     let (transport, arriving) = started.await?;
     // A port of 0 in the settings stands for the one that was found.
     core.address = transport.own().clone();
     let readiness = Readiness::starting();
     let (questions, inbox) = question::channel();
-    let agent = Agent::new(core, peer::clock::now());
-    let driver = Driver::new(agent, transport.clone(), courier, readiness.clone());
+    let agent = Agent::new(core, transport::clock::now());
+    let driver = Driver::new(agent, transport.clone(), order_sender, readiness.clone());
     let (finished, finished_seen) = watch::channel(false);
     let grace = Duration::from_millis(options.grace.0);
     let closing = grace / CLOSING_PART;
 
     let service = routes(questions, readiness).into_make_service_with_connect_info::<SocketAddr>();
     let serving = axum::serve(listener, service)
-        .with_graceful_shutdown(turned_true(finished_seen))
+        .with_graceful_shutdown(wait_until_true(finished_seen))
         .into_future();
     let driving = async {
         driver.run(inbox, arriving, stop, grace - closing).await;
@@ -138,6 +138,6 @@
 }
 
 /// Waits until the value is true, or can never become it any more.
-async fn turned_true(mut value: watch::Receiver<bool>) {
+async fn wait_until_true(mut value: watch::Receiver<bool>) {
     let _ = value.wait_for(|value| *value).await;
 }
--- a/crates/agent/src/shell/delivery.rs
+++ b/crates/agent/src/shell/delivery.rs
@@ -12,12 +12,12 @@
 
 /// Carries orders over HTTP.
 #[derive(Debug, Clone)]
-pub struct Courier {
+pub struct HttpOrderSender {
     client: Client,
     freeze_after: Milliseconds,
 }
 
-impl Courier {
+impl HttpOrderSender {
     /// A courier that waits this long for an answer, and gives up an order
     /// that it could not send for `freeze_after`.
     pub fn new(timeout: Milliseconds, freeze_after: Milliseconds) -> Result<Self, reqwest::Error> {
@@ -47,7 +47,7 @@
 }
 
 /// Brings orders to runners.
-pub trait OrderCarrier: Clone + Send + Sync + 'static {
+pub trait OrderSender: Clone + Send + Sync + 'static {
     /// Sends an order that the core gave out at `issued_at`, and waits for the
     /// answer. Anything but a readable answer is unknown: the order may or may
     /// not have arrived, and is never sent again.
@@ -59,7 +59,7 @@
     ) -> impl Future<Output = OrderAnswer> + Send;
 }
 
-impl OrderCarrier for Courier {
+impl OrderSender for HttpOrderSender {
     async fn deliver(
         &self,
         url: Option<&OrdersUrl>,
@@ -67,13 +67,13 @@
         issued_at: Monotonic,
     ) -> OrderAnswer {
         // The process may have been frozen since the core looked at the clock.
-        let waited = peer::clock::now().monotonic.since(issued_at);
+        let waited = transport::clock::now().monotonic.since(issued_at);
         let answer = match url {
             Some(url) if waited < self.freeze_after => self.send(url, order).await,
             _ => None,
         };
         if answer.is_none() {
-            tracing::warn!(runner = %order.runner, run = %order.kind.run(), "no answer to an order");
+            tracing::warn!(runner = %order.runner, run = %order.kind.run(), "order unanswered, outcome unknown");
         }
         answer.unwrap_or(OrderAnswer::Unknown)
     }
--- a/crates/agent/src/shell/driver.rs
+++ b/crates/agent/src/shell/driver.rs
@@ -1,17 +1,17 @@
 //! The task that owns the core: it reads the clock, gives inputs, does effects.
 
-use super::delivery::OrderCarrier;
+use super::delivery::OrderSender;
 use super::key::authorize;
 use super::question::Question;
-use super::turned_true;
+use super::wait_until_true;
 use crate::{Agent, Effect, Input};
 use admin::Readiness;
 use api::runner::OrdersUrl;
-use peer::Transport;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
+use transport::Transport;
 use types::{Monotonic, Now, OrderAnswer, RunnerId, RunnerOrder};
 
 /// Runners whose URL is remembered; as many as the core serves. The one heard
@@ -22,27 +22,27 @@
 #[derive(Debug)]
 struct KnownUrl {
     url: OrdersUrl,
-    heard_at: Monotonic,
+    received_at: Monotonic,
 }
 
 /// The core with everything that its effects need.
 pub struct Driver<C> {
     agent: Agent,
     transport: Transport,
-    courier: C,
+    order_sender: C,
     readiness: Readiness,
     orders_urls: BTreeMap<RunnerId, KnownUrl>,
     deliveries: JoinSet<(RunnerOrder, OrderAnswer)>,
     stopped: bool,
 }
 
-impl<C: OrderCarrier> Driver<C> {
+impl<C: OrderSender> Driver<C> {
     /// A driver of a fresh agent.
-    pub fn new(agent: Agent, transport: Transport, courier: C, readiness: Readiness) -> Self {
+    pub fn new(agent: Agent, transport: Transport, order_sender: C, readiness: Readiness) -> Self {
         Self {
             agent,
             transport,
-            courier,
+            order_sender,
             readiness,
             orders_urls: BTreeMap::new(),
             deliveries: JoinSet::new(),
@@ -54,16 +54,16 @@
     pub async fn run(
         mut self,
         mut questions: mpsc::Receiver<Question>,
-        mut arriving: peer::Inbox,
+        mut arriving: transport::Inbox,
         stop: watch::Receiver<bool>,
         grace: Duration,
     ) {
-        self.drive(&mut questions, &mut arriving, turned_true(stop))
+        self.drive(&mut questions, &mut arriving, wait_until_true(stop))
             .await;
         self.input(Input::Stop);
         let stopping = self.drive(&mut questions, &mut arriving, std::future::pending());
         if tokio::time::timeout(grace, stopping).await.is_err() {
-            tracing::warn!("stopped without answers to all orders");
+            tracing::warn!("stopped with orders unanswered");
         }
     }
 
@@ -71,7 +71,7 @@
     async fn drive(
         &mut self,
         questions: &mut mpsc::Receiver<Question>,
-        arriving: &mut peer::Inbox,
+        arriving: &mut transport::Inbox,
         until: impl Future<Output = ()>,
     ) {
         tokio::pin!(until);
@@ -94,7 +94,7 @@
 
     /// Time until the core wants a tick.
     fn pause(&self) -> Duration {
-        let now = peer::clock::now().monotonic;
+        let now = transport::clock::now().monotonic;
         Duration::from_millis(self.agent.next_wakeup().since(now).0)
     }
 
@@ -110,7 +110,7 @@
     fn answer(&mut self, question: Question) {
         match question {
             Question::Authorize { token, answer } => {
-                let configuration = self.agent.configuration(peer::clock::now());
+                let configuration = self.agent.configuration(transport::clock::now());
                 // A handler that is gone needs no answer.
                 let _ = answer.send(authorize(configuration, token.as_deref()));
             }
@@ -126,28 +126,28 @@
                 self.input(Input::Heartbeat(report));
                 let _ = answer.send(self.agent.heartbeat_answer(&runner));
             }
-            Question::News { runner, answer } => {
+            Question::Updates { runner, answer } => {
                 let _ = answer.send(self.agent.heartbeat_answer(&runner));
             }
         }
     }
 
     fn remember_url(&mut self, runner: &RunnerId, url: OrdersUrl) {
-        let heard_at = peer::clock::now().monotonic;
-        let known = KnownUrl { url, heard_at };
+        let received_at = transport::clock::now().monotonic;
+        let known = KnownUrl { url, received_at };
         self.orders_urls.insert(runner.clone(), known);
         if self.orders_urls.len() > MAX_URLS {
             let oldest = self
                 .orders_urls
                 .iter()
-                .min_by_key(|(_, known)| known.heard_at);
+                .min_by_key(|(_, known)| known.received_at);
             let oldest = oldest.map(|(runner, _)| runner.clone());
             oldest.and_then(|runner| self.orders_urls.remove(&runner));
         }
     }
 
     fn input(&mut self, input: Input) {
-        let now = peer::clock::now();
+        let now = transport::clock::now();
         let mut effects = Vec::new();
         self.agent.handle(now, input, &mut effects);
         for effect in effects {
@@ -172,11 +172,11 @@
     }
 
     fn deliver(&mut self, now: Now, order: RunnerOrder) {
-        let courier = self.courier.clone();
+        let order_sender = self.order_sender.clone();
         let known = self.orders_urls.get(&order.runner);
         let url = known.map(|known| known.url.clone());
         self.deliveries.spawn(async move {
-            let delivery = courier.deliver(url.as_ref(), &order, now.monotonic);
+            let delivery = order_sender.deliver(url.as_ref(), &order, now.monotonic);
             let answer = delivery.await;
             (order, answer)
         });
@@ -187,10 +187,10 @@
     match answer {
         OrderAnswer::Started => "started",
         OrderAnswer::Stopping => "stopping",
-        OrderAnswer::Voided => "voided",
-        OrderAnswer::Held => "held",
+        OrderAnswer::Revoked => "voided",
+        OrderAnswer::Active => "held",
         OrderAnswer::Ended => "ended",
-        OrderAnswer::Refused(_) => "refused",
+        OrderAnswer::Rejected(_) => "refused",
         OrderAnswer::Unknown => "unknown",
     }
 }
--- a/crates/agent/src/shell/http.rs
+++ b/crates/agent/src/shell/http.rs
@@ -1,9 +1,9 @@
 //! The HTTP interface for runners.
 
-use super::question::{Questions, refusal};
+use super::question::{Questions, rejection};
 use crate::HeartbeatAnswer;
 use admin::Readiness;
-use api::refusal::RefusalBody;
+use api::rejection::RejectionBody;
 use api::runner::{HEARTBEAT_ROUTE, HeartbeatAnswerBody, HeartbeatBody, OrdersUrl, RunText};
 use axum::body::Bytes;
 use axum::extract::{ConnectInfo, DefaultBodyLimit, Path, State};
@@ -11,8 +11,8 @@
 use axum::response::{IntoResponse, Response};
 use axum::routing::post;
 use axum::{Json, Router};
-use peer::{Refusal, RefusalCode};
 use std::net::SocketAddr;
+use transport::{Rejection, RejectionCode};
 use types::{RunId, RunnerId};
 
 /// Longest heartbeat, in bytes; a longer one gets 413.
@@ -87,22 +87,22 @@
 }
 
 fn invalid(problem: impl ToString) -> Failure {
-    Failure(refusal(RefusalCode::Invalid, problem.to_string(), None))
+    Failure(rejection(RejectionCode::Invalid, problem.to_string(), None))
 }
 
-/// A refusal as an HTTP answer.
+/// A rejection as an HTTP answer.
 #[derive(Debug)]
-struct Failure(Refusal);
+struct Failure(Rejection);
 
-impl From<Refusal> for Failure {
-    fn from(refusal: Refusal) -> Self {
-        Self(refusal)
+impl From<Rejection> for Failure {
+    fn from(rejection: Rejection) -> Self {
+        Self(rejection)
     }
 }
 
 impl IntoResponse for Failure {
     fn into_response(self) -> Response {
-        let body = RefusalBody::from(self.0);
+        let body = RejectionBody::from(self.0);
         let status = StatusCode::from_u16(body.code.status());
         let status = status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let retry_after = body.retry_after_seconds().map(HeaderValue::from);
--- a/crates/agent/src/shell/key.rs
+++ b/crates/agent/src/shell/key.rs
@@ -1,8 +1,8 @@
 //! Who may send heartbeats.
 
-use super::question::refusal;
+use super::question::rejection;
 use configuration::{ClusterConfiguration, KeyRole, authenticate, requires_keys};
-use peer::{Refusal, RefusalCode};
+use transport::{Rejection, RejectionCode};
 use types::Milliseconds;
 
 /// When to come back while the configuration is not known.
@@ -13,10 +13,10 @@
 pub fn authorize(
     configuration: Option<&ClusterConfiguration>,
     token: Option<&str>,
-) -> Result<(), Refusal> {
+) -> Result<(), Rejection> {
     let Some(configuration) = configuration else {
-        return Err(refusal(
-            RefusalCode::Unavailable,
+        return Err(rejection(
+            RejectionCode::Unavailable,
             "the configuration is not known now, so no key can be checked",
             Some(RETRY_AFTER),
         ));
@@ -27,13 +27,13 @@
     let key = token.and_then(|token| authenticate(configuration, token));
     match key.map(|key| &key.role) {
         Some(KeyRole::Runner | KeyRole::Operator) => Ok(()),
-        Some(KeyRole::Caller(_)) => Err(refusal(
-            RefusalCode::Forbidden,
+        Some(KeyRole::Caller(_)) => Err(rejection(
+            RejectionCode::Forbidden,
             "this key is a caller's; heartbeats need a runner's",
             None,
         )),
-        None => Err(refusal(
-            RefusalCode::Unauthenticated,
+        None => Err(rejection(
+            RejectionCode::Unauthenticated,
             "a bearer key of a runner is needed",
             None,
         )),
--- a/crates/agent/src/shell/question.rs
+++ b/crates/agent/src/shell/question.rs
@@ -2,13 +2,13 @@
 
 use crate::HeartbeatAnswer;
 use api::runner::OrdersUrl;
-use peer::{Refusal, RefusalCode};
 use tokio::sync::{mpsc, oneshot};
+use transport::{Rejection, RejectionCode};
 use types::{Milliseconds, RunnerId, RunnerReport};
 
-/// Questions that may wait for the core; more are refused at once.
+/// Questions that may wait for the core; more are rejected at once.
 const MAX_WAITING: usize = 512;
-/// When a refused runner should come back.
+/// When a rejected runner should come back.
 const RETRY_AFTER: Milliseconds = Milliseconds(500);
 
 /// A question with the way back for its answer.
@@ -19,7 +19,7 @@
         /// The token, if there was one.
         token: Option<String>,
         /// Where the answer goes.
-        answer: oneshot::Sender<Result<(), Refusal>>,
+        answer: oneshot::Sender<Result<(), Rejection>>,
     },
     /// A heartbeat of an authorized runner.
     Heartbeat {
@@ -31,7 +31,7 @@
         answer: oneshot::Sender<HeartbeatAnswer>,
     },
     /// What the leader has answered since the last heartbeat of a runner.
-    News {
+    Updates {
         /// The runner.
         runner: RunnerId,
         /// Where the answer goes.
@@ -53,7 +53,7 @@
 
 impl Questions {
     /// Asks whether the bearer of a token may send heartbeats.
-    pub async fn authorize(&self, token: Option<String>) -> Result<(), Refusal> {
+    pub async fn authorize(&self, token: Option<String>) -> Result<(), Rejection> {
         let (answer, answered) = oneshot::channel();
         self.ask(Question::Authorize { token, answer })?;
         answered.await.unwrap_or_else(|_| Err(stopping()))
@@ -64,7 +64,7 @@
         &self,
         report: RunnerReport,
         orders_url: Option<OrdersUrl>,
-    ) -> Result<HeartbeatAnswer, Refusal> {
+    ) -> Result<HeartbeatAnswer, Rejection> {
         let (answer, answered) = oneshot::channel();
         self.ask(Question::Heartbeat {
             report,
@@ -75,16 +75,16 @@
     }
 
     /// Asks what the leader has answered meanwhile, without a heartbeat.
-    pub async fn news(&self, runner: RunnerId) -> Result<HeartbeatAnswer, Refusal> {
+    pub async fn updates(&self, runner: RunnerId) -> Result<HeartbeatAnswer, Rejection> {
         let (answer, answered) = oneshot::channel();
-        self.ask(Question::News { runner, answer })?;
+        self.ask(Question::Updates { runner, answer })?;
         answered.await.map_err(|_| stopping())
     }
 
-    fn ask(&self, question: Question) -> Result<(), Refusal> {
+    fn ask(&self, question: Question) -> Result<(), Rejection> {
         self.sender.try_send(question).map_err(|error| match error {
-            mpsc::error::TrySendError::Full(_) => refusal(
-                RefusalCode::Overloaded,
+            mpsc::error::TrySendError::Full(_) => rejection(
+                RejectionCode::Overloaded,
                 "too many heartbeats wait for this agent",
                 Some(RETRY_AFTER),
             ),
@@ -93,21 +93,21 @@
     }
 }
 
-fn stopping() -> Refusal {
-    refusal(
-        RefusalCode::Unavailable,
+fn stopping() -> Rejection {
+    rejection(
+        RejectionCode::Unavailable,
         "the agent is stopping",
         Some(RETRY_AFTER),
     )
 }
 
-/// A refusal without problems of a configuration.
-pub fn refusal(
-    code: RefusalCode,
+/// A rejection without problems of a configuration.
+pub fn rejection(
+    code: RejectionCode,
     message: impl Into<String>,
     retry_after: Option<Milliseconds>,
-) -> Refusal {
-    Refusal {
+) -> Rejection {
+    Rejection {
         code,
         message: message.into(),
         retry_after,
--- a/crates/agent/tests/agent/bench.rs
+++ b/crates/agent/tests/agent/bench.rs
@@ -1,8 +1,8 @@
 //! An agent with a hand-moved clock, one runner and a leader.
 
 use agent::{Agent, AgentMutation, AgentOptions, Effect, Input};
-use peer::{Envelope, OrderResult, PeerMessage, RunnerUpdate, SessionLease};
 use std::net::SocketAddr;
+use transport::{Envelope, OrderResult, PeerMessage, RunnerUpdate, SessionLease};
 use types::{
     Address, ClusterId, ConfigurationVersion, HeartbeatSequence, Labels, Milliseconds, Monotonic,
     NodeId, Now, OrderAnswer, OrderKind, OrderSequence, PoolName, RackName, Resources, Role, RunId,
@@ -42,7 +42,7 @@
 
 pub fn report(incarnation: u64, sequence: u64) -> RunnerReport {
     RunnerReport {
-        place: None,
+        endpoint: None,
         unnamed: Vec::new(),
         runner: runner_id(),
         incarnation: RunnerIncarnation(incarnation),
@@ -54,12 +54,12 @@
         free: Resources::ZERO,
         draining: false,
         self_stop: true,
-        held: Vec::new(),
+        active: Vec::new(),
         ended: Vec::new(),
     }
 }
 
-/// A void of run `sequence`, numbered like it. To the agent all orders are
+/// A revocation of run `sequence`, numbered like it. To the agent all orders are
 /// alike.
 pub fn order(term: u64, sequence: u64) -> RunnerOrder {
     RunnerOrder {
@@ -68,7 +68,7 @@
         sequence: OrderSequence(sequence),
         runner: runner_id(),
         incarnation: RunnerIncarnation(LIFE),
-        kind: OrderKind::Void {
+        kind: OrderKind::Revoke {
             run: run_id(sequence),
         },
     }
@@ -167,7 +167,7 @@
         self.input(Input::Peer(envelope));
     }
 
-    /// Answers the newest hello with a lease of this term.
+    /// Answers the newest keep-alive with a lease of this term.
     pub fn open(&mut self, term: u64) {
         if self.newest_hello.is_none() {
             let hint = PeerMessage::NotLeader {
@@ -182,9 +182,9 @@
     fn hello_in_effects(&self) -> Option<u64> {
         self.effects.iter().rev().find_map(|effect| match effect {
             Effect::Send {
-                message: PeerMessage::Hello(hello),
+                message: PeerMessage::KeepAlive(keep_alive),
                 to,
-            } if *to == leader().socket => Some(hello.sequence),
+            } if *to == leader().socket => Some(keep_alive.sequence),
             _ => None,
         })
     }
--- a/crates/agent/tests/agent/fencing.rs
+++ b/crates/agent/tests/agent/fencing.rs
@@ -2,8 +2,8 @@
 
 use crate::bench::{Bench, FREEZE, INTERVAL, LEASE, leader, order, run_id, update};
 use agent::{AgentMutation, Input};
-use peer::PeerMessage;
-use types::{NodeId, OrderAnswer, OrderSequence, RefusalReason, Term};
+use transport::PeerMessage;
+use types::{NodeId, OrderAnswer, OrderSequence, RejectionReason, Term};
 
 #[test]
 fn refuses_orders_of_a_lower_term() {
@@ -13,8 +13,8 @@
     bench.heartbeat();
     bench.order(vec![order(2, 1)]);
     assert!(bench.delivered().is_empty());
-    let refused = OrderAnswer::Refused(RefusalReason::StaleTerm);
-    assert_eq!(bench.answers(), vec![refused]);
+    let rejected = OrderAnswer::Rejected(RejectionReason::StaleTerm);
+    assert_eq!(bench.answers(), vec![rejected]);
     bench.order(vec![order(3, 1)]);
     assert_eq!(bench.delivered(), vec![OrderSequence(1)]);
 }
@@ -42,7 +42,7 @@
     bench.order((1..=20).map(|sequence| order(1, sequence)).collect());
     bench.run_to(INTERVAL + INTERVAL / 8);
     bench.open(2);
-    bench.answer(order(1, 1), OrderAnswer::Voided);
+    bench.answer(order(1, 1), OrderAnswer::Revoked);
     assert!(bench.delivered().is_empty());
 }
 
@@ -68,7 +68,7 @@
 }
 
 fn frees_a_place(bench: &mut Bench) {
-    bench.answer(order(1, 1), OrderAnswer::Voided);
+    bench.answer(order(1, 1), OrderAnswer::Revoked);
 }
 
 #[test]
--- a/crates/agent/tests/agent/heartbeats.rs
+++ b/crates/agent/tests/agent/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use crate::bench::{Bench, LIFE, leader, report, run_id, runner_id, update};
 use agent::Input;
-use peer::PeerMessage;
+use transport::PeerMessage;
 use types::{HeartbeatSequence, Milliseconds, RunnerIncarnation, Term};
 
 #[test]
--- a/crates/agent/tests/agent/orders.rs
+++ b/crates/agent/tests/agent/orders.rs
@@ -2,7 +2,7 @@
 
 use crate::bench::{Bench, INTERVAL, ORDER_TIMEOUT, order, report};
 use agent::{Effect, Input};
-use types::{OrderAnswer, OrderSequence, RefusalReason};
+use types::{OrderAnswer, OrderSequence, RejectionReason};
 
 #[test]
 fn delivers_each_order_once() {
@@ -11,7 +11,7 @@
     assert_eq!(bench.delivered(), vec![OrderSequence(1), OrderSequence(2)]);
     bench.order(vec![order(1, 2), order(1, 3)]);
     assert_eq!(bench.delivered(), vec![OrderSequence(3)]);
-    bench.answer(order(1, 2), OrderAnswer::Voided);
+    bench.answer(order(1, 2), OrderAnswer::Revoked);
     bench.order(vec![order(1, 2)]);
     assert!(bench.delivered().is_empty());
 }
@@ -46,7 +46,7 @@
     let mut bench = Bench::serving();
     bench.order((1..=20).map(|sequence| order(1, sequence)).collect());
     assert_eq!(bench.delivered().len(), 16);
-    bench.answer(order(1, 1), OrderAnswer::Voided);
+    bench.answer(order(1, 1), OrderAnswer::Revoked);
     assert_eq!(bench.delivered(), vec![OrderSequence(17)]);
 }
 
@@ -72,8 +72,8 @@
     bench.input(Input::Heartbeat(report(4, 1)));
     bench.order(vec![order(1, 2)]);
     assert!(bench.delivered().is_empty());
-    let refused = OrderAnswer::Refused(RefusalReason::OtherIncarnation);
-    assert_eq!(bench.answers(), vec![refused]);
+    let rejected = OrderAnswer::Rejected(RejectionReason::OtherIncarnation);
+    assert_eq!(bench.answers(), vec![rejected]);
 }
 
 #[test]
@@ -106,10 +106,10 @@
     assert_eq!(bench.readiness(), Some(Err("stopping".to_owned())));
     bench.order(vec![order(1, 2)]);
     assert!(bench.delivered().is_empty());
-    bench.answer(order(1, 1), OrderAnswer::Voided);
-    assert_eq!(bench.answers(), vec![OrderAnswer::Voided]);
+    bench.answer(order(1, 1), OrderAnswer::Revoked);
+    assert_eq!(bench.answers(), vec![OrderAnswer::Revoked]);
     let goodbye = bench.effects.iter().any(|effect| {
-        matches!(effect, Effect::Send { message: peer::PeerMessage::Hello(hello), .. } if hello.leaving)
+        matches!(effect, Effect::Send { message: transport::PeerMessage::KeepAlive(keep_alive), .. } if keep_alive.leaving)
     });
     assert!(goodbye);
     assert_eq!(bench.effects.last(), Some(&Effect::Stopped));
--- a/crates/agent/tests/agent/property.rs
+++ b/crates/agent/tests/agent/property.rs
@@ -2,9 +2,9 @@
 
 use crate::bench::{Bench, FREEZE, order, report, update};
 use agent::Input;
-use peer::PeerMessage;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
+use transport::PeerMessage;
 use types::{NodeId, OrderAnswer, OrderSequence, Term};
 
 #[derive(Debug, Clone)]
@@ -106,7 +106,7 @@
                     bench.receive(crate::bench::leader(), PeerMessage::RunnerUpdate(update(term, 1)));
                 }
                 Step::Answer { term, sequence } => {
-                    bench.answer(order(term, sequence), OrderAnswer::Voided);
+                    bench.answer(order(term, sequence), OrderAnswer::Revoked);
                 }
                 Step::NewLife(incarnation) => {
                     permission.may_deliver |= bench.is_open();
--- a/crates/agent/tests/shell/bench.rs
+++ b/crates/agent/tests/shell/bench.rs
@@ -2,13 +2,13 @@
 
 use agent::{AgentError, AgentOptions, ShellOptions};
 use configuration::{ClusterConfiguration, Key, KeyHash, KeyRole};
-use peer::{ClusterKey, Envelope, PeerMessage, SessionLease, Transport, TransportOptions};
-use standin::runner::{Behaviour, RunnerOptions};
+use emulator::runner::{Behaviour, RunnerOptions};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
+use transport::{ClusterKey, Envelope, PeerMessage, SessionLease, Transport, TransportOptions};
 use types::{
     Address, ClusterId, ConfigurationVersion, JobId, JobKey, KeyId, Labels, Milliseconds, NodeId,
     OrderKind, OrderSequence, PoolName, RackName, Resources, Role, RunId, RunSpec, RunnerId,
@@ -48,7 +48,7 @@
 
 pub struct Leader {
     transport: Transport,
-    arriving: peer::Inbox,
+    arriving: transport::Inbox,
     document: ClusterConfiguration,
     version: ConfigurationVersion,
 }
@@ -115,7 +115,7 @@
         .await
     }
 
-    pub async fn result(&mut self) -> peer::OrderResult {
+    pub async fn result(&mut self) -> transport::OrderResult {
         self.until(|envelope| match &envelope.body {
             PeerMessage::OrderResults { results } => results.first().cloned(),
             _ => None,
@@ -142,26 +142,26 @@
         match &envelope.body {
             PeerMessage::Discover => self.send(
                 to,
-                PeerMessage::Members(peer::Members {
+                PeerMessage::Members(transport::Members {
                     members: vec![own.clone()],
                     leader: Some(own),
                     term: TERM,
                     cluster: Some(ClusterId(9)),
                 }),
             ),
-            PeerMessage::Hello(hello) => {
+            PeerMessage::KeepAlive(keep_alive) => {
                 let lease = PeerMessage::Lease(SessionLease {
                     term: TERM,
                     leader: own.clone(),
                     cluster: ClusterId(9),
-                    sequence: hello.sequence,
+                    sequence: keep_alive.sequence,
                     lease: Milliseconds(20_000),
                     configuration: self.version,
                     coordinators: vec![own],
                     others: Vec::new(),
                 });
                 self.send(to, lease);
-                if hello.configuration < self.version {
+                if keep_alive.configuration < self.version {
                     self.send(
                         to,
                         PeerMessage::Configuration {
@@ -291,7 +291,7 @@
                 time_limit: Milliseconds(60_000),
                 payload: r#"{"duration_ms": 10}"#.to_owned(),
             },
-            basis: report.sequence,
+            based_on: report.sequence,
             lease: Milliseconds(60_000),
         },
     }
--- a/crates/agent/tests/shell/delivery.rs
+++ b/crates/agent/tests/shell/delivery.rs
@@ -4,9 +4,9 @@
     Leader, RunningAgent, guarded, loopback, run_id, runner_id, runner_options, start,
 };
 use configuration::ClusterConfiguration;
-use peer::{PeerMessage, RunnerUpdate};
-use standin::runner::RunnerEvent;
-use standin::shell::RunnerServer;
+use emulator::runner::RunnerEvent;
+use emulator::shell::RunnerServer;
+use transport::{PeerMessage, RunnerUpdate};
 use types::{Milliseconds, OrderAnswer, Outcome};
 
 #[tokio::test]
@@ -69,7 +69,7 @@
     agent.ask_to_stop();
     leader
         .until(|envelope| match &envelope.body {
-            PeerMessage::Hello(hello) if hello.leaving => Some(()),
+            PeerMessage::KeepAlive(keep_alive) if keep_alive.leaving => Some(()),
             _ => None,
         })
         .await;
--- a/crates/agent/tests/shell/http.rs
+++ b/crates/agent/tests/shell/http.rs
@@ -1,7 +1,7 @@
-//! Who may send heartbeats, and which are refused.
+//! Who may send heartbeats, and which are rejected.
 
 use crate::bench::{Leader, RunningAgent, with_keys};
-use api::refusal::{Code, RefusalBody};
+use api::rejection::{Code, RejectionBody};
 use api::runner::HeartbeatAnswerBody;
 use configuration::ClusterConfiguration;
 use serde_json::{Value, json};
@@ -28,7 +28,7 @@
     request.send().await.expect("an answer")
 }
 
-async fn refused(response: reqwest::Response) -> (u16, RefusalBody) {
+async fn rejected(response: reqwest::Response) -> (u16, RejectionBody) {
     let status = response.status().as_u16();
     (status, response.json().await.expect("a refusal"))
 }
@@ -42,8 +42,8 @@
     assert!(!agent.is_ready().await);
     let response = post(&agent, "runner-1", Some("runner.r"), &body()).await;
     assert!(response.headers().contains_key("retry-after"));
-    let (status, refusal) = refused(response).await;
-    assert_eq!((status, refusal.code), (503, Code::Unavailable));
+    let (status, rejection) = rejected(response).await;
+    assert_eq!((status, rejection.code), (503, Code::Unavailable));
 }
 
 #[tokio::test]
@@ -92,8 +92,12 @@
         ("runner-1", json!([1]), "form"),
     ];
     for (runner, body, expected) in cases {
-        let (status, refusal) = refused(post(&agent, runner, None, &body).await).await;
-        assert_eq!((status, refusal.code), (400, Code::Invalid));
-        assert!(refusal.message.contains(expected), "{}", refusal.message);
+        let (status, rejection) = rejected(post(&agent, runner, None, &body).await).await;
+        assert_eq!((status, rejection.code), (400, Code::Invalid));
+        assert!(
+            rejection.message.contains(expected),
+            "{}",
+            rejection.message
+        );
     }
 }
--- a/crates/agent/tests/shell/main.rs
+++ b/crates/agent/tests/shell/main.rs
@@ -1,4 +1,4 @@
-//! The agent's shell between a hand-made leader and stand-in runners, over
+//! The agent's shell between a hand-made leader and emulated runners, over
 //! loopback sockets.
 
 mod bench;
--- a/crates/api/src/body.rs
+++ b/crates/api/src/body.rs
@@ -1,42 +1,42 @@
 //! Reading of bodies: every error names the field it is about.
 
-use peer::{Refusal, RefusalCode};
 use serde::de::DeserializeOwned;
 use thiserror::Error;
+use transport::{Rejection, RejectionCode};
 
 /// A body that cannot be taken, with the place of the fault.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("{place}: {problem}")]
+#[error("{path}: {message}")]
 pub struct BodyError {
     /// Path of the field, such as `steps[0].tasks`; `body` for the whole.
-    pub place: String,
+    pub path: String,
     /// What is wrong, in one sentence.
-    pub problem: String,
+    pub message: String,
 }
 
 impl BodyError {
     /// A fault at a place.
-    pub fn new(place: impl Into<String>, problem: impl ToString) -> Self {
+    pub fn new(path: impl Into<String>, message: impl ToString) -> Self {
         Self {
-            place: place.into(),
-            problem: problem.to_string(),
+            path: path.into(),
+            message: message.to_string(),
         }
     }
 
     fn from_path<E: ToString>(error: serde_path_to_error::Error<E>) -> Self {
         let path = error.path().to_string();
-        let place = if path == "." { "body".into() } else { path };
+        let path = if path == "." { "body".into() } else { path };
         Self {
-            place,
-            problem: error.inner().to_string().trim_end().to_owned(),
+            path,
+            message: error.inner().to_string().trim_end().to_owned(),
         }
     }
 }
 
-impl From<BodyError> for Refusal {
+impl From<BodyError> for Rejection {
     fn from(error: BodyError) -> Self {
         Self {
-            code: RefusalCode::Invalid,
+            code: RejectionCode::Invalid,
             message: error.to_string(),
             retry_after: None,
             problems: Vec::new(),
--- a/crates/api/src/cancel.rs
+++ b/crates/api/src/cancel.rs
@@ -1,8 +1,8 @@
 //! JSON bodies: cancels of one job, many, or all of a tenant.
 
 use crate::BodyError;
-use record::CancelSelector;
 use serde::{Deserialize, Serialize};
+use state_machine::CancelSelector;
 use types::{JobId, JobKey, QueueName, TenantId};
 
 /// A job as its caller names it.
--- a/crates/api/src/configuration.rs
+++ b/crates/api/src/configuration.rs
@@ -9,7 +9,7 @@
 
 pub use licence::LicenceBody;
 pub use queue::{QueueBody, QueueMode};
-pub use resources::{CapacityBody, CeilingBody, PoolBody};
+pub use resources::{CapacityBody, PoolBody, ResourceLimitBody};
 pub use tenant::{ErrorBudgetBody, TenantBody};
 pub use timings::TimingsBody;
 pub use update::{ConfigurationUpdateBody, RemoveBody, UpsertBody};
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeftOut {
-    /// The document is refused.
+    /// The document is rejected.
     #[default]
     Refuse,
     /// They stay under their last settings, and the queues drain.
--- a/crates/api/src/configuration/resources.rs
+++ b/crates/api/src/configuration/resources.rs
@@ -49,10 +49,10 @@
     }
 }
 
-/// What a tenant may hold over all runners; an absent kind has no ceiling.
+/// What a tenant may hold over all runners; an absent kind has no resource limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct CeilingBody {
+pub struct ResourceLimitBody {
     /// Places for tasks.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub slots: Option<u32>,
@@ -67,20 +67,20 @@
     pub gpus: Option<u32>,
 }
 
-impl From<Resources> for CeilingBody {
-    fn from(ceiling: Resources) -> Self {
+impl From<Resources> for ResourceLimitBody {
+    fn from(resource_limit: Resources) -> Self {
         let limited = |amount: u32| (amount != u32::MAX).then_some(amount);
         Self {
-            slots: limited(ceiling.slots),
-            cpu_milli: limited(ceiling.cpu_milli),
-            memory_mib: limited(ceiling.memory_mib),
-            gpus: limited(ceiling.gpus),
+            slots: limited(resource_limit.slots),
+            cpu_milli: limited(resource_limit.cpu_milli),
+            memory_mib: limited(resource_limit.memory_mib),
+            gpus: limited(resource_limit.gpus),
         }
     }
 }
 
-impl From<CeilingBody> for Resources {
-    fn from(body: CeilingBody) -> Self {
+impl From<ResourceLimitBody> for Resources {
+    fn from(body: ResourceLimitBody) -> Self {
         Self {
             slots: body.slots.unwrap_or(u32::MAX),
             cpu_milli: body.cpu_milli.unwrap_or(u32::MAX),
--- a/crates/api/src/configuration/tenant.rs
+++ b/crates/api/src/configuration/tenant.rs
@@ -1,6 +1,6 @@
 //! Tenant contracts.
 
-use super::CeilingBody;
+use super::ResourceLimitBody;
 use configuration::{ErrorBudget, TenantSettings};
 use serde::{Deserialize, Serialize};
 use types::Milliseconds;
@@ -11,9 +11,10 @@
 pub struct TenantBody {
     /// Fair share of each pool, in percent.
     pub share_percent: u32,
-    /// Resource ceiling over all runners.
+    /// Resource resource limit over all runners.
     #[serde(default)]
-    pub most: CeilingBody,
+    #[serde(rename = "most")]
+    pub resource_limit: ResourceLimitBody,
     /// What lateness and failure the contract allows.
     #[serde(default)]
     pub error_budget: ErrorBudgetBody,
@@ -66,7 +67,7 @@
     fn from(tenant: TenantSettings) -> Self {
         Self {
             share_percent: tenant.share_percent,
-            most: tenant.ceiling.into(),
+            resource_limit: tenant.resource_limit.into(),
             error_budget: ErrorBudgetBody {
                 late_after_ms: tenant.error_budget.late_after.0,
                 late_per_thousand: tenant.error_budget.late_per_thousand,
@@ -83,7 +84,7 @@
     fn from(body: TenantBody) -> Self {
         Self {
             share_percent: body.share_percent,
-            ceiling: body.most.into(),
+            resource_limit: body.resource_limit.into(),
             error_budget: ErrorBudget {
                 late_after: Milliseconds(body.error_budget.late_after_ms),
                 late_per_thousand: body.error_budget.late_per_thousand,
--- a/crates/api/src/decision.rs
+++ b/crates/api/src/decision.rs
@@ -3,9 +3,9 @@
 use crate::BodyError;
 use crate::cancel::JobKeyBody;
 use crate::job::JobState;
-use dispatch::{Decision, DecisionKind, NotPlacedReason};
-use peer::{DecisionEntry, DecisionEvent};
+use scheduler::{Decision, DecisionKind, NotPlacedReason};
 use serde::{Deserialize, Serialize};
+use transport::{DecisionEntry, DecisionEvent};
 use types::{Outcome, QueueName, RunClose, RunnerId, TenantId, WallTime};
 
 /// Most lines asked of the leader at once.
@@ -33,8 +33,8 @@
     pub fn checked_limit(&self) -> Result<u32, BodyError> {
         let limit = self.limit.unwrap_or(MAX_DECISIONS);
         if limit == 0 || limit > MAX_DECISIONS {
-            let problem = format!("must lie between 1 and {MAX_DECISIONS}");
-            return Err(BodyError::new("limit", problem));
+            let message = format!("must lie between 1 and {MAX_DECISIONS}");
+            return Err(BodyError::new("limit", message));
         }
         Ok(limit)
     }
@@ -126,10 +126,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The tenant's runs hold its ceiling.
-    TenantAtCeiling,
-    /// What is left below its ceiling is kept for its more urgent queues.
-    CeilingKeptForUrgent,
+    /// The tenant's runs hold its resource limit.
+    #[serde(rename = "tenant_at_ceiling")]
+    TenantAtLimit,
+    /// What is left below its resource limit is kept for its more urgent queues.
+    #[serde(rename = "ceiling_kept_for_urgent")]
+    LimitReservedForUrgent,
     /// No seat of its licence is free.
     NoSeat,
     /// The tenant is above its share.
@@ -137,13 +139,15 @@
     /// The runners that could take it leave or are silent.
     RunnersAway,
     /// No runner has room.
-    NoRoom,
+    #[serde(rename = "no_room")]
+    NoCapacity,
     /// No runner with room carries the labels.
     NoRunnerWithLabels,
     /// The only room is on a runner on probation.
     RunnerOnProbation,
     /// A runner is kept free for a larger task.
-    HeldForLargerTask,
+    #[serde(rename = "held_for_larger_task")]
+    ReservedForLargerTask,
     /// Its start time or backoff has not come.
     BeforeItsTime,
     /// A step before it is not done.
@@ -161,15 +165,15 @@
 impl From<&NotPlacedReason> for Reason {
     fn from(reason: &NotPlacedReason) -> Self {
         match reason {
-            NotPlacedReason::TenantAtCeiling => Self::TenantAtCeiling,
-            NotPlacedReason::CeilingKeptForUrgent => Self::CeilingKeptForUrgent,
+            NotPlacedReason::TenantAtLimit => Self::TenantAtLimit,
+            NotPlacedReason::LimitReservedForUrgent => Self::LimitReservedForUrgent,
             NotPlacedReason::TenantAboveShare => Self::TenantAboveShare,
             NotPlacedReason::NoSeat => Self::NoSeat,
             NotPlacedReason::RunnersAway => Self::RunnersAway,
-            NotPlacedReason::NoRoom => Self::NoRoom,
+            NotPlacedReason::NoCapacity => Self::NoCapacity,
             NotPlacedReason::NoRunnerWithLabels => Self::NoRunnerWithLabels,
             NotPlacedReason::RunnerOnProbation => Self::RunnerOnProbation,
-            NotPlacedReason::HeldForLargerTask { .. } => Self::HeldForLargerTask,
+            NotPlacedReason::ReservedForLargerTask { .. } => Self::ReservedForLargerTask,
             NotPlacedReason::BeforeItsTime { .. } => Self::BeforeItsTime,
             NotPlacedReason::WaitingForStep => Self::WaitingForStep,
             NotPlacedReason::QueuePaused => Self::QueuePaused,
@@ -191,11 +195,13 @@
     /// Stopped; no failure.
     Stopped,
     /// It never started and never will.
-    Voided,
+    #[serde(rename = "voided")]
+    Revoked,
     /// Its lease ran out in silence; no failure.
     Lost,
-    /// The runner refused it; no failure.
-    Refused,
+    /// The runner rejected it; no failure.
+    #[serde(rename = "refused")]
+    Rejected,
     /// It ran past its time limit; a failure.
     TimedOut,
 }
@@ -206,9 +212,9 @@
             RunClose::Ended(Outcome::Done) => Self::Done,
             RunClose::Ended(Outcome::Failed(_)) => Self::Failed,
             RunClose::Ended(Outcome::Stopped) => Self::Stopped,
-            RunClose::Voided => Self::Voided,
+            RunClose::Revoked => Self::Revoked,
             RunClose::Lost => Self::Lost,
-            RunClose::Refused => Self::Refused,
+            RunClose::Rejected => Self::Rejected,
             RunClose::TimedOut => Self::TimedOut,
         }
     }
--- a/crates/api/src/key.rs
+++ b/crates/api/src/key.rs
@@ -59,12 +59,12 @@
             (RoleBody::Operator, None) => KeyRole::Operator,
             (RoleBody::Runner, None) => KeyRole::Runner,
             (RoleBody::Caller, None) => {
-                let problem = "a caller's key needs its tenant";
-                return Err(BodyError::new(format!("{place}.tenant"), problem));
+                let message = "a caller's key needs its tenant";
+                return Err(BodyError::new(format!("{place}.tenant"), message));
             }
             (_, Some(_)) => {
-                let problem = "only a caller's key has a tenant";
-                return Err(BodyError::new(format!("{place}.tenant"), problem));
+                let message = "only a caller's key has a tenant";
+                return Err(BodyError::new(format!("{place}.tenant"), message));
             }
         };
         Ok(Key {
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod job;
 pub mod key;
 pub mod operator;
-pub mod refusal;
+pub mod rejection;
 pub mod route;
 pub mod runner;
 pub mod version;
--- a/crates/api/src/operator.rs
+++ b/crates/api/src/operator.rs
@@ -1,9 +1,9 @@
 //! JSON bodies: runners, queues, tenants and members, as operators see them.
 
-use crate::configuration::{CapacityBody, CeilingBody, QueueMode};
-use dispatch::RunnerView;
-use peer::{LicenceView, MemberView, QueueView, TenantView};
+use crate::configuration::{CapacityBody, QueueMode, ResourceLimitBody};
+use scheduler::RunnerView;
 use serde::{Deserialize, Serialize};
+use transport::{LicenceView, MemberView, QueueView, TenantView};
 use types::{Labels, LicenceName, PoolName, QueueName, RackName, RunnerId, TenantId};
 
 /// `POST /v1/runners/{runner}/drain`.
@@ -40,7 +40,7 @@
 pub struct RunnerViewBody {
     /// The runner.
     pub runner: RunnerId,
-    /// Its current life.
+    /// Its current incarnation.
     pub incarnation: u64,
     /// Its pool.
     pub pool: PoolName,
@@ -54,12 +54,13 @@
     pub room: CapacityBody,
     /// Open runs bound to it.
     pub open_runs: u32,
-    /// True when it or an operator says so.
+    /// Whether it or an operator says so.
     pub draining: bool,
-    /// True when it is on probation.
+    /// Whether it is on probation.
     pub on_probation: bool,
     /// Time since its last heartbeat.
-    pub silence_ms: u64,
+    #[serde(rename = "silence_ms")]
+    pub since_last_contact_ms: u64,
 }
 
 impl From<RunnerView> for RunnerViewBody {
@@ -71,11 +72,11 @@
             rack: view.rack,
             labels: view.labels,
             capacity: view.capacity.into(),
-            room: view.room.into(),
+            room: view.free.into(),
             open_runs: view.open_runs,
             draining: view.draining,
             on_probation: view.on_probation,
-            silence_ms: view.silence.0,
+            since_last_contact_ms: view.since_last_contact.0,
         }
     }
 }
@@ -134,16 +135,18 @@
     /// Tasks that may start.
     pub ready_tasks: u64,
     /// What its open runs hold.
-    pub holds: CapacityBody,
-    /// Its ceiling.
-    pub most: CeilingBody,
+    #[serde(rename = "holds")]
+    pub usage: CapacityBody,
+    /// Its resource limit.
+    #[serde(rename = "most")]
+    pub resource_limit: ResourceLimitBody,
     /// Jobs ended since the leader's election.
     pub ended_jobs: u64,
     /// Of those, late by the contract.
     pub late_jobs: u64,
     /// Of those, failed.
     pub failed_jobs: u64,
-    /// True when a budget is used up.
+    /// Whether a budget is used up.
     pub budget_exceeded: bool,
 }
 
@@ -153,8 +156,8 @@
             tenant: view.tenant,
             unfinished_jobs: view.unfinished_jobs,
             ready_tasks: view.ready_tasks,
-            holds: view.holds.into(),
-            most: view.ceiling.into(),
+            usage: view.usage.into(),
+            resource_limit: view.resource_limit.into(),
             ended_jobs: view.ended_jobs,
             late_jobs: view.late_jobs,
             failed_jobs: view.failed_jobs,
@@ -178,7 +181,8 @@
     /// Seats in the whole cluster.
     pub seats: u32,
     /// Of those, taken by open runs.
-    pub taken: u32,
+    #[serde(rename = "taken")]
+    pub used: u32,
     /// Tasks that wait for room or a seat.
     pub waiting: u64,
 }
@@ -188,7 +192,7 @@
         Self {
             licence: view.licence,
             seats: view.seats,
-            taken: view.taken,
+            used: view.used,
             waiting: view.waiting,
         }
     }
@@ -213,9 +217,11 @@
     /// Its peer socket.
     pub socket: String,
     /// `leader`, `voter`, `learner` or `session`.
-    pub standing: String,
+    #[serde(rename = "standing")]
+    pub status: String,
     /// Time since it was last heard by the leader.
-    pub silence_ms: u64,
+    #[serde(rename = "silence_ms")]
+    pub since_last_contact_ms: u64,
     /// Configuration version it last reported to the leader; `null` while it
     /// has not.
     pub configuration: Option<u64>,
@@ -234,8 +240,9 @@
     pub bad: u8,
     /// Its disk is slow, or was a moment ago.
     pub slow_disk: bool,
-    /// It gave leadership way a while ago.
-    pub gave_way: bool,
+    /// It transferred leadership a while ago.
+    #[serde(rename = "gave_way")]
+    pub recently_transferred: bool,
 }
 
 impl From<consensus::LinkHealth> for LinkHealthBody {
@@ -244,7 +251,7 @@
             good: links.good_links,
             bad: links.bad_links,
             slow_disk: links.slow_disk,
-            gave_way: links.gave_way,
+            recently_transferred: links.recently_transferred,
         }
     }
 }
@@ -256,8 +263,8 @@
             role: view.address.role.to_string(),
             zone: view.address.zone.to_string(),
             socket: view.address.socket.to_string(),
-            standing: view.standing,
-            silence_ms: view.silence.0,
+            status: view.status,
+            since_last_contact_ms: view.since_last_contact.0,
             configuration: view.configuration.map(|version| version.0),
             links: view.links.map(LinkHealthBody::from),
         }
--- a/crates/api/src/refusal.rs
+++ b/crates/api/src/rejection.rs
@@ -1,11 +1,11 @@
-//! JSON bodies: refusals, with their HTTP status and time to come back.
+//! JSON bodies: rejections, with their HTTP status and time to come back.
 
-use configuration::ConfigurationProblem;
-use peer::{Refusal, RefusalCode};
+use configuration::ConfigurationError;
 use serde::{Deserialize, Serialize};
+use transport::{Rejection, RejectionCode};
 use types::Milliseconds;
 
-/// Kinds of refusal.
+/// Kinds of rejection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
@@ -43,22 +43,22 @@
     }
 }
 
-impl From<RefusalCode> for Code {
-    fn from(code: RefusalCode) -> Self {
+impl From<RejectionCode> for Code {
+    fn from(code: RejectionCode) -> Self {
         match code {
-            RefusalCode::Invalid => Self::Invalid,
-            RefusalCode::Unauthenticated => Self::Unauthenticated,
-            RefusalCode::Forbidden => Self::Forbidden,
-            RefusalCode::NotFound => Self::NotFound,
-            RefusalCode::Conflict => Self::Conflict,
-            RefusalCode::Overloaded => Self::Overloaded,
-            RefusalCode::Unavailable => Self::Unavailable,
-            RefusalCode::TimedOut => Self::TimedOut,
+            RejectionCode::Invalid => Self::Invalid,
+            RejectionCode::Unauthenticated => Self::Unauthenticated,
+            RejectionCode::Forbidden => Self::Forbidden,
+            RejectionCode::NotFound => Self::NotFound,
+            RejectionCode::Conflict => Self::Conflict,
+            RejectionCode::Overloaded => Self::Overloaded,
+            RejectionCode::Unavailable => Self::Unavailable,
+            RejectionCode::TimedOut => Self::TimedOut,
         }
     }
 }
 
-impl From<Code> for RefusalCode {
+impl From<Code> for RejectionCode {
     fn from(code: Code) -> Self {
         match code {
             Code::Invalid => Self::Invalid,
@@ -75,7 +75,7 @@
 
 /// The body of every answer that is not a success.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RefusalBody {
+pub struct RejectionBody {
     /// What kind.
     pub code: Code,
     /// One sentence for people.
@@ -83,55 +83,57 @@
     /// When to come back, where that can help.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// Every problem of a refused configuration.
+    /// Every problem of a rejected configuration.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub problems: Vec<ProblemBody>,
+    pub problems: Vec<DocumentErrorBody>,
 }
 
 /// One thing wrong with a document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ProblemBody {
+pub struct DocumentErrorBody {
     /// Path in the document.
-    pub place: String,
+    #[serde(rename = "place")]
+    pub path: String,
     /// What is wrong.
-    pub problem: String,
+    #[serde(rename = "problem")]
+    pub message: String,
 }
 
-impl RefusalBody {
+impl RejectionBody {
     /// Value of the `Retry-After` header: whole seconds, rounded up.
     pub fn retry_after_seconds(&self) -> Option<u64> {
         self.retry_after_ms.map(|wait| wait.div_ceil(1_000))
     }
 }
 
-impl From<Refusal> for RefusalBody {
-    fn from(refusal: Refusal) -> Self {
-        let problems = refusal.problems.into_iter();
+impl From<Rejection> for RejectionBody {
+    fn from(rejection: Rejection) -> Self {
+        let problems = rejection.problems.into_iter();
         Self {
-            code: refusal.code.into(),
-            message: refusal.message,
-            retry_after_ms: refusal.retry_after.map(|wait| wait.0),
+            code: rejection.code.into(),
+            message: rejection.message,
+            retry_after_ms: rejection.retry_after.map(|wait| wait.0),
             problems: problems
-                .map(|found| ProblemBody {
-                    place: found.place,
-                    problem: found.problem,
+                .map(|found| DocumentErrorBody {
+                    path: found.path,
+                    message: found.message,
                 })
                 .collect(),
         }
     }
 }
 
-impl From<RefusalBody> for Refusal {
-    fn from(body: RefusalBody) -> Self {
+impl From<RejectionBody> for Rejection {
+    fn from(body: RejectionBody) -> Self {
         let problems = body.problems.into_iter();
         Self {
             code: body.code.into(),
             message: body.message,
             retry_after: body.retry_after_ms.map(Milliseconds),
             problems: problems
-                .map(|found| ConfigurationProblem {
-                    place: found.place,
-                    problem: found.problem,
+                .map(|found| ConfigurationError {
+                    path: found.path,
+                    message: found.message,
                 })
                 .collect(),
         }
--- a/crates/api/src/runner.rs
+++ b/crates/api/src/runner.rs
@@ -3,7 +3,7 @@
 //! A runner posts [`HeartbeatBody`] to [`HEARTBEAT_ROUTE`] and is answered
 //! with [`HeartbeatAnswerBody`]. The agent posts [`OrderBody`] to the
 //! `orders_url` of the runner's last heartbeat and is answered with
-//! [`OrderAnswerBody`]. Unknown fields are refused, so that a misspelt one is
+//! [`OrderAnswerBody`]. Unknown fields are rejected, so that a misspelt one is
 //! noticed at once.
 
 mod heartbeat;
@@ -11,10 +11,10 @@
 mod orders_url;
 mod run_text;
 
-pub use heartbeat::{EndedBody, HeartbeatAnswerBody, HeartbeatBody, HeldBody, OutcomeName};
+pub use heartbeat::{ActiveRunBody, EndedBody, HeartbeatAnswerBody, HeartbeatBody, OutcomeName};
 pub use order::{AnswerName, OrderAnswerBody, OrderBody, OrderName, ReasonName, StartBody};
-pub use orders_url::{OrdersUrl, OrdersUrlProblem};
-pub use run_text::{RunText, RunTextProblem};
+pub use orders_url::{OrdersUrl, OrdersUrlError};
+pub use run_text::{RunText, RunTextError};
 
 use serde::de::DeserializeOwned;
 use thiserror::Error;
@@ -23,30 +23,30 @@
 /// Where runners post heartbeats; `runner` is the runner's name.
 pub const HEARTBEAT_ROUTE: &str = "/v1/runners/{runner}/heartbeat";
 
-/// Why a body is refused.
+/// Why a body is rejected.
 #[derive(Debug, Error)]
 pub enum RunnerBodyError {
     /// It is no JSON, or not of the shape asked for.
     #[error("the body does not have the expected form: {0}")]
     Form(#[from] serde_json::Error),
     /// A name breaks the rules for names.
-    #[error("{field}: {problem}")]
+    #[error("{field}: {message}")]
     Name {
         /// Where it stands.
         field: &'static str,
         /// What is wrong.
-        problem: InvalidName,
+        message: InvalidName,
     },
     /// The URL for orders cannot be used.
     #[error("orders_url: {0}")]
-    OrdersUrl(#[from] OrdersUrlProblem),
+    OrdersUrl(#[from] OrdersUrlError),
     /// A number or list is outside its bounds.
-    #[error("{field}: {problem}")]
+    #[error("{field}: {message}")]
     Bounds {
         /// Where it stands.
         field: &'static str,
         /// What is wrong.
-        problem: &'static str,
+        message: &'static str,
     },
     /// A field is missing that the rest of the body asks for, or the reverse.
     #[error("{field} must {must}")]
@@ -65,5 +65,5 @@
 
 /// Names the field in the error of a name.
 fn in_field<T>(field: &'static str, name: Result<T, InvalidName>) -> Result<T, RunnerBodyError> {
-    name.map_err(|problem| RunnerBodyError::Name { field, problem })
+    name.map_err(|message| RunnerBodyError::Name { field, message })
 }
--- a/crates/api/src/runner/heartbeat.rs
+++ b/crates/api/src/runner/heartbeat.rs
@@ -3,7 +3,7 @@
 use super::{OrdersUrl, RunText, RunnerBodyError, in_field};
 use serde::{Deserialize, Serialize};
 use types::{
-    EndedRun, HeartbeatSequence, HeldRun, Labels, Milliseconds, Outcome, PlaceName, PoolName,
+    ActiveRun, EndedRun, EndpointName, HeartbeatSequence, Labels, Milliseconds, Outcome, PoolName,
     RackName, Resources, RunnerId, RunnerIncarnation, RunnerReport,
 };
 
@@ -16,9 +16,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HeartbeatBody {
-    /// This life of the runner; larger than that of any earlier life.
+    /// This incarnation of the runner; larger than that of any earlier incarnation.
     pub incarnation: u64,
-    /// Place among the heartbeats of this life; rises with each.
+    /// Place among the heartbeats of this incarnation; rises with each.
     pub sequence: u64,
     /// Pool it serves.
     pub pool: String,
@@ -27,7 +27,8 @@
     /// Where it stands, such as the socket it takes orders at. When another
     /// runner is heard there, this one's runs count as over.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub place: Option<PlaceName>,
+    #[serde(rename = "place")]
+    pub endpoint: Option<EndpointName>,
     /// Its labels.
     #[serde(default)]
     pub labels: Labels,
@@ -35,16 +36,17 @@
     pub capacity: Resources,
     /// What is free now.
     pub free: Resources,
-    /// True when it is about to leave.
+    /// Whether it is about to leave.
     #[serde(default)]
     pub draining: bool,
-    /// True when it stops its own runs at the end of their lease.
+    /// Whether it stops its own runs at the end of their lease.
     #[serde(default)]
     pub self_stop: bool,
     /// Where it takes orders: `http://<ip>:<port>/<path>`.
     pub orders_url: String,
     /// Every run it holds.
-    pub hold: Vec<HeldBody>,
+    #[serde(rename = "hold")]
+    pub active: Vec<ActiveRunBody>,
     /// Every ended run that was not named in `recorded` yet.
     pub ended: Vec<EndedBody>,
 }
@@ -52,7 +54,7 @@
 /// A run that is going.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct HeldBody {
+pub struct ActiveRunBody {
     /// The run.
     pub run: RunText,
     /// How long it has been going, in milliseconds.
@@ -97,18 +99,18 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HeartbeatAnswerBody {
-    /// Highest term the agent has seen: refuse orders of lower ones.
+    /// Highest term the agent has seen: reject orders of lower ones.
     pub term: u64,
-    /// Newest heartbeat of the life `incarnation` that reached the leader.
+    /// Newest heartbeat of the incarnation `incarnation` that reached the leader.
     pub confirmed: Option<u64>,
-    /// The life the confirmation is for.
+    /// The incarnation the confirmation is for.
     pub incarnation: u64,
-    /// Held runs may go on for this long after heartbeat `confirmed` was sent,
+    /// Active runs may go on for this long after heartbeat `confirmed` was sent,
     /// in milliseconds.
     pub lease_ms: u64,
     /// Ended runs that need not be named any more.
     pub recorded: Vec<RunText>,
-    /// Held runs to stop.
+    /// Active runs to stop.
     pub stop: Vec<RunText>,
 }
 
@@ -120,14 +122,14 @@
             sequence: report.sequence.0,
             pool: report.pool.to_string(),
             rack: report.rack.to_string(),
-            place: report.place.clone(),
+            endpoint: report.endpoint.clone(),
             labels: report.labels.clone(),
             capacity: report.capacity,
             free: report.free,
             draining: report.draining,
             self_stop: report.self_stop,
             orders_url: orders_url.to_string(),
-            hold: report.held.iter().map(HeldBody::from).collect(),
+            active: report.active.iter().map(ActiveRunBody::from).collect(),
             ended: report.ended.iter().map(EndedBody::from).collect(),
         }
     }
@@ -140,7 +142,7 @@
         let orders_url = OrdersUrl::new(&self.orders_url)?;
         self.check_bounds()?;
         let report = RunnerReport {
-            place: self.place,
+            endpoint: self.endpoint,
             unnamed: Vec::new(),
             runner,
             incarnation: RunnerIncarnation(self.incarnation),
@@ -152,7 +154,7 @@
             free: self.free,
             draining: self.draining,
             self_stop: self.self_stop,
-            held: self.hold.into_iter().map(HeldRun::from).collect(),
+            active: self.active.into_iter().map(ActiveRun::from).collect(),
             ended: self.ended.into_iter().map(EndedRun::from).collect(),
         };
         Ok((report, orders_url))
@@ -162,32 +164,32 @@
         if self.labels.len() > MAX_LABELS {
             return Err(RunnerBodyError::Bounds {
                 field: "labels",
-                problem: "a runner has at most 64 labels",
+                message: "a runner has at most 64 labels",
             });
         }
         if !self.free.fits_in(&self.capacity) {
             return Err(RunnerBodyError::Bounds {
                 field: "free",
-                problem: "no more can be free than the capacity",
+                message: "no more can be free than the capacity",
             });
         }
         Ok(())
     }
 }
 
-impl From<&HeldRun> for HeldBody {
-    fn from(held: &HeldRun) -> Self {
+impl From<&ActiveRun> for ActiveRunBody {
+    fn from(active: &ActiveRun) -> Self {
         Self {
-            run: RunText(held.run),
-            age_ms: held.age.0,
-            progress: held.progress,
-            checkpoint: held.checkpoint.clone(),
+            run: RunText(active.run),
+            age_ms: active.age.0,
+            progress: active.progress,
+            checkpoint: active.checkpoint.clone(),
         }
     }
 }
 
-impl From<HeldBody> for HeldRun {
-    fn from(body: HeldBody) -> Self {
+impl From<ActiveRunBody> for ActiveRun {
+    fn from(body: ActiveRunBody) -> Self {
         Self {
             run: body.run.0,
             age: Milliseconds(body.age_ms),
@@ -213,7 +215,7 @@
     }
 }
 
-/// A reason that is missing or too long is no ground to refuse an ended run:
+/// A reason that is missing or too long is no ground to reject an ended run:
 /// the runner would name it for ever.
 impl From<EndedBody> for EndedRun {
     fn from(body: EndedBody) -> Self {
--- a/crates/api/src/runner/order.rs
+++ b/crates/api/src/runner/order.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use types::{
     HeartbeatSequence, JobId, JobKey, Milliseconds, OrderAnswer, OrderKind, OrderSequence,
-    RefusalReason, Resources, RunId, RunSpec, RunnerId, RunnerIncarnation, RunnerOrder, StepName,
+    RejectionReason, Resources, RunId, RunSpec, RunnerId, RunnerIncarnation, RunnerOrder, StepName,
     TenantId, Term,
 };
 
@@ -18,7 +18,7 @@
     pub sequence: u64,
     /// The runner it is for.
     pub runner: String,
-    /// The life of the runner it is for.
+    /// The incarnation of the runner it is for.
     pub incarnation: u64,
     /// What to do.
     pub order: OrderName,
@@ -33,12 +33,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderName {
-    /// Start the run, unless it is known, voided, or the basis is too old.
+    /// Start the run, unless it is known, revoked, or the basis is too old.
     Start,
     /// Stop the run if it is held.
     Stop,
     /// Never start the run from now on; answer how it stands.
-    Void,
+    #[serde(rename = "void")]
+    Revoke,
 }
 
 /// What to start.
@@ -66,8 +67,9 @@
     /// The step's text.
     pub payload: String,
     /// The heartbeat whose room led to this order.
-    pub basis: u64,
-    /// Refuse the start this long after heartbeat `basis` was sent, in
+    #[serde(rename = "basis")]
+    pub based_on: u64,
+    /// Refuse the start this long after heartbeat `based_on` was sent, in
     /// milliseconds.
     pub lease_ms: u64,
 }
@@ -78,7 +80,7 @@
 pub struct OrderAnswerBody {
     /// What became of it.
     pub answer: AnswerName,
-    /// Why it was refused; there for a refusal alone.
+    /// Why it was rejected; there for a rejection alone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<ReasonName>,
 }
@@ -92,29 +94,34 @@
     /// The run is stopping; its end will be in a heartbeat.
     Stopping,
     /// The run never started here and never will.
-    Voided,
+    #[serde(rename = "voided")]
+    Revoked,
     /// The run is held and goes on.
-    Held,
+    #[serde(rename = "held")]
+    Active,
     /// The run has ended; it stands in the heartbeats.
     Ended,
     /// Nothing was done.
-    Refused,
+    #[serde(rename = "refused")]
+    Rejected,
 }
 
-/// Why an order was refused.
+/// Why an order was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReasonName {
     /// A higher term has been seen.
     StaleTerm,
-    /// The order is for another life of the runner.
+    /// The order is for another incarnation of the runner.
     OtherIncarnation,
     /// The basis heartbeat is too old or unknown.
-    StaleBasis,
-    /// The run was voided, started or ended before.
+    #[serde(rename = "stale_basis")]
+    StaleHeartbeat,
+    /// The run was revoked, started or ended before.
     KnownRun,
     /// There is no room.
-    NoRoom,
+    #[serde(rename = "no_room")]
+    NoCapacity,
     /// The runner is draining.
     Draining,
     /// The runner is not well.
@@ -124,12 +131,16 @@
 impl From<&RunnerOrder> for OrderBody {
     fn from(order: &RunnerOrder) -> Self {
         let (name, start) = match &order.kind {
-            OrderKind::Start { run, basis, lease } => {
-                let start = StartBody::new(run, *basis, *lease);
+            OrderKind::Start {
+                run,
+                based_on,
+                lease,
+            } => {
+                let start = StartBody::new(run, *based_on, *lease);
                 (OrderName::Start, Some(start))
             }
             OrderKind::Stop { .. } => (OrderName::Stop, None),
-            OrderKind::Void { .. } => (OrderName::Void, None),
+            OrderKind::Revoke { .. } => (OrderName::Revoke, None),
         };
         Self {
             term: order.term.0,
@@ -153,7 +164,7 @@
             (OrderName::Start, None) => return Err(start_must("be there for a start")),
             (_, Some(_)) => return Err(start_must("be left out unless the order is a start")),
             (OrderName::Stop, None) => OrderKind::Stop { run },
-            (OrderName::Void, None) => OrderKind::Void { run },
+            (OrderName::Revoke, None) => OrderKind::Revoke { run },
         };
         Ok(Self {
             term: Term(body.term),
@@ -178,7 +189,7 @@
 }
 
 impl StartBody {
-    fn new(run: &RunSpec, basis: HeartbeatSequence, lease: Milliseconds) -> Self {
+    fn new(run: &RunSpec, based_on: HeartbeatSequence, lease: Milliseconds) -> Self {
         Self {
             tenant: run.job.tenant.to_string(),
             job: run.job.job.to_string(),
@@ -189,7 +200,7 @@
             resources: run.resources,
             time_limit_ms: run.time_limit.0,
             payload: run.payload.clone(),
-            basis: basis.0,
+            based_on: based_on.0,
             lease_ms: lease.0,
         }
     }
@@ -212,7 +223,7 @@
         };
         Ok(OrderKind::Start {
             run,
-            basis: HeartbeatSequence(self.basis),
+            based_on: HeartbeatSequence(self.based_on),
             lease: Milliseconds(self.lease_ms),
         })
     }
@@ -225,10 +236,10 @@
         let (answer, reason) = match answer {
             OrderAnswer::Started => (AnswerName::Started, None),
             OrderAnswer::Stopping => (AnswerName::Stopping, None),
-            OrderAnswer::Voided => (AnswerName::Voided, None),
-            OrderAnswer::Held => (AnswerName::Held, None),
+            OrderAnswer::Revoked => (AnswerName::Revoked, None),
+            OrderAnswer::Active => (AnswerName::Active, None),
             OrderAnswer::Ended => (AnswerName::Ended, None),
-            OrderAnswer::Refused(reason) => (AnswerName::Refused, Some((*reason).into())),
+            OrderAnswer::Rejected(reason) => (AnswerName::Rejected, Some((*reason).into())),
             OrderAnswer::Unknown => return None,
         };
         Some(Self { answer, reason })
@@ -240,13 +251,13 @@
 
     fn try_from(body: OrderAnswerBody) -> Result<Self, RunnerBodyError> {
         match (body.answer, body.reason) {
-            (AnswerName::Refused, Some(reason)) => Ok(Self::Refused(reason.into())),
-            (AnswerName::Refused, None) => Err(reason_must("be there for a refusal")),
+            (AnswerName::Rejected, Some(reason)) => Ok(Self::Rejected(reason.into())),
+            (AnswerName::Rejected, None) => Err(reason_must("be there for a refusal")),
             (_, Some(_)) => Err(reason_must("be left out unless the answer is a refusal")),
             (AnswerName::Started, None) => Ok(Self::Started),
             (AnswerName::Stopping, None) => Ok(Self::Stopping),
-            (AnswerName::Voided, None) => Ok(Self::Voided),
-            (AnswerName::Held, None) => Ok(Self::Held),
+            (AnswerName::Revoked, None) => Ok(Self::Revoked),
+            (AnswerName::Active, None) => Ok(Self::Active),
             (AnswerName::Ended, None) => Ok(Self::Ended),
         }
     }
@@ -259,28 +270,28 @@
     }
 }
 
-impl From<RefusalReason> for ReasonName {
-    fn from(reason: RefusalReason) -> Self {
+impl From<RejectionReason> for ReasonName {
+    fn from(reason: RejectionReason) -> Self {
         match reason {
-            RefusalReason::StaleTerm => Self::StaleTerm,
-            RefusalReason::OtherIncarnation => Self::OtherIncarnation,
-            RefusalReason::StaleBasis => Self::StaleBasis,
-            RefusalReason::KnownRun => Self::KnownRun,
-            RefusalReason::NoRoom => Self::NoRoom,
-            RefusalReason::Draining => Self::Draining,
-            RefusalReason::Unhealthy => Self::Unhealthy,
+            RejectionReason::StaleTerm => Self::StaleTerm,
+            RejectionReason::OtherIncarnation => Self::OtherIncarnation,
+            RejectionReason::StaleHeartbeat => Self::StaleHeartbeat,
+            RejectionReason::KnownRun => Self::KnownRun,
+            RejectionReason::NoCapacity => Self::NoCapacity,
+            RejectionReason::Draining => Self::Draining,
+            RejectionReason::Unhealthy => Self::Unhealthy,
         }
     }
 }
 
-impl From<ReasonName> for RefusalReason {
+impl From<ReasonName> for RejectionReason {
     fn from(name: ReasonName) -> Self {
         match name {
             ReasonName::StaleTerm => Self::StaleTerm,
             ReasonName::OtherIncarnation => Self::OtherIncarnation,
-            ReasonName::StaleBasis => Self::StaleBasis,
+            ReasonName::StaleHeartbeat => Self::StaleHeartbeat,
             ReasonName::KnownRun => Self::KnownRun,
-            ReasonName::NoRoom => Self::NoRoom,
+            ReasonName::NoCapacity => Self::NoCapacity,
             ReasonName::Draining => Self::Draining,
             ReasonName::Unhealthy => Self::Unhealthy,
         }
--- a/crates/api/src/runner/orders_url.rs
+++ b/crates/api/src/runner/orders_url.rs
@@ -15,9 +15,9 @@
     path: String,
 }
 
-/// Why a URL for orders is refused.
+/// Why a URL for orders is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum OrdersUrlProblem {
+pub enum OrdersUrlError {
     /// Another scheme, or none.
     #[error("must begin with http://")]
     Scheme,
@@ -37,21 +37,21 @@
 
 impl OrdersUrl {
     /// Checks a URL.
-    pub fn new(text: &str) -> Result<Self, OrdersUrlProblem> {
+    pub fn new(text: &str) -> Result<Self, OrdersUrlError> {
         if text.len() > MAX_URL_BYTES {
-            return Err(OrdersUrlProblem::TooLong);
+            return Err(OrdersUrlError::TooLong);
         }
-        let rest = text.strip_prefix(SCHEME).ok_or(OrdersUrlProblem::Scheme)?;
+        let rest = text.strip_prefix(SCHEME).ok_or(OrdersUrlError::Scheme)?;
         let (host, path) = match rest.find('/') {
             Some(place) => rest.split_at(place),
             None => (rest, "/"),
         };
-        let socket: SocketAddr = host.parse().map_err(|_| OrdersUrlProblem::Host)?;
+        let socket: SocketAddr = host.parse().map_err(|_| OrdersUrlError::Host)?;
         if socket.ip().is_unspecified() || socket.ip().is_multicast() || socket.port() == 0 {
-            return Err(OrdersUrlProblem::Unusable);
+            return Err(OrdersUrlError::Unusable);
         }
         if !path.chars().all(|c| c.is_ascii_graphic() && c != '#') {
-            return Err(OrdersUrlProblem::Path);
+            return Err(OrdersUrlError::Path);
         }
         Ok(Self {
             socket,
--- a/crates/api/src/runner/run_text.rs
+++ b/crates/api/src/runner/run_text.rs
@@ -12,7 +12,7 @@
 /// Text that names no run.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("a run reads <term>-<sequence>, two whole numbers, not {text:?}")]
-pub struct RunTextProblem {
+pub struct RunTextError {
     /// The text, cut short.
     text: String,
 }
@@ -21,10 +21,10 @@
 const SHOWN_CHARACTERS: usize = 48;
 
 impl TryFrom<String> for RunText {
-    type Error = RunTextProblem;
+    type Error = RunTextError;
 
-    fn try_from(text: String) -> Result<Self, RunTextProblem> {
-        parse(&text).map(Self).ok_or_else(|| RunTextProblem {
+    fn try_from(text: String) -> Result<Self, RunTextError> {
+        parse(&text).map(Self).ok_or_else(|| RunTextError {
             text: text.chars().take(SHOWN_CHARACTERS).collect(),
         })
     }
--- a/crates/api/src/version.rs
+++ b/crates/api/src/version.rs
@@ -28,7 +28,7 @@
 pub struct ConfigurationStatusBody {
     /// Newest version any member reports.
     pub newest: u64,
-    /// True when every member reports it; one that has reported nothing to
+    /// Whether every member reports it; one that has reported nothing to
     /// this leader does not. A dead coordinator counts until it is replaced.
     pub everywhere: bool,
     /// Version by member.
@@ -48,8 +48,8 @@
     pub version: Option<u64>,
 }
 
-impl From<Vec<peer::MemberView>> for ConfigurationStatusBody {
-    fn from(members: Vec<peer::MemberView>) -> Self {
+impl From<Vec<transport::MemberView>> for ConfigurationStatusBody {
+    fn from(members: Vec<transport::MemberView>) -> Self {
         let reported = members.iter().map(|member| member.configuration);
         let newest = reported.clone().max().flatten().unwrap_or_default();
         Self {
--- a/crates/api/src/view.rs
+++ b/crates/api/src/view.rs
@@ -2,8 +2,8 @@
 
 use crate::BodyError;
 use crate::job::JobState;
-use peer::JobFilter;
 use serde::{Deserialize, Serialize};
+use transport::JobFilter;
 use types::{JobId, JobNumber, JobView, QueueName, StepName, StepView, TenantId};
 
 /// Jobs on a list page when the query names no limit.
@@ -111,8 +111,8 @@
     pub fn into_filter(self) -> Result<JobFilter, BodyError> {
         let limit = self.limit.unwrap_or(DEFAULT_PAGE);
         if limit == 0 || limit > MAX_PAGE {
-            let problem = format!("must lie between 1 and {MAX_PAGE}");
-            return Err(BodyError::new("limit", problem));
+            let message = format!("must lie between 1 and {MAX_PAGE}");
+            return Err(BodyError::new("limit", message));
         }
         Ok(JobFilter {
             tenant: self.tenant,
--- a/crates/api/tests/bodies.rs
+++ b/crates/api/tests/bodies.rs
@@ -3,7 +3,7 @@
 use api::cancel::CancelBody;
 use api::configuration::ConfigurationBody;
 use api::job::JobBody;
-use api::refusal::{Code, RefusalBody};
+use api::rejection::{Code, RejectionBody};
 use api::view::{ListQuery, MAX_PAGE};
 use api::{parse_json, parse_toml};
 use configuration::KeyRole;
@@ -85,7 +85,7 @@
             limit: Some(limit),
             ..ListQuery::default()
         };
-        assert_eq!(query.into_filter().unwrap_err().place, "limit");
+        assert_eq!(query.into_filter().unwrap_err().path, "limit");
     }
     assert!(ListQuery::default().into_filter().is_ok());
 }
@@ -100,7 +100,7 @@
         slots: 4,
         ..Resources::UNLIMITED
     };
-    assert_eq!(tenant.ceiling, expected);
+    assert_eq!(tenant.resource_limit, expected);
 }
 
 #[test]
@@ -117,7 +117,7 @@
 #[test]
 fn a_toml_error_names_the_field() {
     let error = parse_toml::<ConfigurationBody>("[queues.q]\npool = 3\n").unwrap_err();
-    assert_eq!(error.place, "queues.q.pool");
+    assert_eq!(error.path, "queues.q.pool");
 }
 
 fn key_document(role: &str, extra: &str, salt: &str) -> String {
@@ -138,9 +138,9 @@
     assert_eq!(document.keys[0].hash.salt[15], 15);
     assert_eq!(document.keys[0].hash.digest[1], 0xff);
     let error = read(key_document("caller", "", SALT)).unwrap_err();
-    assert_eq!(error.place, "keys[0].tenant");
+    assert_eq!(error.path, "keys[0].tenant");
     let error = read(key_document("operator", tenant, SALT)).unwrap_err();
-    assert_eq!(error.place, "keys[0].tenant");
+    assert_eq!(error.path, "keys[0].tenant");
 }
 
 #[test]
@@ -155,7 +155,7 @@
 
 #[test]
 fn retry_after_is_rounded_up_to_whole_seconds() {
-    let body = |wait| RefusalBody {
+    let body = |wait| RejectionBody {
         code: Code::Overloaded,
         message: String::new(),
         retry_after_ms: wait,
--- a/crates/api/tests/decisions.rs
+++ b/crates/api/tests/decisions.rs
@@ -1,8 +1,8 @@
 //! Lines of the decision log as tools read them.
 
 use api::decision::{Close, DecisionLine, EventBody, Reason};
-use dispatch::{Decision, DecisionKind, NotPlacedReason};
-use peer::{DecisionEntry, DecisionEvent};
+use scheduler::{Decision, DecisionKind, NotPlacedReason};
+use transport::{DecisionEntry, DecisionEvent};
 use types::{JobKey, JobNumber, Outcome, RunClose, RunId, TaskRef, Term, WallTime};
 
 const TASK: TaskRef = TaskRef {
@@ -31,7 +31,7 @@
         tenant: "poster".parse().unwrap(),
         kind: DecisionKind::NotPlaced {
             task: TASK,
-            reason: NotPlacedReason::HeldForLargerTask {
+            reason: NotPlacedReason::ReservedForLargerTask {
                 runner: "r-1".parse().unwrap(),
             },
         },
@@ -44,7 +44,7 @@
     assert!(matches!(
         line.event,
         EventBody::NotPlaced {
-            reason: Reason::HeldForLargerTask,
+            reason: Reason::ReservedForLargerTask,
             ..
         }
     ));
--- a/crates/api/tests/documentation.rs
+++ b/crates/api/tests/documentation.rs
@@ -1,6 +1,6 @@
-//! The page on the interface names every path and every kind of refusal.
+//! The page on the interface names every path and every kind of rejection.
 
-use api::refusal::Code;
+use api::rejection::Code;
 use api::route;
 
 const PATHS: [&str; 16] = [
--- a/crates/api/tests/golden_bodies/configuration.rs
+++ b/crates/api/tests/golden_bodies/configuration.rs
@@ -9,8 +9,8 @@
     LicenceSettings, PoolSettings, QueueMode, QueueSettings, RemovedItems, TenantSettings, Timings,
     UpsertedItems,
 };
-use peer::MemberView;
 use std::collections::BTreeMap;
+use transport::MemberView;
 use types::{ConfigurationVersion, Milliseconds, PoolName, QueueName, Role, TenantId};
 
 fn pools() -> BTreeMap<PoolName, PoolSettings> {
@@ -36,7 +36,7 @@
 fn tenants() -> BTreeMap<TenantId, TenantSettings> {
     let tenant = TenantSettings {
         share_percent: 31,
-        ceiling: resources(32),
+        resource_limit: resources(32),
         error_budget: ErrorBudget {
             late_after: Milliseconds(36),
             late_per_thousand: 37,
@@ -190,8 +190,8 @@
     reported
         .map(|((role, version), node)| MemberView {
             address: address(node, role),
-            standing: "session".to_owned(),
-            silence: Milliseconds(5),
+            status: "session".to_owned(),
+            since_last_contact: Milliseconds(5),
             configuration: version.map(ConfigurationVersion),
             links: None,
         })
--- a/crates/api/tests/golden_bodies/decisions.rs
+++ b/crates/api/tests/golden_bodies/decisions.rs
@@ -3,8 +3,8 @@
 use crate::recorded::{assert_text, read, read_back, text};
 use crate::values::{RUN, TASK, job, name};
 use api::decision::{DecisionLine, DecisionsQuery};
-use dispatch::{Decision, DecisionKind, NotPlacedReason};
-use peer::{DecisionEntry, DecisionEvent};
+use scheduler::{Decision, DecisionKind, NotPlacedReason};
+use transport::{DecisionEntry, DecisionEvent};
 use types::{JobState, Outcome, Reservation, RunClose, RunnerIncarnation, Term, WallTime};
 
 const AT: WallTime = WallTime(1_764_650_000_040);
@@ -15,22 +15,22 @@
         task: TASK,
         runner: name("stills-3"),
         incarnation: RunnerIncarnation(6),
-        place: Some(name("127.0.0.1:7500")),
+        endpoint: Some(name("127.0.0.1:7500")),
         self_stop: true,
     }
 }
 
 fn reasons() -> Vec<NotPlacedReason> {
     every!(NotPlacedReason:
-        TenantAtCeiling,
-        CeilingKeptForUrgent,
+        TenantAtLimit,
+        LimitReservedForUrgent,
         NoSeat,
         TenantAboveShare,
         RunnersAway,
-        NoRoom,
+        NoCapacity,
         NoRunnerWithLabels,
         RunnerOnProbation,
-        HeldForLargerTask { runner: name("stills-3") },
+        ReservedForLargerTask { runner: name("stills-3") },
         BeforeItsTime { not_before: WallTime(1_764_650_000_050) },
         WaitingForStep,
         QueuePaused,
@@ -45,7 +45,7 @@
 fn decisions() -> Vec<DecisionEvent> {
     let kinds = every!(DecisionKind:
         Placed { reservation: reservation(), runnable_tenants: 9, shadow: true },
-        NotPlaced { task: TASK, reason: NotPlacedReason::NoRoom },
+        NotPlaced { task: TASK, reason: NotPlacedReason::NoCapacity },
     );
     let not_placed = |reason| DecisionKind::NotPlaced { task: TASK, reason };
     let with_reasons = reasons().into_iter().map(not_placed);
@@ -67,9 +67,9 @@
     let outcomes = every!(Outcome: Done, Failed { 0: "out of ink".to_owned() }, Stopped);
     let closes = every!(RunClose:
         Ended { 0: Outcome::Done },
-        Voided,
+        Revoked,
         Lost,
-        Refused,
+        Rejected,
         TimedOut,
     );
     let ended = outcomes.into_iter().map(RunClose::Ended);
@@ -99,7 +99,7 @@
                 at: AT,
                 queue: name("batch"),
                 tenant: name("poster"),
-                kind: DecisionKind::NotPlaced { task: TASK, reason: NotPlacedReason::NoRoom },
+                kind: DecisionKind::NotPlaced { task: TASK, reason: NotPlacedReason::NoCapacity },
             },
         },
         Ordered { run: RUN, task: TASK, runner: name("stills-3"), at: AT },
--- a/crates/api/tests/golden_bodies/jobs.rs
+++ b/crates/api/tests/golden_bodies/jobs.rs
@@ -5,8 +5,8 @@
 use api::cancel::{CancelBody, CancelledBody, JobKeyBody};
 use api::job::JobBody;
 use api::view::{ExplainedBody, JobViewBody, JobsBody, ListQuery, SubmittedBody};
-use peer::JobFilter;
-use record::CancelSelector;
+use state_machine::CancelSelector;
+use transport::JobFilter;
 use types::{
     JobNumber, JobSpec, JobState, JobView, Milliseconds, StepName, StepRules, StepSpec, StepView,
     Urgency, WallTime,
--- a/crates/api/tests/golden_bodies/main.rs
+++ b/crates/api/tests/golden_bodies/main.rs
@@ -13,7 +13,7 @@
 mod jobs;
 mod operators;
 mod recorded;
-mod refusals;
+mod rejections;
 mod routes;
 mod runners;
 mod values;
--- a/crates/api/tests/golden_bodies/operators.rs
+++ b/crates/api/tests/golden_bodies/operators.rs
@@ -9,8 +9,8 @@
 };
 use configuration::QueueMode;
 use consensus::LinkHealth;
-use dispatch::RunnerView;
-use peer::{LicenceView, MemberView, QueueView, TenantView};
+use scheduler::RunnerView;
+use transport::{LicenceView, MemberView, QueueView, TenantView};
 use types::{ConfigurationVersion, Milliseconds, Resources, Role, RunnerIncarnation};
 
 #[test]
@@ -38,11 +38,11 @@
         rack: name("rack-9"),
         labels: labels(),
         capacity: resources(20),
-        room: resources(10),
+        free: resources(10),
         open_runs: 5,
         draining: true,
         on_probation: true,
-        silence: Milliseconds(250),
+        since_last_contact: Milliseconds(250),
     }
 }
 
@@ -84,15 +84,15 @@
         tenant: name("poster"),
         unfinished_jobs: 1,
         ready_tasks: 2,
-        holds: resources(10),
-        ceiling: resources(20),
+        usage: resources(10),
+        resource_limit: resources(20),
         ended_jobs: 3,
         late_jobs: 4,
         failed_jobs: 5,
         budget_exceeded: true,
     };
     let without_ceiling = TenantView {
-        ceiling: Resources::UNLIMITED,
+        resource_limit: Resources::UNLIMITED,
         budget_exceeded: false,
         ..full.clone()
     };
@@ -109,7 +109,7 @@
     let view = LicenceView {
         licence: name("renderer"),
         seats: 12,
-        taken: 7,
+        used: 7,
         waiting: 3,
     };
     let body = LicencesBody {
@@ -119,11 +119,11 @@
     read_back::<LicencesBody>("licences.json");
 }
 
-fn member(node: u64, role: Role, standing: &str) -> MemberView {
+fn member(node: u64, role: Role, status: &str) -> MemberView {
     MemberView {
         address: address(node, role),
-        standing: standing.to_owned(),
-        silence: Milliseconds(250),
+        status: status.to_owned(),
+        since_last_contact: Milliseconds(250),
         configuration: None,
         links: None,
     }
@@ -143,10 +143,10 @@
         good_links: 3,
         bad_links: 1,
         slow_disk: true,
-        gave_way: true,
+        recently_transferred: true,
     };
     let slow = LinkHealth {
-        gave_way: false,
+        recently_transferred: false,
         ..full
     };
     let sessions = every!(Role: Coordinator, Gateway, Agent);
--- a/crates/api/tests/golden_bodies/refusals.rs
+++ b/crates/api/tests/golden_bodies/rejections.rs
@@ -1,27 +1,27 @@
-//! Refusals of every kind, with their HTTP status.
+//! Rejections of every kind, with their HTTP status.
 
 use crate::recorded::{assert_body, read_back};
-use api::refusal::RefusalBody;
-use configuration::ConfigurationProblem;
-use peer::{Refusal, RefusalCode};
+use api::rejection::RejectionBody;
+use configuration::ConfigurationError;
 use serde::Serialize;
+use transport::{Rejection, RejectionCode};
 use types::Milliseconds;
 
-/// A refusal as a client gets it.
+/// A rejection as a client gets it.
 #[derive(Serialize)]
 struct Answer {
     status: u16,
     retry_after: Option<u64>,
-    body: RefusalBody,
+    body: RejectionBody,
 }
 
-fn full_refusal() -> Refusal {
-    let problem = |place: &str, problem: &str| ConfigurationProblem {
-        place: place.to_owned(),
-        problem: problem.to_owned(),
+fn full_refusal() -> Rejection {
+    let problem = |place: &str, problem: &str| ConfigurationError {
+        path: place.to_owned(),
+        message: problem.to_owned(),
     };
-    Refusal {
-        code: RefusalCode::Overloaded,
+    Rejection {
+        code: RejectionCode::Overloaded,
         message: "one sentence".to_owned(),
         retry_after: Some(Milliseconds(1_700)),
         problems: vec![
@@ -31,8 +31,8 @@
     }
 }
 
-fn minimal_refusal(code: RefusalCode) -> Refusal {
-    Refusal {
+fn minimal_refusal(code: RejectionCode) -> Rejection {
+    Rejection {
         code,
         message: "one sentence".to_owned(),
         retry_after: None,
@@ -40,8 +40,8 @@
     }
 }
 
-fn answer(refusal: Refusal) -> Answer {
-    let body = RefusalBody::from(refusal);
+fn answer(rejection: Rejection) -> Answer {
+    let body = RejectionBody::from(rejection);
     Answer {
         status: body.code.status(),
         retry_after: body.retry_after_seconds(),
@@ -51,7 +51,7 @@
 
 #[test]
 fn refusals_of_every_kind_are_written_as_recorded() {
-    let codes = every!(RefusalCode:
+    let codes = every!(RejectionCode:
         Invalid,
         Unauthenticated,
         Forbidden,
@@ -66,8 +66,8 @@
 
 #[test]
 fn a_full_refusal_reads_and_writes_as_recorded() {
-    assert_body("refusal_full.json", &RefusalBody::from(full_refusal()));
-    let body: RefusalBody = read_back("refusal_full.json");
+    assert_body("refusal_full.json", &RejectionBody::from(full_refusal()));
+    let body: RejectionBody = read_back("refusal_full.json");
     assert_eq!(body.retry_after_seconds(), Some(2));
-    assert_eq!(Refusal::from(body), full_refusal());
+    assert_eq!(Rejection::from(body), full_refusal());
 }
--- a/crates/api/tests/golden_bodies/runners.rs
+++ b/crates/api/tests/golden_bodies/runners.rs
@@ -6,8 +6,8 @@
     HeartbeatAnswerBody, HeartbeatBody, OrderAnswerBody, OrderBody, OrdersUrl, RunText, read,
 };
 use types::{
-    EndedRun, HeartbeatSequence, HeldRun, Labels, Milliseconds, OrderAnswer, OrderKind,
-    OrderSequence, Outcome, RefusalReason, RunId, RunSpec, RunnerId, RunnerIncarnation,
+    ActiveRun, EndedRun, HeartbeatSequence, Labels, Milliseconds, OrderAnswer, OrderKind,
+    OrderSequence, Outcome, RejectionReason, RunId, RunSpec, RunnerId, RunnerIncarnation,
     RunnerOrder, RunnerReport, Term,
 };
 
@@ -40,7 +40,7 @@
 }
 
 fn full_report() -> RunnerReport {
-    let held = HeldRun {
+    let active = ActiveRun {
         run: run(12),
         age: Milliseconds(250),
         progress: Some(61),
@@ -50,7 +50,7 @@
         runner: runner(),
         incarnation: RunnerIncarnation(4),
         sequence: HeartbeatSequence(17),
-        place: Some(name("127.0.0.1:7500")),
+        endpoint: Some(name("127.0.0.1:7500")),
         pool: name("stills"),
         rack: name("rack-9"),
         labels: labels(),
@@ -58,7 +58,7 @@
         free: resources(10),
         draining: true,
         self_stop: true,
-        held: vec![held, HeldRun::new(run(13), Milliseconds(260))],
+        active: vec![active, ActiveRun::new(run(13), Milliseconds(260))],
         ended: ended_runs(),
         unnamed: Vec::new(),
     }
@@ -67,11 +67,11 @@
 /// What a runner says that leaves out all it may.
 fn minimal_report() -> RunnerReport {
     RunnerReport {
-        place: None,
+        endpoint: None,
         labels: Labels::new(),
         draining: false,
         self_stop: false,
-        held: Vec::new(),
+        active: Vec::new(),
         ended: Vec::new(),
         ..full_report()
     }
@@ -153,7 +153,7 @@
 fn start(run: RunSpec) -> OrderKind {
     OrderKind::Start {
         run,
-        basis: HeartbeatSequence(18),
+        based_on: HeartbeatSequence(18),
         lease: Milliseconds(10_000),
     }
 }
@@ -179,11 +179,11 @@
     let kinds = every!(OrderKind:
         Start {
             run: full_run(),
-            basis: HeartbeatSequence(18),
+            based_on: HeartbeatSequence(18),
             lease: Milliseconds(10_000),
         },
         Stop { run: RUN },
-        Void { run: RUN },
+        Revoke { run: RUN },
     );
     let files = ["order_start.json", "order_stop.json", "order_void.json"];
     for (order, file) in kinds.map(order).iter().zip(files) {
@@ -204,23 +204,23 @@
     let answers = every!(OrderAnswer:
         Started,
         Stopping,
-        Voided,
-        Held,
+        Revoked,
+        Active,
         Ended,
-        Refused { 0: RefusalReason::NoRoom },
+        Rejected { 0: RejectionReason::NoCapacity },
         Unknown,
     );
-    let refusals = every!(RefusalReason:
+    let rejections = every!(RejectionReason:
         StaleTerm,
         OtherIncarnation,
-        StaleBasis,
+        StaleHeartbeat,
         KnownRun,
-        NoRoom,
+        NoCapacity,
         Draining,
         Unhealthy,
     );
-    let refused = refusals.into_iter().map(OrderAnswer::Refused);
-    let all: Vec<OrderAnswer> = answers.into_iter().chain(refused).collect();
+    let rejected = rejections.into_iter().map(OrderAnswer::Rejected);
+    let all: Vec<OrderAnswer> = answers.into_iter().chain(rejected).collect();
     // No runner says that an answer is unknown: it has no body.
     let bodies: Vec<OrderAnswerBody> = all
         .iter()
--- a/crates/api/tests/golden_bodies/words.rs
+++ b/crates/api/tests/golden_bodies/words.rs
@@ -5,7 +5,7 @@
 use api::decision::{Close, Reason};
 use api::job::{JobState, Urgency};
 use api::key::RoleBody;
-use api::refusal::Code;
+use api::rejection::Code;
 use api::runner::{AnswerName, OrderName, OutcomeName, ReasonName};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -65,15 +65,15 @@
         (
             "reason of a decision",
             words(every!(Reason:
-                TenantAtCeiling,
-                CeilingKeptForUrgent,
+                TenantAtLimit,
+                LimitReservedForUrgent,
                 NoSeat,
                 TenantAboveShare,
                 RunnersAway,
-                NoRoom,
+                NoCapacity,
                 NoRunnerWithLabels,
                 RunnerOnProbation,
-                HeldForLargerTask,
+                ReservedForLargerTask,
                 BeforeItsTime,
                 WaitingForStep,
                 QueuePaused,
@@ -84,7 +84,7 @@
         ),
         (
             "close of a run",
-            words(every!(Close: Done, Failed, Stopped, Voided, Lost, Refused, TimedOut)),
+            words(every!(Close: Done, Failed, Stopped, Revoked, Lost, Rejected, TimedOut)),
         ),
     ])
 }
@@ -96,19 +96,19 @@
             "outcome at a runner",
             words(every!(OutcomeName: Done, Failed, Stopped)),
         ),
-        ("order", words(every!(OrderName: Start, Stop, Void))),
+        ("order", words(every!(OrderName: Start, Stop, Revoke))),
         (
             "answer to an order",
-            words(every!(AnswerName: Started, Stopping, Voided, Held, Ended, Refused)),
+            words(every!(AnswerName: Started, Stopping, Revoked, Active, Ended, Rejected)),
         ),
         (
             "reason of a refused order",
             words(every!(ReasonName:
                 StaleTerm,
                 OtherIncarnation,
-                StaleBasis,
+                StaleHeartbeat,
                 KnownRun,
-                NoRoom,
+                NoCapacity,
                 Draining,
                 Unhealthy,
             )),
--- a/crates/api/tests/properties.rs
+++ b/crates/api/tests/properties.rs
@@ -6,7 +6,7 @@
 use api::decision::DecisionsQuery;
 use api::job::JobBody;
 use api::operator::DrainBody;
-use api::refusal::RefusalBody;
+use api::rejection::RejectionBody;
 use api::view::ListQuery;
 use api::{parse_json, parse_toml};
 use configuration::{
@@ -16,7 +16,7 @@
 use proptest::collection::{btree_map, vec};
 use proptest::option;
 use proptest::prelude::*;
-use record::CancelSelector;
+use state_machine::CancelSelector;
 use std::fmt::Debug;
 use std::str::FromStr;
 use types::{JobKey, JobSpec, Milliseconds, Resources, StepSpec, Urgency, WallTime};
@@ -93,10 +93,10 @@
 }
 
 fn tenant() -> impl Strategy<Value = TenantSettings> {
-    (resources(), any::<[u32; 5]>(), any::<[u32; 2]>()).prop_map(|(ceiling, small, large)| {
-        TenantSettings {
+    (resources(), any::<[u32; 5]>(), any::<[u32; 2]>()).prop_map(
+        |(resource_limit, small, large)| TenantSettings {
             share_percent: small[0],
-            ceiling,
+            resource_limit,
             error_budget: ErrorBudget {
                 late_after: Milliseconds(large[0].into()),
                 late_per_thousand: small[1],
@@ -105,8 +105,8 @@
             submits_per_second: small[3],
             submit_burst: small[4],
             max_unfinished_jobs: large[1].into(),
-        }
-    })
+        },
+    )
 }
 
 fn queue() -> impl Strategy<Value = QueueSettings> {
@@ -178,7 +178,7 @@
     let _ = parse_json::<CancelBody>(bytes).map(CancelBody::into_selector);
     let _ = parse_json::<ConfigurationBody>(bytes).map(ConfigurationBody::into_document);
     let _ = parse_json::<DrainBody>(bytes);
-    let _ = parse_json::<RefusalBody>(bytes);
+    let _ = parse_json::<RejectionBody>(bytes);
     let _ = parse_json::<ListQuery>(bytes).map(ListQuery::into_filter);
     let _ = parse_json::<DecisionsQuery>(bytes).map(|query| query.checked_limit());
     if let Ok(text) = std::str::from_utf8(bytes) {
--- a/crates/api/tests/runner.rs
+++ b/crates/api/tests/runner.rs
@@ -1,14 +1,14 @@
 //! Bodies between runners and their agent.
 
 use api::runner::{
-    HeartbeatAnswerBody, HeartbeatBody, OrderAnswerBody, OrderBody, OrdersUrl, OrdersUrlProblem,
+    HeartbeatAnswerBody, HeartbeatBody, OrderAnswerBody, OrderBody, OrdersUrl, OrdersUrlError,
     RunText, read,
 };
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use types::{
-    EndedRun, HeartbeatSequence, HeldRun, JobId, JobKey, Labels, Milliseconds, OrderAnswer,
-    OrderKind, OrderSequence, Outcome, PoolName, RackName, RefusalReason, Resources, RunId,
+    ActiveRun, EndedRun, HeartbeatSequence, JobId, JobKey, Labels, Milliseconds, OrderAnswer,
+    OrderKind, OrderSequence, Outcome, PoolName, RackName, RejectionReason, Resources, RunId,
     RunSpec, RunnerId, RunnerIncarnation, RunnerOrder, RunnerReport, StepName, TenantId, Term,
 };
 
@@ -49,7 +49,7 @@
 fn a_heartbeat_becomes_a_report_and_back() {
     let (report, url) = take(&heartbeat()).unwrap();
     assert_eq!(report.sequence, HeartbeatSequence(17));
-    assert_eq!(report.held[0].run, run(3, 12));
+    assert_eq!(report.active[0].run, run(3, 12));
     assert_eq!(
         report.ended[0].outcome,
         Outcome::Failed("no such file".to_owned())
@@ -100,13 +100,13 @@
         assert!(OrdersUrl::new(good).is_ok(), "{good}");
     }
     let cases = [
-        ("ftp://127.0.0.1:1/", OrdersUrlProblem::Scheme),
-        ("http://localhost:1/", OrdersUrlProblem::Host),
-        ("http://127.0.0.1/", OrdersUrlProblem::Host),
-        ("http://user@127.0.0.1:1/", OrdersUrlProblem::Host),
-        ("http://0.0.0.0:1/", OrdersUrlProblem::Unusable),
-        ("http://127.0.0.1:0/", OrdersUrlProblem::Unusable),
-        ("http://127.0.0.1:1/a b", OrdersUrlProblem::Path),
+        ("ftp://127.0.0.1:1/", OrdersUrlError::Scheme),
+        ("http://localhost:1/", OrdersUrlError::Host),
+        ("http://127.0.0.1/", OrdersUrlError::Host),
+        ("http://user@127.0.0.1:1/", OrdersUrlError::Host),
+        ("http://0.0.0.0:1/", OrdersUrlError::Unusable),
+        ("http://127.0.0.1:0/", OrdersUrlError::Unusable),
+        ("http://127.0.0.1:1/a b", OrdersUrlError::Path),
     ];
     for (bad, problem) in cases {
         assert_eq!(OrdersUrl::new(bad), Err(problem), "{bad}");
@@ -141,7 +141,7 @@
 
 #[test]
 fn an_order_must_not_contradict_itself() {
-    let void = json!({
+    let revoke = json!({
         "term": 3, "sequence": 1, "runner": "runner-1", "incarnation": 4,
         "order": "void", "run": "3-12",
     });
@@ -150,12 +150,12 @@
         let body: OrderBody = read(&bytes).map_err(|error| error.to_string())?;
         RunnerOrder::try_from(body).map_err(|error| error.to_string())
     };
-    assert!(order(&void).is_ok());
-    let mut start = void.clone();
+    assert!(order(&revoke).is_ok());
+    let mut start = revoke.clone();
     start["order"] = json!("start");
     assert!(order(&start).unwrap_err().contains("start must be there"));
-    let refused: OrderAnswerBody = read(br#"{"answer": "refused"}"#).unwrap();
-    assert!(OrderAnswer::try_from(refused).is_err());
+    let rejected: OrderAnswerBody = read(br#"{"answer": "refused"}"#).unwrap();
+    assert!(OrderAnswer::try_from(rejected).is_err());
     let started: OrderAnswerBody = read(br#"{"answer": "started", "reason": "no_room"}"#).unwrap();
     assert!(OrderAnswer::try_from(started).is_err());
 }
@@ -178,13 +178,13 @@
     fn any_report()(
         numbers: (u64, u64, bool, bool),
         capacity: (u32, u32, u32, u32),
-        held in prop::collection::vec((any_run(), any::<u64>()), 0..5),
+        active in prop::collection::vec((any_run(), any::<u64>()), 0..5),
         ended in prop::collection::vec((any_run(), any_outcome()), 0..5),
     ) -> RunnerReport {
         let (slots, cpu_milli, memory_mib, gpus) = capacity;
         let capacity = Resources { slots, cpu_milli, memory_mib, gpus };
         let (incarnation, sequence, draining, self_stop) = numbers;
-        RunnerReport { place: None,
+        RunnerReport { endpoint: None,
             unnamed: Vec::new(),
             runner: runner(),
             incarnation: RunnerIncarnation(incarnation),
@@ -196,9 +196,9 @@
             free: capacity,
             draining,
             self_stop,
-            held: held
+            active: active
                 .into_iter()
-                .map(|(run, age)| HeldRun { progress: None, checkpoint: None, run, age: Milliseconds(age) })
+                .map(|(run, age)| ActiveRun { progress: None, checkpoint: None, run, age: Milliseconds(age) })
                 .collect(),
             ended: ended
                 .into_iter()
@@ -215,7 +215,7 @@
         payload: String,
         kind in 0..3,
     ) -> RunnerOrder {
-        let (term, sequence, incarnation, basis, lease, limit, task) = numbers;
+        let (term, sequence, incarnation, based_on, lease, limit, task) = numbers;
         let spec = RunSpec { attempt: 1, checkpoint: None,
             run,
             job: JobKey {
@@ -230,10 +230,10 @@
         };
         let kind = match kind {
             0 => OrderKind::Stop { run },
-            1 => OrderKind::Void { run },
+            1 => OrderKind::Revoke { run },
             _ => OrderKind::Start {
                 run: spec,
-                basis: HeartbeatSequence(basis),
+                based_on: HeartbeatSequence(based_on),
                 lease: Milliseconds(lease),
             },
         };
@@ -252,18 +252,18 @@
     prop_oneof![
         Just(OrderAnswer::Started),
         Just(OrderAnswer::Stopping),
-        Just(OrderAnswer::Voided),
-        Just(OrderAnswer::Held),
+        Just(OrderAnswer::Revoked),
+        Just(OrderAnswer::Active),
         Just(OrderAnswer::Ended),
         prop_oneof![
-            Just(RefusalReason::StaleTerm),
-            Just(RefusalReason::OtherIncarnation),
-            Just(RefusalReason::StaleBasis),
-            Just(RefusalReason::KnownRun),
-            Just(RefusalReason::NoRoom),
-            Just(RefusalReason::Draining),
+            Just(RejectionReason::StaleTerm),
+            Just(RejectionReason::OtherIncarnation),
+            Just(RejectionReason::StaleHeartbeat),
+            Just(RejectionReason::KnownRun),
+            Just(RejectionReason::NoCapacity),
+            Just(RejectionReason::Draining),
         ]
-        .prop_map(OrderAnswer::Refused),
+        .prop_map(OrderAnswer::Rejected),
     ]
 }
 
--- a/crates/checker/src/check.rs
+++ b/crates/checker/src/check.rs
@@ -1,7 +1,6 @@
 //! The rules.
 
 mod cancel;
-mod ceiling;
 mod configuration;
 mod dependency;
 mod drain;
@@ -9,22 +8,23 @@
 mod facts;
 mod gang;
 mod lost;
+mod observed;
 mod order;
 mod reopened;
 mod repeat;
+mod resource_limit;
 mod retry;
 mod rule;
 mod seats;
 mod service;
 mod start_time;
 mod started;
-mod world;
 
 use crate::{Event, Observation, ReadState};
+use observed::ObservedCluster;
 use rule::{Findings, Rule};
 use serde::{Deserialize, Serialize};
 use types::{JobState, Milliseconds};
-use world::World;
 
 /// Times and margins of the promises, from the brief.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,8 +39,9 @@
     pub configuration_after: Milliseconds,
     /// Service is back this long after the last fault healed.
     pub service_after: Milliseconds,
-    /// A ceiling may be exceeded by this part, in percent.
-    pub ceiling_margin_percent: u32,
+    /// A resource limit may be exceeded by this part, in percent.
+    #[serde(rename = "ceiling_margin_percent")]
+    pub limit_margin_percent: u32,
     /// An acknowledged job may be forgotten this long after it was taken.
     pub retention: Milliseconds,
 }
@@ -53,7 +54,7 @@
             drain_after: Milliseconds(2_000),
             configuration_after: Milliseconds(2_000),
             service_after: Milliseconds(12_000),
-            ceiling_margin_percent: 5,
+            limit_margin_percent: 5,
             retention: Milliseconds::from_seconds(3_600),
         }
     }
@@ -79,8 +80,9 @@
     StartBeforeDependency,
     /// A start before the job's time.
     StartBeforeTime,
-    /// A tenant held more than its ceiling and margin.
-    CeilingExceeded,
+    /// A tenant held more than its resource limit and margin.
+    #[serde(rename = "ceiling_exceeded")]
+    ResourceLimitExceeded,
     /// More runs took a seat of a licence than it has.
     SeatsExceeded,
     /// A member of a gang went on while another one had not started.
@@ -141,15 +143,15 @@
 /// may or may not have been taken; the rules allow for both.
 pub fn check(history: &[Observation], limits: &Limits) -> Report {
     let mut rules = all_rules();
-    let mut world = World::default();
+    let mut observed = ObservedCluster::default();
     let mut findings = Findings::default();
     let mut report = Report::default();
     for observation in history {
         for rule in &mut rules {
-            rule.observe(observation, &world, limits, &mut findings);
+            rule.observe(observation, &observed, limits, &mut findings);
         }
-        count(observation, &world, &mut report);
-        world.observe(observation);
+        count(observation, &observed, &mut report);
+        observed.observe(observation);
     }
     report.violations = findings.into_violations();
     report
@@ -165,7 +167,7 @@
         Box::new(repeat::DoubleStart::default()),
         Box::new(dependency::StartBeforeDependency),
         Box::new(start_time::StartBeforeTime),
-        Box::new(ceiling::CeilingExceeded::default()),
+        Box::new(resource_limit::ResourceLimitExceeded::default()),
         Box::new(seats::SeatsExceeded::default()),
         Box::new(retry::RetriedPastAllowed),
         Box::new(gang::GangApart::default()),
@@ -179,18 +181,18 @@
     ]
 }
 
-fn count(observation: &Observation, world: &World, report: &mut Report) {
+fn count(observation: &Observation, observed: &ObservedCluster, report: &mut Report) {
     match &observation.event {
         Event::RunStarted { .. } => {
             report.started_runs += 1;
             let start = started::Started::of(observation);
-            let repeated = start.is_some_and(|start| start.repeats_unreported(world));
+            let repeated = start.is_some_and(|start| start.repeats_unreported(observed));
             report.repeated_unreported += u64::from(repeated);
-            let retried = start.is_some_and(|start| start.retries_unreported(world));
+            let retried = start.is_some_and(|start| start.retries_unreported(observed));
             report.retried_unreported += u64::from(retried);
         }
         Event::SubmitAcknowledged { job } => {
-            let known = world.job(job).and_then(|facts| facts.acknowledged_at);
+            let known = observed.job(job).and_then(|facts| facts.acknowledged_at);
             report.acknowledged_jobs += u64::from(known.is_none());
         }
         Event::StateRead {
@@ -198,7 +200,7 @@
             state: ReadState::Known(state),
             ..
         } => {
-            let first = world
+            let first = observed
                 .job(job)
                 .is_none_or(|facts| facts.final_state.is_none());
             let counter = match state {
--- a/crates/checker/src/check/cancel.rs
+++ b/crates/checker/src/check/cancel.rs
@@ -1,7 +1,7 @@
 //! An acknowledged cancel stops new starts in time.
 
+use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
-use super::world::World;
 use super::{Limits, ViolationKind};
 use crate::{Event, Observation};
 
@@ -12,14 +12,14 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        world: &World,
+        observed: &ObservedCluster,
         limits: &Limits,
         findings: &mut Findings,
     ) {
         let Event::RunStarted { run, job, .. } = &observation.event else {
             return;
         };
-        let facts = world.job(job);
+        let facts = observed.job(job);
         let Some(cancelled) = facts.and_then(|facts| facts.cancel_acknowledged_at) else {
             return;
         };
--- a/crates/checker/src/check/configuration.rs
+++ b/crates/checker/src/check/configuration.rs
@@ -1,7 +1,7 @@
 //! An acknowledged configuration holds in time, everywhere, for good.
 
+use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
-use super::world::World;
 use super::{Limits, ViolationKind};
 use crate::{Event, Observation};
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        _world: &World,
+        _observed: &ObservedCluster,
         limits: &Limits,
         findings: &mut Findings,
     ) {
@@ -67,7 +67,7 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        _world: &World,
+        _observed: &ObservedCluster,
         _limits: &Limits,
         findings: &mut Findings,
     ) {
@@ -106,7 +106,7 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        _world: &World,
+        _observed: &ObservedCluster,
         _limits: &Limits,
         findings: &mut Findings,
     ) {
--- a/crates/checker/src/check/dependency.rs
+++ b/crates/checker/src/check/dependency.rs
@@ -1,7 +1,7 @@
 //! No start before the steps it depends on are done.
 
+use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
-use super::world::World;
 use super::{Limits, ViolationKind};
 use crate::{Event, Observation};
 
@@ -12,14 +12,16 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        world: &World,
+        observed: &ObservedCluster,
         _limits: &Limits,
         findings: &mut Findings,
     ) {
         let Event::RunStarted { run, job, step, .. } = &observation.event else {
             return;
         };
-        let Some(facts) = world.job(job) else { return };
+        let Some(facts) = observed.job(job) else {
+            return;
+        };
         let Some(expected) = facts.step(step) else {
             return;
         };
--- a/crates/checker/src/check/drain.rs
+++ b/crates/checker/src/check/drain.rs
@@ -1,7 +1,7 @@
 //! A leaving runner gets nothing new.
 
+use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
-use super::world::World;
 use super::{Limits, ViolationKind};
 use crate::{Event, Observation};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        _world: &World,
+        _observed: &ObservedCluster,
         limits: &Limits,
         findings: &mut Findings,
     ) {
--- a/crates/checker/src/check/end.rs
+++ b/crates/checker/src/check/end.rs
@@ -1,8 +1,8 @@
 //! A job ends only for a cause that was seen before.
 
 use super::facts::JobFacts;
+use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
-use super::world::World;
 use super::{Limits, ViolationKind};
 use crate::{Event, Observation, ReadState};
 use types::{JobState, Milliseconds};
@@ -14,7 +14,7 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        world: &World,
+        observed: &ObservedCluster,
         _limits: &Limits,
         findings: &mut Findings,
     ) {
@@ -26,11 +26,13 @@
         else {
             return;
         };
-        let Some(facts) = world.job(job) else { return };
+        let Some(facts) = observed.job(job) else {
+            return;
+        };
         if facts.final_state.is_some() {
             return;
         }
-        if let Some(lacking) = missing_cause(*state, facts, world, observation.at) {
+        if let Some(lacking) = missing_cause(*state, facts, observed, observation.at) {
             let detail = format!("job {job} was read as {state:?}, but {lacking}");
             findings.add(ViolationKind::FalseEnd, observation.at, detail);
         }
@@ -40,11 +42,11 @@
 fn missing_cause(
     state: JobState,
     facts: &JobFacts,
-    world: &World,
+    observed: &ObservedCluster,
     at: Milliseconds,
 ) -> Option<&'static str> {
     match state {
-        JobState::Failed if !facts.may_have_failed(world, at) => {
+        JobState::Failed if !facts.may_have_failed(observed, at) => {
             Some("no task had used up its allowed failures")
         }
         JobState::Cancelled if !facts.cancel_sent => Some("no cancel had been sent"),
--- a/crates/checker/src/check/facts.rs
+++ b/crates/checker/src/check/facts.rs
@@ -1,6 +1,6 @@
 //! What the history has shown of one job, task or run.
 
-use super::world::World;
+use super::observed::ObservedCluster;
 use crate::ExpectedStep;
 use std::collections::{BTreeMap, BTreeSet};
 use types::{JobKey, JobState, Milliseconds, Resources, RunId, RunnerId, StepName};
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct JobFacts {
     steps: Vec<ExpectedStep>,
-    /// True when submits of different content were sent: either may have won.
+    /// Whether submits of different content were sent: either may have won.
     is_ambiguous: bool,
     /// Most copies of each step over all contents sent.
     copies: BTreeMap<StepName, u32>,
@@ -49,7 +49,7 @@
 
 impl TaskFacts {
     /// Runs that failed, and those that may have.
-    fn most_failures(&self) -> u32 {
+    fn max_failures(&self) -> u32 {
         count(self.failed.len()) + self.overdue_stops
     }
 }
@@ -66,14 +66,14 @@
     pub(super) ended_at: Option<Milliseconds>,
     /// When its runner's lease would have ended, as of its end.
     pub(super) lease_until: Option<Milliseconds>,
-    /// True when its runner knows that the record has its end.
+    /// Whether its runner knows that the record has its end.
     pub(super) end_recorded: bool,
-    /// True when its runner's process ended after it, unless recorded before.
+    /// Whether its runner's process ended after it, unless recorded before.
     pub(super) end_forgotten: bool,
 }
 
 impl RunFacts {
-    /// True while it is going on.
+    /// Returns whether it is going on.
     pub(super) fn is_open(&self) -> bool {
         self.ended_at.is_none()
     }
@@ -106,26 +106,26 @@
     }
 
     /// Most copies of a step over all contents sent, at least 1.
-    pub(super) fn most_copies(&self, step: &StepName) -> u32 {
+    pub(super) fn allowed_copies(&self, step: &StepName) -> u32 {
         self.copies.get(step).copied().unwrap_or(1)
     }
 
-    /// True when every task ended done; None when the steps are not certain.
+    /// Returns whether every task ended done; None when the steps are not certain.
     pub(super) fn is_done(&self) -> Option<bool> {
         let mut steps = self.certain_steps()?.iter();
         Some(steps.all(|step| self.done_in(&step.name) >= step.tasks))
     }
 
-    /// True when a task may have used up its allowed failures by `at`.
-    pub(super) fn may_have_failed(&self, world: &World, at: Milliseconds) -> bool {
+    /// Returns whether a task may have used up its allowed failures by `at`.
+    pub(super) fn may_have_failed(&self, observed: &ObservedCluster, at: Milliseconds) -> bool {
         let Some(mut steps) = self.certain_steps().map(<[_]>::iter) else {
             return true;
         };
         steps.any(|step| {
             self.has_used_up(step, |task| {
-                let open = task.open.iter().filter_map(|run| world.run(*run));
+                let open = task.open.iter().filter_map(|run| observed.run(*run));
                 let overdue = open.filter(|run| is_overdue(run.started_at, at, step.time_limit));
-                task.most_failures() + count(overdue.count())
+                task.max_failures() + count(overdue.count())
             })
         })
     }
@@ -149,29 +149,29 @@
             .map(|(one, two)| one.min(two));
     }
 
-    /// True when a task has, without the runs that are still open: enough to
+    /// Returns whether a task has, without the runs that are still open: enough to
     /// know that work may be over.
     pub(super) fn has_used_up_failures(&self) -> bool {
         match self.certain_steps().map(<[_]>::iter) {
-            Some(mut steps) => steps.any(|step| self.has_used_up(step, TaskFacts::most_failures)),
-            None => self.tasks.values().any(|task| task.most_failures() > 0),
+            Some(mut steps) => steps.any(|step| self.has_used_up(step, TaskFacts::max_failures)),
+            None => self.tasks.values().any(|task| task.max_failures() > 0),
         }
     }
 
-    /// True when a task has more failures than its step allows. A gang fails
+    /// Returns whether a task has more failures than its step allows. A gang fails
     /// as a whole, each time by any of its members.
     fn has_used_up(&self, step: &ExpectedStep, failures: impl Fn(&TaskFacts) -> u32) -> bool {
         let tasks = self.tasks.iter().filter(|(key, _)| key.0 == step.name);
         let failures = tasks.map(|(_, task)| failures(task));
-        let most = match step.gang {
+        let max = match step.gang {
             true => failures.sum(),
             false => failures.max().unwrap_or(0),
         };
-        most > step.allowed_failures
+        max > step.allowed_failures
     }
 }
 
-/// True when a run that started at `started` may have reached its limit.
+/// Returns whether a run that started at `started` may have reached its limit.
 pub(super) fn is_overdue(
     started: Milliseconds,
     now: Milliseconds,
--- a/crates/checker/src/check/lost.rs
+++ b/crates/checker/src/check/lost.rs
@@ -1,7 +1,7 @@
 //! An acknowledged job is known from then on, and comes to an end.
 
+use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
-use super::world::World;
 use super::{Limits, ViolationKind};
 use crate::{Event, Observation, ReadState};
 use types::{JobKey, Milliseconds};
@@ -13,7 +13,7 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        world: &World,
+        observed: &ObservedCluster,
         limits: &Limits,
         findings: &mut Findings,
     ) {
@@ -22,8 +22,8 @@
                 job,
                 asked_at,
                 state: ReadState::Unknown,
-            } => check_unknown(job, *asked_at, observation.at, world, limits, findings),
-            Event::Finished => check_unfinished(observation.at, world, limits, findings),
+            } => check_unknown(job, *asked_at, observation.at, observed, limits, findings),
+            Event::Finished => check_unfinished(observation.at, observed, limits, findings),
             _ => {}
         }
     }
@@ -33,11 +33,11 @@
     job: &JobKey,
     asked_at: Milliseconds,
     at: Milliseconds,
-    world: &World,
+    observed: &ObservedCluster,
     limits: &Limits,
     findings: &mut Findings,
 ) {
-    let acknowledged = world.job(job).and_then(|facts| facts.acknowledged_at);
+    let acknowledged = observed.job(job).and_then(|facts| facts.acknowledged_at);
     let Some(acknowledged) = acknowledged else {
         return;
     };
@@ -51,8 +51,13 @@
     }
 }
 
-fn check_unfinished(at: Milliseconds, world: &World, limits: &Limits, findings: &mut Findings) {
-    for (job, facts) in world.jobs() {
+fn check_unfinished(
+    at: Milliseconds,
+    observed: &ObservedCluster,
+    limits: &Limits,
+    findings: &mut Findings,
+) {
+    for (job, facts) in observed.jobs() {
         let Some(acknowledged) = facts.acknowledged_at else {
             continue;
         };
--- a/crates/checker/src/check/world.rs
+++ b/crates/checker/src/check/observed.rs
@@ -12,11 +12,11 @@
 
 /// All jobs and runs, and whether a fault is going on.
 #[derive(Debug, Clone, Default)]
-pub(super) struct World {
+pub(super) struct ObservedCluster {
     jobs: BTreeMap<JobKey, JobFacts>,
     runs: BTreeMap<RunId, RunFacts>,
     open_by_runner: BTreeMap<RunnerId, BTreeSet<RunId>>,
-    held: BTreeMap<TenantId, Resources>,
+    usage: BTreeMap<TenantId, Resources>,
     /// Acknowledged jobs that may have work left.
     pub(super) unfinished: BTreeSet<JobKey>,
     /// Ended runs whose runner does not know yet that the record has them.
@@ -26,7 +26,7 @@
     healed_at: Milliseconds,
 }
 
-impl World {
+impl ObservedCluster {
     /// What is known of a job.
     pub(super) fn job(&self, job: &JobKey) -> Option<&JobFacts> {
         self.jobs.get(job)
@@ -47,7 +47,7 @@
         self.runs.get(&run)
     }
 
-    /// True while a runner's machine stands still.
+    /// Returns whether a runner's machine stands still.
     pub(super) fn is_frozen(&self, runner: &RunnerId) -> bool {
         self.frozen.contains(runner)
     }
@@ -61,7 +61,7 @@
             .copied()
     }
 
-    /// True when the end of a run may never have reached anyone by `at`: its
+    /// Returns whether the end of a run may never have reached anyone by `at`: its
     /// runner was not told that the record has it, and has either lost its
     /// memory with its process, or been silent past its run lease and not had
     /// the time without a fault that a report takes.
@@ -69,26 +69,26 @@
         let Some(facts) = self.runs.get(&run).filter(|run| !run.end_recorded) else {
             return false;
         };
-        let lapsed = facts.lease_until.is_some_and(|until| at >= until);
+        let expired = facts.lease_until.is_some_and(|until| at >= until);
         let calm_since = facts.ended_at.and_then(|ended| self.calm_since(ended));
         let had_time = calm_since.is_some_and(|calm| at > calm + REPORTED_AFTER);
-        facts.end_forgotten || (lapsed && !had_time)
+        facts.end_forgotten || (expired && !had_time)
     }
 
     /// What a tenant's runs hold over all runners but those whose machines
     /// stand still: there they do nothing, and once their lease is over they
     /// must end when the machine wakes.
-    pub(super) fn held(&self, tenant: &TenantId) -> Resources {
-        let held = self.held.get(tenant).copied().unwrap_or_default();
+    pub(super) fn usage(&self, tenant: &TenantId) -> Resources {
+        let usage = self.usage.get(tenant).copied().unwrap_or_default();
         let still = self.frozen.iter().flat_map(|runner| self.open_on(runner));
         still
             .filter_map(|run| self.run(run))
             .filter(|run| run.job.tenant == *tenant)
-            .fold(held, |held, run| held.minus(&run.resources))
+            .fold(usage, |usage, run| usage.minus(&run.resources))
     }
 
     /// Runs that take a seat of a licence, but those whose machines stand still.
-    pub(super) fn seats_taken(&self, licence: &LicenceName) -> usize {
+    pub(super) fn seats_used(&self, licence: &LicenceName) -> usize {
         let open = self.open_by_runner.iter();
         open.filter(|(runner, _)| !self.frozen.contains(*runner))
             .flat_map(|(_, runs)| runs)
@@ -103,7 +103,7 @@
         expected.licence.as_ref()
     }
 
-    /// True when any run is going on any runner.
+    /// Returns whether any run is going on any runner.
     pub(super) fn has_open_runs(&self) -> bool {
         !self.open_by_runner.is_empty()
     }
@@ -187,8 +187,8 @@
         let task = self.job_mut(job).tasks.entry(key.clone()).or_default();
         task.open.insert(*run);
         task.changed_at = observation.at;
-        let held = self.held.entry(job.tenant.clone()).or_default();
-        *held = held.plus(resources);
+        let usage = self.usage.entry(job.tenant.clone()).or_default();
+        *usage = usage.plus(resources);
         let open = self.open_by_runner.entry(runner.clone()).or_default();
         open.insert(*run);
         let facts = RunFacts {
@@ -264,8 +264,8 @@
     }
 
     fn free(&mut self, id: RunId, run: &RunFacts) {
-        if let Some(held) = self.held.get_mut(&run.job.tenant) {
-            *held = held.minus(&run.resources);
+        if let Some(usage) = self.usage.get_mut(&run.job.tenant) {
+            *usage = usage.minus(&run.resources);
         }
         if let Some(open) = self.open_by_runner.get_mut(&run.runner) {
             open.remove(&id);
--- a/crates/checker/src/check/order.rs
+++ b/crates/checker/src/check/order.rs
@@ -1,7 +1,7 @@
-//! A runner refuses orders of a superseded leader.
+//! A runner rejects orders of a superseded leader.
 
+use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
-use super::world::World;
 use super::{Limits, ViolationKind};
 use crate::{Event, Observation};
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 
 #[derive(Debug, Default)]
 pub(super) struct StaleOrderAccepted {
-    /// Highest term of an order that each runner took in its current life.
+    /// Highest term of an order that each runner took in its current incarnation.
     highest: BTreeMap<RunnerId, Term>,
 }
 
@@ -17,7 +17,7 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        _world: &World,
+        _observed: &ObservedCluster,
         _limits: &Limits,
         findings: &mut Findings,
     ) {
--- a/crates/checker/src/check/reopened.rs
+++ b/crates/checker/src/check/reopened.rs
@@ -1,7 +1,7 @@
 //! A final state never changes.
 
+use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
-use super::world::World;
 use super::{Limits, ViolationKind};
 use crate::{Event, Observation, ReadState};
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        _world: &World,
+        _observed: &ObservedCluster,
         _limits: &Limits,
         findings: &mut Findings,
     ) {
--- a/crates/checker/src/check/repeat.rs
+++ b/crates/checker/src/check/repeat.rs
@@ -1,15 +1,15 @@
 //! A run starts once, a task runs once at a time and never after it is done.
 
+use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
 use super::started::Started;
-use super::world::World;
 use super::{Limits, ViolationKind};
 use crate::{Event, Observation};
 use std::collections::{BTreeMap, BTreeSet};
 use types::{Milliseconds, RunId};
 
 /// One run identifier starts once, on one runner, and is not even asked to
-/// start again: a runner need not refuse a repeated start.
+/// start again: a runner need not reject a repeated start.
 #[derive(Debug, Default)]
 pub(super) struct DoubleStart {
     delivered: BTreeSet<RunId>,
@@ -19,7 +19,7 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        world: &World,
+        observed: &ObservedCluster,
         _limits: &Limits,
         findings: &mut Findings,
     ) {
@@ -32,7 +32,7 @@
         let Event::RunStarted { runner, run, .. } = &observation.event else {
             return;
         };
-        if let Some(first) = world.run(*run) {
+        if let Some(first) = observed.run(*run) {
             let detail = format!(
                 "run {run} started on {runner}, and had started on {} at {}",
                 first.runner, first.started_at
@@ -58,19 +58,19 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        world: &World,
+        observed: &ObservedCluster,
         _limits: &Limits,
         findings: &mut Findings,
     ) {
-        self.check_woken(observation.at, world, findings);
+        self.check_woken(observation.at, observed, findings);
         match &observation.event {
-            Event::RunStarted { .. } => check_started(observation, world, findings),
+            Event::RunStarted { .. } => check_started(observation, observed, findings),
             Event::RunnerWoke { runner } => {
-                let taken_over = world
+                let exceeding = observed
                     .open_on(runner)
-                    .filter(|run| is_taken_over(*run, world));
+                    .filter(|run| exceeds_copies(*run, observed));
                 self.woken
-                    .extend(taken_over.map(|run| (run, observation.at)));
+                    .extend(exceeding.map(|run| (run, observation.at)));
             }
             Event::RunEnded { run, .. } => {
                 self.woken.remove(run);
@@ -81,7 +81,12 @@
 }
 
 impl OverlappingRuns {
-    fn check_woken(&mut self, now: Milliseconds, world: &World, findings: &mut Findings) {
+    fn check_woken(
+        &mut self,
+        now: Milliseconds,
+        observed: &ObservedCluster,
+        findings: &mut Findings,
+    ) {
         let late: Vec<RunId> = self
             .woken
             .iter()
@@ -90,7 +95,7 @@
             .collect();
         for run in late {
             self.woken.remove(&run);
-            if world.run(run).is_some_and(|facts| facts.is_open()) {
+            if observed.run(run).is_some_and(|facts| facts.is_open()) {
                 let detail = format!("run {run} went on after its runner woke beside another run");
                 findings.add(ViolationKind::OverlappingRuns, now, detail);
             }
@@ -98,32 +103,34 @@
     }
 }
 
-/// True when more runs of its task are open than its copies.
-fn is_taken_over(run: RunId, world: &World) -> bool {
-    let Some(facts) = world.run(run) else {
+/// Returns whether more runs of its task are open than its copies.
+fn exceeds_copies(run: RunId, observed: &ObservedCluster) -> bool {
+    let Some(facts) = observed.run(run) else {
         return false;
     };
     let (step, task) = &facts.task;
-    let open = world
+    let open = observed
         .task(&facts.job, step, *task)
         .map_or(0, |task| task.open.len());
-    let copies = world.job(&facts.job).map_or(1, |job| job.most_copies(step));
+    let copies = observed
+        .job(&facts.job)
+        .map_or(1, |job| job.allowed_copies(step));
     open > copies as usize
 }
 
-fn check_started(observation: &Observation, world: &World, findings: &mut Findings) {
+fn check_started(observation: &Observation, observed: &ObservedCluster, findings: &mut Findings) {
     let Some(start) = Started::of(observation) else {
         return;
     };
-    let Some(facts) = start.facts(world) else {
+    let Some(facts) = start.facts(observed) else {
         return;
     };
     let others = facts.open.iter().filter(|open| **open != start.run);
     let going = others
-        .filter_map(|open| world.run(*open))
-        .filter(|open| !world.is_frozen(&open.runner))
+        .filter_map(|open| observed.run(*open))
+        .filter(|open| !observed.is_frozen(&open.runner))
         .count();
-    if going >= start.copies(world) as usize {
+    if going >= start.copies(observed) as usize {
         let detail = format!("{start} began beside {going} more");
         findings.add(ViolationKind::OverlappingRuns, observation.at, detail);
     }
@@ -142,18 +149,18 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        world: &World,
+        observed: &ObservedCluster,
         limits: &Limits,
         findings: &mut Findings,
     ) {
         let Some(start) = Started::of(observation) else {
             return;
         };
-        let done_at = start.facts(world).and_then(|facts| facts.done_at);
+        let done_at = start.facts(observed).and_then(|facts| facts.done_at);
         let Some(done_at) = done_at else {
             return;
         };
-        if !start.repeats_unreported(world) && start.is_too_late(done_at, world, limits) {
+        if !start.repeats_unreported(observed) && start.is_too_late(done_at, observed, limits) {
             let detail = format!("{start} began, done since {done_at}");
             findings.add(ViolationKind::RepeatedTask, observation.at, detail);
         }
--- a/crates/checker/src/check/ceiling.rs
+++ b/crates/checker/src/check/resource_limit.rs
@@ -1,9 +1,9 @@
-//! No tenant holds more than its ceiling and the margin.
+//! No tenant holds more than its resource limit and the margin.
 //!
-//! Judged at each start: runs that go on after a ceiling was lowered may stay.
+//! Judged at each start: runs that go on after a resource limit was lowered may stay.
 
+use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
-use super::world::World;
 use super::{Limits, ViolationKind};
 use crate::{Event, Observation};
 use std::collections::BTreeMap;
@@ -11,16 +11,16 @@
 
 #[derive(Debug, Clone)]
 struct Candidate {
-    ceiling: Resources,
+    resource_limit: Resources,
     sent_at: Milliseconds,
     is_acknowledged: bool,
     superseded_at: Option<Milliseconds>,
 }
 
 impl Candidate {
-    /// True when a start seen at `at` may have been decided under it. One that
+    /// Returns whether a start seen at `at` may have been decided under it. One that
     /// was not acknowledged may be taken late, as long as service may be out.
-    fn may_hold(&self, at: Milliseconds, limits: &Limits) -> bool {
+    fn may_apply(&self, at: Milliseconds, limits: &Limits) -> bool {
         let Some(superseded) = self.superseded_at else {
             return true;
         };
@@ -30,28 +30,28 @@
 }
 
 #[derive(Debug, Default)]
-pub(super) struct CeilingExceeded {
+pub(super) struct ResourceLimitExceeded {
     candidates: BTreeMap<TenantId, Vec<Candidate>>,
 }
 
-impl CeilingExceeded {
+impl ResourceLimitExceeded {
     fn take(
         &mut self,
         tenant: &TenantId,
-        ceiling: Resources,
+        resource_limit: Resources,
         at: Milliseconds,
         is_acknowledged: bool,
         limits: &Limits,
     ) {
         let candidates = self.candidates.entry(tenant.clone()).or_default();
-        candidates.retain(|candidate| candidate.may_hold(at, limits));
+        candidates.retain(|candidate| candidate.may_apply(at, limits));
         if is_acknowledged {
             for candidate in candidates.iter_mut() {
                 candidate.superseded_at.get_or_insert(at);
             }
         }
         candidates.push(Candidate {
-            ceiling,
+            resource_limit,
             sent_at: at,
             is_acknowledged,
             superseded_at: None,
@@ -59,7 +59,7 @@
     }
 
     /// The highest amount of each kind that may be in force; None when no
-    /// ceiling was ever acknowledged.
+    /// resource limit was ever acknowledged.
     fn highest(&self, tenant: &TenantId, at: Milliseconds, limits: &Limits) -> Option<Resources> {
         let candidates = self.candidates.get(tenant)?;
         candidates
@@ -67,9 +67,9 @@
             .find(|candidate| candidate.is_acknowledged)?;
         let possible = candidates
             .iter()
-            .filter(|candidate| candidate.may_hold(at, limits));
+            .filter(|candidate| candidate.may_apply(at, limits));
         possible
-            .map(|candidate| candidate.ceiling)
+            .map(|candidate| candidate.resource_limit)
             .reduce(|one, two| Resources {
                 slots: one.slots.max(two.slots),
                 cpu_milli: one.cpu_milli.max(two.cpu_milli),
@@ -79,21 +79,27 @@
     }
 }
 
-impl Rule for CeilingExceeded {
+impl Rule for ResourceLimitExceeded {
     fn observe(
         &mut self,
         observation: &Observation,
-        world: &World,
+        observed: &ObservedCluster,
         limits: &Limits,
         findings: &mut Findings,
     ) {
         let at = observation.at;
         match &observation.event {
-            Event::CeilingSent { tenant, ceiling } => {
-                self.take(tenant, *ceiling, at, false, limits);
+            Event::ResourceLimitSent {
+                tenant,
+                resource_limit,
+            } => {
+                self.take(tenant, *resource_limit, at, false, limits);
             }
-            Event::CeilingInForce { tenant, ceiling } => {
-                self.take(tenant, *ceiling, at, true, limits);
+            Event::ResourceLimitInForce {
+                tenant,
+                resource_limit,
+            } => {
+                self.take(tenant, *resource_limit, at, true, limits);
             }
             Event::RunStarted {
                 run,
@@ -102,15 +108,20 @@
                 ..
             } => {
                 let tenant = &job.tenant;
-                let Some(ceiling) = self.highest(tenant, at, limits) else {
+                let Some(resource_limit) = self.highest(tenant, at, limits) else {
                     return;
                 };
-                let held = world.held(tenant).plus(resources);
-                if exceeds(&held, &ceiling, resources, limits.ceiling_margin_percent) {
+                let usage = observed.usage(tenant).plus(resources);
+                if exceeds(
+                    &usage,
+                    &resource_limit,
+                    resources,
+                    limits.limit_margin_percent,
+                ) {
                     let detail = format!(
-                        "with run {run}, tenant {tenant} holds {held:?} under a ceiling of {ceiling:?}"
+                        "with run {run}, tenant {tenant} holds {usage:?} under a ceiling of {resource_limit:?}"
                     );
-                    findings.add(ViolationKind::CeilingExceeded, at, detail);
+                    findings.add(ViolationKind::ResourceLimitExceeded, at, detail);
                 }
             }
             _ => {}
@@ -119,13 +130,17 @@
 }
 
 // Only kinds that the new run takes some of are judged by its start.
-fn exceeds(held: &Resources, ceiling: &Resources, taken: &Resources, margin: u32) -> bool {
+fn exceeds(usage: &Resources, resource_limit: &Resources, taken: &Resources, margin: u32) -> bool {
     let part = 100 + u64::from(margin);
-    let over = |held: u32, ceiling: u32, taken: u32| {
-        taken > 0 && u64::from(held) * 100 > u64::from(ceiling) * part
+    let over = |usage: u32, resource_limit: u32, taken: u32| {
+        taken > 0 && u64::from(usage) * 100 > u64::from(resource_limit) * part
     };
-    over(held.slots, ceiling.slots, taken.slots)
-        || over(held.cpu_milli, ceiling.cpu_milli, taken.cpu_milli)
-        || over(held.memory_mib, ceiling.memory_mib, taken.memory_mib)
-        || over(held.gpus, ceiling.gpus, taken.gpus)
+    over(usage.slots, resource_limit.slots, taken.slots)
+        || over(usage.cpu_milli, resource_limit.cpu_milli, taken.cpu_milli)
+        || over(
+            usage.memory_mib,
+            resource_limit.memory_mib,
+            taken.memory_mib,
+        )
+        || over(usage.gpus, resource_limit.gpus, taken.gpus)
 }
--- a/crates/checker/src/check/retry.rs
+++ b/crates/checker/src/check/retry.rs
@@ -1,8 +1,8 @@
 //! No task runs again past its allowed failures.
 
+use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
 use super::started::Started;
-use super::world::World;
 use super::{Limits, ViolationKind};
 use crate::Observation;
 
@@ -17,22 +17,22 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        world: &World,
+        observed: &ObservedCluster,
         limits: &Limits,
         findings: &mut Findings,
     ) {
         let Some(start) = Started::of(observation) else {
             return;
         };
-        let Some(expected) = world.job(start.job).and_then(|job| job.step(start.step)) else {
+        let Some(expected) = observed.job(start.job).and_then(|job| job.step(start.step)) else {
             return;
         };
-        let failures = start.reported_failures(world);
+        let failures = start.reported_failures(observed);
         if failures.len() <= expected.allowed_failures as usize {
             return;
         }
         let last_failure_at = failures.iter().filter_map(|run| run.ended_at).max();
-        if start.is_too_late(last_failure_at.unwrap_or_default(), world, limits) {
+        if start.is_too_late(last_failure_at.unwrap_or_default(), observed, limits) {
             let detail = format!(
                 "{start} began after {} failed runs, {} allowed",
                 failures.len(),
--- a/crates/checker/src/check/rule.rs
+++ b/crates/checker/src/check/rule.rs
@@ -1,17 +1,17 @@
 //! What a rule is, and what it finds.
 
-use super::world::World;
+use super::observed::ObservedCluster;
 use super::{Limits, Violation, ViolationKind};
 use crate::Observation;
 use types::Milliseconds;
 
 /// One promise, checked event by event.
 pub(super) trait Rule {
-    /// Takes the next event; `world` holds what was seen before it.
+    /// Takes the next event; `observed` holds what was seen before it.
     fn observe(
         &mut self,
         observation: &Observation,
-        world: &World,
+        observed: &ObservedCluster,
         limits: &Limits,
         findings: &mut Findings,
     );
@@ -24,7 +24,7 @@
 }
 
 impl Findings {
-    /// Notes a broken promise.
+    /// Records a broken promise.
     pub(super) fn add(&mut self, kind: ViolationKind, at: Milliseconds, detail: String) {
         self.violations.push(Violation { kind, at, detail });
     }
--- a/crates/checker/src/check/seats.rs
+++ b/crates/checker/src/check/seats.rs
@@ -4,8 +4,8 @@
 //! machine that stands still does nothing, and must end when it wakes, once its
 //! lease is over; so it does not count while it stands.
 
+use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
-use super::world::World;
 use super::{Limits, ViolationKind};
 use crate::{Event, Observation};
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        world: &World,
+        observed: &ObservedCluster,
         _limits: &Limits,
         findings: &mut Findings,
     ) {
@@ -29,15 +29,15 @@
                 self.seats.insert(licence.clone(), *seats);
             }
             Event::RunStarted { run, job, step, .. } => {
-                let Some(licence) = world.licence_of(job, step) else {
+                let Some(licence) = observed.licence_of(job, step) else {
                     return;
                 };
                 let Some(seats) = self.seats.get(licence) else {
                     return;
                 };
-                let taken = world.seats_taken(licence) + 1;
-                if taken > *seats as usize {
-                    let detail = format!("with run {run}, {taken} of {seats} seats of {licence}");
+                let used = observed.seats_used(licence) + 1;
+                if used > *seats as usize {
+                    let detail = format!("with run {run}, {used} of {seats} seats of {licence}");
                     findings.add(ViolationKind::SeatsExceeded, observation.at, detail);
                 }
             }
--- a/crates/checker/src/check/service.rs
+++ b/crates/checker/src/check/service.rs
@@ -1,7 +1,7 @@
 //! Service is back in time after the last fault healed.
 
+use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
-use super::world::World;
 use super::{Limits, ViolationKind};
 use crate::{Event, Observation};
 use types::{JobKey, Milliseconds};
@@ -24,7 +24,7 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        world: &World,
+        observed: &ObservedCluster,
         limits: &Limits,
         findings: &mut Findings,
     ) {
@@ -32,7 +32,7 @@
         if let Some(watch) = &self.watch
             && at > watch.healed_at + limits.service_after
         {
-            judge(watch, world, limits, findings);
+            judge(watch, observed, limits, findings);
             self.watch = None;
         }
         match &observation.event {
@@ -72,28 +72,28 @@
     }
 }
 
-fn judge(watch: &Watch, world: &World, limits: &Limits, findings: &mut Findings) {
+fn judge(watch: &Watch, observed: &ObservedCluster, limits: &Limits, findings: &mut Findings) {
     let limit = watch.healed_at + limits.service_after;
     let healed = watch.healed_at;
     if watch.has_attempt && !watch.has_answer {
         let detail = format!("no submit or state read succeeded since the heal at {healed}");
         findings.add(ViolationKind::ServiceNotBack, limit, detail);
     }
-    if watch.has_progress || world.has_open_runs() {
+    if watch.has_progress || observed.has_open_runs() {
         return;
     }
-    let waiting = world.unfinished.iter();
+    let waiting = observed.unfinished.iter();
     if let Some(job) = waiting
         .into_iter()
-        .find(|job| was_startable(job, healed, world))
+        .find(|job| was_startable(job, healed, observed))
     {
         let detail = format!("nothing ran since the heal at {healed}, though {job} waits");
         findings.add(ViolationKind::ServiceNotBack, limit, detail);
     }
 }
 
-fn was_startable(job: &JobKey, at: Milliseconds, world: &World) -> bool {
-    world.job(job).is_some_and(|facts| {
+fn was_startable(job: &JobKey, at: Milliseconds, observed: &ObservedCluster) -> bool {
+    observed.job(job).is_some_and(|facts| {
         let is_acknowledged = facts.acknowledged_at.is_some_and(|time| time <= at);
         let is_due = facts.not_before.is_none_or(|time| time <= at);
         is_acknowledged && is_due && !facts.cancel_sent
--- a/crates/checker/src/check/start_time.rs
+++ b/crates/checker/src/check/start_time.rs
@@ -1,7 +1,7 @@
 //! No start before the job's own time.
 
+use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
-use super::world::World;
 use super::{Limits, ViolationKind};
 use crate::{Event, Observation};
 use types::Milliseconds;
@@ -17,14 +17,14 @@
     fn observe(
         &mut self,
         observation: &Observation,
-        world: &World,
+        observed: &ObservedCluster,
         _limits: &Limits,
         findings: &mut Findings,
     ) {
         let Event::RunStarted { run, job, .. } = &observation.event else {
             return;
         };
-        let Some(time) = world.job(job).and_then(|facts| facts.not_before) else {
+        let Some(time) = observed.job(job).and_then(|facts| facts.not_before) else {
             return;
         };
         if observation.at + CLOCK_TOLERANCE < time {
--- a/crates/checker/src/check/started.rs
+++ b/crates/checker/src/check/started.rs
@@ -2,7 +2,7 @@
 
 use super::Limits;
 use super::facts::{RunFacts, TaskFacts};
-use super::world::World;
+use super::observed::ObservedCluster;
 use crate::{Event, Observation};
 use std::fmt;
 use types::{JobKey, Milliseconds, RunId, StepName};
@@ -40,50 +40,55 @@
     }
 
     /// What is known of its task.
-    pub fn facts<'w>(&self, world: &'w World) -> Option<&'w TaskFacts> {
-        world.task(self.job, self.step, self.task)
+    pub fn facts<'w>(&self, observed: &'w ObservedCluster) -> Option<&'w TaskFacts> {
+        observed.task(self.job, self.step, self.task)
     }
 
     /// Copies allowed of its task: the most that any submit of its job asked
     /// for.
-    pub fn copies(&self, world: &World) -> u32 {
-        let job = world.job(self.job);
-        job.map_or(1, |facts| facts.most_copies(self.step))
+    pub fn copies(&self, observed: &ObservedCluster) -> u32 {
+        let job = observed.job(self.job);
+        job.map_or(1, |facts| facts.allowed_copies(self.step))
     }
 
     /// True where no further run may begin after what happened at `decided_at`.
     /// A further copy may be on its way until that has been reported, which a
     /// fault may delay.
-    pub fn is_too_late(&self, decided_at: Milliseconds, world: &World, limits: &Limits) -> bool {
-        let calm_since = world.calm_since(decided_at);
+    pub fn is_too_late(
+        &self,
+        decided_at: Milliseconds,
+        observed: &ObservedCluster,
+        limits: &Limits,
+    ) -> bool {
+        let calm_since = observed.calm_since(decided_at);
         let is_late = calm_since.is_some_and(|calm| self.at > calm + limits.cancel_after);
-        is_late || self.copies(world) == 1
+        is_late || self.copies(observed) == 1
     }
 
     /// Failed runs of its task whose failure somebody can have heard of.
-    pub fn reported_failures<'w>(&self, world: &'w World) -> Vec<&'w RunFacts> {
+    pub fn reported_failures<'w>(&self, observed: &'w ObservedCluster) -> Vec<&'w RunFacts> {
         let failed = self
-            .facts(world)
+            .facts(observed)
             .into_iter()
             .flat_map(|facts| &facts.failed);
-        let reported = failed.filter(|run| !world.may_be_unreported(**run, self.at));
-        reported.filter_map(|run| world.run(*run)).collect()
+        let reported = failed.filter(|run| !observed.may_be_unreported(**run, self.at));
+        reported.filter_map(|run| observed.run(*run)).collect()
     }
 
-    /// True when it is allowed only since a failure may be unreported.
-    pub fn retries_unreported(&self, world: &World) -> bool {
-        let expected = world.job(self.job).and_then(|job| job.step(self.step));
-        let Some((expected, facts)) = expected.zip(self.facts(world)) else {
+    /// Returns whether it is allowed only since a failure may be unreported.
+    pub fn retries_unreported(&self, observed: &ObservedCluster) -> bool {
+        let expected = observed.job(self.job).and_then(|job| job.step(self.step));
+        let Some((expected, facts)) = expected.zip(self.facts(observed)) else {
             return false;
         };
         let allowed = expected.allowed_failures as usize;
-        facts.failed.len() > allowed && self.reported_failures(world).len() <= allowed
+        facts.failed.len() > allowed && self.reported_failures(observed).len() <= allowed
     }
 
-    /// True when its task has a done end that may be unreported.
-    pub fn repeats_unreported(&self, world: &World) -> bool {
-        let done_run = self.facts(world).and_then(|facts| facts.done_run);
-        done_run.is_some_and(|done| world.may_be_unreported(done, self.at))
+    /// Returns whether its task has a done end that may be unreported.
+    pub fn repeats_unreported(&self, observed: &ObservedCluster) -> bool {
+        let done_run = self.facts(observed).and_then(|facts| facts.done_run);
+        done_run.is_some_and(|done| observed.may_be_unreported(done, self.at))
     }
 }
 
--- a/crates/checker/src/event.rs
+++ b/crates/checker/src/event.rs
@@ -37,11 +37,12 @@
         /// The job.
         job: JobKey,
     },
-    /// A submit got a final refusal.
-    SubmitRefused {
+    /// A submit got a final rejection.
+    #[serde(rename = "submit_refused")]
+    SubmitRejected {
         /// The job.
         job: JobKey,
-        /// Code of the refusal.
+        /// Code of the rejection.
         code: String,
     },
     /// A caller asked for a job's state and got an answer.
@@ -79,7 +80,7 @@
     RunStarted {
         /// The runner.
         runner: RunnerId,
-        /// Its life.
+        /// Its incarnation.
         incarnation: RunnerIncarnation,
         /// The run.
         run: RunId,
@@ -128,7 +129,7 @@
         runner: RunnerId,
         /// Term of the order.
         term: Term,
-        /// True when the leader of that term had been superseded in the eyes of
+        /// Whether the leader of that term had been superseded in the eyes of
         /// this runner: it had seen a higher term before.
         stale: bool,
     },
@@ -166,13 +167,14 @@
         /// Digest of the document.
         digest: String,
     },
-    /// It was refused.
-    ConfigurationRefused {
+    /// It was rejected.
+    #[serde(rename = "configuration_refused")]
+    ConfigurationRejected {
         /// The version wanted.
         version: ConfigurationVersion,
         /// Digest of the document.
         digest: String,
-        /// Code of the refusal.
+        /// Code of the rejection.
         code: String,
     },
     /// A ready daemon answered with this configuration.
@@ -186,20 +188,24 @@
         /// Digest of the document.
         digest: String,
     },
-    /// A configuration with this ceiling was sent: it may be in force from now
+    /// A configuration with this resource limit was sent: it may be in force from now
     /// on, also when its acknowledgement is lost.
-    CeilingSent {
+    #[serde(rename = "ceiling_sent")]
+    ResourceLimitSent {
         /// The tenant.
         tenant: types::TenantId,
-        /// Its ceiling.
-        ceiling: types::Resources,
+        /// Its resource limit.
+        #[serde(rename = "ceiling")]
+        resource_limit: types::Resources,
     },
-    /// A tenant's ceiling was acknowledged in a configuration.
-    CeilingInForce {
+    /// A tenant's resource limit was acknowledged in a configuration.
+    #[serde(rename = "ceiling_in_force")]
+    ResourceLimitInForce {
         /// The tenant.
         tenant: types::TenantId,
-        /// Its ceiling.
-        ceiling: types::Resources,
+        /// Its resource limit.
+        #[serde(rename = "ceiling")]
+        resource_limit: types::Resources,
     },
     /// A licence has so many seats in every configuration from now on.
     SeatsInForce {
@@ -237,7 +243,7 @@
     /// not known, any stopped run may.
     #[serde(default)]
     pub time_limit: Option<Milliseconds>,
-    /// True when its tasks start together, all or none, and one done end is
+    /// Whether its tasks start together, all or none, and one done end is
     /// the end of all.
     #[serde(default)]
     pub gang: bool,
--- a/crates/checker/tests/control.rs
+++ b/crates/checker/tests/control.rs
@@ -57,12 +57,12 @@
     assert_found(base("two"), &[TwoWinners]);
     // The same order, acknowledged again.
     assert_clean(base("one"));
-    let refused = Event::ConfigurationRefused {
+    let rejected = Event::ConfigurationRejected {
         version: ConfigurationVersion(1),
         digest: "two".into(),
         code: "conflict".into(),
     };
-    assert_clean(vec![(10, taken(1, "one")), (20, refused)]);
+    assert_clean(vec![(10, taken(1, "one")), (20, rejected)]);
     let read = answered("gateway", 20, 1);
     assert_found(vec![(10, taken(1, "one")), (30, read)], &[TwoWinners]);
 }
--- a/crates/checker/tests/silence.rs
+++ b/crates/checker/tests/silence.rs
@@ -3,7 +3,9 @@
 mod support;
 
 use checker::Event;
-use checker::ViolationKind::{CeilingExceeded, OverlappingRuns, RepeatedTask, RetriedPastAllowed};
+use checker::ViolationKind::{
+    OverlappingRuns, RepeatedTask, ResourceLimitExceeded, RetriedPastAllowed,
+};
 use support::*;
 use types::{Milliseconds, Outcome};
 
@@ -37,16 +39,16 @@
 
 #[test]
 fn a_run_on_a_machine_that_stands_still_is_beside_nothing() {
-    let taken_over = vec![
+    let exceeding = vec![
         (0, started(1, 1, 1, "only")),
         (10, frozen(1)),
         (90, started(2, 2, 1, "only")),
         (100, woke(1)),
     ];
     let ends_at = |at| (at, ended(1, 1, Outcome::Stopped));
-    assert_clean(then(taken_over.clone(), vec![ends_at(100)]));
-    assert_clean(then(taken_over.clone(), vec![ends_at(120)]));
-    assert_found(then(taken_over, vec![ends_at(121)]), &[OverlappingRuns]);
+    assert_clean(then(exceeding.clone(), vec![ends_at(100)]));
+    assert_clean(then(exceeding.clone(), vec![ends_at(120)]));
+    assert_found(then(exceeding, vec![ends_at(121)]), &[OverlappingRuns]);
     assert_found(
         vec![
             (0, started(1, 1, 1, "only")),
@@ -58,12 +60,12 @@
 
 #[test]
 fn a_machine_that_stands_still_holds_nothing_until_it_wakes() {
-    let ceiling = Event::CeilingInForce {
+    let resource_limit = Event::ResourceLimitInForce {
         tenant: job(1).tenant,
-        ceiling: slots(1),
+        resource_limit: slots(1),
     };
     let still = vec![
-        (0, ceiling),
+        (0, resource_limit),
         (1, started(1, 1, 1, "only")),
         (10, frozen(1)),
         (90, started(2, 2, 2, "only")),
@@ -74,7 +76,7 @@
         (110, ended(2, 2, Outcome::Done)),
         (120, started(3, 2, 3, "only")),
     ];
-    assert_found(then(still, next), &[CeilingExceeded]);
+    assert_found(then(still, next), &[ResourceLimitExceeded]);
 }
 
 #[test]
--- a/crates/checker/tests/starts.rs
+++ b/crates/checker/tests/starts.rs
@@ -131,10 +131,10 @@
     ]);
 }
 
-fn ceiling(slot_count: u32) -> Event {
-    Event::CeilingInForce {
+fn resource_limit(slot_count: u32) -> Event {
+    Event::ResourceLimitInForce {
         tenant: job(1).tenant,
-        ceiling: slots(slot_count),
+        resource_limit: slots(slot_count),
     }
 }
 
@@ -148,12 +148,12 @@
 #[test]
 fn a_tenant_stays_below_its_ceiling_and_margin() {
     let base = |count| {
-        let mut events = vec![(0, ceiling(40))];
+        let mut events = vec![(0, resource_limit(40))];
         events.extend(many_starts(10, count));
         events
     };
     assert_clean(base(42));
-    assert_found(base(43), &[CeilingExceeded]);
+    assert_found(base(43), &[ResourceLimitExceeded]);
     let mut freed = base(42);
     freed.push((20, ended(1, 1, Outcome::Done)));
     freed.push((30, started(100, 2, 100, "only")));
@@ -163,37 +163,37 @@
 #[test]
 fn a_lower_ceiling_binds_new_starts_after_its_time_only() {
     let lowered = |at| {
-        let mut events = vec![(0, ceiling(4))];
+        let mut events = vec![(0, resource_limit(4))];
         events.extend(many_starts(10, 3));
-        events.push((1_000, ceiling(2)));
+        events.push((1_000, resource_limit(2)));
         events.push((at, started(100, 2, 100, "only")));
         events
     };
     assert_clean(lowered(3_000));
-    assert_found(lowered(3_001), &[CeilingExceeded]);
+    assert_found(lowered(3_001), &[ResourceLimitExceeded]);
 }
 
 #[test]
 fn a_higher_ceiling_whose_acknowledgement_was_lost_may_hold() {
     let raised = |is_sent| {
-        let mut events = vec![(0, ceiling(1)), (0, started(1, 1, 1, "only"))];
+        let mut events = vec![(0, resource_limit(1)), (0, started(1, 1, 1, "only"))];
         if is_sent {
             events.push((
                 10,
-                Event::CeilingSent {
+                Event::ResourceLimitSent {
                     tenant: job(1).tenant,
-                    ceiling: slots(2),
+                    resource_limit: slots(2),
                 },
             ));
         }
         events.push((30_000, started(2, 1, 2, "only")));
         events
     };
-    assert_found(raised(false), &[CeilingExceeded]);
+    assert_found(raised(false), &[ResourceLimitExceeded]);
     assert_clean(raised(true));
     let mut superseded = raised(true);
-    superseded.insert(3, (20, ceiling(1)));
-    assert_found(superseded, &[CeilingExceeded]);
+    superseded.insert(3, (20, resource_limit(1)));
+    assert_found(superseded, &[ResourceLimitExceeded]);
 }
 
 #[test]
--- a/crates/configuration/src/authenticate.rs
+++ b/crates/configuration/src/authenticate.rs
@@ -4,7 +4,7 @@
 
 /// True once an operator key exists. Before that, at the first start, every
 /// request is allowed, or nobody could ever put the first keys in.
-/// [`crate::validate()`] refuses a document whose keys include no operator key.
+/// [`crate::validate()`] rejects a document whose keys include no operator key.
 pub fn requires_keys(document: &ClusterConfiguration) -> bool {
     document
         .keys
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeftOutQueues {
-    /// The document is refused: the operator drains or cancels first.
+    /// The document is rejected: the operator drains or cancels first.
     #[default]
     Refuse,
     /// They stay under their last settings, and the queues drain, until a
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolSettings {
     /// The largest runner the pool is built from. A task that needs more is
-    /// refused at submit, even while no runner is up.
+    /// rejected at submit, even while no runner is up.
     pub largest_runner: Resources,
 }
 
@@ -82,7 +82,7 @@
     pub pool: PoolName,
     /// How far it has been moved in.
     pub mode: QueueMode,
-    /// Unfinished jobs it may hold; more are refused with a time to come back.
+    /// Unfinished jobs it may hold; more are rejected with a time to come back.
     pub max_unfinished_jobs: u64,
     /// Place among the queues of its pool: work of a lower number goes first.
     pub priority: u8,
@@ -94,15 +94,15 @@
     /// Fair share of each pool, in percent. A tenant above it is passed over
     /// while another tenant below its own share has a task that could start.
     pub share_percent: u32,
-    /// Resource ceiling: what its runs may hold over all runners.
-    pub ceiling: Resources,
+    /// Resource resource limit: what its runs may hold over all runners.
+    pub resource_limit: Resources,
     /// What lateness and failure the contract allows.
     pub error_budget: ErrorBudget,
-    /// Submits taken a second, averaged; more are refused at once.
+    /// Submits taken a second, averaged; more are rejected at once.
     pub submits_per_second: u32,
     /// Submits taken at once above the average.
     pub submit_burst: u32,
-    /// Unfinished jobs it may have; more are refused at once.
+    /// Unfinished jobs it may have; more are rejected at once.
     pub max_unfinished_jobs: u64,
 }
 
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! One document describes all queues, tenant contracts and keys. It is taken
 //! whole, or changed item by item, by compare-and-set on its version, and checked
-//! here before it may enter the log. The outer JSON names (`most` for the ceiling) are the `api`
+//! here before it may enter the log. The outer JSON names (`most` for the resource limit) are the `api`
 //! crate's; this crate speaks only the domain's terms.
 
 pub mod authenticate;
@@ -18,4 +18,4 @@
 };
 pub use key::{Key, KeyHash, KeyRole};
 pub use update::{ConfigurationUpdate, RemovedItems, UpsertedItems};
-pub use validate::{ConfigurationProblem, validate};
+pub use validate::{ConfigurationError, validate};
--- a/crates/configuration/src/update.rs
+++ b/crates/configuration/src/update.rs
@@ -6,7 +6,7 @@
 //! or not at all, and what it leads to is checked like any other document.
 
 use crate::{
-    ClusterConfiguration, ConfigurationProblem, Key, LicenceSettings, PoolSettings, QueueSettings,
+    ClusterConfiguration, ConfigurationError, Key, LicenceSettings, PoolSettings, QueueSettings,
     TenantSettings,
 };
 use serde::{Deserialize, Serialize};
@@ -77,11 +77,11 @@
             keys: changed_keys(&base.keys, &wanted.keys),
         };
         let remove = RemovedItems {
-            pools: gone(&base.pools, &wanted.pools),
-            queues: gone(&base.queues, &wanted.queues),
-            tenants: gone(&base.tenants, &wanted.tenants),
-            licences: gone(&base.licences, &wanted.licences),
-            keys: gone_keys(&base.keys, &wanted.keys),
+            pools: removed(&base.pools, &wanted.pools),
+            queues: removed(&base.queues, &wanted.queues),
+            tenants: removed(&base.tenants, &wanted.tenants),
+            licences: removed(&base.licences, &wanted.licences),
+            keys: removed_keys(&base.keys, &wanted.keys),
         };
         Self {
             replaces,
@@ -93,7 +93,7 @@
     }
 
     /// What is wrong with the update by itself, whatever it is applied to.
-    pub fn problems(&self) -> Vec<ConfigurationProblem> {
+    pub fn problems(&self) -> Vec<ConfigurationError> {
         let mut problems = Vec::new();
         let (upsert, remove) = (&self.upsert, &self.remove);
         find_both("pools", upsert.pools.keys(), &remove.pools, &mut problems);
@@ -112,7 +112,7 @@
         let mut seen = BTreeSet::new();
         for key in keys() {
             if !seen.insert(key) {
-                problems.push(problem("keys", key, "stands twice in `upsert`"));
+                problems.push(error("keys", key, "stands twice in `upsert`"));
             }
         }
         problems
@@ -145,7 +145,7 @@
         .collect()
 }
 
-fn gone<Name: Ord + Clone, Item>(
+fn removed<Name: Ord + Clone, Item>(
     base: &BTreeMap<Name, Item>,
     wanted: &BTreeMap<Name, Item>,
 ) -> BTreeSet<Name> {
@@ -158,10 +158,10 @@
     differing.cloned().collect()
 }
 
-fn gone_keys(base: &[Key], wanted: &[Key]) -> BTreeSet<KeyId> {
-    let kept: BTreeSet<&KeyId> = wanted.iter().map(|key| &key.id).collect();
+fn removed_keys(base: &[Key], wanted: &[Key]) -> BTreeSet<KeyId> {
+    let retained: BTreeSet<&KeyId> = wanted.iter().map(|key| &key.id).collect();
     let ids = base.iter().map(|key| &key.id);
-    ids.filter(|id| !kept.contains(id)).cloned().collect()
+    ids.filter(|id| !retained.contains(id)).cloned().collect()
 }
 
 fn change<Name: Ord + Clone, Item: Clone>(
@@ -189,15 +189,15 @@
     list: &str,
     upserted: impl Iterator<Item = &'a Name>,
     removed: &BTreeSet<Name>,
-    problems: &mut Vec<ConfigurationProblem>,
+    problems: &mut Vec<ConfigurationError>,
 ) {
     let both = upserted.filter(|name| removed.contains(name));
-    problems.extend(both.map(|name| problem(list, name, "stands in `upsert` and in `remove`")));
+    problems.extend(both.map(|name| error(list, name, "stands in `upsert` and in `remove`")));
 }
 
-fn problem(list: &str, name: &impl Display, problem: &str) -> ConfigurationProblem {
-    ConfigurationProblem {
-        place: format!("{list}.{name}"),
-        problem: problem.to_owned(),
+fn error(list: &str, name: &impl Display, message: &str) -> ConfigurationError {
+    ConfigurationError {
+        path: format!("{list}.{name}"),
+        message: message.to_owned(),
     }
 }
--- a/crates/configuration/src/validate.rs
+++ b/crates/configuration/src/validate.rs
@@ -15,16 +15,16 @@
 
 /// One thing wrong with a document, with its place.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
-#[error("{place}: {problem}")]
-pub struct ConfigurationProblem {
+#[error("{path}: {message}")]
+pub struct ConfigurationError {
     /// Path in the document, such as `queues.hover.pool`.
-    pub place: String,
+    pub path: String,
     /// What is wrong, in one sentence.
-    pub problem: String,
+    pub message: String,
 }
 
 /// Finds every problem at once; an empty list means the document may be taken.
-pub fn validate(document: &ClusterConfiguration) -> Vec<ConfigurationProblem> {
+pub fn validate(document: &ClusterConfiguration) -> Vec<ConfigurationError> {
     let mut problems = Problems::default();
     check_pools(document, &mut problems);
     check_queues(document, &mut problems);
@@ -36,26 +36,26 @@
 
 #[derive(Default)]
 struct Problems {
-    found: Vec<ConfigurationProblem>,
+    found: Vec<ConfigurationError>,
 }
 
 impl Problems {
-    fn check(&mut self, good: bool, place: String, problem: impl Into<String>) {
+    fn check(&mut self, good: bool, path: String, message: impl Into<String>) {
         if !good {
-            self.found.push(ConfigurationProblem {
-                place,
-                problem: problem.into(),
+            self.found.push(ConfigurationError {
+                path,
+                message: message.into(),
             });
         }
     }
 
-    fn check_positive(&mut self, value: u64, place: String) {
-        self.check(value > 0, place, "must be at least 1");
+    fn check_positive(&mut self, value: u64, path: String) {
+        self.check(value > 0, path, "must be at least 1");
     }
 
     /// A task always needs a slot, so room without slots can hold nothing.
-    fn check_slots(&mut self, room: &Resources, place: String) {
-        self.check_positive(u64::from(room.slots), format!("{place}.slots"));
+    fn check_slots(&mut self, room: &Resources, path: String) {
+        self.check_positive(u64::from(room.slots), format!("{path}.slots"));
     }
 }
 
@@ -87,25 +87,25 @@
     }
 }
 
-fn check_tenant(place: &str, tenant: &TenantSettings, problems: &mut Problems) {
+fn check_tenant(path: &str, tenant: &TenantSettings, problems: &mut Problems) {
     problems.check(
         (1..=MAX_SHARE_PERCENT).contains(&tenant.share_percent),
-        format!("{place}.share_percent"),
+        format!("{path}.share_percent"),
         format!("must be 1 to {MAX_SHARE_PERCENT}"),
     );
-    problems.check_slots(&tenant.ceiling, format!("{place}.ceiling"));
+    problems.check_slots(&tenant.resource_limit, format!("{path}.ceiling"));
     let limits = [
         ("submits_per_second", u64::from(tenant.submits_per_second)),
         ("submit_burst", u64::from(tenant.submit_burst)),
         ("max_unfinished_jobs", tenant.max_unfinished_jobs),
     ];
     for (field, value) in limits {
-        problems.check_positive(value, format!("{place}.{field}"));
+        problems.check_positive(value, format!("{path}.{field}"));
     }
     let budget = &tenant.error_budget;
     problems.check_positive(
         budget.late_after.0,
-        format!("{place}.error_budget.late_after"),
+        format!("{path}.error_budget.late_after"),
     );
     let allowances = [
         ("late_per_thousand", budget.late_per_thousand),
@@ -114,7 +114,7 @@
     for (field, value) in allowances {
         problems.check(
             value <= MAX_PER_THOUSAND,
-            format!("{place}.error_budget.{field}"),
+            format!("{path}.error_budget.{field}"),
             format!("must be at most {MAX_PER_THOUSAND}"),
         );
     }
--- a/crates/configuration/tests/update.rs
+++ b/crates/configuration/tests/update.rs
@@ -102,7 +102,7 @@
         ..RemovedItems::default()
     };
     let problems = update(upsert, remove).problems();
-    let places: Vec<&str> = problems.iter().map(|one| one.place.as_str()).collect();
+    let places: Vec<&str> = problems.iter().map(|one| one.path.as_str()).collect();
     assert_eq!(places, ["queues.one", "keys.c"]);
 }
 
--- a/crates/configuration/tests/validate.rs
+++ b/crates/configuration/tests/validate.rs
@@ -16,7 +16,7 @@
 fn tenant(share_percent: u32) -> TenantSettings {
     TenantSettings {
         share_percent,
-        ceiling: ROOM,
+        resource_limit: ROOM,
         error_budget: ErrorBudget {
             late_after: Milliseconds(1_000),
             late_per_thousand: 10,
@@ -61,7 +61,7 @@
 
 fn places(document: &ClusterConfiguration) -> Vec<String> {
     let found = validate(document);
-    found.into_iter().map(|problem| problem.place).collect()
+    found.into_iter().map(|message| message.path).collect()
 }
 
 #[test]
@@ -96,7 +96,7 @@
             the_tenant(d).share_percent = 0
         }),
         ("tenants.t.ceiling.slots", |d| {
-            the_tenant(d).ceiling.slots = 0
+            the_tenant(d).resource_limit.slots = 0
         }),
         ("tenants.t.submits_per_second", |d| {
             the_tenant(d).submits_per_second = 0
@@ -137,10 +137,10 @@
         }),
     ];
     let mut all = document();
-    for (place, rule) in &rules {
+    for (path, rule) in &rules {
         let mut broken = document();
         rule(&mut broken);
-        assert_eq!(places(&broken), [*place]);
+        assert_eq!(places(&broken), [*path]);
         rule(&mut all);
     }
     assert!(places(&all).len() > 12, "all problems are told at once");
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -11,7 +11,7 @@
 type LogEnd = (Term, LogIndex);
 
 /// A failed candidate waits at least this part of the election timeout.
-const SHORTEST_RETRY_DIVISOR: u64 = 4;
+const MIN_RETRY_DIVISOR: u64 = 4;
 
 impl Node {
     /// Takes a message of an election.
@@ -35,15 +35,16 @@
     }
 
     pub(crate) fn reset_election_deadline(&mut self) {
-        let shortest = self.options.election_timeout.0;
+        let min_timeout = self.options.election_timeout.0;
         let spread = self.options.election_spread.0;
         let extra = self.random.random_range(0..spread.max(1));
-        // A voter that is badly placed lets the others stand first.
-        let handicap = match self.options.gives_way && self.own_link_health().is_poor() {
+        // A voter that is degraded lets the others stand first.
+        let handicap = match self.options.transfer_when_degraded && self.own_link_health().is_poor()
+        {
             true => spread,
             false => 0,
         };
-        let wait = shortest.saturating_add(extra).saturating_add(handicap);
+        let wait = min_timeout.saturating_add(extra).saturating_add(handicap);
         self.election_deadline = self.clock + Milliseconds(wait);
     }
 
@@ -52,10 +53,10 @@
     /// moments longer. Never while this node is itself bound to a leader.
     fn reset_retry_deadline(&mut self) {
         let election_timeout = self.options.election_timeout;
-        let shortest = election_timeout.0 / SHORTEST_RETRY_DIVISOR;
+        let min_timeout = election_timeout.0 / MIN_RETRY_DIVISOR;
         let extra = self.random.random_range(0..election_timeout.0.max(2) / 2);
-        let retry = self.clock + Milliseconds(shortest.saturating_add(extra).max(1));
-        let unbound = self.leader_heard.map(|at| at + election_timeout);
+        let retry = self.clock + Milliseconds(min_timeout.saturating_add(extra).max(1));
+        let unbound = self.leader_last_contact.map(|at| at + election_timeout);
         let unbound = unbound.unwrap_or_default().max(self.votes_from);
         self.election_deadline = retry.max(unbound);
     }
@@ -64,7 +65,7 @@
         (self.log.last_term(), self.log.last_index())
     }
 
-    /// True while this node must grant no vote: it leads, it heard a live
+    /// Returns whether this node must grant no vote: it leads, it heard a live
     /// leader less than an election timeout ago, or it may have heard one
     /// before it restarted. This promise is what makes the lease safe.
     fn is_bound_to_leader(&self) -> bool {
@@ -74,8 +75,8 @@
         if self.options.has(Mutation::VoteDespiteLeader) {
             return false;
         }
-        let heard = |at| self.clock.since(at) < self.options.election_timeout;
-        self.clock < self.votes_from || self.leader_heard.is_some_and(heard)
+        let is_recent = |at| self.clock.since(at) < self.options.election_timeout;
+        self.clock < self.votes_from || self.leader_last_contact.is_some_and(is_recent)
     }
 
     pub(crate) fn on_election_timeout(&mut self) {
@@ -121,14 +122,14 @@
             self.become_follower(self.term, None);
             return;
         }
-        self.stands_by_transfer = transfer;
+        self.campaigns_by_transfer = transfer;
         self.term = next_term(self.term);
         self.voted_for = Some(self.id);
         self.leader = None;
         self.incoming = None;
         self.role = Role::Candidate(BTreeSet::new());
         self.reset_retry_deadline();
-        tracing::info!(node = %self.id, term = %self.term, transfer, "standing for election");
+        tracing::info!(node = %self.id, term = %self.term, transfer, "election started");
         let (last_term, last_index) = self.log_end();
         for to in self.other_voters() {
             let message = Message::Vote {
@@ -156,7 +157,7 @@
     }
 
     fn become_leader(&mut self) {
-        tracing::info!(node = %self.id, term = %self.term, "elected");
+        tracing::info!(node = %self.id, term = %self.term, "won election");
         let first_index = self.log.push(self.term, Payload::Noop);
         self.role = Role::Leader(Leadership {
             progress: BTreeMap::new(),
@@ -165,7 +166,7 @@
             first_index,
             transfer: None,
             elected_at: self.clock,
-            by_transfer: self.stands_by_transfer,
+            by_transfer: self.campaigns_by_transfer,
             badly_placed_since: None,
         });
         self.leader = Some(self.id);
--- a/crates/consensus/src/follower.rs
+++ b/crates/consensus/src/follower.rs
@@ -3,7 +3,7 @@
 use crate::lease::NO_ROUND;
 use crate::log::{after, before};
 use crate::node::Role;
-use crate::snapshot::Piece;
+use crate::snapshot::Chunk;
 use crate::{Entry, Message, Node, Payload};
 use types::{LogIndex, NodeId, Term};
 
@@ -30,13 +30,13 @@
                 data,
                 round,
             } => {
-                let piece = Piece {
+                let chunk = Chunk {
                     meta,
                     offset,
                     total,
                     data,
                 };
-                self.on_snapshot_chunk(from, term, piece, round);
+                self.on_snapshot_chunk(from, term, chunk, round);
             }
             _ => {}
         }
@@ -46,12 +46,12 @@
     /// earlier term, or if this node itself leads that term, which only a
     /// malformed message can claim.
     pub(crate) fn hear_leader(&mut self, from: NodeId, term: Term) -> bool {
-        let leads = matches!(self.role, Role::Leader(_));
-        if term < self.term || (term == self.term && leads) {
+        let is_leader = matches!(self.role, Role::Leader(_));
+        if term < self.term || (term == self.term && is_leader) {
             return false;
         }
         self.become_follower(term, Some(from));
-        self.leader_heard = Some(self.clock);
+        self.leader_last_contact = Some(self.clock);
         self.reset_election_deadline();
         true
     }
@@ -66,7 +66,7 @@
         round: u64,
     ) {
         if !is_well_formed(term, previous, &entries) {
-            tracing::warn!(node = %self.id, %from, "malformed append");
+            tracing::warn!(node = %self.id, peer = %from, "rejected malformed append");
             return;
         }
         if !self.hear_leader(from, term) {
@@ -127,7 +127,7 @@
                 Some(term) if term == entry.term => continue,
                 Some(_) if entry.index <= self.commit => {
                     tracing::error!(node = %self.id, index = %entry.index,
-                        "refused to overwrite a committed entry");
+                        "rejected append: would overwrite a committed entry");
                     return before(entry.index);
                 }
                 Some(_) => self.truncate_from(entry.index),
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -82,7 +82,7 @@
 }
 
 impl Node {
-    /// True when this node leads, has committed an entry of its own term, and
+    /// Returns whether this node leads, has committed an entry of its own term, and
     /// a quorum answered a round begun less than the lease ago. To be asked
     /// after every wake and just before each effect.
     pub fn holds_lease(&self, now: Monotonic) -> bool {
@@ -98,7 +98,7 @@
             && answered.is_some_and(|at| now.since(at) < self.options.leader_lease)
     }
 
-    /// True when this node leads and has committed an entry of its own term.
+    /// Returns whether this node leads and has committed an entry of its own term.
     pub(crate) fn has_committed_own_term(&self) -> bool {
         match &self.role {
             Role::Leader(leadership) => self.commit >= leadership.first_index,
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Notes that a follower answered in the leader's own term.
-    pub(crate) fn note_answer(&mut self, from: NodeId, round: u64) {
+    /// Records that a follower answered in the leader's own term.
+    pub(crate) fn record_answer(&mut self, from: NodeId, round: u64) {
         let now = self.clock;
         let from_reply = self.options.has(Mutation::LeaseFromReply);
         let Role::Leader(leadership) = &mut self.role else {
@@ -121,14 +121,14 @@
         let Some(progress) = leadership.progress.get_mut(&from) else {
             return;
         };
-        progress.last_heard = now;
+        progress.last_contact = now;
         progress.answered_round = progress.answered_round.max(begun);
         // Its first answer to a round: later ones answer entries sent since.
         if round > progress.last_round
             && let Some(trip) = trip
         {
             progress.last_round = round;
-            self.note_round_trip(from, trip);
+            self.record_round_trip(from, trip);
         }
     }
 
@@ -138,15 +138,15 @@
         let Role::Leader(leadership) = &self.role else {
             return true;
         };
-        let heard = |voter: &&NodeId| {
-            let silence = match leadership.progress.get(voter) {
+        let answered_recently = |voter: &&NodeId| {
+            let unanswered_for = match leadership.progress.get(voter) {
                 _ if **voter == self.id => Milliseconds(0),
-                Some(progress) => self.clock.since(progress.last_heard),
+                Some(progress) => self.clock.since(progress.last_contact),
                 None => return false,
             };
-            silence < self.options.election_timeout
+            unanswered_for < self.options.election_timeout
         };
         let membership = self.membership();
-        membership.voters.keys().filter(heard).count() >= membership.quorum()
+        membership.voters.keys().filter(answered_recently).count() >= membership.quorum()
     }
 }
