--- a/crates/consensus/src/link_health.rs
+++ b/crates/consensus/src/link_health.rs
@@ -1,6 +1,6 @@
-//! How well placed a voter is to lead, and the leader that gives way.
+//! How well placed a voter is to lead, and the leader that transfers leadership.
 //!
-//! A leader that is up, but badly placed, is worse than a dead one: its links
+//! A leader that is up, but degraded, is worse than a dead one: its links
 //! lose packets or its machine is slow, its lease lapses and comes back, and
 //! nobody replaces it, since each time a quorum answers again. So every voter
 //! measures how late others answer it:
@@ -14,7 +14,7 @@
 //! link is bad, the other end may be; if more than half of its links are bad, it
 //! is. It hands over (see [`crate::transfer`]) if that lasts, and if a follower
 //! that is up to date has good links to a quorum without it. It stays where all
-//! are bad. Who gave way is not chosen again for a while, and a leader that took
+//! are bad. Who transferred leadership is not chosen again for a while, and a leader that took
 //! over this way keeps its place for a while, so leadership does not wander.
 //!
 //! Nothing here is part of the safety argument: a wrong measure costs a transfer.
@@ -47,14 +47,14 @@
 /// Heartbeat intervals for which a disk counts as slow after a late sync: longer
 /// than the leader's window of answers.
 const SLOW_DISK_HEARTBEATS: u64 = 40;
-/// A leader is badly placed for so many heartbeat intervals before it gives way.
-const PATIENCE_HEARTBEATS: u64 = 6;
+/// A leader is degraded for so many heartbeat intervals before it transfers leadership.
+const DEGRADED_HEARTBEATS: u64 = 6;
 /// Heartbeat intervals that a leader leads before it judges itself: its window has
 /// to fill.
 const SETTLE_HEARTBEATS: u64 = 20;
-/// The same for a leader that took over from one that gave way.
+/// The same for a leader that took over from one that transferred leadership.
 const SETTLE_AFTER_TRANSFER_HEARTBEATS: u64 = 80;
-/// Heartbeat intervals for which a leader that gave way is not chosen again.
+/// Heartbeat intervals for which a leader that transferred leadership is not chosen again.
 const REST_HEARTBEATS: u64 = 600;
 /// Entries that a successor may lack when the transfer begins: they follow while
 /// proposals wait.
@@ -67,26 +67,26 @@
     pub good_links: u8,
     /// Links whose answers come late.
     pub bad_links: u8,
-    /// True while its disk is slow, or was a moment ago: its answers to the leader
+    /// Whether its disk is slow, or was a moment ago: its answers to the leader
     /// come late for that, and not for the link.
     pub slow_disk: bool,
-    /// True when it gave leadership way a while ago.
-    pub gave_way: bool,
+    /// Whether it transferred leadership a while ago.
+    pub recently_transferred: bool,
 }
 
 impl LinkHealth {
-    /// True when the voter could lead without the present leader: it reaches a
+    /// Returns whether the voter could lead without the present leader: it reaches a
     /// quorum of `quorum` voters, and a third of its links at most is bad.
     fn could_lead(&self, quorum: usize) -> bool {
         let links = self.good_links.saturating_add(self.bad_links);
         let reaches = usize::from(self.good_links) + 1 >= quorum;
-        let is_fit = !self.slow_disk && !self.gave_way;
+        let is_fit = !self.slow_disk && !self.recently_transferred;
         reaches && is_fit && self.bad_links.saturating_mul(3) <= links
     }
 
-    /// True when others should stand for election before this voter.
+    /// Returns whether others should stand for election before this voter.
     pub(crate) fn is_poor(&self) -> bool {
-        self.slow_disk || self.gave_way || self.bad_links > self.good_links
+        self.slow_disk || self.recently_transferred || self.bad_links > self.good_links
     }
 }
 
@@ -98,8 +98,8 @@
 }
 
 impl Answers {
-    /// Notes an answer, and forgets those older than the window.
-    pub(crate) fn note(&mut self, now: Monotonic, late: bool, window: Milliseconds) {
+    /// Records an answer, and forgets those older than the window.
+    pub(crate) fn record(&mut self, now: Monotonic, late: bool, window: Milliseconds) {
         self.answers.push_back((now, late));
         self.late += usize::from(late);
         self.forget(now, window);
@@ -118,7 +118,7 @@
         self.answers.len() >= FEWEST_ANSWERS
     }
 
-    /// True when answers to rounds come too late too often.
+    /// Returns whether answers to rounds come too late too often.
     fn rounds_are_late(&self) -> bool {
         let share = self.late * 100 >= LATE_ROUNDS_PERCENT * self.answers.len();
         self.is_known() && self.late >= LATE_ROUNDS && share
@@ -145,21 +145,23 @@
     pub(crate) next_probe: Monotonic,
     /// When a sync last ended late.
     late_sync_at: Option<Monotonic>,
-    /// When this node last gave way.
-    gave_way_at: Option<Monotonic>,
+    /// When this node last transferred leadership.
+    last_degraded_transfer: Option<Monotonic>,
     /// Times it did.
-    pub(crate) gave_way: u32,
+    pub(crate) degraded_transfers: u32,
     /// How long this process has kept its messages waiting.
     pub(crate) lag: Milliseconds,
     /// What other voters said last, and when.
-    told: BTreeMap<NodeId, (LinkHealth, Monotonic)>,
+    peer_reports: BTreeMap<NodeId, (LinkHealth, Monotonic)>,
 }
 
 impl LinkMeasures {
     /// What other voters said last.
-    pub(crate) fn told(&self) -> Vec<(NodeId, LinkHealth)> {
-        let told = self.told.iter();
-        told.map(|(node, (health, _))| (*node, *health)).collect()
+    pub(crate) fn peer_reports(&self) -> Vec<(NodeId, LinkHealth)> {
+        let peer_reports = self.peer_reports.iter();
+        peer_reports
+            .map(|(node, (health, _))| (*node, *health))
+            .collect()
     }
 }
 
@@ -174,7 +176,7 @@
 
     /// Sends probes when they are due. A leader has its rounds.
     pub(crate) fn probe_when_due(&mut self) {
-        if !self.options.gives_way || self.clock < self.measures.next_probe {
+        if !self.options.transfer_when_degraded || self.clock < self.measures.next_probe {
             return;
         }
         let interval = self.heartbeats(PROBE_HEARTBEATS);
@@ -204,17 +206,19 @@
     pub(crate) fn step_probe(&mut self, from: NodeId, message: Message) {
         match message {
             Message::Probe { number, health } => {
-                self.measures.told.insert(from, (health, self.clock));
+                self.measures
+                    .peer_reports
+                    .insert(from, (health, self.clock));
                 if !matches!(self.role, Role::Leader(_)) {
                     self.send(from, Message::ProbeReply { number });
                 }
             }
-            Message::ProbeReply { number } => self.note_probe(from, number),
+            Message::ProbeReply { number } => self.record_probe(from, number),
             _ => {}
         }
     }
 
-    fn note_probe(&mut self, from: NodeId, number: u64) {
+    fn record_probe(&mut self, from: NodeId, number: u64) {
         let late_after = self.late_after();
         let window = self.heartbeats(PROBE_HEARTBEATS * PROBE_WINDOW);
         let now = self.clock;
@@ -227,7 +231,7 @@
             link.waiting.pop_front();
             if waiting == number {
                 let late = now.since(sent) > late_after;
-                link.answers.note(now, late, window);
+                link.answers.record(now, late, window);
             }
         }
     }
@@ -237,16 +241,17 @@
         let late_after = self.late_after();
         let mut health = LinkHealth {
             slow_disk: self.has_slow_disk(),
-            gave_way: self.is_resting(),
+            recently_transferred: self.is_resting(),
             ..LinkHealth::default()
         };
         for (node, link) in &self.measures.links {
             let overdue = link.waiting.front();
-            let silent = overdue.is_some_and(|(_, sent)| self.clock.since(*sent) > late_after);
+            let unresponsive =
+                overdue.is_some_and(|(_, sent)| self.clock.since(*sent) > late_after);
             if Some(*node) == self.leader || !link.answers.is_known() {
                 continue;
             }
-            match link.answers.probes_are_late() || silent {
+            match link.answers.probes_are_late() || unresponsive {
                 true => health.bad_links = health.bad_links.saturating_add(1),
                 false => health.good_links = health.good_links.saturating_add(1),
             }
@@ -256,12 +261,12 @@
 
     fn is_resting(&self) -> bool {
         let rest = self.heartbeats(REST_HEARTBEATS);
-        let gave_way = self.measures.gave_way_at;
-        gave_way.is_some_and(|at| self.clock.since(at) < rest)
+        let last_transfer = self.measures.last_degraded_transfer;
+        last_transfer.is_some_and(|at| self.clock.since(at) < rest)
     }
 
-    /// Notes how long a sync took.
-    pub(crate) fn note_sync(&mut self, took: Milliseconds) {
+    /// Records how long a sync took.
+    pub(crate) fn record_sync(&mut self, took: Milliseconds) {
         if took > self.late_after() {
             self.measures.late_sync_at = Some(self.clock);
         }
@@ -276,7 +281,7 @@
     }
 
     /// Leader: notes how long a follower took to answer a round.
-    pub(crate) fn note_round_trip(&mut self, from: NodeId, took: Milliseconds) {
+    pub(crate) fn record_round_trip(&mut self, from: NodeId, took: Milliseconds) {
         let lag = self.measures.lag.0.saturating_mul(LAG_FACTOR);
         let on_the_way = Milliseconds(took.0.saturating_sub(lag));
         let late = on_the_way > self.late_after();
@@ -285,7 +290,7 @@
         if let Role::Leader(leadership) = &mut self.role
             && let Some(progress) = leadership.progress.get_mut(&from)
         {
-            progress.answers.note(now, late, window);
+            progress.answers.record(now, late, window);
         }
     }
 
@@ -298,8 +303,8 @@
         let voters = &self.membership().voters;
         let members = leadership.progress.iter();
         for (node, progress) in members.filter(|(node, _)| voters.contains_key(node)) {
-            let told = self.measures.told.get(node);
-            if told.is_some_and(|(told, _)| told.slow_disk) {
+            let report = self.measures.peer_reports.get(node);
+            if report.is_some_and(|(health, _)| health.slow_disk) {
                 continue;
             }
             if progress.answers.rounds_are_late() {
@@ -311,15 +316,15 @@
         health
     }
 
-    /// Leader, at each round: gives way if it has been badly placed for a while
+    /// Leader, at each round: transfers leadership if it has been degraded for a while
     /// and another voter is not.
     pub(crate) fn give_way_if_badly_placed(&mut self) {
         let health = self.leader_link_health();
         let badly_placed = health.bad_links > health.good_links;
-        let (now, patience) = (self.clock, self.heartbeats(PATIENCE_HEARTBEATS));
+        let (now, timeout) = (self.clock, self.heartbeats(DEGRADED_HEARTBEATS));
         let first = self.heartbeats(SETTLE_HEARTBEATS);
         let after_transfer = self.heartbeats(SETTLE_AFTER_TRANSFER_HEARTBEATS);
-        let gives_way = self.options.gives_way;
+        let transfer_when_degraded = self.options.transfer_when_degraded;
         let Role::Leader(leadership) = &mut self.role else {
             return;
         };
@@ -333,24 +338,24 @@
             false => first,
         };
         let is_due =
-            now.since(since) >= patience && now.since(leadership.elected_at) >= settled_after;
-        if !gives_way || !is_due || leadership.transfer.is_some() {
+            now.since(since) >= timeout && now.since(leadership.elected_at) >= settled_after;
+        if !transfer_when_degraded || !is_due || leadership.transfer.is_some() {
             return;
         }
         let Some(target) = self.best_placed_voter() else {
             return;
         };
-        tracing::warn!(node = %self.id, term = %self.term, to = %target,
+        tracing::warn!(node = %self.id, term = %self.term, peer = %target,
             bad_links = health.bad_links, good_links = health.good_links,
-            lag = %self.measures.lag,
-            "gives leadership way: badly placed");
+            lag_ms = self.measures.lag.0,
+            "transferring leadership: links degraded");
         self.transfer_to(target, true);
     }
 
-    /// This node gave leadership way.
-    pub(crate) fn note_gave_way(&mut self) {
-        self.measures.gave_way_at = Some(self.clock);
-        self.measures.gave_way = self.measures.gave_way.saturating_add(1);
+    /// This node transferred leadership.
+    pub(crate) fn record_degraded_transfer(&mut self) {
+        self.measures.last_degraded_transfer = Some(self.clock);
+        self.measures.degraded_transfers = self.measures.degraded_transfers.saturating_add(1);
     }
 
     /// The voter that could lead and has the fewest bad links; among equals the
@@ -363,20 +368,21 @@
         let quorum = membership.quorum();
         let fresh = self.options.election_timeout;
         let last_index = self.log.last_index().0;
-        let told = self.measures.told.iter();
-        told.filter(|(node, (health, at))| {
-            let progress = leadership.progress.get(node);
-            membership.voters.contains_key(node)
-                && health.could_lead(quorum)
-                && self.clock.since(*at) < fresh
-                && progress.is_some_and(|progress| {
-                    progress.matched.0.saturating_add(SUCCESSOR_LAG) >= last_index
-                })
-        })
-        .min_by_key(|(node, (health, _))| {
-            let heard = leadership.progress.get(node).map(|p| p.last_heard);
-            (health.bad_links, std::cmp::Reverse(heard))
-        })
-        .map(|(node, _)| *node)
+        let peer_reports = self.measures.peer_reports.iter();
+        peer_reports
+            .filter(|(node, (health, at))| {
+                let progress = leadership.progress.get(node);
+                membership.voters.contains_key(node)
+                    && health.could_lead(quorum)
+                    && self.clock.since(*at) < fresh
+                    && progress.is_some_and(|progress| {
+                        progress.matched.0.saturating_add(SUCCESSOR_LAG) >= last_index
+                    })
+            })
+            .min_by_key(|(node, (health, _))| {
+                let last_contact = leadership.progress.get(node).map(|p| p.last_contact);
+                (health.bad_links, std::cmp::Reverse(last_contact))
+            })
+            .map(|(node, _)| *node)
     }
 }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -153,7 +153,7 @@
         entries
     }
 
-    /// Notes that the log was synced when its end was `index` of `term`. If
+    /// Records that the log was synced when its end was `index` of `term`. If
     /// that entry is gone a later batch overwrote it, and nothing is noted;
     /// if it is there, so is all before it (log matching).
     pub fn mark_synced(&mut self, index: LogIndex, term: Term) {
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Notes that a synced snapshot covers everything up to `index`.
+    /// Records that a synced snapshot covers everything up to `index`.
     pub fn cover(&mut self, index: LogIndex) {
         self.synced = self.synced.max(index.min(self.last_index()));
     }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -20,7 +20,7 @@
     },
     /// Answer to a pre-vote.
     PreVoteReply {
-        /// The receiver's term if refused, the asked-for term if granted.
+        /// The receiver's term if rejected, the asked-for term if granted.
         term: Term,
         /// Whether it would vote.
         granted: bool,
@@ -63,7 +63,7 @@
     AppendReply {
         /// The follower's term.
         term: Term,
-        /// True when the entries were taken and synced.
+        /// Whether the entries were taken and synced.
         success: bool,
         /// On success the last index known equal; otherwise a hint where to try.
         index: LogIndex,
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -53,16 +53,16 @@
     /// The membership in force.
     pub membership: Membership,
     /// Leader only: time since each other member was last heard.
-    pub silence: Vec<(NodeId, Milliseconds)>,
+    pub since_last_contact: Vec<(NodeId, Milliseconds)>,
     /// Leader only: last index known equal at each other member.
     pub matched: Vec<(NodeId, LogIndex)>,
     /// What it measured of its links: a leader by its rounds, a follower by
     /// probes to other followers.
     pub links: LinkHealth,
     /// What other voters said of theirs last.
-    pub told: Vec<(NodeId, LinkHealth)>,
-    /// Times this process gave leadership way.
-    pub gave_way: u32,
+    pub peer_reports: Vec<(NodeId, LinkHealth)>,
+    /// Times this process transferred leadership.
+    pub degraded_transfers: u32,
 }
 
 /// What a node keeps in its role.
@@ -113,7 +113,7 @@
     pub(crate) role: Role,
     pub(crate) leader: Option<NodeId>,
     /// When a message of a live leader was last taken, of whatever term.
-    pub(crate) leader_heard: Option<Monotonic>,
+    pub(crate) leader_last_contact: Option<Monotonic>,
     /// A restarted voter grants no vote before, for it forgot its promises.
     pub(crate) votes_from: Monotonic,
     pub(crate) election_deadline: Monotonic,
@@ -121,7 +121,7 @@
     pub(crate) batches: Batches,
     pub(crate) measures: LinkMeasures,
     /// The election this node stands in follows a transfer.
-    pub(crate) stands_by_transfer: bool,
+    pub(crate) campaigns_by_transfer: bool,
 }
 
 impl Node {
@@ -160,7 +160,7 @@
             incoming: None,
             role: Role::Follower,
             leader: None,
-            leader_heard: None,
+            leader_last_contact: None,
             votes_from: now,
             election_deadline: now,
             outbox: Outbox::default(),
@@ -168,7 +168,7 @@
             log,
             options,
             measures: LinkMeasures::default(),
-            stands_by_transfer: false,
+            campaigns_by_transfer: false,
         };
         node.recover_memberships();
         node.begin_after_restart(hard_state);
@@ -237,7 +237,7 @@
     pub(crate) fn observe(&mut self, now: Monotonic) {
         self.clock = self.clock.max(now);
         if !self.hears_quorum() {
-            tracing::info!(node = %self.id, term = %self.term, "no quorum heard, stepping down");
+            tracing::info!(node = %self.id, term = %self.term, "stepped down: no quorum");
             self.release_followers();
             self.become_follower(self.term, None);
         }
@@ -250,7 +250,9 @@
                 Some(deadline) => leadership.next_heartbeat.min(deadline),
                 None => leadership.next_heartbeat,
             },
-            _ if self.options.gives_way => self.election_deadline.min(self.measures.next_probe),
+            _ if self.options.transfer_when_degraded => {
+                self.election_deadline.min(self.measures.next_probe)
+            }
             _ => self.election_deadline,
         }
     }
@@ -286,14 +288,14 @@
         self.outbox.after_persist.push(Outgoing { to, message });
     }
 
-    /// True when this node leads its term, whether it holds the lease or not.
-    pub fn leads(&self) -> bool {
+    /// Returns whether this node leads its term, whether it holds the lease or not.
+    pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
     /// Says how long the process has kept its messages waiting: an answer that
     /// lay here for so long does not speak against the link.
-    pub fn note_lag(&mut self, lag: Milliseconds) {
+    pub fn record_lag(&mut self, lag: Milliseconds) {
         self.measures.lag = lag;
     }
 
@@ -311,17 +313,17 @@
             commit: self.commit,
             last_index: self.log.last_index(),
             membership: self.membership().clone(),
-            silence: Vec::new(),
+            since_last_contact: Vec::new(),
             matched: Vec::new(),
             links: self.own_link_health(),
-            told: self.measures.told(),
-            gave_way: self.measures.gave_way,
+            peer_reports: self.measures.peer_reports(),
+            degraded_transfers: self.measures.degraded_transfers,
         };
         if let Role::Leader(leadership) = &self.role {
             status.links = self.leader_link_health();
             for (node, progress) in &leadership.progress {
-                let silence = now.since(progress.last_heard);
-                status.silence.push((*node, silence));
+                let since_last_contact = now.since(progress.last_contact);
+                status.since_last_contact.push((*node, since_last_contact));
                 status.matched.push((*node, progress.matched));
             }
         }
--- a/crates/consensus/src/options.rs
+++ b/crates/consensus/src/options.rs
@@ -15,9 +15,9 @@
     /// The leader acts for this long after the start of the last round that a
     /// quorum answered; must be less than `election_timeout`.
     pub leader_lease: Milliseconds,
-    /// Voters probe one another, and a leader that is badly placed gives way to
+    /// Voters probe one another, and a leader that is degraded transfers leadership to
     /// one that is not.
-    pub gives_way: bool,
+    pub transfer_when_degraded: bool,
     /// Bytes of entries in one append.
     pub max_append_bytes: usize,
     /// Appends in flight to one follower.
@@ -39,7 +39,7 @@
             election_spread: Milliseconds(1_000),
             heartbeat_interval: Milliseconds(150),
             leader_lease: Milliseconds(800),
-            gives_way: true,
+            transfer_when_degraded: true,
             max_append_bytes: 512 * 1024,
             max_appends_in_flight: 8,
             snapshot_chunk_bytes: 256 * 1024,
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -46,7 +46,7 @@
     next: LogIndex,
     pub sending: Sending,
     /// When it last answered in this term, or joined the list.
-    pub last_heard: Monotonic,
+    pub last_contact: Monotonic,
     /// When the newest round it answered was begun.
     pub answered_round: Option<Monotonic>,
     /// Number of the newest round it answered.
@@ -63,7 +63,7 @@
             matched: LogIndex(0),
             next,
             sending: Sending::Probe { waiting: false },
-            last_heard: now,
+            last_contact: now,
             answered_round: None,
             last_round: 0,
             answers: Answers::default(),
@@ -109,13 +109,13 @@
             (previous_term, _) => {
                 let max_bytes = source.options.max_append_bytes;
                 let entries = source.log.batch(self.next, max_bytes);
-                self.note_sent(&entries, source.now);
+                self.record_sent(&entries, source.now);
                 append(source, previous, previous_term.unwrap_or_default(), entries)
             }
         }
     }
 
-    fn note_sent(&mut self, entries: &[Entry], now: Monotonic) {
+    fn record_sent(&mut self, entries: &[Entry], now: Monotonic) {
         match &mut self.sending {
             Sending::Probe { waiting } => *waiting = true,
             Sending::Replicate { in_flight } => {
@@ -147,14 +147,14 @@
         self.pump(source, to, out);
     }
 
-    /// True when appends in flight count as lost.
+    /// Returns whether appends in flight count as lost.
     fn is_stalled(&self, source: &Source<'_>) -> bool {
-        let patience = Milliseconds(source.options.heartbeat_interval.0 * LOSS_HEARTBEATS);
+        let timeout = Milliseconds(source.options.heartbeat_interval.0 * LOSS_HEARTBEATS);
         let in_flight = match &self.sending {
             Sending::Replicate { in_flight } => !in_flight.is_empty(),
             _ => false,
         };
-        in_flight && source.now.since(self.advanced_at) >= patience
+        in_flight && source.now.since(self.advanced_at) >= timeout
     }
 
     /// Everything up to `matched` is equal there, so an empty append after it
@@ -189,7 +189,7 @@
         self.sending = Sending::Probe { waiting: false };
     }
 
-    /// Notes that the member holds the log up to `index`, synced.
+    /// Records that the member holds the log up to `index`, synced.
     pub fn succeed(&mut self, index: LogIndex, log: &Log, now: Monotonic) {
         if index > self.matched {
             self.matched = index;
@@ -218,9 +218,9 @@
         self.sending = Sending::Probe { waiting: false };
     }
 
-    /// Notes that an append was refused; `hint` is where the logs may still
-    /// be equal, and lies before what was tried. Any other refusal is an old
-    /// one: the appends behind a lost one are all refused, and must not each
+    /// Records that an append was rejected; `hint` is where the logs may still
+    /// be equal, and lies before what was tried. Any other rejection is an old
+    /// one: the appends behind a lost one are all rejected, and must not each
     /// have the lost one sent again.
     pub fn fail(&mut self, hint: LogIndex) {
         let tried = before(self.next);
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -32,7 +32,7 @@
 }
 
 impl Ready {
-    /// True when the batch has something for the disk.
+    /// Returns whether the batch has something for the disk.
     pub fn needs_persist(&self) -> bool {
         self.hard_state.is_some() || self.snapshot.is_some() || !self.entries.is_empty()
     }
@@ -118,12 +118,12 @@
         }
         self.batches.last_number = ready.number;
         if ready.needs_persist() {
-            self.note_pending(ready.number);
+            self.record_pending(ready.number);
         }
         Some(ready)
     }
 
-    fn note_pending(&mut self, number: u64) {
+    fn record_pending(&mut self, number: u64) {
         self.batches.pending.push_back(PendingBatch {
             number,
             last_index: self.log.last_index(),
@@ -177,7 +177,7 @@
             self.batches.synced_term = self.batches.synced_term.max(term);
             let took = self.clock.since(batch.given_at);
             self.batches.pending.pop_front();
-            self.note_sync(took);
+            self.record_sync(took);
         }
         match self.role {
             Role::Candidate(_) => self.count_votes(),
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -91,7 +91,7 @@
         if term != self.term || round == NO_ROUND || index > self.log.last_index() {
             return;
         }
-        self.note_answer(from, round);
+        self.record_answer(from, round);
         let now = self.clock;
         let Role::Leader(leadership) = &mut self.role else {
             return;
@@ -144,7 +144,7 @@
             return;
         }
         self.begin_round();
-        if let Some(to) = self.most_advanced_voter() {
+        if let Some(to) = self.furthest_voter() {
             self.send(to, Message::TimeoutNow { term: self.term });
         }
         self.become_follower(self.term, None);
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// True while a piece is on its way.
+    /// Returns whether a piece is on its way.
     pub fn waiting(&self) -> bool {
         self.waiting
     }
@@ -77,7 +77,7 @@
 }
 
 /// A piece as it arrives.
-pub(crate) struct Piece {
+pub(crate) struct Chunk {
     pub meta: SnapshotMeta,
     pub offset: u64,
     pub total: u64,
@@ -93,8 +93,8 @@
 }
 
 impl IncomingSnapshot {
-    fn is_for(&self, piece: &Piece) -> bool {
-        self.meta == piece.meta && self.total == piece.total
+    fn is_for(&self, chunk: &Chunk) -> bool {
+        self.meta == chunk.meta && self.total == chunk.total
     }
 
     fn received(&self) -> u64 {
@@ -102,15 +102,15 @@
     }
 
     /// Takes the piece if it is the next one; returns the offset wanted then.
-    fn take(&mut self, piece: &Piece) -> u64 {
-        if piece.offset == self.received() {
-            self.data.extend_from_slice(&piece.data);
+    fn take(&mut self, chunk: &Chunk) -> u64 {
+        if chunk.offset == self.received() {
+            self.data.extend_from_slice(&chunk.data);
         }
         self.received()
     }
 }
 
-impl Piece {
+impl Chunk {
     fn is_well_formed(&self, term: Term) -> bool {
         let end = self.offset.saturating_add(self.data.len() as u64);
         end <= self.total && self.meta.term <= term
@@ -138,20 +138,20 @@
         self.snapshot = Some(snapshot);
     }
 
-    pub(crate) fn on_snapshot_chunk(&mut self, from: NodeId, term: Term, piece: Piece, round: u64) {
-        if !piece.is_well_formed(term) {
-            tracing::warn!(node = %self.id, %from, "malformed piece of a snapshot");
+    pub(crate) fn on_snapshot_chunk(&mut self, from: NodeId, term: Term, chunk: Chunk, round: u64) {
+        if !chunk.is_well_formed(term) {
+            tracing::warn!(node = %self.id, peer = %from, "rejected malformed snapshot chunk");
             return;
         }
         if !self.hear_leader(from, term) {
-            self.reply_snapshot(from, piece.meta.index, 0, NO_ROUND);
+            self.reply_snapshot(from, chunk.meta.index, 0, NO_ROUND);
             return;
         }
-        let index = piece.meta.index;
+        let index = chunk.meta.index;
         let next_offset = if index <= self.commit {
-            piece.total
+            chunk.total
         } else {
-            self.receive(piece)
+            self.receive(chunk)
         };
         self.reply_snapshot(from, index, next_offset, round);
     }
@@ -168,16 +168,16 @@
 
     /// Collects a piece and installs the snapshot when it is whole; returns
     /// the next offset wanted.
-    fn receive(&mut self, piece: Piece) -> u64 {
+    fn receive(&mut self, chunk: Chunk) -> u64 {
         let mut incoming = match self.incoming.take() {
-            Some(incoming) if incoming.is_for(&piece) => incoming,
+            Some(incoming) if incoming.is_for(&chunk) => incoming,
             _ => IncomingSnapshot {
-                meta: piece.meta.clone(),
-                total: piece.total,
+                meta: chunk.meta.clone(),
+                total: chunk.total,
                 data: Vec::new(),
             },
         };
-        let next_offset = incoming.take(&piece);
+        let next_offset = incoming.take(&chunk);
         if next_offset == incoming.total {
             self.install(Snapshot {
                 meta: incoming.meta,
@@ -191,7 +191,7 @@
 
     fn install(&mut self, snapshot: Snapshot) {
         let meta = &snapshot.meta;
-        tracing::info!(node = %self.id, index = %meta.index, "installing a snapshot");
+        tracing::info!(node = %self.id, index = %meta.index, "installing snapshot");
         let keeps_tail = self.log.term_at(meta.index) == Some(meta.term);
         if !keeps_tail {
             self.history.truncate_from(LogIndex(0));
@@ -216,7 +216,7 @@
         if term != self.term || round == NO_ROUND || index > self.commit {
             return;
         }
-        self.note_answer(from, round);
+        self.record_answer(from, round);
         let now = self.clock;
         let Role::Leader(leadership) = &mut self.role else {
             return;
--- a/crates/consensus/src/transfer.rs
+++ b/crates/consensus/src/transfer.rs
@@ -8,8 +8,8 @@
 //! term T+1, again with the transfer flag. The flag overrides only promises
 //! to a leader of term T or before, and that leader is this node, which gave
 //! its lease up. If the late receiver stands for T+1 as well, each voter
-//! gives its one vote of that term to one of them. A leader that gives way since
-//! it is badly placed (see [`crate::link_health`]) does not stand again: it follows.
+//! gives its one vote of that term to one of them. A leader that transfers leadership since
+//! it is degraded (see [`crate::link_health`]) does not stand again: it follows.
 
 use crate::node::{Leadership, Role};
 use crate::{Message, Node};
@@ -22,8 +22,8 @@
     deadline: Monotonic,
     /// Whether `TimeoutNow` was queued: the lease is given up for this term.
     sent: bool,
-    /// This leader is badly placed: it does not stand again if this fails.
-    gives_way: bool,
+    /// This leader is degraded: it does not stand again if this fails.
+    leaves_degraded_leader: bool,
 }
 
 impl Leadership {
@@ -39,24 +39,28 @@
 }
 
 impl Node {
-    /// True while a transfer is under way: nothing can be proposed.
+    /// Returns whether a transfer is under way: nothing can be proposed.
     pub fn is_handing_over(&self) -> bool {
         matches!(&self.role, Role::Leader(leadership) if leadership.transfer.is_some())
     }
 
     /// Hands leadership to the most advanced voter; returns it, if there is
-    /// one. Proposals are refused from now on. If the voter has not taken over
+    /// one. Proposals are rejected from now on. If the voter has not taken over
     /// within an election timeout this node goes on leading, in a new term if
     /// it had already told the voter to stand.
     pub fn transfer_leadership(&mut self, now: Monotonic) -> Option<NodeId> {
         self.observe(now);
-        let target = self.most_advanced_voter();
+        let target = self.furthest_voter();
         self.transfer_to(target?, false)
     }
 
     /// Hands leadership to this voter, unless a transfer is under way; returns
     /// whom it goes to.
-    pub(crate) fn transfer_to(&mut self, target: NodeId, gives_way: bool) -> Option<NodeId> {
+    pub(crate) fn transfer_to(
+        &mut self,
+        target: NodeId,
+        leaves_degraded_leader: bool,
+    ) -> Option<NodeId> {
         let deadline = self.clock + self.options.election_timeout;
         let Role::Leader(leadership) = &mut self.role else {
             return None;
@@ -68,14 +72,14 @@
             target,
             deadline,
             sent: false,
-            gives_way,
+            leaves_degraded_leader,
         });
         self.advance_transfer();
         Some(target)
     }
 
     /// The voter with the longest log among those heard lately.
-    pub(crate) fn most_advanced_voter(&self) -> Option<NodeId> {
+    pub(crate) fn furthest_voter(&self) -> Option<NodeId> {
         let Role::Leader(leadership) = &self.role else {
             return None;
         };
@@ -84,8 +88,8 @@
             .progress
             .iter()
             .filter(|(node, _)| voters.contains_key(node))
-            .filter(|(_, p)| self.clock.since(p.last_heard) < self.options.election_timeout)
-            .max_by_key(|(_, p)| (p.matched, p.last_heard))
+            .filter(|(_, p)| self.clock.since(p.last_contact) < self.options.election_timeout)
+            .max_by_key(|(_, p)| (p.matched, p.last_contact))
             .map(|(node, _)| *node)
     }
 
@@ -104,8 +108,8 @@
         }
         transfer.sent = true;
         let to = transfer.target;
-        if transfer.gives_way {
-            self.note_gave_way();
+        if transfer.leaves_degraded_leader {
+            self.record_degraded_transfer();
         }
         self.send(to, Message::TimeoutNow { term: self.term });
     }
@@ -122,7 +126,7 @@
         let members = leadership.progress.iter();
         let successor = members
             .filter(|(node, _)| voters.contains_key(node))
-            .max_by_key(|(_, progress)| (progress.matched, progress.last_heard))
+            .max_by_key(|(_, progress)| (progress.matched, progress.last_contact))
             .map(|(node, _)| *node);
         if let Some(to) = successor {
             self.send(to, Message::TimeoutNow { term: self.term });
@@ -138,10 +142,13 @@
         if deadline.is_none_or(|at| self.clock < at) {
             return;
         }
-        let gives_way = leadership.transfer.as_ref().is_some_and(|t| t.gives_way);
+        let leaves_degraded_leader = leadership
+            .transfer
+            .as_ref()
+            .is_some_and(|t| t.leaves_degraded_leader);
         match leadership.handed_over() {
             // Others, better placed, stand when their promise has run out.
-            true if gives_way => self.become_follower(self.term, None),
+            true if leaves_degraded_leader => self.become_follower(self.term, None),
             true => self.stand(true),
             false => leadership.transfer = None,
         }
--- a/crates/consensus/tests/giving_way.rs
+++ b/crates/consensus/tests/giving_way.rs
@@ -1,4 +1,4 @@
-//! A leader that is up, but badly placed, gives way; a well placed one stays, and
+//! A leader that is up, but degraded, transfers leadership; a well placed one stays, and
 //! leadership does not wander.
 
 mod cluster;
@@ -16,13 +16,13 @@
 const WATCHED: u64 = 30_000;
 
 /// Timings of a deployment whose leader is replaced within half a second.
-fn cluster(seed: u64, gives_way: bool) -> Result<(Cluster, NodeId), Violation> {
+fn cluster(seed: u64, transfer_when_degraded: bool) -> Result<(Cluster, NodeId), Violation> {
     let mut cluster = Cluster::new(seed, VOTERS, VOTERS, None);
     cluster.options.election_timeout = Milliseconds(250);
     cluster.options.election_spread = Milliseconds(130);
     cluster.options.heartbeat_interval = Milliseconds(50);
     cluster.options.leader_lease = Milliseconds(190);
-    cluster.options.gives_way = gives_way;
+    cluster.options.transfer_when_degraded = transfer_when_degraded;
     for id in 1..=VOTERS {
         cluster.crash(NodeId(id));
         cluster.start(NodeId(id));
@@ -49,10 +49,10 @@
     Ok(longest)
 }
 
-fn gave_way(cluster: &Cluster) -> u32 {
+fn degraded_transfers(cluster: &Cluster) -> u32 {
     let machines = cluster.machines.values();
     let statuses = machines.filter_map(|machine| machine.status(cluster.now));
-    statuses.map(|status| status.gave_way).sum()
+    statuses.map(|status| status.degraded_transfers).sum()
 }
 
 /// Time until another node leads than `old`, up to `limit`.
@@ -87,7 +87,7 @@
             "seed {seed}: the successor stays"
         );
         assert!(longest < 100, "seed {seed}: {longest} ms without a lease");
-        assert!(gave_way(&cluster) <= 1, "seed {seed}");
+        assert!(degraded_transfers(&cluster) <= 1, "seed {seed}");
     }
     times.sort_unstable();
     println!("given way after {times:?} ms");
@@ -118,7 +118,11 @@
         cluster.lossy.insert(NodeId(leader.0 % VOTERS + 1));
         let longest = work(&mut cluster, WATCHED)?;
         assert_eq!(cluster.leader(), Some(leader), "seed {seed}");
-        assert_eq!((longest, gave_way(&cluster)), (0, 0), "seed {seed}");
+        assert_eq!(
+            (longest, degraded_transfers(&cluster)),
+            (0, 0),
+            "seed {seed}"
+        );
     }
     Ok(())
 }
@@ -129,9 +133,9 @@
         let (mut cluster, _) = cluster(seed, true)?;
         cluster.lossy.extend((1..=VOTERS).map(NodeId));
         work(&mut cluster, 3_000)?;
-        let before = gave_way(&cluster);
+        let before = degraded_transfers(&cluster);
         work(&mut cluster, WATCHED)?;
-        let moves = gave_way(&cluster) - before;
+        let moves = degraded_transfers(&cluster) - before;
         assert!(moves <= 1, "seed {seed}: gave way {moves} times");
     }
     Ok(())
@@ -147,7 +151,7 @@
             cluster.lossy.clear();
             work(&mut cluster, 1_500)?;
         }
-        let moves = gave_way(&cluster);
+        let moves = degraded_transfers(&cluster);
         assert!(moves <= 1, "seed {seed}: gave way {moves} times");
     }
     Ok(())
@@ -163,7 +167,7 @@
                 cluster.slow_disks.insert(id, 150);
             }
             let longest = work(&mut cluster, WATCHED)?;
-            let moves = gave_way(&cluster);
+            let moves = degraded_transfers(&cluster);
             assert!(
                 moves <= 1,
                 "seed {seed}, {slow} slow: gave way {moves} times"
@@ -200,7 +204,7 @@
         assert!(took.is_some(), "seed {seed}");
         let longest = work(&mut cluster, 10_000)?;
         assert!(longest < 500, "seed {seed}: {longest} ms without a lease");
-        assert_eq!(gave_way(&cluster), 0, "seed {seed}");
+        assert_eq!(degraded_transfers(&cluster), 0, "seed {seed}");
     }
     Ok(())
 }
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -110,29 +110,29 @@
     let swap = membership(&[1, 2, 4], &[]);
     let none = membership(&[], &[1, 2, 3]);
     let same = membership(&[1, 2, 3], &[4]);
-    let refused = |error| Some(Err(error));
+    let rejected = |error| Some(Err(error));
     assert_eq!(
         propose(leader, two_more),
-        refused(ProposeError::MoreThanOneVoter)
+        rejected(ProposeError::MoreThanOneVoter)
     );
     assert_eq!(
         propose(leader, swap),
-        refused(ProposeError::MoreThanOneVoter)
+        rejected(ProposeError::MoreThanOneVoter)
     );
-    assert_eq!(propose(leader, none), refused(ProposeError::NoVoters));
+    assert_eq!(propose(leader, none), rejected(ProposeError::NoVoters));
     assert_eq!(
         propose(follower, same.clone()),
-        refused(ProposeError::NotLeader)
+        rejected(ProposeError::NotLeader)
     );
     assert!(propose(leader, same.clone()).is_some_and(|r| r.is_ok()));
     assert_eq!(
         propose(leader, same),
-        refused(ProposeError::ChangeInProgress)
+        rejected(ProposeError::ChangeInProgress)
     );
     // A leader that slept is none any more when it is asked.
     let node = cluster.machine(leader).node.as_mut();
     let late = node.map(|n| n.propose(now, Vec::new()));
-    assert_eq!(late, refused(ProposeError::NotLeader));
+    assert_eq!(late, rejected(ProposeError::NotLeader));
     Ok(())
 }
 
--- a/crates/consensus/tests/node.rs
+++ b/crates/consensus/tests/node.rs
@@ -196,7 +196,7 @@
     assert_eq!(node.propose_membership(now, next), Ok(LogIndex(4)));
 }
 
-/// One lost append makes the follower refuse all that are behind it.
+/// One lost append makes the follower reject all that are behind it.
 #[test]
 fn refusals_of_one_loss_cause_one_append() {
     let (mut node, now) = new_leader();
@@ -207,13 +207,13 @@
     }
     let mut appends = 0;
     for _ in 0..2 {
-        let refusal = Message::AppendReply {
+        let rejection = Message::AppendReply {
             term: Term(4),
             success: false,
             index: LogIndex(3),
             round: 1,
         };
-        node.step(now, LEADER, refusal);
+        node.step(now, LEADER, rejection);
         appends += persist_all(&mut node, now)
             .iter()
             .flat_map(|ready| &ready.messages)
@@ -232,13 +232,13 @@
     node.step(now, LEADER, append(8, (0, 0), Vec::new(), 0));
     node.step(now, LEADER, append(7, (0, 0), Vec::new(), 0));
     let replies = node.ready().expect("replies").messages_after_persist;
-    let refusal = Message::AppendReply {
+    let rejection = Message::AppendReply {
         term: Term(8),
         success: false,
         index: LogIndex(0),
         round: 0,
     };
-    assert_eq!(replies.last().map(|r| &r.message), Some(&refusal));
+    assert_eq!(replies.last().map(|r| &r.message), Some(&rejection));
 }
 
 fn any_number(random: &mut ChaCha8Rng) -> u64 {
--- a/crates/coordinator/src/audit.rs
+++ b/crates/coordinator/src/audit.rs
@@ -2,7 +2,7 @@
 //! forgetting of jobs that ended long ago.
 
 use crate::leader::{Leader, Rebuild, Waiting};
-use record::{Command, Record};
+use state_machine::{Command, StateMachine};
 use types::{JobNumber, Milliseconds, Now, WallTime};
 
 /// Time between two slices.
@@ -21,17 +21,17 @@
 }
 
 /// Compares the next slice; what differs is put right, counted and logged.
-pub(crate) fn audit_when_due(leader: &mut Leader, record: &Record, now: Now) {
+pub(crate) fn audit_when_due(leader: &mut Leader, state_machine: &StateMachine, now: Now) {
     if now.monotonic < leader.timers.audit || leader.rebuild != Rebuild::Done {
         return;
     }
     leader.timers.audit = now.monotonic + AUDIT_INTERVAL;
     let after = leader.audit.after;
-    let ready = record.ready_tasks(after, AUDIT_JOBS);
+    let ready = state_machine.ready_tasks(after, AUDIT_JOBS);
     let from = after.map(JobNumber::next).unwrap_or_default();
     let last = ready.iter().map(|meta| meta.task.job).max();
     let to = last.unwrap_or(JobNumber(u64::MAX));
-    let report = leader.dispatcher.audit(from, to, &ready, now);
+    let report = leader.scheduler.audit(from, to, &ready, now);
     leader.audit.after = last;
     let divergences = report.republished + report.removed;
     if divergences > 0 {
@@ -39,7 +39,7 @@
         tracing::warn!(
             republished = report.republished,
             removed = report.removed,
-            "the dispatcher's view differed from the record"
+            "audit repaired the scheduler: it differed from the state machine"
         );
     }
     metrics::counter!("cypressdrum_audit_divergences_total").increment(divergences);
@@ -47,14 +47,14 @@
 }
 
 /// Proposes to forget jobs whose retention has passed.
-pub(crate) fn forget_when_due(leader: &mut Leader, record: &Record, now: Now) {
+pub(crate) fn forget_when_due(leader: &mut Leader, state_machine: &StateMachine, now: Now) {
     if now.monotonic < leader.timers.forget {
         return;
     }
     leader.timers.forget = now.monotonic + FORGET_INTERVAL;
     let retention = leader.timings.retention.0;
     let ended_before = WallTime(now.wall.0.saturating_sub(retention));
-    let any = !record.jobs(None, None, None, 1).is_empty();
+    let any = !state_machine.jobs(None, None, None, 1).is_empty();
     if any && ended_before.0 > 0 {
         let command = Command::Forget {
             ended_before,
--- a/crates/coordinator/src/budget.rs
+++ b/crates/coordinator/src/budget.rs
@@ -3,9 +3,9 @@
 
 use crate::leader::Leader;
 use configuration::ErrorBudget;
-use peer::DecisionEvent;
-use record::Record;
+use state_machine::StateMachine;
 use std::collections::BTreeMap;
+use transport::DecisionEvent;
 use types::{JobKey, JobState, Milliseconds, Now, TenantId};
 
 /// Jobs of one tenant that ended.
@@ -17,7 +17,7 @@
 }
 
 impl Spent {
-    /// True when more jobs in a thousand were late or failed than allowed.
+    /// Returns whether more jobs in a thousand were late or failed than allowed.
     pub(crate) fn exceeds(&self, budget: &ErrorBudget) -> bool {
         let over = |count: u64, allowed: u32| count * 1_000 > u64::from(allowed) * self.ended;
         over(self.late, budget.late_per_thousand) || over(self.failed, budget.failed_per_thousand)
@@ -40,13 +40,13 @@
     /// Counts a job that reached a final state.
     pub(crate) fn job_ended(
         &mut self,
-        record: &Record,
+        state_machine: &StateMachine,
         key: JobKey,
         state: JobState,
         waited: Option<Milliseconds>,
         now: Now,
     ) {
-        let settings = record.configuration().1.tenants.get(&key.tenant);
+        let settings = state_machine.configuration().1.tenants.get(&key.tenant);
         let late_after = settings.map(|settings| settings.error_budget.late_after);
         let late = waited
             .zip(late_after)
--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -10,12 +10,12 @@
 use crate::leader::Leader;
 use crate::replica::Replica;
 use consensus::Recovered;
-use peer::{Envelope, PeerMessage};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use session::route::{self, Opened};
 use std::net::SocketAddr;
 use storage::{Batch, Identity};
+use transport::{Envelope, PeerMessage};
 use types::{Address, Milliseconds, Monotonic, Now};
 
 /// Longest time between two looks at the core's own timers.
@@ -33,7 +33,7 @@
     /// Initial coordinators of a new cluster, and voters wanted ever after.
     pub initial_coordinators: u32,
     /// Who may found a cluster.
-    pub founding: Founding,
+    pub bootstrap_rule: BootstrapRule,
     /// A run whose progress stands still for this long is stopped and placed
     /// again; none where it is left alone.
     pub stalled_after: Option<Milliseconds>,
@@ -41,8 +41,8 @@
     pub move_slow: bool,
     /// Timings of consensus.
     pub consensus: consensus::Options,
-    /// Limits of the dispatcher.
-    pub dispatcher: dispatch::DispatcherOptions,
+    /// Limits of the scheduler.
+    pub scheduler: scheduler::SchedulerOptions,
     /// Length of the sessions of gateways and agents.
     pub session_lease: Milliseconds,
     /// A voter silent for this long is replaced by a learner that is ready.
@@ -54,7 +54,7 @@
     /// Requests that may wait for the log at once.
     pub max_waiting_requests: usize,
     /// Lines of the decision log kept.
-    pub decisions_kept: usize,
+    pub decision_log_capacity: usize,
     /// Seed of elections, draws and identifiers.
     pub seed: u64,
     /// A fault built in on purpose, for the simulation alone: it proves that
@@ -64,7 +64,7 @@
 
 /// Who may found a cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Founding {
+pub enum BootstrapRule {
     /// The lowest identity, when exactly the initial coordinators are there.
     #[default]
     Exact,
@@ -79,9 +79,9 @@
 /// Faults that the simulation may build in, to prove that they are found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Mutation {
-    /// An unanswered start is sent again, where a void belongs.
-    ResendStartInsteadOfVoid,
-    /// An unanswered start is closed as refused, without a void.
+    /// An unanswered start is sent again, where a revocation belongs.
+    ResendStartInsteadOfRevoke,
+    /// An unanswered start is closed as rejected, without a revocation.
     CloseUnansweredStart,
     /// The leader acts without looking at its lease.
     SkipLeaseCheck,
@@ -89,10 +89,10 @@
     AcknowledgeBeforeCommit,
     /// Runs of a silent runner are closed at a tenth of their lease.
     ExpireRunsEarly,
-    /// The dispatcher pulls for every runner and looks into every list.
-    LookAtAll,
+    /// The scheduler pulls for every runner and looks into every list.
+    ScanAll,
     /// A guard of the record left out.
-    Record(record::mutation::Mutation),
+    StateMachine(state_machine::mutation::Mutation),
 }
 
 /// What happens to the core.
@@ -102,7 +102,7 @@
     Tick,
     /// A message arrived.
     Peer(Envelope),
-    /// A request arrived so long ago that it is refused rather than answered
+    /// A request arrived so long ago that it is rejected rather than answered
     /// late: this process is behind, and would be further behind for it.
     Overdue(Envelope),
     /// [`Effect::Persist`] of this number is synced.
@@ -139,7 +139,7 @@
     /// Whether this process should count as ready, and why not.
     Ready(Result<(), String>),
     /// A line of the decision log.
-    Decision(Box<peer::DecisionEntry>),
+    Decision(Box<transport::DecisionEntry>),
     /// All is handed over; the process may end.
     Stopped,
 }
@@ -233,7 +233,7 @@
         match input {
             Input::Tick => {}
             Input::Peer(envelope) => self.receive(now, envelope, effects),
-            Input::Overdue(envelope) => self.refuse_overdue(now, envelope, effects),
+            Input::Overdue(envelope) => self.reject_overdue(now, envelope, effects),
             Input::Persisted { number } => self.persisted(now, number, effects),
             Input::IdentitySaved => self.identity_saved(now, effects),
             Input::Stop => self.begin_stop(now),
@@ -242,9 +242,9 @@
 
     /// Says how long messages wait for this process, to leave and to be taken: what
     /// is late for that does not speak against a link.
-    pub fn note_lag(&mut self, lag: Milliseconds) {
+    pub fn record_lag(&mut self, lag: Milliseconds) {
         if let Some(replica) = &mut self.replica {
-            replica.node.note_lag(lag);
+            replica.node.record_lag(lag);
         }
     }
 
@@ -264,14 +264,14 @@
 
     /// The record as this process has applied it; none before it belongs to a
     /// cluster. For checks and for `replay`.
-    pub fn record(&self) -> Option<&record::Record> {
-        self.replica.as_ref().map(|replica| &replica.record)
+    pub fn state_machine(&self) -> Option<&state_machine::StateMachine> {
+        self.replica.as_ref().map(|replica| &replica.state_machine)
     }
 
-    /// Looks of the dispatcher so far, in this term; 0 while it does not lead.
-    pub fn looks(&self) -> u64 {
+    /// Looks of the scheduler so far, in this term; 0 while it does not lead.
+    pub fn scan_cost(&self) -> u64 {
         let leader = self.leader.as_ref();
-        leader.map_or(0, |leader| leader.dispatcher.looks())
+        leader.map_or(0, |leader| leader.scheduler.scan_cost())
     }
 
     /// What its consensus node says of itself; none before it has one.
@@ -280,7 +280,7 @@
         Some(replica.node.status(now.monotonic))
     }
 
-    /// True when it leads and may act.
+    /// Returns whether it leads and may act.
     pub fn is_serving(&self, now: Now) -> bool {
         self.may_serve(now) && self.leader.as_ref().is_some_and(|leader| leader.serving)
     }
@@ -325,7 +325,7 @@
             return;
         }
         if envelope.via.is_none() {
-            self.directory.heard(&envelope.from, now.monotonic);
+            self.directory.record_contact(&envelope.from, now.monotonic);
         }
         let sender = Sender::of(&envelope);
         match envelope.body {
@@ -339,7 +339,9 @@
                 to,
                 message,
             } => self.raft_received(now, &sender, cluster, to, message),
-            PeerMessage::Hello(hello) => self.hello_received(now, &sender, hello, effects),
+            PeerMessage::KeepAlive(keep_alive) => {
+                self.keep_alive_received(now, &sender, keep_alive, effects)
+            }
             PeerMessage::Lease(lease) => self.lease_received(now, lease, effects),
             PeerMessage::NotLeader { leader } => self.identification.hint_leader(leader),
             PeerMessage::Request(request) => self.request_received(now, &sender, request, effects),
--- a/crates/coordinator/src/decisions.rs
+++ b/crates/coordinator/src/decisions.rs
@@ -1,14 +1,14 @@
 //! The decision log: the newest lines, kept to be served.
 
-use peer::{DecisionEntry, DecisionEvent};
 use std::collections::VecDeque;
+use transport::{DecisionEntry, DecisionEvent};
 use types::{JobKey, Term};
 
 /// The newest decisions of one leader.
 #[derive(Debug)]
 pub(crate) struct DecisionLog {
     term: Term,
-    kept: usize,
+    capacity: usize,
     next: u64,
     entries: VecDeque<DecisionEntry>,
     /// Entries at the end that were not let out yet.
@@ -16,10 +16,10 @@
 }
 
 impl DecisionLog {
-    pub(crate) fn new(term: Term, kept: usize) -> Self {
+    pub(crate) fn new(term: Term, capacity: usize) -> Self {
         Self {
             term,
-            kept,
+            capacity,
             next: 1,
             entries: VecDeque::new(),
             new: Vec::new(),
@@ -36,7 +36,7 @@
         self.next += 1;
         self.new.push(entry.clone());
         self.entries.push_back(entry);
-        while self.entries.len() > self.kept {
+        while self.entries.len() > self.capacity {
             self.entries.pop_front();
         }
     }
--- a/crates/coordinator/src/directory.rs
+++ b/crates/coordinator/src/directory.rs
@@ -20,12 +20,12 @@
     /// When it was heard, or when another process last named it.
     last: Monotonic,
     /// Whether it was heard itself.
-    heard: bool,
+    is_direct: bool,
 }
 
 impl Known {
     fn is_alive(&self, now: Monotonic) -> bool {
-        self.heard && now.since(self.last) <= ALIVE_WITHIN
+        self.is_direct && now.since(self.last) <= ALIVE_WITHIN
     }
 }
 
@@ -45,12 +45,12 @@
     }
 
     /// A message came straight from this process.
-    pub(crate) fn heard(&mut self, address: &Address, now: Monotonic) {
+    pub(crate) fn record_contact(&mut self, address: &Address, now: Monotonic) {
         if let Some(known) = self.known.get_mut(&address.node)
             && known.address == *address
         {
             known.last = now;
-            known.heard = true;
+            known.is_direct = true;
             return;
         }
         // Whoever had the socket before has lost it.
@@ -71,7 +71,7 @@
         }
     }
 
-    fn insert(&mut self, address: &Address, now: Monotonic, heard: bool) {
+    fn insert(&mut self, address: &Address, now: Monotonic, is_direct: bool) {
         if self.known.len() >= MAX_KNOWN {
             let oldest = self.known.iter().min_by_key(|(_, known)| known.last);
             if let Some(node) = oldest.map(|(node, _)| *node) {
@@ -81,13 +81,13 @@
         let known = Known {
             address: address.clone(),
             last: now,
-            heard,
+            is_direct,
         };
         self.known.insert(address.node, known);
     }
 
     /// Drops processes that have been silent for long.
-    pub(crate) fn forget_silent(&mut self, now: Monotonic) {
+    pub(crate) fn forget_unresponsive(&mut self, now: Monotonic) {
         self.known
             .retain(|_, known| now.since(known.last) <= FORGET_AFTER);
     }
--- a/crates/coordinator/src/disk.rs
+++ b/crates/coordinator/src/disk.rs
@@ -39,7 +39,7 @@
     /// Queues a write. If the thread has ended, [`DiskThread::done`] says why.
     pub(crate) fn submit(&self, job: DiskJob) {
         if self.jobs.send(job).is_err() {
-            tracing::error!("the thread of the disk has ended");
+            tracing::error!("disk writer thread exited");
         }
     }
 
--- a/crates/coordinator/src/first_start.rs
+++ b/crates/coordinator/src/first_start.rs
@@ -17,13 +17,13 @@
 //! is left is a start with too many coordinators that do not hear each other.
 
 use crate::Coordinator;
-use crate::core::{Effect, Founding, Sender};
+use crate::core::{BootstrapRule, Effect, Sender};
 use crate::identification::Identification;
 use consensus::Membership;
-use peer::{Bootstrap, PeerMessage};
 use rand::Rng;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use transport::{Bootstrap, PeerMessage};
 use types::{Address, ClusterId, Milliseconds, Monotonic, NodeId, Now, Role, ZoneName};
 
 /// An announcement counts for this long.
@@ -43,7 +43,7 @@
             .retain(|_, announced| now.since(announced.at) <= ANNOUNCEMENT_VALID);
     }
 
-    /// True when an empty coordinator is here that these voters do not name.
+    /// Returns whether an empty coordinator is here that these voters do not name.
     fn hears_other_than(&mut self, voters: &Membership, now: Monotonic) -> bool {
         self.forget_old_announcements(now);
         let mut announced = self.announced.keys();
@@ -56,17 +56,17 @@
         &mut self,
         own: &Address,
         expected: u32,
-        founding: Founding,
+        bootstrap_rule: BootstrapRule,
         now: Monotonic,
     ) -> Option<Membership> {
         self.forget_old_announcements(now);
         let present = self.announced.len() + 1;
         let agreed = self.announced.values().all(|a| a.expected == expected);
         let lowest = self.announced.keys().all(|node| *node > own.node);
-        let may_found = match founding {
-            Founding::Exact => present == expected as usize && lowest,
-            Founding::At(socket) => present >= expected as usize && socket == own.socket,
-            Founding::Never => false,
+        let may_found = match bootstrap_rule {
+            BootstrapRule::Exact => present == expected as usize && lowest,
+            BootstrapRule::At(socket) => present >= expected as usize && socket == own.socket,
+            BootstrapRule::Never => false,
         };
         if !may_found || !agreed {
             return None;
@@ -111,13 +111,13 @@
         let Some(voters) = self.identification.voters_to_propose(
             &own,
             expected,
-            self.options.founding,
+            self.options.bootstrap_rule,
             now.monotonic,
         ) else {
             return;
         };
         let cluster = ClusterId(self.random.random());
-        tracing::info!(%cluster, "all initial coordinators are here and empty: founding a cluster");
+        tracing::info!(%cluster, "bootstrapping cluster");
         self.identification.save(Some(cluster), voters, effects);
     }
 
@@ -230,7 +230,7 @@
         let other_seen = self.identification.seen.is_some_and(|seen| seen != cluster);
         // Where one process alone may found, there is one proposal, and whoever
         // is not named in it joins.
-        let unnamed = self.options.founding == Founding::Exact
+        let unnamed = self.options.bootstrap_rule == BootstrapRule::Exact
             && self.identification.hears_other_than(&voters, now.monotonic);
         if !named || other_seen || unnamed || !self.identification.is_empty() {
             return;
--- a/crates/coordinator/src/identification.rs
+++ b/crates/coordinator/src/identification.rs
@@ -9,13 +9,13 @@
 use crate::core::{Effect, Sender};
 use crate::first_start::Announced;
 use consensus::{Membership, Recovered};
-use peer::{Bootstrap, Hello, Members, PeerMessage, SessionLease};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use storage::Identity;
+use transport::{Bootstrap, KeepAlive, Members, PeerMessage, SessionLease};
 use types::{Address, ClusterId, Milliseconds, Monotonic, NodeId, Now};
 
-/// Time between two rounds of discovery, announcements and hellos.
+/// Time between two rounds of discovery, announcements and keep-alives.
 const ROUND_INTERVAL: Milliseconds = Milliseconds(200);
 
 /// The identity and what leads to it.
@@ -33,7 +33,7 @@
     leader: Option<Address>,
     /// Initial voters that need the proposal no more.
     pub(crate) settled: BTreeSet<NodeId>,
-    hello_sequence: u64,
+    keep_alive_sequence: u64,
     next_round: Monotonic,
     node: NodeId,
 }
@@ -48,7 +48,7 @@
             seen: None,
             leader: None,
             settled: BTreeSet::new(),
-            hello_sequence: 0,
+            keep_alive_sequence: 0,
             next_round: now,
             node,
         }
@@ -64,7 +64,7 @@
         self.identity.as_ref().and_then(|identity| identity.cluster)
     }
 
-    /// True while it has an identity on disk, no cluster, and chose none.
+    /// Returns whether it has an identity on disk, no cluster, and chose none.
     pub(crate) fn is_empty(&self) -> bool {
         self.saving.is_none()
             && self
@@ -118,19 +118,19 @@
             return;
         }
         self.identification.next_round = now.monotonic + ROUND_INTERVAL;
-        self.directory.forget_silent(now.monotonic);
+        self.directory.forget_unresponsive(now.monotonic);
         if self.identification.cluster().is_some() {
             self.pass_proposal_on(now, effects);
-            self.rejoin_if_cut_off(now, effects);
+            self.rejoin_if_isolated(now, effects);
         } else {
-            self.look_round(effects);
+            self.discover(effects);
             self.propose_cluster(now, effects);
         }
     }
 
     /// Without a cluster: asks everyone known, says that it is there, or asks
     /// a leader to be taken in.
-    fn look_round(&mut self, effects: &mut Vec<Effect>) {
+    fn discover(&mut self, effects: &mut Vec<Effect>) {
         let empty = self.identification.seen.is_none();
         for to in self.contacts() {
             effects.push(Effect::Send {
@@ -146,14 +146,14 @@
             }
         }
         if !empty {
-            self.ask_to_be_taken_in(effects);
+            self.request_admission(effects);
         }
     }
 
     /// With a cluster but outside its membership, or without word from a
     /// leader: looks for the leader. A voter that was replaced while it was
     /// away learns so by asking to be taken in again.
-    fn rejoin_if_cut_off(&mut self, now: Now, effects: &mut Vec<Effect>) {
+    fn rejoin_if_isolated(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let Some(status) = self.status(now) else {
             return;
         };
@@ -167,31 +167,31 @@
                 message: PeerMessage::Discover,
             });
         }
-        self.ask_to_be_taken_in(effects);
+        self.request_admission(effects);
     }
 
     /// Tells the leader which configuration this member has applied.
     fn report_to_leader(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let leader = self.known_leader(now);
         if let Some(leader) = leader.filter(|leader| leader.node != self.own.node) {
-            self.say_hello(leader.socket, effects);
+            self.send_keep_alive(leader.socket, effects);
         }
     }
 
-    fn ask_to_be_taken_in(&mut self, effects: &mut Vec<Effect>) {
+    fn request_admission(&mut self, effects: &mut Vec<Effect>) {
         let leader = self.identification.leader.as_ref();
         if let Some(to) = leader.map(|leader| leader.socket) {
-            self.say_hello(to, effects);
+            self.send_keep_alive(to, effects);
         }
     }
 
-    fn say_hello(&mut self, to: SocketAddr, effects: &mut Vec<Effect>) {
-        self.identification.hello_sequence += 1;
-        let hello = Hello {
-            sequence: self.identification.hello_sequence,
+    fn send_keep_alive(&mut self, to: SocketAddr, effects: &mut Vec<Effect>) {
+        self.identification.keep_alive_sequence += 1;
+        let keep_alive = KeepAlive {
+            sequence: self.identification.keep_alive_sequence,
             configuration: self
-                .record()
-                .map(|record| record.configuration().0)
+                .state_machine()
+                .map(|state_machine| state_machine.configuration().0)
                 .unwrap_or_default(),
             runners: Vec::new(),
             leaving: false,
@@ -199,7 +199,7 @@
         };
         effects.push(Effect::Send {
             to,
-            message: PeerMessage::Hello(hello),
+            message: PeerMessage::KeepAlive(keep_alive),
         });
     }
 
--- a/crates/coordinator/src/leader.rs
+++ b/crates/coordinator/src/leader.rs
@@ -14,19 +14,19 @@
 use crate::core::{Mutation, Sender};
 use crate::decisions::DecisionLog;
 use crate::membership::Joiners;
-use crate::placement::RefusedRun;
-use crate::requests::refusal_unavailable;
+use crate::placement::RejectedRun;
+use crate::requests::rejection_unavailable;
 use crate::runners::Runners;
 use crate::runs::Runs;
 use crate::sessions::Sessions;
 use crate::waiting::{RequestKey, WaitingRequests};
 use crate::{CoordinatorOptions, Effect};
 use configuration::Timings;
-use dispatch::Dispatcher;
-use peer::{OperationReply, PeerMessage, Refusal, Reply, RequestId};
-use record::{ClosedRun, Command, Record};
+use scheduler::Scheduler;
+use state_machine::{ClosedRun, Command, StateMachine};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
+use transport::{OperationReply, PeerMessage, Rejection, Reply, RequestId};
 use types::{
     Address, ClusterId, ConfigurationVersion, JobNumber, LogIndex, Milliseconds, Monotonic, NodeId,
     Now, OrderSequence, Reservation, RunId, RunnerId, RunnerOrder, Term,
@@ -37,7 +37,7 @@
 pub(crate) enum Waiting {
     /// A gateway's request.
     Request(RequestKey),
-    /// The dispatcher, for these choices.
+    /// The scheduler, for these choices.
     Reservations(Vec<Reservation>),
     /// Nobody; the changes say it all.
     Nobody,
@@ -77,10 +77,10 @@
     served_at: Monotonic,
     /// Silence of runners counts from here at the earliest: the election, and
     /// later by as long as the lease did not hold since.
-    pub(crate) silence_from: Monotonic,
+    pub(crate) failure_detection_start: Monotonic,
     pub(crate) elected_at: Monotonic,
     pub(crate) timings: Timings,
-    pub(crate) dispatcher: Dispatcher,
+    pub(crate) scheduler: Scheduler,
     pub(crate) rebuild: Rebuild,
     pub(crate) sessions: Sessions,
     pub(crate) runners: Runners,
@@ -107,8 +107,8 @@
     /// Ends that the record has taken since the last message left, by runner.
     pub(crate) recorded: BTreeMap<RunnerId, Vec<RunId>>,
     pub(crate) placement_due: bool,
-    /// Refused runs that stay bound in the view for a moment.
-    pub(crate) refused: VecDeque<RefusedRun>,
+    /// Rejected runs that stay bound in the view for a moment.
+    pub(crate) rejected: VecDeque<RejectedRun>,
     pub(crate) timers: Timers,
 }
 
@@ -138,22 +138,22 @@
 
 impl Leader {
     /// A leader whose lease began to hold now. Open runs are entered at once,
-    /// so that ceilings count them; tasks follow in slices. The dispatcher is new.
+    /// so that resource limits count them; tasks follow in slices. The scheduler is new.
     pub(crate) fn new(
         options: CoordinatorOptions,
         identity: LeaderIdentity,
-        record: &Record,
-        mut dispatcher: Dispatcher,
+        state_machine: &StateMachine,
+        mut scheduler: Scheduler,
         now: Now,
     ) -> Self {
-        let runs = adopt(record, &mut dispatcher, now.monotonic);
+        let runs = adopt(state_machine, &mut scheduler, now.monotonic);
         Self {
             serving: true,
             served_at: now.monotonic,
-            silence_from: now.monotonic,
+            failure_detection_start: now.monotonic,
             elected_at: now.monotonic,
-            timings: record.configuration().1.timings.clone(),
-            dispatcher,
+            timings: state_machine.configuration().1.timings.clone(),
+            scheduler,
             rebuild: Rebuild::After(None),
             sessions: Sessions::default(),
             runners: Runners::default(),
@@ -163,7 +163,7 @@
             reservations_in_flight: 0,
             admission: Admission::default(),
             budgets: Budgets::default(),
-            decisions: DecisionLog::new(identity.term, options.decisions_kept),
+            decisions: DecisionLog::new(identity.term, options.decision_log_capacity),
             joiners: Joiners::default(),
             member_versions: BTreeMap::new(),
             audit: AuditCursor::default(),
@@ -175,7 +175,7 @@
             messages: Vec::new(),
             recorded: BTreeMap::new(),
             placement_due: true,
-            refused: VecDeque::new(),
+            rejected: VecDeque::new(),
             timers: Timers::new(now.monotonic),
             identity,
             options,
@@ -196,7 +196,7 @@
         if self.placement_due {
             return Some(self.timers.placement);
         }
-        let start = self.dispatcher.next_start_time()?;
+        let start = self.scheduler.next_start_time()?;
         let wait = Milliseconds(start.0.saturating_sub(last_input.wall.0));
         Some((last_input.monotonic + wait).max(self.timers.placement))
     }
@@ -216,7 +216,7 @@
         &mut self,
         sender: &Sender,
         id: RequestId,
-        result: Result<OperationReply, Refusal>,
+        result: Result<OperationReply, Rejection>,
     ) {
         self.answer(sender, PeerMessage::Reply(Reply { id, result }));
     }
@@ -244,7 +244,7 @@
         self.serving = false;
         self.to_start.clear();
         for proposal in std::mem::take(&mut self.proposals) {
-            self.refuse_unproposed(proposal.waiting);
+            self.reject_unproposed(proposal.waiting);
         }
         self.keep_replies();
         self.orders.clear();
@@ -255,11 +255,11 @@
     }
 
     /// What was asked for never came into the log.
-    pub(crate) fn refuse_unproposed(&mut self, waiting: Waiting) {
+    pub(crate) fn reject_unproposed(&mut self, waiting: Waiting) {
         if let Waiting::Request(key) = waiting
             && let Some(request) = self.requests.take(key)
         {
-            self.reply(&request.sender, request.id, Err(refusal_unavailable()));
+            self.reply(&request.sender, request.id, Err(rejection_unavailable()));
         }
     }
 
@@ -270,7 +270,7 @@
     }
 
     /// The lease holds at this moment.
-    pub(crate) fn note_served(&mut self, now: Monotonic) {
+    pub(crate) fn record_served(&mut self, now: Monotonic) {
         self.served_at = now;
     }
 
@@ -278,11 +278,11 @@
     /// meanwhile, so clocks of silence stood still; if they began anew, a leader
     /// whose lease lapses now and then would never give a lost run up.
     pub(crate) fn resume(&mut self, now: Monotonic) {
-        let lapse = now.since(self.served_at);
+        let gap = now.since(self.served_at);
         self.serving = true;
         self.served_at = now;
-        self.silence_from = self.silence_from + lapse;
-        self.runners.stand_still(lapse, now);
+        self.failure_detection_start = self.failure_detection_start + gap;
+        self.runners.shift_last_seen(gap, now);
         self.placement_due = true;
     }
 
@@ -303,15 +303,15 @@
 }
 
 /// Enters configuration, open runs and operators' words into a new view.
-fn adopt(record: &Record, dispatcher: &mut Dispatcher, now: Monotonic) -> Runs {
-    dispatcher.configure(record.configuration().1);
+fn adopt(state_machine: &StateMachine, scheduler: &mut Scheduler, now: Monotonic) -> Runs {
+    scheduler.configure(state_machine.configuration().1);
     let mut runs = Runs::default();
-    for run in record.open_runs() {
-        dispatcher.adopt_run(run.clone());
+    for run in state_machine.open_runs() {
+        scheduler.adopt_run(run.clone());
         runs.adopt(run, now);
     }
-    for runner in record.draining_runners() {
-        dispatcher.set_draining(&runner, true);
+    for runner in state_machine.draining_runners() {
+        scheduler.set_draining(&runner, true);
     }
     runs
 }
--- a/crates/coordinator/src/leadership.rs
+++ b/crates/coordinator/src/leadership.rs
@@ -4,13 +4,13 @@
 use crate::core::{Effect, Mutation};
 use crate::leader::{Leader, LeaderIdentity, Rebuild, Waiting};
 use crate::replica::AppliedEntry;
-use crate::requests::{refusal_uncertain, reply_of};
+use crate::requests::{rejection_uncertain, reply_of};
 use crate::{Coordinator, placement};
 use consensus::RaftRole;
-use dispatch::Dispatcher;
-use peer::{OperationReply, PeerMessage, Reply};
 use rand::Rng;
-use record::{Change, Command, CommandReply};
+use scheduler::Scheduler;
+use state_machine::{Change, Command, CommandReply};
+use transport::{OperationReply, PeerMessage, Reply};
 use types::{JobNumber, LogIndex, Milliseconds, Now};
 
 /// Time between two looks at runs, sessions and waiting requests.
@@ -33,24 +33,24 @@
         let status = replica.node.status(now.monotonic);
         let same_term = |leader: &Leader| leader.identity.term == status.term;
         let keeps = self.options.mutation == Some(Mutation::SkipLeaseCheck);
-        let leads = status.role == RaftRole::Leader || keeps;
+        let is_leader = status.role == RaftRole::Leader || keeps;
         let current = self.leader.as_ref().is_some_and(same_term) || keeps;
-        if self.leader.is_some() && !(leads && current) {
-            self.refuse_waiting(effects);
+        if self.leader.is_some() && !(is_leader && current) {
+            self.reject_waiting(effects);
             self.leader = None;
-            tracing::info!(term = %status.term, "leads no more");
+            tracing::info!(term = %status.term, "lost leadership");
         }
         match &mut self.leader {
             Some(leader) if leader.serving && !may_serve => {
-                tracing::warn!(term = %status.term, "the lease lapsed: no quorum answered in time");
+                tracing::warn!(term = %status.term, "leader lease expired: no quorum answered in time");
                 metrics::counter!("cypressdrum_leases_lapsed_total").increment(1);
                 leader.suspend();
             }
             Some(leader) if !leader.serving && may_serve => {
-                tracing::info!(term = %status.term, "holds the lease again");
+                tracing::info!(term = %status.term, "leader lease renewed");
                 leader.resume(now.monotonic);
             }
-            Some(leader) if may_serve => leader.note_served(now.monotonic),
+            Some(leader) if may_serve => leader.record_served(now.monotonic),
             Some(_) => {}
             None if may_serve => {
                 self.begin_leading(now);
@@ -71,16 +71,22 @@
             cluster: replica.cluster,
             term: replica.node.status(now.monotonic).term,
         };
-        tracing::info!(term = %identity.term, "leads");
+        tracing::info!(term = %identity.term, "became leader");
         metrics::counter!("cypressdrum_elections_won_total").increment(1);
         let seed = self.random.random();
         let options = self.options.clone();
-        let mut dispatcher = Dispatcher::new(options.dispatcher.clone(), identity.term, seed);
-        if options.mutation == Some(Mutation::LookAtAll) {
-            dispatcher.look_at_all();
+        let mut scheduler = Scheduler::new(options.scheduler.clone(), identity.term, seed);
+        if options.mutation == Some(Mutation::ScanAll) {
+            scheduler.scan_all();
         }
-        let record = &replica.record;
-        self.leader = Some(Leader::new(options, identity, record, dispatcher, now));
+        let state_machine = &replica.state_machine;
+        self.leader = Some(Leader::new(
+            options,
+            identity,
+            state_machine,
+            scheduler,
+            now,
+        ));
     }
 
     /// Tells every gateway and agent known who leads, so that none has to wait
@@ -96,14 +102,14 @@
     }
 
     /// Answers every waiting request at once that it cannot be served here.
-    fn refuse_waiting(&mut self, effects: &mut Vec<Effect>) {
+    fn reject_waiting(&mut self, effects: &mut Vec<Effect>) {
         let Some(leader) = &mut self.leader else {
             return;
         };
         for request in leader.requests.take_all() {
             let reply = PeerMessage::Reply(Reply {
                 id: request.id,
-                result: Err(refusal_uncertain()),
+                result: Err(rejection_uncertain()),
             });
             let (to, message) = request.sender.answer(&self.own, reply);
             effects.push(Effect::Send { to, message });
@@ -119,21 +125,21 @@
         let (Some(leader), Some(replica)) = (&mut self.leader, &self.replica) else {
             return;
         };
-        let record = &replica.record;
-        leader.rebuild_slice(record, now);
+        let state_machine = &replica.state_machine;
+        leader.rebuild_slice(state_machine, now);
         if now.monotonic >= leader.timers.sweep {
             leader.timers.sweep = now.monotonic + SWEEP_INTERVAL;
             leader.placement_due = true;
             leader.requests.drop_late(now.monotonic);
             leader.expire_sessions(now.monotonic);
-            leader.sweep_runs(record, now);
-            leader.release_due(record, now);
+            leader.sweep_runs(state_machine, now);
+            leader.release_due(state_machine, now);
         }
-        audit::audit_when_due(leader, record, now);
-        audit::forget_when_due(leader, record, now);
+        audit::audit_when_due(leader, state_machine, now);
+        audit::forget_when_due(leader, state_machine, now);
         if now.monotonic >= leader.timers.gauges {
             leader.timers.gauges = now.monotonic + GAUGE_INTERVAL;
-            leader.read_gauges(record);
+            leader.read_gauges(state_machine);
         }
     }
 
@@ -146,7 +152,7 @@
         let (Some(leader), Some(replica)) = (&mut self.leader, &mut self.replica) else {
             return false;
         };
-        leader.start_reserved(&replica.record, now);
+        leader.start_reserved(&replica.state_machine, now);
         // What the log does not take while leadership is handed over waits: most
         // often for one round trip.
         if replica.node.is_handing_over() {
@@ -155,7 +161,7 @@
         // What ended goes first: a late done end must be in the log before
         // its task could be reserved again.
         leader.propose_closes(now);
-        placement::place(leader, &replica.record, now);
+        placement::place(leader, &replica.state_machine, now);
         let proposals = std::mem::take(&mut leader.proposals);
         let any = !proposals.is_empty();
         for proposal in proposals {
@@ -166,9 +172,12 @@
                 .and_then(|bytes| replica.node.propose(now.monotonic, bytes).ok());
             match index {
                 Some(index) => leader.proposed(index, proposal.waiting, &proposal.command),
-                None => {
-                    leader.not_proposed(&replica.record, proposal.waiting, &proposal.command, now)
-                }
+                None => leader.not_proposed(
+                    &replica.state_machine,
+                    proposal.waiting,
+                    &proposal.command,
+                    now,
+                ),
             }
         }
         leader.emit_decisions(effects);
@@ -202,7 +211,7 @@
         };
         for entry in entries {
             for change in entry.applied.changes {
-                leader.changed(&replica.record, change, now);
+                leader.changed(&replica.state_machine, change, now);
             }
             let own_term = entry.term == leader.identity.term;
             match leader.waiting.remove(&entry.index) {
@@ -215,14 +224,14 @@
 
 impl Leader {
     /// Publishes a slice of the record's ready tasks.
-    fn rebuild_slice(&mut self, record: &record::Record, now: Now) {
+    fn rebuild_slice(&mut self, state_machine: &state_machine::StateMachine, now: Now) {
         let Rebuild::After(after) = self.rebuild else {
             return;
         };
-        let ready = record.ready_tasks(after, REBUILD_JOBS);
+        let ready = state_machine.ready_tasks(after, REBUILD_JOBS);
         let last: Option<JobNumber> = ready.iter().map(|meta| meta.task.job).max();
         for meta in ready {
-            self.dispatcher.publish(meta, now);
+            self.scheduler.publish(meta, now);
         }
         self.rebuild = match last {
             Some(last) => Rebuild::After(Some(last)),
@@ -253,12 +262,12 @@
     /// The node took no entry: it is handing over or has lost its role.
     fn not_proposed(
         &mut self,
-        record: &record::Record,
+        state_machine: &state_machine::StateMachine,
         waiting: Waiting,
         command: &Command,
         now: Now,
     ) {
-        self.refuse_unproposed(waiting);
+        self.reject_unproposed(waiting);
         match command {
             Command::CloseRuns { runs, .. } => {
                 for closed in runs {
@@ -267,7 +276,7 @@
             }
             Command::Reserve { reservations, .. } => {
                 for reservation in reservations {
-                    self.release(record, reservation.run, reservation.task, now);
+                    self.release(state_machine, reservation.run, reservation.task, now);
                 }
             }
             _ => {}
@@ -282,9 +291,9 @@
                 self.reservations_in_flight =
                     self.reservations_in_flight.saturating_sub(chosen.len());
                 self.placement_due = true;
-                if let CommandReply::Reserved { taken, refused } = reply {
-                    self.to_start.extend(taken);
-                    self.release_refused(&chosen, refused, now);
+                if let CommandReply::Reserved { accepted, rejected } = reply {
+                    self.to_start.extend(accepted);
+                    self.release_rejected(&chosen, rejected, now);
                 }
             }
             Waiting::Request(key) => {
@@ -296,14 +305,14 @@
         }
     }
 
-    fn changed(&mut self, record: &record::Record, change: Change, now: Now) {
+    fn changed(&mut self, state_machine: &state_machine::StateMachine, change: Change, now: Now) {
         self.placement_due = true;
         match change {
             Change::TaskReady(meta) => {
-                self.dispatcher.publish(meta, now);
+                self.scheduler.publish(meta, now);
             }
             Change::TaskEnded { task, open_runs } => {
-                self.dispatcher.remove(task);
+                self.scheduler.remove(task);
                 for run in open_runs {
                     self.runs.want_stop(run.run);
                 }
@@ -315,21 +324,21 @@
             }
             Change::RunOpened(run) => self.runs.reserved(run, now.monotonic),
             Change::RunClosed { run, close, again } => {
-                self.run_closed(record, run, close, again, now)
+                self.run_closed(state_machine, run, close, again, now)
             }
             Change::JobEnded {
                 key, state, waited, ..
-            } => self.job_ended(record, key, state, waited, now),
-            Change::ConfigurationChanged(_) => self.configuration_changed(record),
+            } => self.job_ended(state_machine, key, state, waited, now),
+            Change::ConfigurationChanged(_) => self.configuration_changed(state_machine),
             Change::RunnerDrainingChanged { runner, draining } => {
-                self.dispatcher.set_draining(&runner, draining);
+                self.scheduler.set_draining(&runner, draining);
                 self.runners.set_ordered_draining(&runner, draining);
             }
         }
     }
 
-    fn read_gauges(&self, record: &record::Record) {
-        metrics::gauge!("cypressdrum_unfinished_jobs").set(record.unfinished_jobs() as f64);
+    fn read_gauges(&self, state_machine: &state_machine::StateMachine) {
+        metrics::gauge!("cypressdrum_unfinished_jobs").set(state_machine.unfinished_jobs() as f64);
         metrics::gauge!("cypressdrum_open_runs").set(self.runs.len() as f64);
         metrics::gauge!("cypressdrum_sessions").set(self.sessions.len() as f64);
         metrics::gauge!("cypressdrum_runners").set(self.runners.len() as f64);
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,7 +1,7 @@
 //! The coordinator role: a core without I/O and its tokio shell.
 //!
 //! The core holds a consensus node, the record, and, while it leads, the
-//! dispatcher and the leader's view of sessions and runners. It takes inputs
+//! scheduler and the leader's view of sessions and runners. It takes inputs
 //! with the time they came at and gives back effects; the shell (or the
 //! simulation) carries them out.
 
@@ -23,8 +23,8 @@
 mod load;
 mod membership;
 mod orders;
-mod pace;
 mod placement;
+mod progress_history;
 mod reads;
 mod replica;
 mod requests;
@@ -33,5 +33,5 @@
 mod sessions;
 mod waiting;
 
-pub use crate::core::{Coordinator, CoordinatorOptions, Effect, Founding, Input, Mutation};
+pub use crate::core::{BootstrapRule, Coordinator, CoordinatorOptions, Effect, Input, Mutation};
 pub use shell::{CoordinatorError, ShellOptions, run};
--- a/crates/coordinator/src/lifecycle.rs
+++ b/crates/coordinator/src/lifecycle.rs
@@ -28,10 +28,10 @@
         let Some(deadline) = self.handover else {
             return;
         };
-        let leads = self
+        let is_leader = self
             .status(now)
             .is_some_and(|status| status.role == RaftRole::Leader);
-        if !leads || now.monotonic >= deadline {
+        if !is_leader || now.monotonic >= deadline {
             self.stopped = true;
             effects.push(Effect::Stopped);
         }
@@ -58,9 +58,9 @@
         if status.membership.socket(self.own.node).is_none() {
             return Err("waits to be taken in by the cluster".to_owned());
         }
-        let leads = self.is_serving(now);
+        let is_leader = self.is_serving(now);
         let follows = status.leader.is_some_and(|leader| leader != self.own.node);
-        if leads || follows {
+        if is_leader || follows {
             Ok(())
         } else {
             Err("knows no leader".to_owned())
@@ -83,7 +83,7 @@
     /// Serves no more, for this reason. The log or snapshot of a majority
     /// cannot be skipped, so there is nothing to go on with.
     pub(crate) fn fail(&mut self, reason: String) {
-        tracing::error!(reason, "the coordinator stops serving");
+        tracing::error!(reason, "stopped serving: state is unreadable");
         self.fault = Some(reason);
         self.leader = None;
     }
--- a/crates/coordinator/src/load.rs
+++ b/crates/coordinator/src/load.rs
@@ -2,8 +2,8 @@
 //! far behind, by its log: whose messages wait, how long, and what takes the
 //! time.
 
-use peer::{Arrival, Inbox, Lane};
 use std::time::{Duration, Instant};
+use transport::{Arrival, Inbox, Lane};
 use types::Milliseconds;
 
 /// The log says that the loop is behind when something waited this long.
@@ -18,39 +18,39 @@
 /// long steps. It is the most in this window and the one before.
 #[derive(Debug)]
 struct Lag {
-    most: Duration,
-    most_before: Duration,
+    max: Duration,
+    previous_max: Duration,
     window_at: Instant,
 }
 
 impl Lag {
     fn new() -> Self {
         Self {
-            most: Duration::ZERO,
-            most_before: Duration::ZERO,
+            max: Duration::ZERO,
+            previous_max: Duration::ZERO,
             window_at: Instant::now(),
         }
     }
 
-    fn note(&mut self, late: Duration) {
+    fn record(&mut self, late: Duration) {
         if self.window_at.elapsed() >= LAG_WINDOW {
-            self.most_before = self.most;
-            self.most = Duration::ZERO;
+            self.previous_max = self.max;
+            self.max = Duration::ZERO;
             self.window_at = Instant::now();
         }
-        self.most = self.most.max(late);
+        self.max = self.max.max(late);
     }
 
     fn now(&self) -> Duration {
-        self.most.max(self.most_before)
+        self.max.max(self.previous_max)
     }
 }
 
 /// Figures of the loop since the last line of the log.
 #[derive(Debug)]
 pub(crate) struct Load {
-    longest_wait: Milliseconds,
-    longest_step: Duration,
+    max_wait: Milliseconds,
+    max_step: Duration,
     steps: u32,
     inputs: u32,
     line_at: Instant,
@@ -61,8 +61,8 @@
     /// A loop that has done nothing yet.
     pub(crate) fn new() -> Self {
         Self {
-            longest_wait: Milliseconds(0),
-            longest_step: Duration::ZERO,
+            max_wait: Milliseconds(0),
+            max_step: Duration::ZERO,
             steps: 0,
             inputs: 0,
             line_at: Instant::now(),
@@ -76,42 +76,42 @@
         Milliseconds(u64::try_from(lag).unwrap_or(u64::MAX))
     }
 
-    /// Notes a timer that fired so late.
+    /// Records a timer that fired so late.
     pub(crate) fn woken_late(&mut self, late: Duration) {
-        self.lag.note(late);
+        self.lag.record(late);
     }
 
-    /// Notes a message that is taken now.
-    pub(crate) fn taken(&mut self, arrival: &Arrival, waited: Milliseconds) {
+    /// Records a message that is taken now.
+    pub(crate) fn accepted(&mut self, arrival: &Arrival, waited: Milliseconds) {
         metrics::histogram!("cypressdrum_inbox_wait_seconds", "lane" => arrival.lane.name())
             .record(waited.0 as f64 / 1_000.0);
-        self.longest_wait = self.longest_wait.max(waited);
-        self.lag.note(Duration::from_millis(waited.0));
+        self.max_wait = self.max_wait.max(waited);
+        self.lag.record(Duration::from_millis(waited.0));
     }
 
-    /// Notes a step of the core with so many inputs.
+    /// Records a step of the core with so many inputs.
     pub(crate) fn stepped(&mut self, inputs: usize, took: Duration, inbox: &Inbox) {
         metrics::histogram!("cypressdrum_step_seconds").record(took.as_secs_f64());
-        self.longest_step = self.longest_step.max(took);
-        self.lag.note(took);
+        self.max_step = self.max_step.max(took);
+        self.lag.record(took);
         self.steps += 1;
         self.inputs += u32::try_from(inputs).unwrap_or(u32::MAX);
         if self.line_at.elapsed() >= LINE_INTERVAL {
-            self.tell(inbox);
+            self.report(inbox);
         }
     }
 
-    fn tell(&mut self, inbox: &Inbox) {
-        if self.longest_wait >= BEHIND {
+    fn report(&mut self, inbox: &Inbox) {
+        if self.max_wait >= BEHIND {
             tracing::warn!(
-                longest_wait = %self.longest_wait,
-                longest_step_ms = self.longest_step.as_millis() as u64,
+                max_wait_ms = self.max_wait.0,
+                max_step_ms = self.max_step.as_millis() as u64,
                 steps = self.steps,
                 inputs = self.inputs,
                 liveness = inbox.waiting(Lane::Liveness),
                 work = inbox.waiting(Lane::Work),
                 requests = inbox.waiting(Lane::Requests),
-                "the loop is behind"
+                "core loop is behind"
             );
         }
         let lag = std::mem::replace(&mut self.lag, Lag::new());
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -3,7 +3,7 @@
 //! One change at a time, each derived anew from what is in force, so that a
 //! new leader goes on where the last one stopped:
 //!
-//! 1. A coordinator outside the membership that says hello becomes a learner.
+//! 1. A coordinator outside the membership that says keep-alive becomes a learner.
 //! 2. When a learner has caught up, a dead voter is removed: at once the one
 //!    whose socket the learner has (its disk and identity are gone), otherwise
 //!    one that has been silent for longer than `replace_voter_after`.
@@ -31,7 +31,7 @@
 const DROP_LEARNER_AFTER: Milliseconds = Milliseconds(60_000);
 /// Learners at once.
 const MAX_LEARNERS: usize = 3;
-/// A hello of a joiner counts for this long.
+/// A keep-alive of a joiner counts for this long.
 const JOINER_VALID: Milliseconds = Milliseconds(2_000);
 
 /// Coordinators that asked to be taken in.
@@ -41,13 +41,13 @@
 }
 
 impl Joiners {
-    pub(crate) fn note(&mut self, address: &Address, now: Monotonic) {
+    pub(crate) fn record(&mut self, address: &Address, now: Monotonic) {
         self.joiners.insert(address.node, (address.clone(), now));
     }
 
-    fn forget_silent(&mut self, now: Monotonic) {
+    fn forget_unresponsive(&mut self, now: Monotonic) {
         self.joiners
-            .retain(|_, (_, heard)| now.since(*heard) <= JOINER_VALID);
+            .retain(|_, (_, last_seen)| now.since(*last_seen) <= JOINER_VALID);
     }
 
     fn waiting(&self, membership: &Membership) -> Option<&Address> {
@@ -68,14 +68,14 @@
             return;
         }
         leader.timers.membership = now.monotonic + CHECK_INTERVAL;
-        leader.joiners.forget_silent(now.monotonic);
+        leader.joiners.forget_unresponsive(now.monotonic);
         let status = replica.node.status(now.monotonic);
         let Some(next) = leader.next_membership(&status) else {
             return;
         };
         match replica.node.propose_membership(now.monotonic, next.clone()) {
-            Ok(_) => tracing::info!(?next, "changes the membership"),
-            Err(reason) => tracing::debug!(%reason, "the membership is not changed yet"),
+            Ok(_) => tracing::info!(?next, "membership change proposed"),
+            Err(reason) => tracing::debug!(%reason, "membership change not possible yet"),
         }
     }
 }
@@ -111,12 +111,14 @@
                 .filter(|(node, _)| **node != self.identity.own.node)
         };
         let replaced = others().find(|(_, voter)| *voter == socket);
-        let silent = || {
+        let unresponsive = || {
             others()
-                .filter(|(node, _)| view.silence(**node) > self.options.replace_voter_after)
-                .max_by_key(|(node, _)| view.silence(**node))
+                .filter(|(node, _)| {
+                    view.unresponsive_time(**node) > self.options.replace_voter_after
+                })
+                .max_by_key(|(node, _)| view.unresponsive_time(**node))
         };
-        let (dead, _) = replaced.or_else(silent)?;
+        let (dead, _) = replaced.or_else(unresponsive)?;
         let mut next = view.status.membership.clone();
         next.voters.remove(dead);
         let live = next
@@ -145,17 +147,17 @@
 }
 
 impl View<'_> {
-    fn silence(&self, node: NodeId) -> Milliseconds {
+    fn unresponsive_time(&self, node: NodeId) -> Milliseconds {
         self.status
-            .silence
+            .since_last_contact
             .iter()
             .find(|(other, _)| *other == node)
-            .map(|(_, silence)| *silence)
+            .map(|(_, unresponsive_time)| *unresponsive_time)
             .unwrap_or_default()
     }
 
     fn is_live(&self, node: NodeId) -> bool {
-        self.silence(node) <= LIVE_WITHIN
+        self.unresponsive_time(node) <= LIVE_WITHIN
     }
 
     /// A learner that is live and has caught up.
@@ -181,7 +183,7 @@
             .membership
             .learners
             .keys()
-            .find(|node| self.silence(**node) > DROP_LEARNER_AFTER)?;
+            .find(|node| self.unresponsive_time(**node) > DROP_LEARNER_AFTER)?;
         let mut next = self.status.membership.clone();
         next.learners.remove(stale);
         Some(next)
--- a/crates/coordinator/src/placement.rs
+++ b/crates/coordinator/src/placement.rs
@@ -1,9 +1,9 @@
 //! The dispatch loop: room becomes reservations, reservations become entries.
 
 use crate::leader::{Leader, Rebuild, Waiting};
-use dispatch::DecisionKind;
-use peer::DecisionEvent;
-use record::{Command, Record, ReserveRefusal};
+use scheduler::DecisionKind;
+use state_machine::{Command, ReservationRejection, StateMachine};
+use transport::DecisionEvent;
 use types::{JobNumber, Milliseconds, Monotonic, Now, Reservation, RunId, TaskMeta, TaskRef};
 
 /// Reservations that may be on their way through the log.
@@ -11,32 +11,32 @@
 
 /// Time between two looks at all room. What comes in between shares one look,
 /// and its choices one entry of the log.
-const PLACE_INTERVAL: Milliseconds = Milliseconds(5);
-/// How long a refused run stays bound in the view.
+const PLACEMENT_INTERVAL: Milliseconds = Milliseconds(5);
+/// How long a rejected run stays bound in the view.
 const REFUSED_WAIT: Milliseconds = Milliseconds(200);
 
-/// A run that the record or its runner refused.
+/// A run that the record or its runner rejected.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct RefusedRun {
+pub(crate) struct RejectedRun {
     run: RunId,
     task: TaskRef,
     due: Monotonic,
 }
 
-/// Asks the dispatcher for placements and proposes them as one command.
-pub(crate) fn place(leader: &mut Leader, record: &Record, now: Now) {
-    let room = MAX_RESERVATIONS_IN_FLIGHT.saturating_sub(leader.reservations_in_flight);
-    let start = leader.dispatcher.next_start_time();
+/// Asks the scheduler for placements and proposes them as one command.
+pub(crate) fn place(leader: &mut Leader, state_machine: &StateMachine, now: Now) {
+    let available = MAX_RESERVATIONS_IN_FLIGHT.saturating_sub(leader.reservations_in_flight);
+    let start = leader.scheduler.next_start_time();
     let start_reached = start.is_some_and(|start| start <= now.wall);
     let wanted = leader.placement_due || start_reached;
     let due = wanted && now.monotonic >= leader.timers.placement;
-    if !due || room == 0 || !leader.may_place(now.monotonic) {
+    if !due || available == 0 || !leader.may_place(now.monotonic) {
         return;
     }
     leader.placement_due = false;
-    leader.timers.placement = now.monotonic + PLACE_INTERVAL;
+    leader.timers.placement = now.monotonic + PLACEMENT_INTERVAL;
     let mut reservations: Vec<Reservation> = Vec::new();
-    for decision in leader.dispatcher.place(now, room) {
+    for decision in leader.scheduler.place(now, available) {
         let task = match &decision.kind {
             DecisionKind::Placed {
                 reservation,
@@ -50,7 +50,7 @@
             }
             DecisionKind::NotPlaced { task, .. } => *task,
         };
-        let key = record.job_key(task.job);
+        let key = state_machine.job_key(task.job);
         leader
             .decisions
             .push(key, DecisionEvent::Dispatch(decision));
@@ -79,14 +79,14 @@
     }
 
     /// Takes reservations back that the record did not take.
-    pub(crate) fn release_refused(
+    pub(crate) fn release_rejected(
         &mut self,
         reservations: &[Reservation],
-        refused: Vec<(RunId, ReserveRefusal)>,
+        rejected: Vec<(RunId, ReservationRejection)>,
         now: Now,
     ) {
-        for (run, reason) in refused {
-            tracing::debug!(%run, %reason, "the record refused a reservation");
+        for (run, reason) in rejected {
+            tracing::debug!(%run, %reason, "reservation rejected by the state machine");
             let mut chosen = reservations.iter().filter(|chosen| chosen.run == run);
             if let Some(reservation) = chosen.next() {
                 self.release_later(run, reservation.task, now.monotonic);
@@ -94,38 +94,44 @@
         }
     }
 
-    /// Leaves a refused run bound in the view for a moment. Whoever refused it
+    /// Leaves a rejected run bound in the view for a moment. Whoever rejected it
     /// knows something that the view does not yet; placed again at once, the
     /// task would go the same way, over and over.
     pub(crate) fn release_later(&mut self, run: RunId, task: TaskRef, now: Monotonic) {
         let due = now + REFUSED_WAIT;
-        self.refused.push_back(RefusedRun { run, task, due });
+        self.rejected.push_back(RejectedRun { run, task, due });
     }
 
-    /// Frees refused runs whose moment is over.
-    pub(crate) fn release_due(&mut self, record: &Record, now: Now) {
-        while let Some(first) = self.refused.front().copied() {
+    /// Frees rejected runs whose moment is over.
+    pub(crate) fn release_due(&mut self, state_machine: &StateMachine, now: Now) {
+        while let Some(first) = self.rejected.front().copied() {
             if first.due > now.monotonic {
                 return;
             }
-            self.refused.pop_front();
-            self.release(record, first.run, first.task, now);
+            self.rejected.pop_front();
+            self.release(state_machine, first.run, first.task, now);
         }
     }
 
     /// Takes a run out of the view; its task waits again if it may start.
-    pub(crate) fn release(&mut self, record: &Record, run: RunId, task: TaskRef, now: Now) {
-        match ready_task(record, task) {
-            Some(meta) => self.dispatcher.reschedule(run, meta, now),
-            None => self.dispatcher.remove_run(run),
+    pub(crate) fn release(
+        &mut self,
+        state_machine: &StateMachine,
+        run: RunId,
+        task: TaskRef,
+        now: Now,
+    ) {
+        match ready_task(state_machine, task) {
+            Some(meta) => self.scheduler.reschedule(run, meta, now),
+            None => self.scheduler.remove_run(run),
         }
     }
 }
 
 /// The task, if the record says that it may start.
-fn ready_task(record: &Record, task: TaskRef) -> Option<TaskMeta> {
+fn ready_task(state_machine: &StateMachine, task: TaskRef) -> Option<TaskMeta> {
     let before = task.job.0.checked_sub(1).map(JobNumber);
-    record
+    state_machine
         .ready_tasks(before, 1)
         .into_iter()
         .find(|meta| meta.task == task)
--- a/crates/coordinator/src/pace.rs
+++ b/crates/coordinator/src/progress_history.rs
@@ -3,7 +3,7 @@
 
 use crate::leader::Leader;
 use crate::runs::TrackedRun;
-use record::Record;
+use state_machine::StateMachine;
 use std::collections::BTreeSet;
 use types::{JobNumber, Milliseconds, Monotonic};
 
@@ -11,9 +11,9 @@
 /// is over, even on a slow runner.
 const STALL_PART: u64 = 4;
 /// No run counts as standing still before this time.
-const SHORTEST_STALL: Milliseconds = Milliseconds(500);
+const MIN_STALL: Milliseconds = Milliseconds(500);
 /// No run counts as slow before it was watched for this time.
-const SHORTEST_WATCH: Milliseconds = Milliseconds(300);
+const MIN_OBSERVATION: Milliseconds = Milliseconds(300);
 /// A run is slow when what is left would take this many times as long as a
 /// whole run is expected to.
 const SLOW_FACTOR: u64 = 3;
@@ -21,71 +21,75 @@
 const SLOW_JOBS: usize = 3;
 
 impl Leader {
-    /// True when the run should be stopped and placed elsewhere. Nothing is
+    /// Returns whether the run should be stopped and placed elsewhere. Nothing is
     /// known of a run whose runner tells no progress.
-    pub(crate) fn is_held_up(&self, record: &Record, tracked: &TrackedRun) -> bool {
-        let (Some(allowed), Some(pace)) = (self.options.stalled_after, tracked.pace) else {
+    pub(crate) fn is_stalled(&self, state_machine: &StateMachine, tracked: &TrackedRun) -> bool {
+        let (Some(allowed), Some(progress_history)) =
+            (self.options.stalled_after, tracked.progress_history)
+        else {
             return false;
         };
         let Some(runner) = self.runners.get(&tracked.run.runner) else {
             return false;
         };
-        if tracked.stop || record.is_endless(tracked.run.task) {
+        if tracked.stop || state_machine.is_endless(tracked.run.task) {
             return false;
         }
         let expected = tracked.run.expected.unwrap_or(allowed);
-        let patience = match pace.last == 0 && may_begin_late(record, tracked) {
+        let timeout = match progress_history.last == 0 && may_begin_late(state_machine, tracked) {
             true => allowed,
-            false => patience_of(expected).min(allowed),
+            false => stall_timeout(expected).min(allowed),
         };
-        let stands_still = runner.heard.since(pace.last_at) >= patience;
-        let may_move = self.options.move_slow && is_slow(tracked, runner.heard);
-        stands_still || (may_move && self.is_slow_runner(tracked))
+        let has_stalled = runner.last_seen.since(progress_history.last_at) >= timeout;
+        let may_move = self.options.move_slow && is_slow(tracked, runner.last_seen);
+        has_stalled || (may_move && self.is_slow_runner(tracked))
     }
 
-    /// True when most of the runs watched on the runner are slow, and those of
+    /// Returns whether most of the runs watched on the runner are slow, and those of
     /// several jobs: callers' expectations are too rough to go by one.
     fn is_slow_runner(&self, tracked: &TrackedRun) -> bool {
         let runner = &tracked.run.runner;
-        let Some(heard) = self.runners.get(runner).map(|runner| runner.heard) else {
+        let Some(last_seen) = self.runners.get(runner).map(|runner| runner.last_seen) else {
             return false;
         };
         let runs = self.runs.of_runner(runner);
         let watched: Vec<&TrackedRun> = runs
             .iter()
             .filter_map(|run| self.runs.get(*run))
-            .filter(|run| is_watched(run, heard))
+            .filter(|run| is_watched(run, last_seen))
             .collect();
-        let slow = watched.iter().filter(|run| is_slow(run, heard));
+        let slow = watched.iter().filter(|run| is_slow(run, last_seen));
         let jobs: BTreeSet<JobNumber> = slow.clone().map(|run| run.run.task.job).collect();
         jobs.len() >= SLOW_JOBS && slow.count() * 2 > watched.len()
     }
 }
 
-fn patience_of(expected: Milliseconds) -> Milliseconds {
-    Milliseconds(expected.0 / STALL_PART).max(SHORTEST_STALL)
+fn stall_timeout(expected: Milliseconds) -> Milliseconds {
+    Milliseconds(expected.0 / STALL_PART).max(MIN_STALL)
 }
 
 /// A run that goes on from a checkpoint first restores it, and a member of a
 /// gang waits for the others.
-fn may_begin_late(record: &Record, tracked: &TrackedRun) -> bool {
+fn may_begin_late(state_machine: &StateMachine, tracked: &TrackedRun) -> bool {
     let run = &tracked.run;
-    let restores = record
+    let restores = state_machine
         .run_spec(run.run)
         .is_some_and(|spec| spec.checkpoint.is_some());
-    restores || record.is_gang(run.task)
+    restores || state_machine.is_gang(run.task)
 }
 
 fn is_watched(tracked: &TrackedRun, now: Monotonic) -> bool {
-    let pace = tracked.pace.as_ref();
-    pace.is_some_and(|pace| pace.watched(now) >= SHORTEST_WATCH)
+    let progress_history = tracked.progress_history.as_ref();
+    progress_history
+        .is_some_and(|progress_history| progress_history.watched(now) >= MIN_OBSERVATION)
 }
 
 fn is_slow(tracked: &TrackedRun, now: Monotonic) -> bool {
-    let (Some(pace), Some(expected)) = (tracked.pace, tracked.run.expected) else {
+    let (Some(progress_history), Some(expected)) = (tracked.progress_history, tracked.run.expected)
+    else {
         return false;
     };
-    let left = pace.time_left();
+    let left = progress_history.time_left();
     is_watched(tracked, now)
         && left.is_some_and(|left| left.0 > expected.0.saturating_mul(SLOW_FACTOR))
 }
--- a/crates/coordinator/src/reads.rs
+++ b/crates/coordinator/src/reads.rs
@@ -4,14 +4,14 @@
 
 use crate::Coordinator;
 use crate::leader::Leader;
-use crate::requests::{not_found, refusal_of};
+use crate::requests::{not_found, rejection_of};
 use configuration::ConfigurationUpdate;
-use dispatch::NotPlacedReason;
-use peer::{
-    JobFilter, LicenceView, MemberView, Operation, OperationReply, QueueView, Refusal, TenantView,
-};
-use record::{Record, RecordRefusal};
+use scheduler::NotPlacedReason;
+use state_machine::{CommandRejection, StateMachine};
 use std::collections::BTreeMap;
+use transport::{
+    JobFilter, LicenceView, MemberView, Operation, OperationReply, QueueView, Rejection, TenantView,
+};
 use types::{
     Address, ConfigurationVersion, JobKey, Milliseconds, NodeId, Now, QueueName, Role, TaskRef,
     TaskState, TenantId, ZoneName,
@@ -33,36 +33,38 @@
     /// Answers a read.
     pub(crate) fn read(
         &mut self,
-        record: &Record,
+        state_machine: &StateMachine,
         operation: Operation,
         now: Now,
-    ) -> Result<OperationReply, Refusal> {
+    ) -> Result<OperationReply, Rejection> {
         match operation {
-            Operation::GetJob(key) => record
+            Operation::GetJob(key) => state_machine
                 .job(&key)
                 .map(|job| OperationReply::Job(Box::new(job)))
                 .ok_or_else(|| not_found(format!("job {key} is not known"))),
-            Operation::ListJobs(filter) => Ok(list_jobs(record, &filter)),
-            Operation::Explain(key) => self.explain(record, &key, now),
-            Operation::GetJobState(key) => record
+            Operation::ListJobs(filter) => Ok(list_jobs(state_machine, &filter)),
+            Operation::Explain(key) => self.explain(state_machine, &key, now),
+            Operation::GetJobState(key) => state_machine
                 .job_state(&key)
                 .map(OperationReply::JobState)
                 .ok_or_else(|| not_found(format!("job {key} is not known"))),
-            Operation::CountJobs(queue) => {
-                Ok(OperationReply::Count(record.unfinished_of_queue(&queue)))
-            }
+            Operation::CountJobs(queue) => Ok(OperationReply::Count(
+                state_machine.unfinished_of_queue(&queue),
+            )),
             Operation::GetConfiguration | Operation::GetNewestConfiguration => {
-                let (version, document) = record.configuration();
+                let (version, document) = state_machine.configuration();
                 let document = document.clone();
                 Ok(OperationReply::Configuration { version, document })
             }
             Operation::ConfirmUpdate { version, update } => {
-                confirm_update(record, version, &update)
+                confirm_update(state_machine, version, &update)
+            }
+            Operation::ListRunners => Ok(OperationReply::Runners(self.scheduler.runners(now))),
+            Operation::ListQueues => Ok(OperationReply::Queues(self.list_queues(state_machine))),
+            Operation::ListTenants => Ok(OperationReply::Tenants(self.list_tenants(state_machine))),
+            Operation::ListLicences => {
+                Ok(OperationReply::Licences(self.list_licences(state_machine)))
             }
-            Operation::ListRunners => Ok(OperationReply::Runners(self.dispatcher.runners(now))),
-            Operation::ListQueues => Ok(OperationReply::Queues(self.list_queues(record))),
-            Operation::ListTenants => Ok(OperationReply::Tenants(self.list_tenants(record))),
-            Operation::ListLicences => Ok(OperationReply::Licences(self.list_licences(record))),
             Operation::Decisions { after, limit } => {
                 let entries = self.decisions.after(after, limit as usize);
                 Ok(OperationReply::Decisions(entries))
@@ -72,8 +74,14 @@
     }
 
     /// A line for each task that may start, and each that runs.
-    fn explain(&self, record: &Record, key: &JobKey, now: Now) -> Result<OperationReply, Refusal> {
-        let (Some(number), Some(job)) = (record.job_number(key), record.job(key)) else {
+    fn explain(
+        &self,
+        state_machine: &StateMachine,
+        key: &JobKey,
+        now: Now,
+    ) -> Result<OperationReply, Rejection> {
+        let (Some(number), Some(job)) = (state_machine.job_number(key), state_machine.job(key))
+        else {
             return Err(not_found(format!("job {key} is not known")));
         };
         let mut lines = Vec::new();
@@ -85,9 +93,9 @@
                     .to_owned(),
             );
         }
-        for standing in record.task_states(key).unwrap_or_default() {
-            let task = standing.task;
-            let reason = match standing.state {
+        for status in state_machine.task_states(key).unwrap_or_default() {
+            let task = status.task;
+            let reason = match status.state {
                 TaskState::Blocked => NotPlacedReason::WaitingForStep.to_string(),
                 TaskState::Ready => self.waits_because(task, now),
                 _ => continue,
@@ -106,15 +114,16 @@
     }
 
     fn waits_because(&self, task: TaskRef, now: Now) -> String {
-        match self.dispatcher.explain(task, now) {
+        match self.scheduler.explain(task, now) {
             Some(reason) => reason.to_string(),
             None => "it is about to be placed".to_owned(),
         }
     }
 
-    fn list_queues(&self, record: &Record) -> Vec<QueueView> {
-        let counts: BTreeMap<QueueName, Counts> = self.count(record, |_, queue| queue.clone());
-        let document = record.configuration().1;
+    fn list_queues(&self, state_machine: &StateMachine) -> Vec<QueueView> {
+        let counts: BTreeMap<QueueName, Counts> =
+            self.count(state_machine, |_, queue| queue.clone());
+        let document = state_machine.configuration().1;
         document
             .queues
             .iter()
@@ -124,7 +133,7 @@
                     queue: name.clone(),
                     pool: settings.pool.clone(),
                     mode: settings.mode,
-                    unfinished_jobs: record.unfinished_of_queue(name),
+                    unfinished_jobs: state_machine.unfinished_of_queue(name),
                     ready_tasks: counts.ready,
                     open_runs: counts.open,
                 }
@@ -132,21 +141,22 @@
             .collect()
     }
 
-    fn list_licences(&self, record: &Record) -> Vec<LicenceView> {
-        let licences = record.configuration().1.licences.iter();
+    fn list_licences(&self, state_machine: &StateMachine) -> Vec<LicenceView> {
+        let licences = state_machine.configuration().1.licences.iter();
         licences
             .map(|(licence, settings)| LicenceView {
                 licence: licence.clone(),
                 seats: settings.seats,
-                taken: record.seats_taken(licence),
-                waiting: self.dispatcher.seats_of(licence).1 as u64,
+                used: state_machine.seats_used(licence),
+                waiting: self.scheduler.seats_of(licence).1 as u64,
             })
             .collect()
     }
 
-    fn list_tenants(&self, record: &Record) -> Vec<TenantView> {
-        let counts: BTreeMap<TenantId, Counts> = self.count(record, |tenant, _| tenant.clone());
-        let document = record.configuration().1;
+    fn list_tenants(&self, state_machine: &StateMachine) -> Vec<TenantView> {
+        let counts: BTreeMap<TenantId, Counts> =
+            self.count(state_machine, |tenant, _| tenant.clone());
+        let document = state_machine.configuration().1;
         document
             .tenants
             .iter()
@@ -155,10 +165,10 @@
                 let spent = self.budgets.spent(name);
                 TenantView {
                     tenant: name.clone(),
-                    unfinished_jobs: record.unfinished_of_tenant(name),
+                    unfinished_jobs: state_machine.unfinished_of_tenant(name),
                     ready_tasks: counts.ready,
-                    holds: record.tenant_holdings(name),
-                    ceiling: settings.ceiling,
+                    usage: state_machine.tenant_usage(name),
+                    resource_limit: settings.resource_limit,
                     ended_jobs: spent.ended,
                     late_jobs: spent.late,
                     failed_jobs: spent.failed,
@@ -172,11 +182,11 @@
     /// open runs: for operators' questions only.
     fn count<K: Ord>(
         &self,
-        record: &Record,
+        state_machine: &StateMachine,
         key: impl Fn(&TenantId, &QueueName) -> K,
     ) -> BTreeMap<K, Counts> {
         let mut counts: BTreeMap<K, Counts> = BTreeMap::new();
-        for meta in record.ready_tasks(None, usize::MAX) {
+        for meta in state_machine.ready_tasks(None, usize::MAX) {
             let entry = counts.entry(key(&meta.tenant, &meta.queue)).or_default();
             entry.ready += 1;
         }
@@ -190,24 +200,24 @@
 }
 
 fn confirm_update(
-    record: &Record,
+    state_machine: &StateMachine,
     version: ConfigurationVersion,
     update: &ConfigurationUpdate,
-) -> Result<OperationReply, Refusal> {
-    if record.has_taken(version, update) {
+) -> Result<OperationReply, Rejection> {
+    if state_machine.has_applied(version, update) {
         let known = true;
         return Ok(OperationReply::Configured { version, known });
     }
-    let (current, _) = record.configuration();
-    Err(refusal_of(RecordRefusal::VersionConflict {
+    let (current, _) = state_machine.configuration();
+    Err(rejection_of(CommandRejection::VersionConflict {
         wanted: version,
         current,
     }))
 }
 
-fn list_jobs(record: &Record, filter: &JobFilter) -> OperationReply {
+fn list_jobs(state_machine: &StateMachine, filter: &JobFilter) -> OperationReply {
     let limit = (filter.limit as usize).clamp(1, MAX_PAGE);
-    let page = record.jobs(filter.tenant.as_ref(), filter.state, filter.after, limit);
+    let page = state_machine.jobs(filter.tenant.as_ref(), filter.state, filter.after, limit);
     let full = page.len() == limit;
     let next = page.last().map(|(number, _)| *number).filter(|_| full);
     let jobs = page.into_iter().map(|(_, job)| job).collect();
@@ -221,12 +231,12 @@
             return Vec::new();
         };
         let status = replica.node.status(now.monotonic);
-        let applied = replica.record.configuration().0;
+        let applied = replica.state_machine.configuration().0;
         let version = |node: NodeId| match node {
             _ if node == self.own.node => Some(applied),
             _ => leader.member_versions.get(&node).copied(),
         };
-        let standing = |node: NodeId| match node {
+        let role_name = |node: NodeId| match node {
             _ if node == self.own.node => "leader",
             _ if status.membership.voters.contains_key(&node) => "voter",
             _ => "learner",
@@ -234,20 +244,22 @@
         let links = |node: NodeId| match node {
             _ if node == self.own.node => Some(status.links),
             _ => {
-                let mut told = status.told.iter();
-                told.find(|(teller, _)| *teller == node)
+                let mut reports = status.peer_reports.iter();
+                reports
+                    .find(|(reporter, _)| *reporter == node)
                     .map(|(_, links)| *links)
             }
         };
-        let silences: BTreeMap<NodeId, Milliseconds> = status.silence.iter().copied().collect();
+        let last_contacts: BTreeMap<NodeId, Milliseconds> =
+            status.since_last_contact.iter().copied().collect();
         let voters = status.membership.voters.iter();
         let mut views: Vec<MemberView> = voters
             .chain(status.membership.learners.iter())
             .filter_map(|(node, socket)| {
                 Some(MemberView {
                     address: self.member_address(*node, *socket)?,
-                    standing: standing(*node).to_owned(),
-                    silence: silences.get(node).copied().unwrap_or_default(),
+                    status: role_name(*node).to_owned(),
+                    since_last_contact: last_contacts.get(node).copied().unwrap_or_default(),
                     configuration: version(*node),
                     links: links(*node),
                 })
@@ -255,8 +267,8 @@
             .collect();
         views.extend(leader.sessions.iter().map(|session| MemberView {
             address: session.sender.address.clone(),
-            standing: "session".to_owned(),
-            silence: now.monotonic.since(session.heard),
+            status: "session".to_owned(),
+            since_last_contact: now.monotonic.since(session.last_seen),
             configuration: Some(session.configuration),
             links: None,
         }));
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -10,12 +10,12 @@
 use crate::{Coordinator, Mutation, core::Sender};
 use consensus::message::Outgoing;
 use consensus::{Membership, Message, Node, Payload, Ready, Recovered, Snapshot, SnapshotMeta};
-use peer::PeerMessage;
 use rand::Rng;
-use record::{Applied, Command, Record};
+use state_machine::{Applied, Command, StateMachine};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use storage::Batch;
+use transport::PeerMessage;
 use types::{ClusterId, LogIndex, Monotonic, NodeId, Now, Term};
 
 /// A write under way.
@@ -41,7 +41,7 @@
 pub(crate) struct Replica {
     pub(crate) cluster: ClusterId,
     pub(crate) node: Node,
-    pub(crate) record: Record,
+    pub(crate) state_machine: StateMachine,
     applied: SnapshotMeta,
     schedule: SnapshotSchedule,
     snapshot_under_way: bool,
@@ -58,20 +58,20 @@
         recovered: Recovered,
         node: impl FnOnce(Membership, Recovered) -> Node,
     ) -> Result<Self, String> {
-        let (record, applied) = match &recovered.snapshot {
+        let (state_machine, applied) = match &recovered.snapshot {
             Some(snapshot) => (restore(snapshot)?, snapshot.meta.clone()),
             None => {
                 let applied = SnapshotMeta {
                     membership: initial.clone(),
                     ..SnapshotMeta::default()
                 };
-                (Record::new(), applied)
+                (StateMachine::new(), applied)
             }
         };
         Ok(Self {
             cluster,
             node: node(initial, recovered),
-            record,
+            state_machine,
             applied,
             schedule,
             snapshot_under_way: false,
@@ -156,9 +156,9 @@
     /// Applies what a batch of the node committed.
     fn apply(&mut self, ready: Ready) -> Result<Vec<AppliedEntry>, String> {
         if let Some(snapshot) = &ready.snapshot {
-            let mutation = self.record.mutation();
-            self.record = restore(snapshot)?;
-            self.record.set_mutation(mutation);
+            let mutation = self.state_machine.mutation();
+            self.state_machine = restore(snapshot)?;
+            self.state_machine.set_mutation(mutation);
             self.applied = snapshot.meta.clone();
             self.schedule.restart(snapshot.data.len());
         }
@@ -179,7 +179,7 @@
                     results.push(AppliedEntry {
                         index: entry.index,
                         term: entry.term,
-                        applied: self.record.apply(&command),
+                        applied: self.state_machine.apply(&command),
                     });
                 }
             }
@@ -199,7 +199,7 @@
         if self.snapshot_under_way || !membership_known {
             return Ok(());
         }
-        match self.schedule.due(self.node.leads(), self.turn()) {
+        match self.schedule.due(self.node.is_leader(), self.turn()) {
             SnapshotDue::No => return Ok(()),
             SnapshotDue::AfterHandingOver => {
                 if self.node.transfer_leadership(now).is_some() {
@@ -208,8 +208,11 @@
             }
             SnapshotDue::Yes => {}
         }
-        let data = self.record.snapshot().map_err(|error| error.to_string())?;
-        tracing::info!(index = %self.applied.index, bytes = data.len(), "took a snapshot");
+        let data = self
+            .state_machine
+            .snapshot()
+            .map_err(|error| error.to_string())?;
+        tracing::info!(index = %self.applied.index, bytes = data.len(), "snapshot taken");
         self.schedule.restart(data.len());
         let snapshot = Snapshot {
             meta: self.applied.clone(),
@@ -237,8 +240,8 @@
     }
 }
 
-fn restore(snapshot: &Snapshot) -> Result<Record, String> {
-    Record::restore(&snapshot.data)
+fn restore(snapshot: &Snapshot) -> Result<StateMachine, String> {
+    StateMachine::restore(&snapshot.data)
         .map_err(|error| format!("snapshot at {}: {error}", snapshot.meta.index))
 }
 
@@ -263,8 +266,8 @@
         );
         match replica {
             Ok(mut replica) => {
-                if let Some(Mutation::Record(mutation)) = self.options.mutation {
-                    replica.record.set_mutation(Some(mutation));
+                if let Some(Mutation::StateMachine(mutation)) = self.options.mutation {
+                    replica.state_machine.set_mutation(Some(mutation));
                 }
                 self.replica = Some(replica);
             }
@@ -336,8 +339,8 @@
         }
         let membership = replica.node.status(now.monotonic).membership;
         for outgoing in messages {
-            let heard = || self.directory.address(outgoing.to).map(|a| a.socket);
-            let Some(to) = membership.socket(outgoing.to).or_else(heard) else {
+            let last_known = || self.directory.address(outgoing.to).map(|a| a.socket);
+            let Some(to) = membership.socket(outgoing.to).or_else(last_known) else {
                 continue;
             };
             effects.push(Effect::Send {
--- a/crates/coordinator/src/requests.rs
+++ b/crates/coordinator/src/requests.rs
@@ -4,12 +4,12 @@
 use crate::core::{Effect, Sender};
 use crate::leader::{Leader, Waiting};
 use crate::waiting::WaitingRequest;
-use configuration::{ClusterConfiguration, ConfigurationProblem, ConfigurationUpdate, validate};
-use peer::{
-    Envelope, MemberView, Operation, OperationReply, PeerMessage, Refusal, RefusalCode, Request,
-    RequestId,
+use configuration::{ClusterConfiguration, ConfigurationError, ConfigurationUpdate, validate};
+use state_machine::{ClosedRun, Command, CommandRejection, CommandReply, StateMachine};
+use transport::{
+    Envelope, MemberView, Operation, OperationReply, PeerMessage, Rejection, RejectionCode,
+    Request, RequestId,
 };
-use record::{ClosedRun, Command, CommandReply, Record, RecordRefusal};
 use types::{
     ConfigurationVersion, JobKey, JobSpec, Milliseconds, Now, RunClose, RunnerId, TenantId,
 };
@@ -41,14 +41,14 @@
         let (Some(leader), Some(replica)) = (&mut self.leader, &self.replica) else {
             return;
         };
-        leader.request(&replica.record, sender, request, members, now);
+        leader.request(&replica.state_machine, sender, request, members, now);
     }
 }
 
 impl Coordinator {
-    /// Refuses a request that waited too long for this process. Any other
+    /// Rejects a request that waited too long for this process. Any other
     /// message is taken as it is.
-    pub(crate) fn refuse_overdue(
+    pub(crate) fn reject_overdue(
         &mut self,
         now: Now,
         envelope: Envelope,
@@ -66,25 +66,25 @@
             return self.point_to_leader(now, &sender, effects);
         }
         if let Some(leader) = &mut self.leader {
-            leader.refuse_overdue(&sender, id);
+            leader.reject_overdue(&sender, id);
         }
     }
 }
 
 impl Leader {
     /// One whose earlier sending waits for the log will have its answer.
-    fn refuse_overdue(&mut self, sender: &Sender, id: RequestId) {
+    fn reject_overdue(&mut self, sender: &Sender, id: RequestId) {
         if self.requests.waits(sender, id) {
             return;
         }
         metrics::counter!("cypressdrum_requests_overdue_total").increment(1);
-        let refusal = refusal_overloaded("the leader is behind");
-        self.reply(sender, id, Err(refusal));
+        let rejection = rejection_overloaded("the leader is behind");
+        self.reply(sender, id, Err(rejection));
     }
 
     fn request(
         &mut self,
-        record: &Record,
+        state_machine: &StateMachine,
         sender: &Sender,
         request: Request,
         members: Vec<MemberView>,
@@ -102,7 +102,7 @@
         let at = now.wall;
         let answer = match request.operation {
             Operation::ListMembers => Some(Ok(OperationReply::Members(members))),
-            Operation::Submit(spec) => self.submit(record, spec, waiting, now),
+            Operation::Submit(spec) => self.submit(state_machine, spec, waiting, now),
             Operation::Cancel(selector) => {
                 self.propose_request(Command::Cancel { selector, at }, waiting)
             }
@@ -116,7 +116,7 @@
                 self.drain_runner(runner, draining, waiting, now)
             }
             Operation::DeclareRunnerLost { runner } => self.declare_lost(&runner, waiting, now),
-            read => Some(self.read(record, read, now)),
+            read => Some(self.read(state_machine, read, now)),
         };
         if let Some(result) = answer {
             self.reply(sender, request.id, result);
@@ -127,7 +127,7 @@
     fn propose_request(&mut self, command: Command, waiting: WaitingRequest) -> Answer {
         if self.requests.len() >= self.options.max_waiting_requests {
             metrics::counter!("cypressdrum_requests_refused_total").increment(1);
-            return Some(Err(refusal_overloaded(
+            return Some(Err(rejection_overloaded(
                 "too many requests wait for the log",
             )));
         }
@@ -140,7 +140,7 @@
     /// cost to the tenant's rate: it is on a majority of disks already.
     fn submit(
         &mut self,
-        record: &Record,
+        state_machine: &StateMachine,
         spec: JobSpec,
         waiting: WaitingRequest,
         now: Now,
@@ -149,15 +149,15 @@
             tenant: spec.tenant.clone(),
             job: spec.job.clone(),
         };
-        if let Some(number) = record.job_number(&key)
-            && record.job_spec(&key) == Some(&spec)
+        if let Some(number) = state_machine.job_number(&key)
+            && state_machine.job_spec(&key) == Some(&spec)
         {
             let known = true;
             return Some(Ok(OperationReply::Submitted { number, known }));
         }
-        if let Err(refusal) = self.admit_submit(record, &spec.tenant, now) {
+        if let Err(rejection) = self.admit_submit(state_machine, &spec.tenant, now) {
             metrics::counter!("cypressdrum_requests_refused_total").increment(1);
-            return Some(Err(refusal));
+            return Some(Err(rejection));
         }
         let at = now.wall;
         self.propose_request(Command::Submit { spec, at }, waiting)
@@ -165,18 +165,18 @@
 
     fn admit_submit(
         &mut self,
-        record: &Record,
+        state_machine: &StateMachine,
         tenant: &TenantId,
         now: Now,
-    ) -> Result<(), Refusal> {
-        let Some(settings) = record.configuration().1.tenants.get(tenant) else {
+    ) -> Result<(), Rejection> {
+        let Some(settings) = state_machine.configuration().1.tenants.get(tenant) else {
             let tenant = tenant.clone();
-            return Err(refusal_of(RecordRefusal::UnknownTenant { tenant }));
+            return Err(rejection_of(CommandRejection::UnknownTenant { tenant }));
         };
         self.admission
             .admit(tenant, settings, now.monotonic)
-            .map_err(|retry_after| Refusal {
-                code: RefusalCode::Overloaded,
+            .map_err(|retry_after| Rejection {
+                code: RejectionCode::Overloaded,
                 message: format!("tenant {tenant} submits faster than its contract allows"),
                 retry_after: Some(retry_after),
                 problems: Vec::new(),
@@ -190,8 +190,8 @@
         waiting: WaitingRequest,
         now: Now,
     ) -> Answer {
-        if let Some(refusal) = refusal_for(validate(&document)) {
-            return Some(Err(refusal));
+        if let Some(rejection) = rejection_for(validate(&document)) {
+            return Some(Err(rejection));
         }
         let at = now.wall;
         let command = Command::PutConfiguration {
@@ -209,8 +209,8 @@
         waiting: WaitingRequest,
         now: Now,
     ) -> Answer {
-        if let Some(refusal) = refusal_for(update.problems()) {
-            return Some(Err(refusal));
+        if let Some(rejection) = rejection_for(update.problems()) {
+            return Some(Err(rejection));
         }
         let at = now.wall;
         let command = Command::UpdateConfiguration {
@@ -263,13 +263,13 @@
 }
 
 /// An answer at once, or none when it comes from the log.
-type Answer = Option<Result<OperationReply, Refusal>>;
+type Answer = Option<Result<OperationReply, Rejection>>;
 
 /// The answer to a request from the record's answer to its command.
 pub(crate) fn reply_of(
     reply: CommandReply,
     declares_lost: bool,
-) -> Result<OperationReply, Refusal> {
+) -> Result<OperationReply, Rejection> {
     match reply {
         CommandReply::Submitted { number, known } => {
             Ok(OperationReply::Submitted { number, known })
@@ -290,33 +290,35 @@
         CommandReply::Closed { .. } | CommandReply::Reserved { .. } | CommandReply::Accepted => {
             Ok(OperationReply::Accepted)
         }
-        CommandReply::Refused(refusal) => Err(refusal_of(refusal)),
+        CommandReply::Rejected(rejection) => Err(rejection_of(rejection)),
     }
 }
 
-/// The refusal of a configuration with problems, if it has any.
-fn refusal_for(problems: Vec<ConfigurationProblem>) -> Option<Refusal> {
+/// The rejection of a configuration with problems, if it has any.
+fn rejection_for(problems: Vec<ConfigurationError>) -> Option<Rejection> {
     let has_problems = !problems.is_empty();
-    has_problems.then(|| refusal_of(RecordRefusal::InvalidConfiguration { problems }))
+    has_problems.then(|| rejection_of(CommandRejection::InvalidConfiguration { problems }))
 }
 
-/// A record's refusal in the words of the outer interface.
-pub(crate) fn refusal_of(refusal: RecordRefusal) -> Refusal {
-    let message = refusal.to_string();
-    let (code, retry_after, problems) = match refusal {
-        RecordRefusal::OtherContent { .. } | RecordRefusal::VersionConflict { .. } => {
-            (RefusalCode::Conflict, None, Vec::new())
+/// A record's rejection in the words of the outer interface.
+pub(crate) fn rejection_of(rejection: CommandRejection) -> Rejection {
+    let message = rejection.to_string();
+    let (code, retry_after, problems) = match rejection {
+        CommandRejection::OtherContent { .. } | CommandRejection::VersionConflict { .. } => {
+            (RejectionCode::Conflict, None, Vec::new())
         }
-        RecordRefusal::Full { retry_after, .. } => {
-            (RefusalCode::Overloaded, Some(retry_after), Vec::new())
+        CommandRejection::Full { retry_after, .. } => {
+            (RejectionCode::Overloaded, Some(retry_after), Vec::new())
         }
-        RecordRefusal::InvalidConfiguration { problems } => (RefusalCode::Invalid, None, problems),
-        RecordRefusal::InvalidJob { .. }
-        | RecordRefusal::UnknownTenant { .. }
-        | RecordRefusal::UnknownQueue { .. }
-        | RecordRefusal::QueueDraining { .. } => (RefusalCode::Invalid, None, Vec::new()),
+        CommandRejection::InvalidConfiguration { problems } => {
+            (RejectionCode::Invalid, None, problems)
+        }
+        CommandRejection::InvalidJob { .. }
+        | CommandRejection::UnknownTenant { .. }
+        | CommandRejection::UnknownQueue { .. }
+        | CommandRejection::QueueDraining { .. } => (RejectionCode::Invalid, None, Vec::new()),
     };
-    Refusal {
+    Rejection {
         code,
         message,
         retry_after,
@@ -324,20 +326,20 @@
     }
 }
 
-/// The refusal of a leader that has too much to do.
-fn refusal_overloaded(message: &str) -> Refusal {
-    Refusal {
-        code: RefusalCode::Overloaded,
+/// The rejection of a leader that has too much to do.
+fn rejection_overloaded(message: &str) -> Rejection {
+    Rejection {
+        code: RejectionCode::Overloaded,
         message: message.to_owned(),
         retry_after: Some(RETRY_OVERLOADED),
         problems: Vec::new(),
     }
 }
 
-/// The refusal of a process that may not act as the leader now.
-pub(crate) fn refusal_unavailable() -> Refusal {
-    Refusal {
-        code: RefusalCode::Unavailable,
+/// The rejection of a process that may not act as the leader now.
+pub(crate) fn rejection_unavailable() -> Rejection {
+    Rejection {
+        code: RejectionCode::Unavailable,
         message: "no leader holds its lease".to_owned(),
         retry_after: Some(RETRY_UNAVAILABLE),
         problems: Vec::new(),
@@ -345,20 +347,20 @@
 }
 
 /// The answer to a request whose entry may or may not be taken by the next
-/// leader: to be sent again, never to be taken for a refusal.
-pub(crate) fn refusal_uncertain() -> Refusal {
-    Refusal {
-        code: RefusalCode::TimedOut,
+/// leader: to be sent again, never to be taken for a rejection.
+pub(crate) fn rejection_uncertain() -> Rejection {
+    Rejection {
+        code: RejectionCode::TimedOut,
         message: "the lease was lost before the answer: it may or may not be taken".to_owned(),
         retry_after: Some(RETRY_UNAVAILABLE),
         problems: Vec::new(),
     }
 }
 
-/// The refusal for a name that names nothing.
-pub(crate) fn not_found(message: String) -> Refusal {
-    Refusal {
-        code: RefusalCode::NotFound,
+/// The rejection for a name that names nothing.
+pub(crate) fn not_found(message: String) -> Rejection {
+    Rejection {
+        code: RejectionCode::NotFound,
         message,
         retry_after: None,
         problems: Vec::new(),
--- a/crates/coordinator/src/runners.rs
+++ b/crates/coordinator/src/runners.rs
@@ -1,15 +1,15 @@
-//! Heartbeats of runners: what each life of a runner holds and has ended.
+//! Heartbeats of runners: what each incarnation of a runner holds and has ended.
 
 use crate::Coordinator;
 use crate::core::Sender;
 use crate::leader::Leader;
-use crate::runs::{Pace, Phase};
-use peer::{AgentReport, NamedRun, OrderResult, PeerMessage, RunnerUpdate};
-use record::{ClosedRun, Record};
+use crate::runs::{Phase, ProgressHistory};
+use state_machine::{ClosedRun, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
+use transport::{AgentReport, NamedRun, OrderResult, PeerMessage, RunnerUpdate};
 use types::{
-    EndedRun, HeartbeatSequence, HeldRun, Milliseconds, Monotonic, Now, RunClose, RunId, RunnerId,
-    RunnerIncarnation, RunnerReport, UnnamedRun,
+    ActiveRun, EndedRun, HeartbeatSequence, Milliseconds, Monotonic, Now, RunClose, RunId,
+    RunnerId, RunnerIncarnation, RunnerReport, UnnamedRun,
 };
 
 /// A run this far past its time limit is stopped by the leader; its runner
@@ -22,17 +22,17 @@
     /// The agent its newest heartbeat came by.
     pub(crate) agent: Sender,
     pub(crate) incarnation: RunnerIncarnation,
-    /// Newest heartbeat of that life.
+    /// Newest heartbeat of that incarnation.
     pub(crate) sequence: HeartbeatSequence,
     /// When that arrived here.
-    pub(crate) heard: Monotonic,
+    pub(crate) last_seen: Monotonic,
     pub(crate) self_stop: bool,
     reports_draining: bool,
     ordered_draining: bool,
 }
 
 impl RunnerState {
-    /// True when it, or an operator, says that it drains.
+    /// Returns whether it, or an operator, says that it drains.
     pub(crate) fn is_draining(&self) -> bool {
         self.reports_draining || self.ordered_draining
     }
@@ -41,7 +41,7 @@
 /// What a heartbeat is, beside those before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Freshness {
-    /// Of an earlier life, or overtaken by a later one.
+    /// Of an earlier incarnation, or overtaken by a later one.
     Old,
     /// The newest known, once more.
     Repeated,
@@ -71,9 +71,9 @@
     }
 
     /// For so long nothing could be heard: silence does not count it.
-    pub(crate) fn stand_still(&mut self, lapse: Milliseconds, now: Monotonic) {
+    pub(crate) fn shift_last_seen(&mut self, lapse: Milliseconds, now: Monotonic) {
         for state in self.runners.values_mut() {
-            state.heard = (state.heard + lapse).min(now);
+            state.last_seen = (state.last_seen + lapse).min(now);
         }
     }
 
@@ -89,7 +89,7 @@
         }
     }
 
-    fn heard(
+    fn record_heartbeat(
         &mut self,
         agent: &Sender,
         report: &RunnerReport,
@@ -100,7 +100,7 @@
             agent: agent.clone(),
             incarnation: report.incarnation,
             sequence: report.sequence,
-            heard: now,
+            last_seen: now,
             self_stop: report.self_stop,
             reports_draining: report.draining,
             ordered_draining,
@@ -127,9 +127,9 @@
         {
             return;
         }
-        leader.sessions.heard(sender, now.monotonic);
+        leader.sessions.record_contact(sender, now.monotonic);
         for report in &report.reports {
-            leader.heartbeat(&replica.record, sender, report, now);
+            leader.heartbeat(&replica.state_machine, sender, report, now);
         }
     }
 
@@ -146,31 +146,37 @@
         let (Some(leader), Some(replica)) = (&mut self.leader, &self.replica) else {
             return;
         };
-        leader.sessions.heard(sender, now.monotonic);
+        leader.sessions.record_contact(sender, now.monotonic);
         for result in &results {
-            leader.order_answered(&replica.record, result, now);
+            leader.order_answered(&replica.state_machine, result, now);
         }
     }
 }
 
 impl Leader {
-    fn heartbeat(&mut self, record: &Record, agent: &Sender, report: &RunnerReport, now: Now) {
+    fn heartbeat(
+        &mut self,
+        state_machine: &StateMachine,
+        agent: &Sender,
+        report: &RunnerReport,
+        now: Now,
+    ) {
         if report.unnamed.is_empty() {
-            return self.named_heartbeat(record, agent, report, now);
+            return self.named_heartbeat(state_machine, agent, report, now);
         }
         let mut named = report.clone();
         for unnamed in &report.unnamed {
-            if let Some(run) = record.find_open_run(&unnamed.name) {
+            if let Some(run) = state_machine.find_open_run(&unnamed.name) {
                 give_name(&mut named, run, unnamed);
             }
         }
-        self.named_heartbeat(record, agent, &named, now);
+        self.named_heartbeat(state_machine, agent, &named, now);
     }
 
     /// Takes a heartbeat that names every open run of the runner.
     fn named_heartbeat(
         &mut self,
-        record: &Record,
+        state_machine: &StateMachine,
         agent: &Sender,
         report: &RunnerReport,
         now: Now,
@@ -182,30 +188,31 @@
             Freshness::New => {
                 let draining = match self.runners.get(&report.runner) {
                     Some(known) => known.ordered_draining,
-                    None => record.draining_runners().contains(&report.runner),
+                    None => state_machine.draining_runners().contains(&report.runner),
                 };
                 if self.runners.get(&report.runner).is_none() {
                     self.end_earlier_lives(report);
                 }
-                self.runners.heard(agent, report, draining, now.monotonic);
-                self.dispatcher.heartbeat(report, now);
+                self.runners
+                    .record_heartbeat(agent, report, draining, now.monotonic);
+                self.scheduler.heartbeat(report, now);
                 self.placement_due = true;
-                self.compare_runs(record, report, now);
+                self.compare_runs(state_machine, report, now);
             }
         }
-        self.confirm(record, agent, report);
+        self.confirm(state_machine, agent, report);
     }
 
     /// A runner heard for the first time stands where another one did: that
-    /// one's life is over, and its runs with it.
+    /// one's incarnation is over, and its runs with it.
     fn end_earlier_lives(&mut self, report: &RunnerReport) {
-        let Some(place) = &report.place else {
+        let Some(place) = &report.endpoint else {
             return;
         };
         let over: Vec<RunId> = self
             .runs
             .iter()
-            .filter(|run| run.run.place.as_ref() == Some(place))
+            .filter(|run| run.run.endpoint.as_ref() == Some(place))
             .filter(|run| run.run.runner != report.runner)
             .map(|run| run.run.run)
             .collect();
@@ -215,15 +222,18 @@
     }
 
     /// Compares the runs bound to the runner with what it holds and has ended.
-    fn compare_runs(&mut self, record: &Record, report: &RunnerReport, now: Now) {
+    fn compare_runs(&mut self, state_machine: &StateMachine, report: &RunnerReport, now: Now) {
         let ended: BTreeMap<RunId, &EndedRun> = report
             .ended
             .iter()
             .map(|ended| (ended.run, ended))
             .collect();
-        let held: BTreeMap<RunId, &HeldRun> =
-            report.held.iter().map(|held| (held.run, held)).collect();
-        self.take_late_ends(record, report);
+        let active: BTreeMap<RunId, &ActiveRun> = report
+            .active
+            .iter()
+            .map(|active| (active.run, active))
+            .collect();
+        self.take_late_ends(state_machine, report);
         for run in self.runs.of_runner(&report.runner) {
             let Some(tracked) = self.runs.get(run) else {
                 continue;
@@ -233,12 +243,12 @@
                 self.keep_checkpoint(run, ended.checkpoint.as_ref());
                 self.close(run, RunClose::Ended(ended.outcome.clone()));
             } else if bound_to < report.incarnation {
-                // It died with that life.
+                // It died with that incarnation.
                 self.close(run, RunClose::Lost);
-            } else if let Some(held) = held.get(&run) {
-                self.run_held(run, held, now.monotonic);
+            } else if let Some(active) = active.get(&run) {
+                self.run_active(run, active, now.monotonic);
             } else if bound_to == report.incarnation {
-                self.run_absent(record, run, now);
+                self.run_absent(state_machine, run, now);
             }
         }
     }
@@ -246,11 +256,11 @@
     /// Passes late ends of runs that were given up on to the record. One that
     /// is still under way when the next heartbeat comes is passed on again,
     /// which changes nothing.
-    fn take_late_ends(&mut self, record: &Record, report: &RunnerReport) {
+    fn take_late_ends(&mut self, state_machine: &StateMachine, report: &RunnerReport) {
         let late = report
             .ended
             .iter()
-            .filter(|ended| record.awaits_late_end(ended.run));
+            .filter(|ended| state_machine.awaits_late_end(ended.run));
         self.closes.extend(late.map(|ended| ClosedRun {
             run: ended.run,
             close: RunClose::Ended(ended.outcome.clone()),
@@ -266,18 +276,20 @@
         }
     }
 
-    fn run_held(&mut self, run: RunId, held: &HeldRun, now: Monotonic) {
-        self.keep_checkpoint(run, held.checkpoint.as_ref());
+    fn run_active(&mut self, run: RunId, active: &ActiveRun, now: Monotonic) {
+        self.keep_checkpoint(run, active.checkpoint.as_ref());
         let Some(tracked) = self.runs.get_mut(run) else {
             return;
         };
-        tracked.phase = Phase::Held;
-        if let Some(progress) = held.progress {
-            let pace = tracked.pace.get_or_insert(Pace::new(progress, now));
-            pace.heard(progress, now);
+        tracked.phase = Phase::Active;
+        if let Some(progress) = active.progress {
+            let progress_history = tracked
+                .progress_history
+                .get_or_insert(ProgressHistory::new(progress, now));
+            progress_history.record(progress, now);
         }
         let limit = tracked.run.time_limit + TIME_LIMIT_GRACE;
-        if held.age > limit && !tracked.timed_out {
+        if active.age > limit && !tracked.timed_out {
             tracked.timed_out = true;
             self.runs.want_stop(run);
         }
@@ -285,14 +297,14 @@
 
     /// The runner neither holds the run nor has ended it. A start under way
     /// may still land, so that one waits for its answer; any other run cannot
-    /// be told from one that never began, and is voided.
-    fn run_absent(&mut self, record: &Record, run: RunId, now: Now) {
+    /// be told from one that never began, and is revoked.
+    fn run_absent(&mut self, state_machine: &StateMachine, run: RunId, now: Now) {
         let Some(tracked) = self.runs.get_mut(run) else {
             return;
         };
-        if tracked.phase == Phase::Held && !tracked.closing {
+        if tracked.phase == Phase::Active && !tracked.closing {
             tracked.phase = Phase::Uncertain;
-            self.send_void(record, run, now.monotonic);
+            self.send_revoke(state_machine, run, now.monotonic);
         }
     }
 
@@ -319,12 +331,12 @@
     }
 
     /// Answers a heartbeat: the run lease, ends the record has, runs to stop.
-    fn confirm(&mut self, record: &Record, agent: &Sender, report: &RunnerReport) {
-        let closed = |run: &RunId| record.open_run(*run).is_none();
-        let recorded = |run: &RunId| closed(run) && !record.awaits_late_end(*run);
+    fn confirm(&mut self, state_machine: &StateMachine, agent: &Sender, report: &RunnerReport) {
+        let closed = |run: &RunId| state_machine.open_run(*run).is_none();
+        let recorded = |run: &RunId| closed(run) && !state_machine.awaits_late_end(*run);
         let ended = report.ended.iter().map(|ended| ended.run);
-        let held = report.held.iter().map(|held| held.run);
-        let stop: BTreeSet<RunId> = held.filter(|run| closed(run)).collect();
+        let active = report.active.iter().map(|active| active.run);
+        let stop: BTreeSet<RunId> = active.filter(|run| closed(run)).collect();
         let update = RunnerUpdate {
             term: self.identity.term,
             runner: report.runner.clone(),
@@ -338,7 +350,7 @@
                 .iter()
                 .map(|unnamed| NamedRun {
                     name: unnamed.name.clone(),
-                    run: record.find_open_run(&unnamed.name),
+                    run: state_machine.find_open_run(&unnamed.name),
                 })
                 .collect(),
         };
@@ -354,7 +366,7 @@
             outcome: outcome.clone(),
             checkpoint: unnamed.checkpoint.clone(),
         }),
-        None => report.held.push(HeldRun {
+        None => report.active.push(ActiveRun {
             run,
             age: Milliseconds(0),
             progress: unnamed.progress,
--- a/crates/coordinator/src/runs.rs
+++ b/crates/coordinator/src/runs.rs
@@ -11,15 +11,15 @@
     Reserved,
     /// Its one start has left, and no answer has come.
     Ordered,
-    /// It may or may not have started: it is voided until that is known.
+    /// It may or may not have started: it is revoked until that is known.
     Uncertain,
     /// The runner has it, or an earlier leader says so; shown by heartbeats.
-    Held,
+    Active,
 }
 
 /// How a run moves on, by what its runner tells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Pace {
+pub(crate) struct ProgressHistory {
     /// How far it had come when it was first heard, in percent.
     first: u8,
     first_at: Monotonic,
@@ -29,7 +29,7 @@
     pub(crate) last_at: Monotonic,
 }
 
-impl Pace {
+impl ProgressHistory {
     /// A run heard for the first time.
     pub(crate) fn new(progress: u8, now: Monotonic) -> Self {
         Self {
@@ -41,7 +41,7 @@
     }
 
     /// Takes what was heard later.
-    pub(crate) fn heard(&mut self, progress: u8, now: Monotonic) {
+    pub(crate) fn record(&mut self, progress: u8, now: Monotonic) {
         if progress != self.last {
             self.last = progress;
             self.last_at = now;
@@ -76,7 +76,7 @@
     /// Its close is on the way through the log.
     pub(crate) closing: bool,
     /// How it moves on, where its runner tells.
-    pub(crate) pace: Option<Pace>,
+    pub(crate) progress_history: Option<ProgressHistory>,
     /// What it saved last.
     pub(crate) checkpoint: Option<String>,
 }
@@ -92,7 +92,7 @@
     /// Enters a run that an earlier leader reserved. Whether its start left is
     /// not known; the next heartbeat of its runner tells.
     pub(crate) fn adopt(&mut self, run: OpenRun, now: Monotonic) {
-        self.enter(run, Phase::Held, now);
+        self.enter(run, Phase::Active, now);
     }
 
     /// Enters a run that this leader reserved.
@@ -111,7 +111,7 @@
             stop: false,
             timed_out: false,
             closing: false,
-            pace: None,
+            progress_history: None,
             checkpoint: None,
             run,
         };
--- a/crates/coordinator/src/sessions.rs
+++ b/crates/coordinator/src/sessions.rs
@@ -3,27 +3,27 @@
 use crate::Coordinator;
 use crate::core::{Effect, Sender};
 use crate::leader::Leader;
-use peer::{Bootstrap, Hello, PeerMessage, SessionLease};
-use record::Record;
+use state_machine::StateMachine;
 use std::collections::BTreeMap;
 use std::ops::Bound;
+use transport::{Bootstrap, KeepAlive, PeerMessage, SessionLease};
 use types::{Address, ConfigurationVersion, Milliseconds, Monotonic, NodeId, Now, Role};
 
 /// Gateways and agents named in one lease. They serve as further seeds only.
 const MAX_OTHERS: usize = 16;
 
-/// A gateway or agent is told them once in this many hellos: naming them in each
+/// A gateway or agent is told them once in this many keep-alives: naming them in each
 /// lease was three quarters of its bytes.
 const HELLOS_PER_OTHERS: u64 = 16;
 
-/// A coordinator is told all sessions once in this many hellos.
-const HELLOS_PER_LIST: u64 = 5;
+/// A coordinator is told all sessions once in this many keep-alives.
+const KEEP_ALIVES_PER_LIST: u64 = 5;
 
-/// A process that said hello.
+/// A process that said keep-alive.
 #[derive(Debug, Clone)]
 pub(crate) struct Session {
     pub(crate) sender: Sender,
-    pub(crate) heard: Monotonic,
+    pub(crate) last_seen: Monotonic,
     pub(crate) configuration: ConfigurationVersion,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl Sessions {
-    fn hello(&mut self, sender: &Sender, configuration: ConfigurationVersion, now: Monotonic) {
+    fn keep_alive(&mut self, sender: &Sender, configuration: ConfigurationVersion, now: Monotonic) {
         let (node, socket) = (sender.address.node, sender.address.socket);
         if !self.sessions.contains_key(&node) {
             // A restarted process has another identity on the same socket.
@@ -43,25 +43,25 @@
         }
         let session = Session {
             sender: sender.clone(),
-            heard: now,
+            last_seen: now,
             configuration,
         };
         self.sessions.insert(node, session);
     }
 
-    /// Another message of the process than a hello: it is alive.
-    pub(crate) fn heard(&mut self, sender: &Sender, now: Monotonic) {
+    /// Another message of the process than a keep-alive: it is alive.
+    pub(crate) fn record_contact(&mut self, sender: &Sender, now: Monotonic) {
         if let Some(session) = self.sessions.get_mut(&sender.address.node) {
-            session.heard = now;
+            session.last_seen = now;
             session.sender = sender.clone();
         }
     }
 
-    /// True while the session lasts.
+    /// Returns whether the session lasts.
     pub(crate) fn is_fresh(&self, node: NodeId, now: Monotonic, lease: Milliseconds) -> bool {
         self.sessions
             .get(&node)
-            .is_some_and(|session| now.since(session.heard) <= lease)
+            .is_some_and(|session| now.since(session.last_seen) <= lease)
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -74,8 +74,8 @@
 
     /// Addresses of some gateways and agents: those that follow the asking one
     /// by identity, so that each process is named to a few others.
-    fn others(&self, asking: NodeId, hello: u64) -> Vec<Address> {
-        if hello % HELLOS_PER_OTHERS != 1 {
+    fn others(&self, asking: NodeId, keep_alive: u64) -> Vec<Address> {
+        if keep_alive % HELLOS_PER_OTHERS != 1 {
             return Vec::new();
         }
         let after = self
@@ -93,18 +93,18 @@
 }
 
 impl Coordinator {
-    /// Takes a hello: a lease from the leader, a hint from anyone else.
-    pub(crate) fn hello_received(
+    /// Takes a keep-alive: a lease from the leader, a hint from anyone else.
+    pub(crate) fn keep_alive_received(
         &mut self,
         now: Now,
         sender: &Sender,
-        hello: Hello,
+        keep_alive: KeepAlive,
         effects: &mut Vec<Effect>,
     ) {
         let Some(replica) = &self.replica else {
             return;
         };
-        if hello
+        if keep_alive
             .cluster
             .is_some_and(|cluster| cluster != replica.cluster)
         {
@@ -113,14 +113,20 @@
         if !self.is_serving(now) {
             return self.point_to_leader(now, sender, effects);
         }
-        if sender.address.role == Role::Coordinator && !self.admit(now, sender, &hello) {
+        if sender.address.role == Role::Coordinator && !self.admit(now, sender, &keep_alive) {
             return;
         }
         let coordinators = self.live_coordinators(now);
         let (Some(leader), Some(replica)) = (&mut self.leader, &self.replica) else {
             return;
         };
-        leader.hello(&replica.record, sender, &hello, coordinators, now);
+        leader.keep_alive(
+            &replica.state_machine,
+            sender,
+            &keep_alive,
+            coordinators,
+            now,
+        );
     }
 
     /// Tells who leads, as far as this process knows.
@@ -130,28 +136,28 @@
         effects.push(Effect::Send { to, message });
     }
 
-    /// Notes a coordinator that asks to be taken in, and what a member says it
+    /// Records a coordinator that asks to be taken in, and what a member says it
     /// has applied. False when a lease would
     /// mislead it: an empty process that is a voter by the first proposal must
     /// take that proposal, to know its voters.
-    fn admit(&mut self, now: Now, sender: &Sender, hello: &Hello) -> bool {
+    fn admit(&mut self, now: Now, sender: &Sender, keep_alive: &KeepAlive) -> bool {
         let (Some(leader), Some(replica)) = (&mut self.leader, &self.replica) else {
             return false;
         };
         let node = sender.address.node;
         let membership = replica.node.status(now.monotonic).membership;
         if membership.socket(node).is_none() {
-            if hello.cluster.is_some() {
-                leader.joiners.note(&sender.address, now.monotonic);
+            if keep_alive.cluster.is_some() {
+                leader.joiners.record(&sender.address, now.monotonic);
             }
             return true;
         }
-        if hello.cluster.is_some() {
+        if keep_alive.cluster.is_some() {
             let versions = &mut leader.member_versions;
-            versions.insert(node, hello.configuration);
+            versions.insert(node, keep_alive.configuration);
             versions.retain(|node, _| membership.socket(*node).is_some());
         }
-        if hello.cluster.is_some() || !membership.voters.contains_key(&node) {
+        if keep_alive.cluster.is_some() || !membership.voters.contains_key(&node) {
             return true;
         }
         let voters = match self.identification.attached() {
@@ -181,38 +187,40 @@
 }
 
 impl Leader {
-    fn hello(
+    fn keep_alive(
         &mut self,
-        record: &Record,
+        state_machine: &StateMachine,
         sender: &Sender,
-        hello: &Hello,
+        keep_alive: &KeepAlive,
         coordinators: Vec<Address>,
         now: Now,
     ) {
-        if hello.leaving {
+        if keep_alive.leaving {
             self.sessions.sessions.remove(&sender.address.node);
             return;
         }
         if sender.address.role != Role::Coordinator {
             self.sessions
-                .hello(sender, hello.configuration, now.monotonic);
+                .keep_alive(sender, keep_alive.configuration, now.monotonic);
         }
-        let (version, document) = record.configuration();
+        let (version, document) = state_machine.configuration();
         let lease = SessionLease {
             term: self.identity.term,
             leader: self.identity.own.clone(),
             cluster: self.identity.cluster,
-            sequence: hello.sequence,
+            sequence: keep_alive.sequence,
             lease: self.options.session_lease,
             configuration: version,
             coordinators,
             others: match sender.address.role {
-                Role::Coordinator => self.all_sessions(hello.sequence),
-                _ => self.sessions.others(sender.address.node, hello.sequence),
+                Role::Coordinator => self.all_sessions(keep_alive.sequence),
+                _ => self
+                    .sessions
+                    .others(sender.address.node, keep_alive.sequence),
             },
         };
         self.answer(sender, PeerMessage::Lease(lease));
-        if hello.configuration < version && sender.address.role != Role::Coordinator {
+        if keep_alive.configuration < version && sender.address.role != Role::Coordinator {
             let document = document.clone();
             self.answer(sender, PeerMessage::Configuration { version, document });
         }
@@ -220,8 +228,8 @@
 
     /// Every gateway and agent, told to coordinators now and then: one that is
     /// elected says so to all of them at once.
-    fn all_sessions(&self, hello: u64) -> Vec<Address> {
-        if !hello.is_multiple_of(HELLOS_PER_LIST) {
+    fn all_sessions(&self, keep_alive: u64) -> Vec<Address> {
+        if !keep_alive.is_multiple_of(KEEP_ALIVES_PER_LIST) {
             return Vec::new();
         }
         let sessions = self.sessions.iter();
@@ -235,15 +243,15 @@
         let lease = self.options.session_lease;
         self.sessions
             .sessions
-            .retain(|_, session| now.since(session.heard) <= lease);
+            .retain(|_, session| now.since(session.last_seen) <= lease);
     }
 
-    /// Another configuration is in force: dispatcher, admission and every
+    /// Another configuration is in force: scheduler, admission and every
     /// session get it at once.
-    pub(crate) fn configuration_changed(&mut self, record: &Record) {
-        let (version, document) = record.configuration();
+    pub(crate) fn configuration_changed(&mut self, state_machine: &StateMachine) {
+        let (version, document) = state_machine.configuration();
         self.timings = document.timings.clone();
-        self.dispatcher.configure(document);
+        self.scheduler.configure(document);
         let replicas: Vec<Sender> = self
             .sessions
             .iter()
--- a/crates/coordinator/src/shell.rs
+++ b/crates/coordinator/src/shell.rs
@@ -9,7 +9,6 @@
 use crate::load::Load;
 use crate::{Coordinator, CoordinatorOptions, Effect, Input};
 use admin::Readiness;
-use peer::{Arrival, Inbox, Lane, PeerMessage, Transport, clock};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -17,6 +16,7 @@
 use thiserror::Error;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
+use transport::{Arrival, Inbox, Lane, PeerMessage, Transport, clock};
 use types::{Milliseconds, NodeId, Now};
 
 /// Sends that were decided longer ago than this are dropped: the process was
@@ -28,9 +28,9 @@
 const STEP_INPUTS: usize = 64;
 /// A step that takes this long is told: no lease is renewed meanwhile.
 const LONG_STEP: Duration = Duration::from_millis(100);
-/// A request that waited this long for the core is refused, not answered late.
+/// A request that waited this long for the core is rejected, not answered late.
 /// Gateways send again soon after, and each sending would come to wait longer.
-const LONGEST_REQUEST_WAIT: Milliseconds = Milliseconds(300);
+const MAX_REQUEST_WAIT: Milliseconds = Milliseconds(300);
 
 /// What the shell needs beyond the core's settings.
 #[derive(Debug, Clone)]
@@ -38,9 +38,9 @@
     /// Settings of the core.
     pub core: CoordinatorOptions,
     /// Peer listener.
-    pub transport: peer::TransportOptions,
+    pub transport: transport::TransportOptions,
     /// Shared key of the cluster.
-    pub cluster_key: peer::ClusterKey,
+    pub cluster_key: transport::ClusterKey,
     /// Admin listener.
     pub admin_listen: SocketAddr,
     /// Data folder.
@@ -57,7 +57,7 @@
     Storage(#[from] StorageError),
     /// The peer listener cannot be used.
     #[error(transparent)]
-    Transport(#[from] peer::TransportError),
+    Transport(#[from] transport::TransportError),
     /// The admin listener cannot be used.
     #[error("cannot listen on {listen}: {source}")]
     Admin {
@@ -121,9 +121,12 @@
     let opened = Store::open(RealDisk::open(data)?)?;
     let took = clock::now().monotonic.since(begun);
     let entries = opened.recovered.entries.len();
-    tracing::info!(%took, entries, "opened the store");
-    if opened.cut_bytes > 0 {
-        tracing::warn!(bytes = opened.cut_bytes, "cut a torn tail of the log");
+    tracing::info!(elapsed_ms = took.0, entries, "opened store");
+    if opened.truncated_bytes > 0 {
+        tracing::warn!(
+            bytes = opened.truncated_bytes,
+            "truncated torn tail of the log"
+        );
     }
     Ok(opened)
 }
@@ -141,7 +144,7 @@
     let routes = admin::routes(readiness.clone());
     let server = tokio::spawn(async move {
         if let Err(error) = axum::serve(listener, routes).await {
-            tracing::error!(%error, "the admin listener ended");
+            tracing::error!(%error, "admin listener failed");
         }
     });
     Ok(AdminRoutes { readiness, server })
@@ -195,8 +198,8 @@
     /// A message as the core takes it.
     fn arrived(&mut self, arrival: Arrival) -> Input {
         let waited = arrival.waited();
-        self.load.taken(&arrival, waited);
-        let overdue = arrival.lane == Lane::Requests && waited > LONGEST_REQUEST_WAIT;
+        self.load.accepted(&arrival, waited);
+        let overdue = arrival.lane == Lane::Requests && waited > MAX_REQUEST_WAIT;
         match overdue {
             true => Input::Overdue(arrival.envelope),
             false => Input::Peer(arrival.envelope),
@@ -220,7 +223,7 @@
         let count = inputs.len();
         let now = clock::now();
         let mut effects = Vec::new();
-        self.core.note_lag(self.load.lag());
+        self.core.record_lag(self.load.lag());
         self.core.handle_all(now, inputs, &mut effects);
         for effect in effects {
             self.carry_out(now, effect);
@@ -228,9 +231,9 @@
         let took = begun.elapsed();
         if took >= LONG_STEP {
             tracing::warn!(
-                took_ms = took.as_millis() as u64,
+                elapsed_ms = took.as_millis() as u64,
                 inputs = count,
-                "a long step"
+                "slow core step"
             );
         }
         self.load.stepped(count, took, &self.incoming);
@@ -254,7 +257,10 @@
         if age <= OLDEST_SEND {
             self.transport.send(to, message);
         } else {
-            tracing::warn!(%age, "dropped a message held through a freeze");
+            tracing::warn!(
+                age_ms = age.0,
+                "dropped stale message after a process freeze"
+            );
         }
     }
 }
--- a/crates/coordinator/src/waiting.rs
+++ b/crates/coordinator/src/waiting.rs
@@ -3,8 +3,8 @@
 //! one, and costs neither an entry nor its tenant's rate a second time.
 
 use crate::core::Sender;
-use peer::RequestId;
 use std::collections::BTreeMap;
+use transport::RequestId;
 use types::{Monotonic, NodeId};
 
 /// What makes a request the same one.
@@ -58,7 +58,7 @@
         true
     }
 
-    /// True while an earlier sending of the request waits.
+    /// Returns whether an earlier sending of the request waits.
     pub(crate) fn waits(&self, sender: &Sender, id: RequestId) -> bool {
         let key = RequestKey {
             gateway: sender.address.node,
@@ -73,7 +73,7 @@
         self.requests.remove(&key)
     }
 
-    /// Takes all out, to refuse them.
+    /// Takes all out, to reject them.
     pub(crate) fn take_all(&mut self) -> Vec<WaitingRequest> {
         std::mem::take(&mut self.requests).into_values().collect()
     }
--- a/crates/coordinator/tests/common/agent.rs
+++ b/crates/coordinator/tests/common/agent.rs
@@ -2,13 +2,13 @@
 //! a runner must, and loses or holds back what it is told to.
 
 use super::{address, document};
-use peer::{AgentReport, Envelope, Hello, OrderResult, PeerMessage, RunnerUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
+use transport::{AgentReport, Envelope, KeepAlive, OrderResult, PeerMessage, RunnerUpdate};
 use types::{
-    Address, ConfigurationVersion, EndedRun, HeartbeatSequence, HeldRun, Milliseconds, OrderAnswer,
-    OrderKind, Outcome, PlaceName, PoolName, RackName, RefusalReason, Role, RunId, RunnerId,
-    RunnerIncarnation, RunnerOrder, RunnerReport, Term,
+    ActiveRun, Address, ConfigurationVersion, EndedRun, EndpointName, HeartbeatSequence,
+    Milliseconds, OrderAnswer, OrderKind, Outcome, PoolName, RackName, RejectionReason, Role,
+    RunId, RunnerId, RunnerIncarnation, RunnerOrder, RunnerReport, Term,
 };
 
 const INTERVAL: u64 = 100;
@@ -17,18 +17,18 @@
     pub address: Address,
     pub runner: RunnerId,
     pub incarnation: u64,
-    pub held: BTreeMap<RunId, u64>,
+    pub active: BTreeMap<RunId, u64>,
     pub ended: Vec<EndedRun>,
     pub tombstones: BTreeSet<RunId>,
     pub started: Vec<RunId>,
     /// How many gateways and agents each lease named.
     pub named: Vec<usize>,
     pub updates: Vec<RunnerUpdate>,
-    /// Sends neither hellos nor heartbeats.
+    /// Sends neither keep-alives nor heartbeats.
     pub silent: bool,
     pub draining: bool,
     /// Where the runner says that it stands.
-    pub place: Option<PlaceName>,
+    pub endpoint: Option<EndpointName>,
     pub self_stop: bool,
     /// Starts are kept aside instead of carried out.
     pub hold_starts: bool,
@@ -54,7 +54,7 @@
             address: address(500 + u64::from(number), Role::Agent, 7_000 + number),
             runner: RunnerId::new(format!("runner-{number}")).unwrap(),
             incarnation: 1,
-            held: BTreeMap::new(),
+            active: BTreeMap::new(),
             ended: Vec::new(),
             tombstones: BTreeSet::new(),
             started: Vec::new(),
@@ -62,7 +62,7 @@
             updates: Vec::new(),
             silent: false,
             draining: false,
-            place: None,
+            endpoint: None,
             self_stop: true,
             hold_starts: false,
             kept_starts: Vec::new(),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// A hello and a heartbeat to every coordinator; all but the leader pass
+    /// A keep-alive and a heartbeat to every coordinator; all but the leader pass
     /// over them.
     pub fn tick(&mut self, now: u64, to: &[SocketAddr]) -> Vec<(SocketAddr, PeerMessage)> {
         self.work_on(now);
@@ -88,7 +88,7 @@
         self.next = now + INTERVAL;
         self.sequence += 1;
         self.sent.insert(self.sequence, now);
-        let hello = PeerMessage::Hello(Hello {
+        let keep_alive = PeerMessage::KeepAlive(KeepAlive {
             sequence: self.sequence,
             configuration: ConfigurationVersion(1),
             runners: vec![self.runner.clone()],
@@ -100,7 +100,7 @@
         });
         let messages = to
             .iter()
-            .flat_map(|to| [(*to, hello.clone()), (*to, report.clone())]);
+            .flat_map(|to| [(*to, keep_alive.clone()), (*to, report.clone())]);
         messages
             .map(|(to, message)| self.route(to, message))
             .collect()
@@ -110,7 +110,7 @@
         match self.via {
             None => (to, message),
             Some(via) => {
-                let relay = peer::Relay {
+                let relay = transport::Relay {
                     origin: self.address.clone(),
                     destination: to,
                     body: Box::new(message),
@@ -121,14 +121,14 @@
     }
 
     fn report(&self, now: u64) -> RunnerReport {
-        let held = self.held.iter().map(|(run, since)| HeldRun {
+        let active = self.active.iter().map(|(run, since)| ActiveRun {
             progress: None,
             checkpoint: None,
             run: *run,
             age: Milliseconds(now - since),
         });
         RunnerReport {
-            place: self.place.clone(),
+            endpoint: self.endpoint.clone(),
             unnamed: Vec::new(),
             runner: self.runner.clone(),
             incarnation: RunnerIncarnation(self.incarnation),
@@ -137,10 +137,10 @@
             rack: RackName::new("rack").unwrap(),
             labels: BTreeMap::new(),
             capacity: document::slots(8),
-            free: document::slots(8_u32.saturating_sub(self.held.len() as u32)),
+            free: document::slots(8_u32.saturating_sub(self.active.len() as u32)),
             draining: self.draining,
             self_stop: self.self_stop,
-            held: held.collect(),
+            active: active.collect(),
             ended: self.ended.clone(),
         }
     }
@@ -173,7 +173,7 @@
                 self.ended
                     .retain(|ended| !update.recorded.contains(&ended.run));
                 for run in &update.stop {
-                    self.held.remove(run);
+                    self.active.remove(run);
                 }
                 self.updates.push(update);
                 Vec::new()
@@ -192,7 +192,7 @@
         };
         let over = |since: &u64| now - since >= work;
         let done: Vec<RunId> = self
-            .held
+            .active
             .iter()
             .filter(|(_, since)| over(since))
             .map(|(run, _)| *run)
@@ -206,7 +206,7 @@
     pub fn restart(&mut self, now: u64) {
         self.incarnation += 1;
         self.address.node = types::NodeId(self.address.node.0 + 1_000);
-        self.held.clear();
+        self.active.clear();
         self.ended.clear();
         self.tombstones.clear();
         self.sent.clear();
@@ -236,45 +236,48 @@
     pub fn carry_out(&mut self, now: u64, order: &RunnerOrder) -> OrderAnswer {
         let run = order.kind.run();
         if order.incarnation.0 != self.incarnation {
-            return OrderAnswer::Refused(RefusalReason::OtherIncarnation);
+            return OrderAnswer::Rejected(RejectionReason::OtherIncarnation);
         }
         if order.term < self.highest_term {
-            return OrderAnswer::Refused(RefusalReason::StaleTerm);
+            return OrderAnswer::Rejected(RejectionReason::StaleTerm);
         }
         self.highest_term = order.term;
-        if let OrderKind::Start { basis, lease, .. } = &order.kind {
-            let sent = self.sent.get(&basis.0).copied();
+        if let OrderKind::Start {
+            based_on, lease, ..
+        } = &order.kind
+        {
+            let sent = self.sent.get(&based_on.0).copied();
             if sent.is_none_or(|sent| now - sent >= lease.0) {
-                return OrderAnswer::Refused(RefusalReason::StaleBasis);
+                return OrderAnswer::Rejected(RejectionReason::StaleHeartbeat);
             }
         }
-        let held = self.held.contains_key(&run);
+        let active = self.active.contains_key(&run);
         let ended = self.ended.iter().any(|ended| ended.run == run);
         match order.kind {
-            OrderKind::Start { .. } if held || ended || self.tombstones.contains(&run) => {
-                OrderAnswer::Refused(RefusalReason::KnownRun)
+            OrderKind::Start { .. } if active || ended || self.tombstones.contains(&run) => {
+                OrderAnswer::Rejected(RejectionReason::KnownRun)
             }
             OrderKind::Start { .. } => {
-                self.held.insert(run, now);
+                self.active.insert(run, now);
                 self.started.push(run);
                 OrderAnswer::Started
             }
-            OrderKind::Stop { .. } if held => {
+            OrderKind::Stop { .. } if active => {
                 self.end(run, Outcome::Stopped);
                 OrderAnswer::Stopping
             }
-            OrderKind::Void { .. } if held => OrderAnswer::Held,
+            OrderKind::Revoke { .. } if active => OrderAnswer::Active,
             _ if ended => OrderAnswer::Ended,
             _ => {
                 self.tombstones.insert(run);
-                OrderAnswer::Voided
+                OrderAnswer::Revoked
             }
         }
     }
 
     /// Ends a held run.
     pub fn end(&mut self, run: RunId, outcome: Outcome) {
-        self.held.remove(&run);
+        self.active.remove(&run);
         self.ended.push(EndedRun {
             checkpoint: None,
             run,
@@ -284,7 +287,7 @@
 
     /// Ends everything it holds.
     pub fn end_all(&mut self, outcome: Outcome) {
-        for run in self.held.keys().copied().collect::<Vec<_>>() {
+        for run in self.active.keys().copied().collect::<Vec<_>>() {
             self.end(run, outcome.clone());
         }
     }
--- a/crates/coordinator/tests/common/asking.rs
+++ b/crates/coordinator/tests/common/asking.rs
@@ -3,8 +3,8 @@
 use super::agent::ScriptedAgent;
 use super::{GATEWAY_PORT, World, address, document, socket};
 use coordinator::Input;
-use peer::{Envelope, Operation, OperationReply, PeerMessage, Refusal, Request, RequestId};
 use std::collections::BTreeSet;
+use transport::{Envelope, Operation, OperationReply, PeerMessage, Rejection, Request, RequestId};
 use types::{Address, Milliseconds, Role};
 
 impl World {
@@ -32,7 +32,7 @@
     /// Sends the newest request once more, through a follower.
     pub fn ask_again_through(&mut self, follower: usize, operation: Operation) {
         let leader = self.leader().expect("no leader to ask");
-        let relay = PeerMessage::Relay(peer::Relay {
+        let relay = PeerMessage::Relay(transport::Relay {
             origin: gateway(),
             destination: socket(self.servers[leader].port),
             body: Box::new(numbered_request(self.next_request, operation)),
@@ -89,7 +89,7 @@
     }
 
     /// Asks and gives the answer.
-    pub fn answer(&mut self, operation: Operation) -> Result<OperationReply, Refusal> {
+    pub fn answer(&mut self, operation: Operation) -> Result<OperationReply, Rejection> {
         let id = self.ask(operation);
         self.run_until(2_000, "an answer", |world| world.replies.contains_key(&id));
         self.replies[&id].clone()
@@ -105,7 +105,9 @@
     }
 
     pub fn job(&self, job: &str) -> types::JobView {
-        self.record().job(&document::key(job)).expect("unknown job")
+        self.state_machine()
+            .job(&document::key(job))
+            .expect("unknown job")
     }
 
     /// Adds an agent with one runner and lets it be heard.
@@ -137,7 +139,7 @@
         starts.collect()
     }
 
-    /// True when no run identifier was sent in two starts.
+    /// Returns whether no run identifier was sent in two starts.
     pub fn each_start_is_sent_once(&self) -> bool {
         let starts = self.starts();
         let distinct: BTreeSet<_> = starts.iter().collect();
--- a/crates/coordinator/tests/common/document.rs
+++ b/crates/coordinator/tests/common/document.rs
@@ -39,7 +39,7 @@
     };
     let contract = TenantSettings {
         share_percent: 100,
-        ceiling: Resources::UNLIMITED,
+        resource_limit: Resources::UNLIMITED,
         error_budget: ErrorBudget {
             late_after: Milliseconds(1_000),
             late_per_thousand: 10,
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/common/mod.rs
@@ -9,13 +9,13 @@
 
 use agent::ScriptedAgent;
 use coordinator::{Coordinator, CoordinatorOptions, Effect, Input};
-use peer::{Envelope, OperationReply, PeerMessage, Refusal, Reply};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 pub use server::Server;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use storage::{MemoryDisk, Store};
+use transport::{Envelope, OperationReply, PeerMessage, Rejection, Reply};
 use types::{Address, Milliseconds, Monotonic, NodeId, Now, Role, WallTime, ZoneName};
 
 const LATENCY: u64 = 1;
@@ -40,7 +40,7 @@
     pub now: u64,
     pub servers: Vec<Server>,
     pub agents: Vec<ScriptedAgent>,
-    pub replies: BTreeMap<u64, Result<OperationReply, Refusal>>,
+    pub replies: BTreeMap<u64, Result<OperationReply, Rejection>>,
     /// Every message sent, with the port of its sender.
     pub sent: Vec<(u16, PeerMessage)>,
     /// Indexes of the snapshots that coordinators wrote.
@@ -164,9 +164,9 @@
         self.servers[server].core.as_ref()?.status(self.clock())
     }
 
-    pub fn record(&self) -> &record::Record {
+    pub fn state_machine(&self) -> &state_machine::StateMachine {
         let leader = self.leader().expect("no leader");
-        self.core(leader).record().unwrap()
+        self.core(leader).state_machine().unwrap()
     }
 
     /// Lets time pass, a millisecond a step.
@@ -361,18 +361,18 @@
     CoordinatorOptions {
         address: address(0, Role::Coordinator, 0),
         seeds,
-        founding: coordinator::Founding::Exact,
+        bootstrap_rule: coordinator::BootstrapRule::Exact,
         stalled_after: None,
         move_slow: true,
         initial_coordinators: 3,
         consensus: consensus::Options::default(),
-        dispatcher: dispatch::DispatcherOptions::default(),
+        scheduler: scheduler::SchedulerOptions::default(),
         session_lease: Milliseconds(2_000),
         replace_voter_after: Milliseconds(3_000),
         runner_wait: Milliseconds(2_000),
         snapshot_every: 1_000,
         max_waiting_requests: 100,
-        decisions_kept: 100,
+        decision_log_capacity: 100,
         seed: 7,
         mutation: None,
     }
--- a/crates/coordinator/tests/faults.rs
+++ b/crates/coordinator/tests/faults.rs
@@ -5,10 +5,10 @@
 mod common;
 
 use common::{World, document};
-use peer::{Operation, OperationReply};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
+use transport::{Operation, OperationReply};
 use types::{JobKey, JobState, NodeId, OrderKind, RunId};
 
 const SECONDS_OF_FAULTS: u64 = 40;
@@ -30,7 +30,7 @@
 fn assert_no_overlap(world: &World, seed: u64) {
     let jobs = jobs_of_runs(world);
     let mut running = BTreeSet::new();
-    for run in world.agents.iter().flat_map(|agent| agent.held.keys()) {
+    for run in world.agents.iter().flat_map(|agent| agent.active.keys()) {
         let job = &jobs[run];
         assert!(
             running.insert(job.clone()),
@@ -41,7 +41,7 @@
 }
 
 /// Three voters, all of them the coordinators that run.
-fn is_whole(world: &World) -> bool {
+fn is_healthy(world: &World) -> bool {
     let Some(status) = world.leader().and_then(|leader| world.status(leader)) else {
         return false;
     };
@@ -59,7 +59,7 @@
     let now = world.now;
     match random.random_range(0..9) {
         7 => (0..3).for_each(|server| world.kill(server)),
-        8 if is_whole(world) => {
+        8 if is_healthy(world) => {
             world.kill(server);
             world.wipe(server);
             world.start(server);
@@ -156,7 +156,7 @@
     for job in acknowledged.into_iter().map(|(_, job)| job).chain(&after) {
         assert_eq!(world.job(job).state, JobState::Done, "seed {seed}: {job}");
     }
-    assert!(world.record().open_runs().is_empty(), "seed {seed}");
+    assert!(world.state_machine().open_runs().is_empty(), "seed {seed}");
 }
 
 #[test]
--- a/crates/coordinator/tests/golden_data.rs
+++ b/crates/coordinator/tests/golden_data.rs
@@ -3,7 +3,7 @@
 //!
 //! The folder was written by the story told here, which is also told anew each
 //! time: what it leaves has to stand the same, but need not have the same
-//! bytes, since a choice of the dispatcher may change on purpose. It is left
+//! bytes, since a choice of the scheduler may change on purpose. It is left
 //! in the folder for temporary files of the build.
 
 mod common;
@@ -11,12 +11,12 @@
 use common::{Server, World, document};
 use configuration::{ClusterConfiguration, LicenceSettings};
 use coordinator::Input;
-use peer::{Operation, OperationReply};
-use record::{CancelSelector, Record};
+use state_machine::{CancelSelector, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::{Path, PathBuf};
 use storage::{Disk, MemoryDisk, RealDisk, Store};
+use transport::{Operation, OperationReply};
 use types::*;
 
 const RECORDED_FOLDER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/folder");
@@ -82,17 +82,17 @@
 }
 
 /// Open runs of a job.
-fn open_runs(record: &Record, job: &str) -> Vec<OpenRun> {
-    let number = record.job_number(&document::key(job));
-    let runs = record.open_runs().into_iter();
+fn open_runs(state_machine: &StateMachine, job: &str) -> Vec<OpenRun> {
+    let number = state_machine.job_number(&document::key(job));
+    let runs = state_machine.open_runs().into_iter();
     runs.filter(|run| Some(run.task.job) == number).collect()
 }
 
 fn wait_for_runs(world: &mut World, job: &str, count: usize) {
     world.run_until(20_000, job, |world| {
-        let held = |run: &OpenRun| world.agents.iter().any(|a| a.held.contains_key(&run.run));
-        let runs = open_runs(world.record(), job);
-        runs.len() == count && runs.iter().all(held)
+        let active = |run: &OpenRun| world.agents.iter().any(|a| a.active.contains_key(&run.run));
+        let runs = open_runs(world.state_machine(), job);
+        runs.len() == count && runs.iter().all(active)
     });
 }
 
@@ -105,17 +105,17 @@
 
 /// Ends the only run of a job on its runner.
 fn end(world: &mut World, job: &str, outcome: Outcome, checkpoint: Option<&str>) {
-    let run = open_runs(world.record(), job)[0].run;
+    let run = open_runs(world.state_machine(), job)[0].run;
     let mut agents = world.agents.iter_mut();
-    let agent = agents.find(|a| a.held.contains_key(&run)).unwrap();
-    agent.held.remove(&run);
+    let agent = agents.find(|a| a.active.contains_key(&run)).unwrap();
+    agent.active.remove(&run);
     agent.ended.push(EndedRun {
         run,
         outcome,
         checkpoint: checkpoint.map(str::to_owned),
     });
     world.run_until(2_000, "the end in the record", |world| {
-        world.record().is_closed(run)
+        world.state_machine().is_closed(run)
     });
 }
 
@@ -146,7 +146,7 @@
     let selector = CancelSelector::Jobs(vec![document::key("stopped")]);
     world.answer(Operation::Cancel(selector)).unwrap();
     world.run_until(2_000, "the cancelled run's end", |world| {
-        open_runs(world.record(), "stopped").is_empty()
+        open_runs(world.state_machine(), "stopped").is_empty()
     });
 }
 
@@ -189,7 +189,7 @@
     assert_eq!(world.answer(put), Ok(taken));
 }
 
-/// The life of a coordinator up to a sudden end; gives its files.
+/// The incarnation of a coordinator up to a sudden end; gives its files.
 fn told() -> Files {
     let mut world = alone(Server::new(PORT, 1));
     world.run_until(10_000, "a leader", |world| world.leader().is_some());
@@ -254,8 +254,8 @@
     world
 }
 
-fn assert_jobs_stand(record: &Record) {
-    let jobs = record.jobs(None, None, None, usize::MAX).into_iter();
+fn assert_jobs_stand(state_machine: &StateMachine) {
+    let jobs = state_machine.jobs(None, None, None, usize::MAX).into_iter();
     let states: Vec<(String, JobState)> = jobs
         .map(|(_, view)| (view.job.to_string(), view.state))
         .collect();
@@ -273,50 +273,56 @@
         states,
         expected.map(|(name, state)| (name.to_owned(), state))
     );
-    let broken = record.job(&document::key("broken")).unwrap();
+    let broken = state_machine.job(&document::key("broken")).unwrap();
     let reason = "task 0 of step step failed 1 times, last: it broke";
     assert_eq!(broken.reason.as_deref(), Some(reason));
-    assert_eq!(record.unfinished_of_tenant(&document::tenant()), 5);
+    assert_eq!(state_machine.unfinished_of_tenant(&document::tenant()), 5);
 }
 
-fn assert_runs_stand(record: &Record) {
+fn assert_runs_stand(state_machine: &StateMachine) {
     let counts = ["given-up", "goes", "together", "seated"];
-    let counts = counts.map(|job| open_runs(record, job).len());
+    let counts = counts.map(|job| open_runs(state_machine, job).len());
     assert_eq!(counts, [1, 1, GANG as usize, SEATS as usize]);
-    assert_eq!(record.open_runs().len(), counts.iter().sum::<usize>());
-    assert_eq!(record.seats_taken(&licence()), SEATS);
-    let again = &open_runs(record, "goes")[0];
+    assert_eq!(
+        state_machine.open_runs().len(),
+        counts.iter().sum::<usize>()
+    );
+    assert_eq!(state_machine.seats_used(&licence()), SEATS);
+    let again = &open_runs(state_machine, "goes")[0];
     assert_eq!(again.attempt, 2);
-    let start = record.run_spec(again.run).unwrap();
+    let start = state_machine.run_spec(again.run).unwrap();
     assert_eq!(start.checkpoint.as_deref(), Some(CHECKPOINT));
-    let moved = &open_runs(record, "given-up")[0];
+    let moved = &open_runs(state_machine, "given-up")[0];
     assert_eq!(moved.attempt, 2);
     let earlier = (0..moved.run.sequence).map(|sequence| RunId {
         sequence,
         ..moved.run
     });
-    let awaited = earlier.filter(|run| record.awaits_late_end(*run)).count();
+    let awaited = earlier
+        .filter(|run| state_machine.awaits_late_end(*run))
+        .count();
     assert_eq!(awaited, 1);
-    let ready: BTreeSet<JobNumber> = record
+    let ready: BTreeSet<JobNumber> = state_machine
         .ready_tasks(None, usize::MAX)
         .iter()
         .map(|meta| meta.task.job)
         .collect();
-    let waiting = ["seated", "waits"].map(|job| record.job_number(&document::key(job)).unwrap());
+    let waiting =
+        ["seated", "waits"].map(|job| state_machine.job_number(&document::key(job)).unwrap());
     assert_eq!(ready, BTreeSet::from(waiting));
 }
 
-fn assert_operators_words_stand(record: &Record) {
-    let (version, document) = record.configuration();
+fn assert_operators_words_stand(state_machine: &StateMachine) {
+    let (version, document) = state_machine.configuration();
     assert_eq!(version, ConfigurationVersion(2));
     assert_eq!(*document, last_document());
-    assert_eq!(record.draining_runners(), [name("rowan-9")]);
+    assert_eq!(state_machine.draining_runners(), [name("rowan-9")]);
 }
 
-fn assert_stands(record: &Record) {
-    assert_jobs_stand(record);
-    assert_runs_stand(record);
-    assert_operators_words_stand(record);
+fn assert_stands(state_machine: &StateMachine) {
+    assert_jobs_stand(state_machine);
+    assert_runs_stand(state_machine);
+    assert_operators_words_stand(state_machine);
 }
 
 fn to_hex(bytes: &[u8]) -> String {
@@ -330,12 +336,12 @@
     let folder = fresh_folder("recorded");
     write_files(&folder, &recorded_files());
     let opened = Store::open(RealDisk::open(&folder).unwrap()).unwrap();
-    assert_eq!(opened.cut_bytes, 0);
+    assert_eq!(opened.truncated_bytes, 0);
     let identity = opened.identity.unwrap();
     assert_eq!(identity.node, NodeId(1));
     assert!(identity.cluster.is_some());
     let snapshot = opened.recovered.snapshot.unwrap();
-    let taken = Record::restore(&snapshot.data).unwrap();
+    let taken = StateMachine::restore(&snapshot.data).unwrap();
     assert_eq!(
         taken.job_state(&document::key("broken")),
         Some(JobState::Failed)
@@ -348,8 +354,8 @@
 #[test]
 fn the_recorded_folder_is_recovered_to_the_recorded_record() {
     let world = recovered(&recorded_files());
-    assert_stands(world.record());
-    let snapshot = to_hex(&world.record().snapshot().unwrap());
+    assert_stands(world.state_machine());
+    let snapshot = to_hex(&world.state_machine().snapshot().unwrap());
     assert!(snapshot == RECOVERED.trim_end(), "it is\n{snapshot}");
 }
 
@@ -357,7 +363,7 @@
 fn the_same_story_leaves_a_folder_that_stands_the_same() {
     let files = told();
     write_files(&fresh_folder("story"), &files);
-    assert_stands(recovered(&files).record());
+    assert_stands(recovered(&files).state_machine());
 }
 
 #[test]
--- a/crates/coordinator/tests/mutations.rs
+++ b/crates/coordinator/tests/mutations.rs
@@ -5,7 +5,7 @@
 
 use common::{World, document};
 use coordinator::{Effect, Mutation};
-use peer::{Operation, PeerMessage};
+use transport::{Operation, PeerMessage};
 
 fn mutated(mutation: Mutation) -> World {
     let mut world = World::served_with(Some(mutation));
@@ -15,7 +15,7 @@
 
 #[test]
 fn a_start_sent_again_is_seen() {
-    let mut world = mutated(Mutation::ResendStartInsteadOfVoid);
+    let mut world = mutated(Mutation::ResendStartInsteadOfRevoke);
     world.agents[0].hold_starts = true;
     world.submit("job");
     world.run(5_000);
@@ -68,5 +68,5 @@
     world.run(500);
     world.agents[0].silent = true;
     world.run(3_000);
-    assert!(world.record().open_runs().is_empty());
+    assert!(world.state_machine().open_runs().is_empty());
 }
--- a/crates/coordinator/tests/relay.rs
+++ b/crates/coordinator/tests/relay.rs
@@ -4,8 +4,8 @@
 
 use common::{World, address, socket};
 use coordinator::{Effect, Input};
-use peer::{Envelope, PeerMessage, Relay};
 use std::net::SocketAddr;
+use transport::{Envelope, PeerMessage, Relay};
 use types::{Address, Role};
 
 const ELSEWHERE: u16 = 9_500;
