--- a/crates/coordinator/tests/requests.rs
+++ b/crates/coordinator/tests/requests.rs
@@ -1,11 +1,11 @@
-//! Requests: acknowledgement, refusal, configuration, reads.
+//! Requests: acknowledgement, rejection, configuration, reads.
 
 mod common;
 
 use common::{World, document};
 use coordinator::Effect;
-use peer::{Operation, OperationReply, PeerMessage, RefusalCode};
-use record::CancelSelector;
+use state_machine::CancelSelector;
+use transport::{Operation, OperationReply, PeerMessage, RejectionCode};
 use types::{ConfigurationVersion, JobState, Milliseconds};
 
 #[test]
@@ -40,7 +40,7 @@
     let mut other = document::job("job");
     other.steps[0].tasks = 2;
     let conflict = world.answer(Operation::Submit(other)).unwrap_err();
-    assert_eq!(conflict.code, RefusalCode::Conflict);
+    assert_eq!(conflict.code, RejectionCode::Conflict);
 }
 
 /// A world whose tenant may send so many submits a second, and no burst.
@@ -62,9 +62,9 @@
     world.submit("first");
     let id = world.ask(Operation::Submit(document::job("second")));
     world.run(3);
-    let refusal = world.replies[&id].clone().unwrap_err();
-    assert_eq!(refusal.code, RefusalCode::Overloaded);
-    let wait = refusal.retry_after.unwrap();
+    let rejection = world.replies[&id].clone().unwrap_err();
+    assert_eq!(rejection.code, RejectionCode::Overloaded);
+    let wait = rejection.retry_after.unwrap();
     assert!(
         wait > Milliseconds(0) && wait <= Milliseconds(500),
         "{wait}"
@@ -126,11 +126,11 @@
         .map(|n| world.ask(Operation::Submit(document::job(&format!("job-{n}")))))
         .collect();
     world.run(3);
-    let refused = ids.iter().filter(|id| {
-        matches!(world.replies.get(id), Some(Err(refusal))
-            if refusal.code == RefusalCode::Overloaded && refusal.retry_after.is_some())
+    let rejected = ids.iter().filter(|id| {
+        matches!(world.replies.get(id), Some(Err(rejection))
+            if rejection.code == RejectionCode::Overloaded && rejection.retry_after.is_some())
     });
-    assert_eq!(refused.count(), 3);
+    assert_eq!(rejected.count(), 3);
 }
 
 #[test]
@@ -147,7 +147,7 @@
     world.run(100);
     assert!(world.replies[&ids[0]].is_ok());
     let lost = world.replies[&ids[1]].clone().unwrap_err();
-    assert_eq!(lost.code, RefusalCode::Conflict);
+    assert_eq!(lost.code, RejectionCode::Conflict);
     let version = ConfigurationVersion(2);
     let again = world.answer(Operation::PutConfiguration {
         version,
@@ -207,9 +207,9 @@
     }
     let id = world.ask(Operation::Submit(document::job("job")));
     world.run(1_500);
-    let refusal = world.replies[&id].clone().unwrap_err();
-    assert_eq!(refusal.code, RefusalCode::TimedOut);
-    assert!(refusal.retry_after.is_some());
+    let rejection = world.replies[&id].clone().unwrap_err();
+    assert_eq!(rejection.code, RejectionCode::TimedOut);
+    assert!(rejection.retry_after.is_some());
     assert_eq!(world.leader(), None);
 }
 
@@ -219,7 +219,7 @@
     world.add_agent(1);
     world.submit("job");
     world.run(200);
-    assert_eq!(world.agents[0].held.len(), 1);
+    assert_eq!(world.agents[0].active.len(), 1);
     let selector = CancelSelector::Jobs(vec![document::key("job")]);
     let answer = world.answer(Operation::Cancel(selector));
     assert!(matches!(
@@ -227,9 +227,9 @@
         Ok(OperationReply::Cancelled { cancelled: 1, .. })
     ));
     world.run(1_000);
-    assert!(world.agents[0].held.is_empty());
+    assert!(world.agents[0].active.is_empty());
     assert_eq!(world.job("job").state, JobState::Cancelled);
-    assert!(world.record().open_runs().is_empty());
+    assert!(world.state_machine().open_runs().is_empty());
 }
 
 #[test]
@@ -245,7 +245,7 @@
     assert!(world.starts().is_empty());
     world.add_agent(2);
     world.run(500);
-    assert_eq!(world.agents[1].held.len(), 1);
+    assert_eq!(world.agents[1].active.len(), 1);
 }
 
 #[test]
@@ -275,7 +275,7 @@
     let Ok(OperationReply::Tenants(tenants)) = world.answer(Operation::ListTenants) else {
         panic!("no tenants");
     };
-    assert_eq!(tenants[0].holds, document::slots(1));
+    assert_eq!(tenants[0].usage, document::slots(1));
     let Ok(OperationReply::Members(members)) = world.answer(Operation::ListMembers) else {
         panic!("no members");
     };
@@ -304,10 +304,10 @@
     let submit = || Operation::Submit(document::job("late"));
     let id = world.tell_overdue(submit());
     world.run(300);
-    let refusal = world.replies[&id].clone().unwrap_err();
-    assert_eq!(refusal.code, RefusalCode::Overloaded);
-    assert!(refusal.retry_after.is_some());
-    assert!(world.record().job(&document::key("late")).is_none());
+    let rejection = world.replies[&id].clone().unwrap_err();
+    assert_eq!(rejection.code, RejectionCode::Overloaded);
+    assert!(rejection.retry_after.is_some());
+    assert!(world.state_machine().job(&document::key("late")).is_none());
 }
 
 #[test]
@@ -382,8 +382,12 @@
         world.cut.insert(world.servers[follower].port);
     }
     world.run(1_000);
-    let refusal = world.replies[&id].clone().unwrap_err();
-    assert_eq!(refusal.code, RefusalCode::TimedOut, "it may be taken yet");
+    let rejection = world.replies[&id].clone().unwrap_err();
+    assert_eq!(
+        rejection.code,
+        RejectionCode::TimedOut,
+        "it may be taken yet"
+    );
 }
 
 #[test]
--- a/crates/coordinator/tests/runs.rs
+++ b/crates/coordinator/tests/runs.rs
@@ -1,13 +1,13 @@
-//! Runs: one start, voids, lease expiry, leader changes, freezes.
+//! Runs: one start, revocations, lease expiry, leader changes, freezes.
 
 mod common;
 
 use common::{World, document};
 use configuration::Timings;
 use coordinator::Effect;
-use peer::{OrderResult, PeerMessage};
+use transport::{OrderResult, PeerMessage};
 use types::{
-    JobState, OrderAnswer, Outcome, PlaceName, RefusalReason, RunnerId, RunnerOrder, Term,
+    EndpointName, JobState, OrderAnswer, Outcome, RejectionReason, RunnerId, RunnerOrder, Term,
 };
 
 /// Milliseconds of silence after which a leader gives a runner's runs up.
@@ -46,7 +46,7 @@
         let wait = types::Milliseconds(300 + 13 * number as u64);
         let due = world.clock().wall + wait;
         job.start_at = Some(due);
-        world.answer(peer::Operation::Submit(job)).unwrap();
+        world.answer(transport::Operation::Submit(job)).unwrap();
         world.run(due.0 - world.clock().wall.0);
         assert_eq!(world.starts().len(), number, "not before its time");
         world.run(WAY);
@@ -61,7 +61,7 @@
     let mut world = with_runner();
     world.agents[0].lose_answers = true;
     world.submit("job");
-    // Heartbeats would tell; only the void may.
+    // Heartbeats would tell; only the revocation may.
     world.run_until(100, "the start", |world| {
         !world.agents[0].started.is_empty()
     });
@@ -88,14 +88,14 @@
     });
     assert_eq!(world.starts().len(), 2);
     assert!(world.each_start_is_sent_once());
-    // The first start crosses late: its tombstone refuses it.
+    // The first start crosses late: its tombstone rejects it.
     let (_, late) = world.agents[0].kept_starts[0].clone();
     let now = world.now;
     assert_eq!(
         world.agents[0].carry_out(now, &late),
-        OrderAnswer::Refused(RefusalReason::KnownRun)
+        OrderAnswer::Rejected(RejectionReason::KnownRun)
     );
-    assert_eq!(world.agents[0].held.len(), 1);
+    assert_eq!(world.agents[0].active.len(), 1);
 }
 
 #[test]
@@ -124,7 +124,7 @@
         world.agents[0].ended.is_empty(),
         "confirmed, for it is closed"
     );
-    assert!(world.record().open_run(old).is_none());
+    assert!(world.state_machine().open_run(old).is_none());
     world.agents[1].end_all(Outcome::Done);
     world.run(500);
     assert_eq!(world.job("job").state, JobState::Done);
@@ -149,7 +149,7 @@
         for follower in followers {
             world.servers[follower].disk_held = true;
         }
-        world.ask(peer::Operation::Submit(document::job(&format!(
+        world.ask(transport::Operation::Submit(document::job(&format!(
             "at-{heard}"
         ))));
         world.run_until(2_000, "a lapse", |world| world.leader().is_none());
@@ -174,7 +174,7 @@
     world.agents[0].silent = true;
     world.agents[0].end_all(Outcome::Done);
     world.run(given_up_after() + 1_000);
-    assert!(world.record().open_runs().is_empty(), "given up");
+    assert!(world.state_machine().open_runs().is_empty(), "given up");
     assert_eq!(world.job("job").state, JobState::Running);
     world.agents[0].silent = false;
     world.run(2_000);
@@ -195,11 +195,11 @@
     world.run(500);
     world.agents[0].silent = true;
     world.run(60_000);
-    assert_eq!(world.record().open_runs().len(), 1);
+    assert_eq!(world.state_machine().open_runs().len(), 1);
     let runner = world.agents[0].runner.clone();
-    let answer = world.answer(peer::Operation::DeclareRunnerLost { runner });
-    assert!(matches!(answer, Ok(peer::OperationReply::RunsLost { runs }) if runs.len() == 1));
-    assert!(world.record().open_runs().is_empty());
+    let answer = world.answer(transport::Operation::DeclareRunnerLost { runner });
+    assert!(matches!(answer, Ok(transport::OperationReply::RunsLost { runs }) if runs.len() == 1));
+    assert!(world.state_machine().open_runs().is_empty());
 }
 
 #[test]
@@ -214,7 +214,7 @@
     let leader = world.leader().unwrap();
     world.kill(leader);
     world.run(60_000);
-    assert_eq!(world.record().open_runs().len(), 1);
+    assert_eq!(world.state_machine().open_runs().len(), 1);
 }
 
 #[test]
@@ -224,7 +224,7 @@
     world.run(500);
     let agent = &mut world.agents[0];
     agent.incarnation = 2;
-    agent.held.clear();
+    agent.active.clear();
     world.run(1_000);
     assert_eq!(world.agents[0].started.len(), 2);
     assert!(world.each_start_is_sent_once());
@@ -233,14 +233,14 @@
 #[test]
 fn another_runner_at_the_same_place_ends_the_runs_of_the_one_before() {
     let mut world = with_runner();
-    world.agents[0].place = PlaceName::new("10.0.0.1:80").ok();
+    world.agents[0].endpoint = EndpointName::new("10.0.0.1:80").ok();
     world.run(500);
     world.submit("job");
     world.run(500);
     assert_eq!(world.agents[0].started.len(), 1);
     let agent = &mut world.agents[0];
     agent.runner = RunnerId::new("its-successor").unwrap();
-    agent.held.clear();
+    agent.active.clear();
     world.run(1_000);
     assert_eq!(world.agents[0].started.len(), 2);
     assert!(world.each_start_is_sent_once());
@@ -249,14 +249,14 @@
 #[test]
 fn another_runner_at_another_place_ends_nothing() {
     let mut world = with_runner();
-    world.agents[0].place = PlaceName::new("10.0.0.1:80").ok();
+    world.agents[0].endpoint = EndpointName::new("10.0.0.1:80").ok();
     world.run(500);
     world.submit("job");
     world.run(500);
     let agent = &mut world.agents[0];
     agent.runner = RunnerId::new("another").unwrap();
-    agent.place = PlaceName::new("10.0.0.2:80").ok();
-    agent.held.clear();
+    agent.endpoint = EndpointName::new("10.0.0.2:80").ok();
+    agent.active.clear();
     world.run(1_000);
     assert_eq!(world.agents[0].started.len(), 1);
 }
@@ -298,14 +298,14 @@
                 term,
                 ..order.clone()
             },
-            answer: OrderAnswer::Voided,
+            answer: OrderAnswer::Revoked,
         }];
         // The runner is silent, so nothing else speaks of the run.
         world.agents[0].silent = true;
         let from = world.agents[0].address.clone();
         world.tell_leader(from, PeerMessage::OrderResults { results });
         world.run(100);
-        let open = world.record().open_run(order.kind.run()).is_some();
+        let open = world.state_machine().open_run(order.kind.run()).is_some();
         assert_eq!(open, stays_open, "{term}");
     }
 }
@@ -334,9 +334,9 @@
     world.kill(leader);
     world.run_until(5_000, "a new leader", |world| world.leader().is_some());
     world.run(given_up_after() - 500);
-    assert_eq!(world.record().open_runs().len(), 1);
+    assert_eq!(world.state_machine().open_runs().len(), 1);
     world.run(1_000);
-    assert!(world.record().open_runs().is_empty());
+    assert!(world.state_machine().open_runs().is_empty());
 }
 
 /// What only a leader under its lease may say.
@@ -348,7 +348,7 @@
                 | PeerMessage::RunnerUpdate(_)
                 | PeerMessage::Lease(_)
                 | PeerMessage::Configuration { .. }
-                | PeerMessage::Reply(peer::Reply { result: Ok(_), .. }),
+                | PeerMessage::Reply(transport::Reply { result: Ok(_), .. }),
             ..
         }
     )
@@ -359,7 +359,7 @@
     let mut world = with_runner();
     let frozen = world.leader().unwrap();
     // A submit, reports and syncs are under way when it freezes.
-    world.ask(peer::Operation::Submit(document::job("job")));
+    world.ask(transport::Operation::Submit(document::job("job")));
     world.servers[frozen].frozen = true;
     world.run(25_000);
     assert!(world.leader().is_some_and(|leader| leader != frozen));
@@ -383,7 +383,7 @@
     }
     world.run(5_000);
     assert!(world.each_start_is_sent_once());
-    assert_eq!(world.agents[0].held.len(), 1);
+    assert_eq!(world.agents[0].active.len(), 1);
 }
 
 #[test]
@@ -392,10 +392,10 @@
     let mut job = document::job("job");
     job.steps[0].time_limit = types::Milliseconds(1_000);
     job.steps[0].allowed_failures = 0;
-    world.answer(peer::Operation::Submit(job)).unwrap();
+    world.answer(transport::Operation::Submit(job)).unwrap();
     world.run(4_000);
     assert_eq!(world.job("job").state, JobState::Failed);
-    assert!(world.agents[0].held.is_empty());
+    assert!(world.agents[0].active.is_empty());
 }
 
 #[test]
@@ -414,9 +414,9 @@
     }
     world.start(away);
     world.run(2_000);
-    let record = world.core(away).record().unwrap();
-    assert!(record.job(&document::key("job-59")).is_some());
-    assert_eq!(record, world.record());
+    let state_machine = world.core(away).state_machine().unwrap();
+    assert!(state_machine.job(&document::key("job-59")).is_some());
+    assert_eq!(state_machine, world.state_machine());
 }
 
 #[test]
@@ -448,16 +448,16 @@
         let job = format!("job-{number}");
         world.submit(&job);
         world.run_until(1_000, "the first start", |world| {
-            world.agents.iter().any(|agent| !agent.held.is_empty())
+            world.agents.iter().any(|agent| !agent.active.is_empty())
         });
-        let first = usize::from(world.agents[0].held.is_empty());
+        let first = usize::from(world.agents[0].active.is_empty());
         let failure = Outcome::Failed("exit code 1".to_owned());
         world.agents[first].end_all(failure);
         world.run_until(3_000, "the second start", |world| {
-            world.agents.iter().any(|agent| !agent.held.is_empty())
+            world.agents.iter().any(|agent| !agent.active.is_empty())
         });
         assert!(
-            world.agents[first].held.is_empty(),
+            world.agents[first].active.is_empty(),
             "{job} went back to the runner it failed on"
         );
         world.agents[1 - first].end_all(Outcome::Done);
--- a/crates/coordinator/tests/shell.rs
+++ b/crates/coordinator/tests/shell.rs
@@ -6,15 +6,15 @@
 use common::document;
 use consensus::Options;
 use coordinator::{CoordinatorError, CoordinatorOptions, ShellOptions};
-use peer::{
-    ClusterKey, Operation, OperationReply, PeerMessage, Reply, Request, RequestId, Transport,
-    TransportOptions,
-};
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
+use transport::{
+    ClusterKey, Operation, OperationReply, PeerMessage, Reply, Request, RequestId, Transport,
+    TransportOptions,
+};
 use types::{Address, ConfigurationVersion, Milliseconds, NodeId, Role, ZoneName};
 
 /// Only guards against a test that hangs.
@@ -53,18 +53,18 @@
         core: CoordinatorOptions {
             address: address(Role::Coordinator, peer),
             seeds: seeds.to_vec(),
-            founding: coordinator::Founding::Exact,
+            bootstrap_rule: coordinator::BootstrapRule::Exact,
             stalled_after: None,
             move_slow: true,
             initial_coordinators: 3,
             consensus: Options::default(),
-            dispatcher: dispatch::DispatcherOptions::default(),
+            scheduler: scheduler::SchedulerOptions::default(),
             session_lease: Milliseconds(2_000),
             replace_voter_after: Milliseconds(3_000),
             runner_wait: Milliseconds(2_000),
             snapshot_every: 100,
             max_waiting_requests: 100,
-            decisions_kept: 100,
+            decision_log_capacity: 100,
             seed: 1,
             mutation: None,
         },
@@ -105,7 +105,7 @@
 
 struct Client {
     transport: Transport,
-    inbox: peer::Inbox,
+    inbox: transport::Inbox,
     next: u64,
 }
 
--- a/crates/cypressdrum/src/client/configuration.rs
+++ b/crates/cypressdrum/src/client/configuration.rs
@@ -88,7 +88,7 @@
     }
     Ok(match found.is_empty() {
         true => Exit::Done,
-        false => Exit::Refused,
+        false => Exit::Rejected,
     })
 }
 
--- a/crates/cypressdrum/src/client/decisions.rs
+++ b/crates/cypressdrum/src/client/decisions.rs
@@ -41,7 +41,7 @@
     let decision: DecisionLine =
         serde_json::from_str(line).map_err(|error| ClientError::Answer {
             url: url.to_owned(),
-            problem: error.to_string(),
+            reason: error.to_string(),
         })?;
     emit(&decision.table())?;
     Ok(())
@@ -61,8 +61,8 @@
             return Vec::new();
         };
         let rest = self.partial.split_off(end + 1);
-        let whole = std::mem::replace(&mut self.partial, rest);
-        let text = String::from_utf8_lossy(&whole);
+        let complete = std::mem::replace(&mut self.partial, rest);
+        let text = String::from_utf8_lossy(&complete);
         text.lines().map(str::to_owned).collect()
     }
 
--- a/crates/cypressdrum/src/client/difference.rs
+++ b/crates/cypressdrum/src/client/difference.rs
@@ -9,7 +9,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Difference {
     /// Path in the document, such as `queues.hover.pool`.
-    pub place: String,
+    #[serde(rename = "place")]
+    pub path: String,
     /// Value in the first document, if it is there.
     pub before: Option<Value>,
     /// Value in the second document, if it is there.
@@ -18,11 +19,11 @@
 
 impl fmt::Display for Difference {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let place = &self.place;
+        let path = &self.path;
         match (&self.before, &self.after) {
-            (Some(before), Some(after)) => write!(formatter, "~ {place}: {before} -> {after}"),
-            (None, Some(after)) => write!(formatter, "+ {place}: {after}"),
-            (Some(before), None) => write!(formatter, "- {place}: {before}"),
+            (Some(before), Some(after)) => write!(formatter, "~ {path}: {before} -> {after}"),
+            (None, Some(after)) => write!(formatter, "+ {path}: {after}"),
+            (Some(before), None) => write!(formatter, "- {path}: {before}"),
             (None, None) => Ok(()),
         }
     }
@@ -33,22 +34,22 @@
     let before = flatten(before);
     let mut after = flatten(after);
     let mut found = Vec::new();
-    for (place, value) in before {
-        let other = after.remove(&place);
+    for (path, value) in before {
+        let other = after.remove(&path);
         if other.as_ref() != Some(&value) {
             found.push(Difference {
-                place,
+                path,
                 before: Some(value),
                 after: other,
             });
         }
     }
-    found.extend(after.into_iter().map(|(place, value)| Difference {
-        place,
+    found.extend(after.into_iter().map(|(path, value)| Difference {
+        path,
         before: None,
         after: Some(value),
     }));
-    found.sort_by(|one, other| one.place.cmp(&other.place));
+    found.sort_by(|one, other| one.path.cmp(&other.path));
     found
 }
 
@@ -58,10 +59,10 @@
     leaves
 }
 
-fn collect(place: String, value: &Value, leaves: &mut BTreeMap<String, Value>) {
-    let inner = |name: &str| match place.as_str() {
+fn collect(path: String, value: &Value, leaves: &mut BTreeMap<String, Value>) {
+    let inner = |name: &str| match path.as_str() {
         "" => name.to_owned(),
-        _ => format!("{place}.{name}"),
+        _ => format!("{path}.{name}"),
     };
     match value {
         Value::Object(fields) if !fields.is_empty() => {
@@ -75,7 +76,7 @@
             }
         }
         _ => {
-            leaves.insert(place, value.clone());
+            leaves.insert(path, value.clone());
         }
     }
 }
--- a/crates/cypressdrum/src/client/error.rs
+++ b/crates/cypressdrum/src/client/error.rs
@@ -2,7 +2,7 @@
 
 use crate::Exit;
 use api::BodyError;
-use api::refusal::{Code, RefusalBody};
+use api::rejection::{Code, RejectionBody};
 use std::io::ErrorKind;
 use std::path::PathBuf;
 use thiserror::Error;
@@ -33,26 +33,26 @@
         path: PathBuf,
     },
     /// A gateway's URL makes no sense.
-    #[error("{url:?} is no URL of a gateway: {problem}")]
+    #[error("{url:?} is no URL of a gateway: {reason}")]
     Url {
         /// As given.
         url: String,
         /// Why.
-        problem: String,
+        reason: String,
     },
-    /// The final answer is a refusal.
+    /// The final answer is a rejection.
     #[error("{}", describe(.0))]
-    Refused(RefusalBody),
+    Rejected(RejectionBody),
     /// No gateway gave a final answer.
     #[error("no gateway could answer:{}", lines(.0))]
     Unavailable(Vec<String>),
     /// An answer that this program does not know.
-    #[error("{url} gave an answer that makes no sense: {problem}")]
+    #[error("{url} gave an answer that makes no sense: {reason}")]
     Answer {
         /// What was asked.
         url: String,
         /// Why.
-        problem: String,
+        reason: String,
     },
     /// The HTTP client or the runtime cannot start.
     #[error("cannot start: {0}")]
@@ -75,7 +75,7 @@
             Self::Read { .. } | Self::Input { .. } | Self::Token { .. } | Self::Url { .. } => {
                 Exit::Usage
             }
-            Self::Refused(refusal) => refusal_exit(refusal.code),
+            Self::Rejected(rejection) => rejection_exit(rejection.code),
             Self::Unavailable(_) => Exit::Unavailable,
             // Whoever reads the output has seen enough.
             Self::Output(error) if error.kind() == ErrorKind::BrokenPipe => Exit::Done,
@@ -83,30 +83,30 @@
             | Self::Runtime(_)
             | Self::Http(_)
             | Self::Output(_)
-            | Self::Toml(_) => Exit::Refused,
+            | Self::Toml(_) => Exit::Rejected,
         }
     }
 }
 
-/// The exit code of a refusal: 3 where the same request may succeed later.
-pub fn refusal_exit(code: Code) -> Exit {
+/// The exit code of a rejection: 3 where the same request may succeed later.
+pub fn rejection_exit(code: Code) -> Exit {
     match code {
         Code::Invalid
         | Code::Unauthenticated
         | Code::Forbidden
         | Code::NotFound
-        | Code::Conflict => Exit::Refused,
+        | Code::Conflict => Exit::Rejected,
         Code::Overloaded | Code::Unavailable | Code::TimedOut => Exit::Unavailable,
     }
 }
 
-fn describe(refusal: &RefusalBody) -> String {
-    let mut text = refusal.message.clone();
-    if let Some(wait) = refusal.retry_after_ms {
+fn describe(rejection: &RejectionBody) -> String {
+    let mut text = rejection.message.clone();
+    if let Some(wait) = rejection.retry_after_ms {
         text.push_str(&format!(" (try again after {wait} ms)"));
     }
-    for problem in &refusal.problems {
-        text.push_str(&format!("\n  {}: {}", problem.place, problem.problem));
+    for problem in &rejection.problems {
+        text.push_str(&format!("\n  {}: {}", problem.path, problem.message));
     }
     text
 }
@@ -114,6 +114,6 @@
 fn lines(problems: &[String]) -> String {
     problems
         .iter()
-        .map(|problem| format!("\n  {problem}"))
+        .map(|reason| format!("\n  {reason}"))
         .collect()
 }
--- a/crates/cypressdrum/src/client/http.rs
+++ b/crates/cypressdrum/src/client/http.rs
@@ -4,7 +4,7 @@
 //! silent or has no leader is followed by the next one.
 
 use crate::client::{ClientError, Connection};
-use api::refusal::{Code, RefusalBody};
+use api::rejection::{Code, RejectionBody};
 use api::route::{DEADLINE_HEADER, MAX_DEADLINE_MS};
 use reqwest::{Client, Method, RequestBuilder, Response, StatusCode, Url};
 use serde::Serialize;
@@ -94,7 +94,7 @@
             match self.request(gateway, &question)?.send().await {
                 Err(error) => problems.push(unreachable(gateway, &error)),
                 Ok(response) if response.status().is_success() => return Ok(response),
-                Ok(response) => problems.push(self.refusal(gateway, response).await?),
+                Ok(response) => problems.push(self.rejection(gateway, response).await?),
             }
         }
         Err(ClientError::Unavailable(problems))
@@ -113,7 +113,7 @@
                 Ok(response) if response.status().is_success() => {
                     return read_answer(response).await;
                 }
-                Ok(response) => problems.push(self.refusal(gateway, response).await?),
+                Ok(response) => problems.push(self.rejection(gateway, response).await?),
             }
         }
         Err(ClientError::Unavailable(problems))
@@ -128,7 +128,7 @@
             .join(question.path)
             .map_err(|error| ClientError::Url {
                 url: gateway.to_string(),
-                problem: error.to_string(),
+                reason: error.to_string(),
             })?;
         let mut request = self
             .http
@@ -144,29 +144,29 @@
         Ok(request)
     }
 
-    /// The refusal as an error if it is final, else as a line to show when no
+    /// The rejection as an error if it is final, else as a line to show when no
     /// other gateway does better.
-    async fn refusal(&self, gateway: &Url, response: Response) -> Result<String, ClientError> {
+    async fn rejection(&self, gateway: &Url, response: Response) -> Result<String, ClientError> {
         let status = response.status();
         let bytes = response.bytes().await.unwrap_or_default();
-        match serde_json::from_slice::<RefusalBody>(&bytes) {
-            Ok(refusal) if is_worth_another(refusal.code) => {
-                Ok(format!("{gateway}: {}", refusal.message))
+        match serde_json::from_slice::<RejectionBody>(&bytes) {
+            Ok(rejection) if is_retryable_elsewhere(rejection.code) => {
+                Ok(format!("{gateway}: {}", rejection.message))
             }
-            Ok(refusal) => Err(ClientError::Refused(refusal)),
+            Ok(rejection) => Err(ClientError::Rejected(rejection)),
             Err(_) if status == StatusCode::SERVICE_UNAVAILABLE => {
                 Ok(format!("{gateway}: {status}"))
             }
             Err(_) => Err(ClientError::Answer {
                 url: gateway.to_string(),
-                problem: status.to_string(),
+                reason: status.to_string(),
             }),
         }
     }
 }
 
-/// True when another gateway may do better at once.
-fn is_worth_another(code: Code) -> bool {
+/// Returns whether another gateway may do better at once.
+fn is_retryable_elsewhere(code: Code) -> bool {
     matches!(code, Code::Unavailable | Code::TimedOut)
 }
 
@@ -184,19 +184,19 @@
     let url = response.url().to_string();
     response.json().await.map_err(|error| ClientError::Answer {
         url,
-        problem: error.to_string(),
+        reason: error.to_string(),
     })
 }
 
 fn parse_url(text: &str) -> Result<Url, ClientError> {
-    let refuse = |problem: String| ClientError::Url {
+    let reject = |reason: String| ClientError::Url {
         url: text.to_owned(),
-        problem,
+        reason,
     };
-    let url = Url::parse(text).map_err(|error| refuse(error.to_string()))?;
+    let url = Url::parse(text).map_err(|error| reject(error.to_string()))?;
     match url.scheme() {
         "http" => Ok(url),
-        _ => Err(refuse("it must begin with http://".to_owned())),
+        _ => Err(reject("it must begin with http://".to_owned())),
     }
 }
 
--- a/crates/cypressdrum/src/client/jobs.rs
+++ b/crates/cypressdrum/src/client/jobs.rs
@@ -2,7 +2,7 @@
 
 use crate::Exit;
 use crate::client::arguments::{CancelArguments, JobArguments, ListArguments, SubmitArguments};
-use crate::client::show::word;
+use crate::client::show::json_name;
 use crate::client::{ClientError, Context};
 use crate::output::print;
 use api::BodyError;
@@ -34,7 +34,7 @@
     }
 }
 
-/// Submits each job of the input in order, and stops at the first refusal.
+/// Submits each job of the input in order, and stops at the first rejection.
 pub async fn submit(context: &Context, arguments: SubmitArguments) -> Result<Exit, ClientError> {
     let bytes = read_input(&arguments.file)?;
     let jobs = serde_json::Deserializer::from_slice(&bytes).into_iter::<JobBody>();
@@ -76,7 +76,7 @@
             .tenant
             .map(|tenant| ("tenant", tenant.to_string())),
     );
-    query.extend(arguments.state.map(|state| ("state", word(&state))));
+    query.extend(arguments.state.map(|state| ("state", json_name(&state))));
     query.extend(arguments.after.map(|after| ("after", after.to_string())));
     query.extend(arguments.limit.map(|limit| ("limit", limit.to_string())));
     let jobs: JobsBody = context.gateways.get(route::JOBS, query).await?;
@@ -84,7 +84,7 @@
     Ok(Exit::Done)
 }
 
-/// Cancels jobs; refused when one of them is unknown.
+/// Cancels jobs; rejected when one of them is unknown.
 pub async fn cancel(context: &Context, arguments: CancelArguments) -> Result<Exit, ClientError> {
     let body = cancel_body(arguments);
     let answer: CancelledBody = context
@@ -94,7 +94,7 @@
     print(context.format, &answer)?;
     Ok(match answer.unknown.is_empty() {
         true => Exit::Done,
-        false => Exit::Refused,
+        false => Exit::Rejected,
     })
 }
 
--- a/crates/cypressdrum/src/client/show.rs
+++ b/crates/cypressdrum/src/client/show.rs
@@ -2,7 +2,7 @@
 
 use crate::output::{Show, Table};
 use api::cancel::{CancelledBody, JobKeyBody};
-use api::configuration::{CapacityBody, CeilingBody};
+use api::configuration::{CapacityBody, ResourceLimitBody};
 use api::decision::{DecisionLine, EventBody};
 use api::operator::{
     AcceptedBody, LicencesBody, LinkHealthBody, MembersBody, QueuesBody, RunnersBody, RunsLostBody,
@@ -16,7 +16,7 @@
 const NONE: &str = "-";
 
 /// The JSON word of an enum, such as `running`.
-pub(crate) fn word<T: Serialize>(value: &T) -> String {
+pub(crate) fn json_name<T: Serialize>(value: &T) -> String {
     match serde_json::to_value(value) {
         Ok(serde_json::Value::String(text)) => text,
         _ => NONE.to_owned(),
@@ -52,7 +52,7 @@
     ])
 }
 
-fn ceiling(body: &CeilingBody) -> String {
+fn resource_limit(body: &ResourceLimitBody) -> String {
     amounts([
         ("slots", body.slots),
         ("cpu_milli", body.cpu_milli),
@@ -82,7 +82,7 @@
             self.tenant,
             self.job,
             self.queue,
-            word(&self.state)
+            json_name(&self.state)
         );
         if let Some(reason) = &self.reason {
             text.push_str(&format!("reason  {reason}\n"));
@@ -112,7 +112,7 @@
             table.row([
                 format!("{}/{}", job.tenant, job.job),
                 job.queue.to_string(),
-                word(&job.state),
+                json_name(&job.state),
                 format!("{done}/{tasks}"),
             ]);
         }
@@ -150,7 +150,7 @@
             table.row([
                 queue.queue.to_string(),
                 queue.pool.to_string(),
-                word(&queue.mode),
+                json_name(&queue.mode),
                 queue.unfinished_jobs.to_string(),
                 queue.ready_tasks.to_string(),
                 queue.open_runs.to_string(),
@@ -167,7 +167,7 @@
             table.row([
                 licence.licence.to_string(),
                 licence.seats.to_string(),
-                licence.taken.to_string(),
+                licence.used.to_string(),
                 licence.waiting.to_string(),
             ]);
         }
@@ -193,8 +193,8 @@
                 tenant.tenant.to_string(),
                 tenant.unfinished_jobs.to_string(),
                 tenant.ready_tasks.to_string(),
-                capacity(&tenant.holds),
-                ceiling(&tenant.most),
+                capacity(&tenant.usage),
+                resource_limit(&tenant.resource_limit),
                 tenant.ended_jobs.to_string(),
                 tenant.late_jobs.to_string(),
                 tenant.failed_jobs.to_string(),
@@ -226,7 +226,7 @@
                 capacity(&runner.room),
                 yes_no(runner.draining),
                 yes_no(runner.on_probation),
-                runner.silence_ms.to_string(),
+                runner.since_last_contact_ms.to_string(),
             ]);
         }
         table.render()
@@ -251,8 +251,8 @@
                 member.role.clone(),
                 member.zone.clone(),
                 member.socket.clone(),
-                member.standing.clone(),
-                member.silence_ms.to_string(),
+                member.status.clone(),
+                member.since_last_contact_ms.to_string(),
                 version_of(member.configuration),
                 member.links.map_or_else(|| "-".to_owned(), links_of),
             ]);
@@ -267,7 +267,7 @@
     if links.slow_disk {
         text.push_str(" slow disk");
     }
-    if links.gave_way {
+    if links.recently_transferred {
         text.push_str(" gave way");
     }
     text
@@ -362,9 +362,9 @@
                 .map_or(String::new(), |text| format!(": {text}"));
             format!(
                 "run {run} of task {task} on {runner} closed, {}{message}",
-                word(outcome)
+                json_name(outcome)
             )
         }
-        EventBody::JobEnded { state } => format!("job ended, {}", word(state)),
+        EventBody::JobEnded { state } => format!("job ended, {}", json_name(state)),
     }
 }
--- a/crates/cypressdrum/src/daemon/mod.rs
+++ b/crates/cypressdrum/src/daemon/mod.rs
@@ -40,8 +40,8 @@
         Err(error) => return usage(&error),
     };
     if let Err(error) = admin::install_metrics() {
-        tracing::error!(%error, "no metrics");
-        return Exit::Refused;
+        tracing::error!(%error, "installing the metrics recorder failed");
+        return Exit::Rejected;
     }
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -49,8 +49,8 @@
     match runtime {
         Ok(runtime) => runtime.block_on(supervise::run(settings, source, log)),
         Err(error) => {
-            tracing::error!(%error, "cannot start the runtime");
-            Exit::Refused
+            tracing::error!(%error, "starting the async runtime failed");
+            Exit::Rejected
         }
     }
 }
--- a/crates/cypressdrum/src/daemon/options.rs
+++ b/crates/cypressdrum/src/daemon/options.rs
@@ -5,7 +5,7 @@
 };
 use types::{Address, Milliseconds, NodeId, Role};
 
-/// Random values of one process life, drawn once at its start.
+/// Random values of one process incarnation, drawn once at its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Draws {
     /// Identity; a coordinator uses it only when its disk holds none.
@@ -24,20 +24,20 @@
     }
 }
 
-fn policy(settings: &PolicySettings) -> dispatch::Policy {
-    dispatch::Policy {
+fn policy(settings: &PolicySettings) -> scheduler::Policy {
+    scheduler::Policy {
         draw: match settings.draw {
-            DrawSetting::Uniform => dispatch::Draw::Uniform,
-            DrawSetting::Oldest => dispatch::Draw::Oldest,
+            DrawSetting::Uniform => scheduler::Draw::Uniform,
+            DrawSetting::Oldest => scheduler::Draw::Oldest,
         },
         shares: settings.shares,
         priorities: settings.priorities,
-        ceiling_reserve: settings.ceiling_reserve,
-        holds: settings.holds,
+        urgent_headroom: settings.urgent_headroom,
+        backfill_reservations: settings.backfill_reservations,
         copies: settings.copies,
         suspects_last: settings.suspects_last,
         probation: settings.probation,
-        rack_patience: settings.rack_patience,
+        rack_locality: settings.rack_locality,
         avoid_failed: settings.avoid_failed,
     }
 }
@@ -48,33 +48,33 @@
         node,
         timings,
         limits,
-        dispatcher,
+        scheduler,
         ..
     } = settings;
     let core = coordinator::CoordinatorOptions {
         address: address(node, Role::Coordinator, draws),
         seeds: node.seeds.clone(),
         initial_coordinators: settings.initial_coordinators,
-        founding: coordinator::Founding::Exact,
-        stalled_after: dispatcher.stalled_after_ms.map(Milliseconds),
+        bootstrap_rule: coordinator::BootstrapRule::Exact,
+        stalled_after: scheduler.stalled_after_ms.map(Milliseconds),
         move_slow: settings.policy.move_slow,
         consensus: consensus::Options {
             election_timeout: Milliseconds(timings.election_timeout_ms),
             election_spread: Milliseconds(timings.election_timeout_ms),
             heartbeat_interval: Milliseconds(timings.heartbeat_interval_ms),
             leader_lease: Milliseconds(timings.leader_lease_ms),
-            gives_way: settings.policy.gives_way,
+            transfer_when_degraded: settings.policy.transfer_when_degraded,
             ..consensus::Options::default()
         },
-        dispatcher: dispatch::DispatcherOptions {
-            look_ahead: dispatcher.look_ahead_tasks,
-            hold_after: Milliseconds(dispatcher.hold_after_ms),
-            probation_failures: dispatcher.probation_failures,
-            probation: Milliseconds(dispatcher.probation_ms),
-            silent_after: Milliseconds(dispatcher.silent_after_ms),
-            patience: Milliseconds(dispatcher.patience_ms),
-            urgent_reserve_percent: dispatcher.urgent_reserve_percent,
-            urgent_ceiling_percent: dispatcher.urgent_ceiling_percent,
+        scheduler: scheduler::SchedulerOptions {
+            scan_depth: scheduler.scan_depth,
+            reserve_after: Milliseconds(scheduler.reserve_after_ms),
+            probation_failures: scheduler.probation_failures,
+            probation: Milliseconds(scheduler.probation_ms),
+            unresponsive_after: Milliseconds(scheduler.unresponsive_after_ms),
+            locality_wait: Milliseconds(scheduler.locality_wait_ms),
+            urgent_reserve_percent: scheduler.urgent_reserve_percent,
+            urgent_headroom_percent: scheduler.urgent_headroom_percent,
             policy: policy(&settings.policy),
         },
         session_lease: Milliseconds(timings.session_lease_ms),
@@ -82,7 +82,7 @@
         runner_wait: Milliseconds(timings.runner_wait_ms),
         snapshot_every: limits.snapshot_every_entries,
         max_waiting_requests: limits.max_waiting_requests,
-        decisions_kept: limits.decisions_kept,
+        decision_log_capacity: limits.decision_log_capacity,
         seed: draws.seed,
         mutation: None,
     };
@@ -147,14 +147,14 @@
     }
 }
 
-fn transport(node: &NodeSettings) -> peer::TransportOptions {
-    peer::TransportOptions {
+fn transport(node: &NodeSettings) -> transport::TransportOptions {
+    transport::TransportOptions {
         listen: node.listen,
         queue_length: node.transport.queue_length_messages,
         max_frame_bytes: node.transport.max_frame_bytes,
     }
 }
 
-fn cluster_key(node: &NodeSettings) -> peer::ClusterKey {
-    peer::ClusterKey::new(node.cluster_key.bytes())
+fn cluster_key(node: &NodeSettings) -> transport::ClusterKey {
+    transport::ClusterKey::new(node.cluster_key.bytes())
 }
--- a/crates/cypressdrum/src/daemon/supervise.rs
+++ b/crates/cypressdrum/src/daemon/supervise.rs
@@ -1,4 +1,4 @@
-//! One daemon's life: the role's shell, watched over by signals.
+//! One daemon's incarnation: the role's shell, watched over by signals.
 //!
 //! SIGTERM and SIGINT ask for a polite stop; a second one, or the end of the
 //! grace time, ends the process at once. SIGHUP reads the settings again.
@@ -56,8 +56,8 @@
     let (stop_signals, hang_up) = match listening {
         Ok(signals) => signals,
         Err(error) => {
-            tracing::error!(%error, "cannot listen to signals");
-            return Exit::Refused;
+            tracing::error!(%error, "installing signal handlers failed");
+            return Exit::Rejected;
         }
     };
     let draws = Draws::fresh();
@@ -90,13 +90,13 @@
 /// and the platform starts it again.
 fn abort_on_panic() {
     std::panic::set_hook(Box::new(|panic| {
-        let place = panic.location().map(ToString::to_string);
+        let location = panic.location().map(ToString::to_string);
         let payload = panic.payload();
         let message = payload
             .downcast_ref::<&str>()
             .copied()
             .or_else(|| payload.downcast_ref::<String>().map(String::as_str));
-        tracing::error!(?place, message, "panic; the process ends");
+        tracing::error!(?location, message, "panicked, process exits");
         std::process::abort();
     }));
 }
@@ -114,16 +114,19 @@
 
     async fn drain(&mut self, mut stop_signals: StopSignals) -> Exit {
         let grace = Duration::from_millis(self.settings.node().grace_ms);
-        tracing::info!(grace_ms = grace.as_millis() as u64, "draining");
+        tracing::info!(
+            grace_ms = grace.as_millis() as u64,
+            "graceful shutdown started"
+        );
         self.stop.send_replace(true);
         tokio::select! {
             ended = &mut self.role => log_end(ended),
             () = stop_signals.recv() => {
-                tracing::warn!("second signal, ending at once");
+                tracing::warn!("second signal received, exiting immediately");
                 Exit::Unavailable
             }
             () = tokio::time::sleep(grace + GRACE_MARGIN) => {
-                tracing::warn!("the grace time is over, ending at once");
+                tracing::warn!("grace period expired, exiting immediately");
                 Exit::Unavailable
             }
         }
@@ -135,21 +138,21 @@
         let fresh: S = match settings::load(&self.source) {
             Ok(fresh) => fresh,
             Err(error) => {
-                tracing::error!(%error, "reload refused, the old settings stay");
+                tracing::error!(%error, "settings reload rejected, previous settings stay in force");
                 return;
             }
         };
         let level = fresh.node().log.level;
         if let Err(error) = self.log.set_level(level) {
-            tracing::error!(%error, "reload failed, the old settings stay");
+            tracing::error!(%error, "settings reload failed, previous settings stay in force");
             return;
         }
-        let taken = self.settings.clone().with_log_level(level);
-        let needs_restart = taken != fresh;
-        self.settings = taken;
+        let applied = self.settings.clone().with_log_level(level);
+        let needs_restart = applied != fresh;
+        self.settings = applied;
         tracing::info!(%level, needs_restart, "settings reloaded");
         if needs_restart {
-            tracing::warn!("settings other than log.level changed; they count after a restart");
+            tracing::warn!("settings other than log.level changed, restart required");
         }
     }
 }
@@ -161,12 +164,12 @@
             Exit::Done
         }
         Ok(Err(error)) => {
-            tracing::error!(%error, "ended by an error");
-            Exit::Refused
+            tracing::error!(%error, "exiting after an error");
+            Exit::Rejected
         }
         Err(error) => {
-            tracing::error!(%error, "ended by a fault");
-            Exit::Refused
+            tracing::error!(%error, "exiting after a panic");
+            Exit::Rejected
         }
     }
 }
--- a/crates/cypressdrum/src/exit.rs
+++ b/crates/cypressdrum/src/exit.rs
@@ -16,8 +16,8 @@
 pub enum Exit {
     /// Done.
     Done,
-    /// Refused for good, not found, or different.
-    Refused,
+    /// Rejected for good, not found, or different.
+    Rejected,
     /// The command line, a settings file or an input file is wrong.
     Usage,
     /// Nobody could answer in time; asking again may help.
@@ -31,7 +31,7 @@
     pub fn code(self) -> u8 {
         match self {
             Self::Done => 0,
-            Self::Refused => 1,
+            Self::Rejected => 1,
             Self::Usage => 2,
             Self::Unavailable => 3,
             Self::PromiseBroken => 4,
--- a/crates/cypressdrum/src/key.rs
+++ b/crates/cypressdrum/src/key.rs
@@ -107,7 +107,7 @@
         }
         Err(error) => {
             eprintln!("{error}");
-            Exit::Refused
+            Exit::Rejected
         }
     }
 }
--- a/crates/cypressdrum/src/replay.rs
+++ b/crates/cypressdrum/src/replay.rs
@@ -36,8 +36,8 @@
 }
 
 impl CommandError {
-    /// True when the program that reads the output has ended, as `head` does.
-    fn reader_is_gone(&self) -> bool {
+    /// Returns whether the program that reads the output has ended, as `head` does.
+    fn reader_has_ended(&self) -> bool {
         let Self::Replay { source, .. } = self else {
             return false;
         };
@@ -49,7 +49,7 @@
 pub fn run(arguments: &ReplayArguments) -> Exit {
     match replay(arguments) {
         Ok(()) => Exit::Done,
-        Err(error) if error.reader_is_gone() => Exit::Done,
+        Err(error) if error.reader_has_ended() => Exit::Done,
         Err(error) => {
             eprintln!("{error}");
             Exit::Usage
--- a/crates/cypressdrum/tests/daemon.rs
+++ b/crates/cypressdrum/tests/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon's life under signals, as its platform sees it.
+//! A daemon's incarnation under signals, as its platform sees it.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -89,7 +89,7 @@
 fn a_polite_signal_drains_and_ends_with_zero() {
     let mut daemon = Daemon::start("polite", 1);
     daemon.signal(Signal::SIGTERM);
-    daemon.wait_for("draining");
+    daemon.wait_for("graceful shutdown started");
     daemon.wait_for("stopped");
     assert_eq!(daemon.child.wait().unwrap().code(), Some(0));
 }
@@ -118,7 +118,7 @@
     let mut daemon = Daemon::start("bad", 4);
     daemon.change_settings("zone = \"a\"", "colour = \"green\"");
     daemon.signal(Signal::SIGHUP);
-    daemon.wait_for("the old settings stay");
+    daemon.wait_for("previous settings stay in force");
     daemon.change_settings("colour = \"green\"", "zone = \"a\"");
     daemon.signal(Signal::SIGHUP);
     let line = daemon.wait_for("settings reloaded");
--- a/crates/cypressdrum/tests/gateways.rs
+++ b/crates/cypressdrum/tests/gateways.rs
@@ -1,6 +1,6 @@
 //! Client commands against stub gateways: order of trial and exit codes.
 
-use api::refusal::{Code, RefusalBody};
+use api::rejection::{Code, RejectionBody};
 use axum::Router;
 use axum::http::{HeaderMap, StatusCode};
 use axum::response::IntoResponse;
@@ -32,9 +32,9 @@
     }
 
     fn refusing(code: Code) -> Self {
-        let refuse = move || async move {
+        let reject = move || async move {
             let status = StatusCode::from_u16(code.status()).unwrap();
-            let body = RefusalBody {
+            let body = RejectionBody {
                 code,
                 message: "refused by the stub".to_owned(),
                 retry_after_ms: None,
@@ -42,7 +42,7 @@
             };
             (status, serde_json::to_string(&body).unwrap()).into_response()
         };
-        Self::serve(Router::new().fallback(refuse))
+        Self::serve(Router::new().fallback(reject))
     }
 
     fn queues() -> Self {
@@ -81,16 +81,16 @@
     let forbidden = Stub::refusing(Code::Forbidden);
     let fine = Stub::queues();
     let gateways = [forbidden.url(), fine.url()];
-    assert_eq!(run("queue list", &gateways), Exit::Refused);
+    assert_eq!(run("queue list", &gateways), Exit::Rejected);
 }
 
 #[test]
 fn refusals_have_the_documented_exit_codes() {
     for (code, exit) in [
-        (Code::Invalid, Exit::Refused),
-        (Code::Unauthenticated, Exit::Refused),
-        (Code::NotFound, Exit::Refused),
-        (Code::Conflict, Exit::Refused),
+        (Code::Invalid, Exit::Rejected),
+        (Code::Unauthenticated, Exit::Rejected),
+        (Code::NotFound, Exit::Rejected),
+        (Code::Conflict, Exit::Rejected),
         (Code::Overloaded, Exit::Unavailable),
         (Code::Unavailable, Exit::Unavailable),
         (Code::TimedOut, Exit::Unavailable),
@@ -149,5 +149,5 @@
     };
     let stub = Stub::serve(Router::new().route(api::route::CANCELS, post(answer)));
     let command = "cancel poster sheet-1 sheet-2";
-    assert_eq!(run(command, &[stub.url()]), Exit::Refused);
+    assert_eq!(run(command, &[stub.url()]), Exit::Rejected);
 }
--- a/crates/cypressdrum/tests/golden_help.rs
+++ b/crates/cypressdrum/tests/golden_help.rs
@@ -42,14 +42,14 @@
 fn every_end_has_its_recorded_exit_code() {
     let recorded = |exit: Exit| match exit {
         Exit::Done => 0,
-        Exit::Refused => 1,
+        Exit::Rejected => 1,
         Exit::Usage => 2,
         Exit::Unavailable => 3,
         Exit::PromiseBroken => 4,
     };
     for exit in [
         Exit::Done,
-        Exit::Refused,
+        Exit::Rejected,
         Exit::Usage,
         Exit::Unavailable,
         Exit::PromiseBroken,
--- a/crates/cypressdrum/tests/output.rs
+++ b/crates/cypressdrum/tests/output.rs
@@ -37,7 +37,7 @@
     let after = json!({"keys": [{"id": "b", "n": 2}]});
     let places: Vec<_> = differences(&before, &after)
         .into_iter()
-        .map(|difference| difference.place)
+        .map(|difference| difference.path)
         .collect();
     assert_eq!(places, ["keys.[a].id", "keys.[a].n"]);
 }
--- a/crates/cypressdrum/tests/support/crates.rs
+++ b/crates/cypressdrum/tests/support/crates.rs
@@ -24,13 +24,13 @@
         }
     }
 
-    /// True when a module of this path has a file of its own.
+    /// Returns whether a module of this path has a file of its own.
     pub fn has_module(&self, modules: &[&str]) -> bool {
         let path = self.folder.join("src").join(modules.join("/"));
         path.with_extension("rs").is_file() || path.join("mod.rs").is_file()
     }
 
-    /// True when `lib.rs` gives the item out.
+    /// Returns whether `lib.rs` gives the item out.
     pub fn gives_out(&self, item: &str) -> bool {
         let library = fs::read_to_string(self.folder.join("src/lib.rs")).unwrap_or_default();
         let mut statements = library.split(';');
@@ -40,7 +40,7 @@
             .any(|word| word == item)
     }
 
-    /// True when the sources declare the item; with an owner, as its function,
+    /// Returns whether the sources declare the item; with an owner, as its function,
     /// constant or variant.
     pub fn declares(&self, owner: Option<&str>, item: &str) -> bool {
         let fits = |declared: &&rust::Declared| declared.name == item;
@@ -73,7 +73,7 @@
     name.replace('-', "_")
 }
 
-/// True when a path from the root names a file or folder of the repository.
+/// Returns whether a path from the root names a file or folder of the repository.
 pub fn exists(path: &str) -> bool {
     root().join(path).exists()
 }
--- a/crates/standin/examples/runner.rs
+++ b/crates/emulator/examples/runner.rs
@@ -1,4 +1,4 @@
-//! One stand-in runner beside a running agent, for trying a fleet by hand:
+//! One emulated runner beside a running agent, for trying a fleet by hand:
 //!
 //! ```text
 //! cargo run --release -p standin --example runner -- stills-1 stills http://127.0.0.1:7480
@@ -8,8 +8,8 @@
 //! are in force, a file with the bearer token of a runner. It takes orders on a
 //! loopback port of the system's choice, and prints what happens in it.
 
-use standin::runner::{Behaviour, RunnerEvent, RunnerOptions};
-use standin::shell::RunnerServer;
+use emulator::runner::{Behaviour, RunnerEvent, RunnerOptions};
+use emulator::shell::RunnerServer;
 use std::error::Error;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -45,7 +45,7 @@
     Ok(())
 }
 
-/// Each start is another life, so its number is the time of the start.
+/// Each start is another incarnation, so its number is the time of the start.
 fn options(name: &str, pool: &str) -> Result<RunnerOptions, Box<dyn Error>> {
     let started = SystemTime::now().duration_since(UNIX_EPOCH)?;
     let incarnation = u64::try_from(started.as_millis())?;
--- a/crates/standin/src/caller.rs
+++ b/crates/emulator/src/caller.rs
@@ -1,4 +1,4 @@
-//! A stand-in caller: sends a job until it is acknowledged or refused for
+//! An emulated caller: sends a job until it is acknowledged or rejected for
 //! good, asks for its state until it is final, and waits when told when to
 //! come back.
 
@@ -16,7 +16,7 @@
 /// First wait between an acknowledgement and the question for the state.
 const FIRST_POLL: Milliseconds = Milliseconds(200);
 /// Longest wait between two questions for the state.
-const LONGEST_POLL: Milliseconds = Milliseconds(2_000);
+const MAX_POLL: Milliseconds = Milliseconds(2_000);
 
 /// What the caller wants sent now.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -32,16 +32,16 @@
 pub enum CallerAnswer {
     /// The submit is acknowledged.
     Acknowledged,
-    /// Refused; come back after this time.
+    /// Rejected; come back after this time.
     RetryAfter(Milliseconds),
-    /// Refused for good.
-    Refused,
+    /// Rejected for good.
+    Rejected,
     /// The job's state.
     State(JobState),
     /// No such job.
     Unknown,
     /// No answer in time.
-    Silence,
+    TimedOut,
 }
 
 /// How far a job has come.
@@ -63,7 +63,7 @@
 pub struct Caller {
     random: ChaCha8Rng,
     jobs: BTreeMap<JobKey, Followed>,
-    agenda: BTreeSet<(Monotonic, JobKey)>,
+    schedule: BTreeSet<(Monotonic, JobKey)>,
 }
 
 impl Default for Caller {
@@ -78,7 +78,7 @@
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             jobs: BTreeMap::new(),
-            agenda: BTreeSet::new(),
+            schedule: BTreeSet::new(),
         }
     }
 
@@ -94,10 +94,10 @@
     /// answer that never comes needs no call of [`Caller::answered`].
     pub fn actions(&mut self, now: Monotonic) -> Vec<CallerAction> {
         let mut actions = Vec::new();
-        while let Some((at, _)) = self.agenda.first()
+        while let Some((at, _)) = self.schedule.first()
             && *at <= now
         {
-            let Some((_, job)) = self.agenda.pop_first() else {
+            let Some((_, job)) = self.schedule.pop_first() else {
                 break;
             };
             let Some(phase) = self.jobs.get(&job).map(|followed| followed.phase) else {
@@ -120,7 +120,7 @@
             return;
         };
         match (answer, phase) {
-            (CallerAnswer::Refused, _) => self.forget(job),
+            (CallerAnswer::Rejected, _) => self.forget(job),
             (CallerAnswer::State(state), _) if state.is_final() => self.forget(job),
             (CallerAnswer::Acknowledged, Phase::Submitting)
             | (CallerAnswer::State(_), Phase::Submitting) => {
@@ -129,14 +129,14 @@
             (CallerAnswer::Acknowledged, Phase::Polling(_)) => {}
             (CallerAnswer::State(_), Phase::Polling(wait))
             | (CallerAnswer::Unknown, Phase::Polling(wait)) => {
-                let longer = Milliseconds(wait.0 * 3 / 2).min(LONGEST_POLL);
+                let longer = Milliseconds(wait.0 * 3 / 2).min(MAX_POLL);
                 self.plan(job.clone(), Phase::Polling(longer), now + longer);
             }
             (CallerAnswer::RetryAfter(wait), _) => {
                 let jitter = self.draw(wait.0 / 4 + RETRY_JITTER_MS);
                 self.plan(job.clone(), phase, now + wait + jitter);
             }
-            (CallerAnswer::Silence, _) | (CallerAnswer::Unknown, Phase::Submitting) => {
+            (CallerAnswer::TimedOut, _) | (CallerAnswer::Unknown, Phase::Submitting) => {
                 let again = now + self.draw(RETRY_JITTER_MS);
                 self.plan(job.clone(), phase, again);
             }
@@ -150,7 +150,7 @@
 
     /// When [`Caller::actions`] has something next.
     pub fn next_wakeup(&self) -> Option<Monotonic> {
-        self.agenda.first().map(|(at, _)| *at)
+        self.schedule.first().map(|(at, _)| *at)
     }
 
     fn draw(&mut self, most: u64) -> Milliseconds {
@@ -160,14 +160,14 @@
     fn plan(&mut self, job: JobKey, phase: Phase, next: Monotonic) {
         let followed = Followed { phase, next };
         if let Some(before) = self.jobs.insert(job.clone(), followed) {
-            self.agenda.remove(&(before.next, job.clone()));
+            self.schedule.remove(&(before.next, job.clone()));
         }
-        self.agenda.insert((next, job));
+        self.schedule.insert((next, job));
     }
 
     fn forget(&mut self, job: &JobKey) {
         if let Some(followed) = self.jobs.remove(job) {
-            self.agenda.remove(&(followed.next, job.clone()));
+            self.schedule.remove(&(followed.next, job.clone()));
         }
     }
 }
--- a/crates/standin/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -10,7 +10,7 @@
 use types::{InvalidName, Labels, Milliseconds, PoolName, RackName, Resources};
 
 /// Pool of the stills mix.
-pub const STILLS_POOL: &str = "stills";
+pub const MEDIA_POOL: &str = "stills";
 /// Pool of the documents mix.
 pub const DOCUMENTS_POOL: &str = "documents";
 /// Label that runners with accelerators carry.
@@ -30,7 +30,7 @@
 const LARGEST_CORES: u32 = 128;
 const RACKS: [&str; 3] = ["rack-1", "rack-2", "rack-3"];
 /// Cores of each runner, and whether it has accelerators.
-const STILLS_RUNNERS: [(u32, bool); 5] = [
+const MEDIA_RUNNERS: [(u32, bool); 5] = [
     (16, false),
     (32, false),
     (64, true),
@@ -63,7 +63,7 @@
 /// them with 8 accelerators.
 pub fn pool_runners(mix: Mix) -> Vec<RunnerTemplate> {
     let sizes: &[(u32, bool)] = match mix {
-        Mix::Stills => &STILLS_RUNNERS,
+        Mix::Media => &MEDIA_RUNNERS,
         Mix::Documents => &DOCUMENTS_RUNNERS,
     };
     let racks = RACKS.iter().cycle();
@@ -110,13 +110,13 @@
             },
         )]
         .into(),
-        pools: [STILLS_POOL, DOCUMENTS_POOL]
+        pools: [MEDIA_POOL, DOCUMENTS_POOL]
             .map(|pool| (checked_name(pool), pool_settings()))
             .into(),
         queues: [
-            ("hover", STILLS_POOL),
-            ("batch", STILLS_POOL),
-            ("gpu", STILLS_POOL),
+            ("hover", MEDIA_POOL),
+            ("batch", MEDIA_POOL),
+            ("gpu", MEDIA_POOL),
             ("lookup", DOCUMENTS_POOL),
             ("checks", DOCUMENTS_POOL),
             ("scan", DOCUMENTS_POOL),
@@ -156,7 +156,7 @@
 fn tenant(share_percent: u32, slots: u32, gpus: u32) -> TenantSettings {
     TenantSettings {
         share_percent,
-        ceiling: Resources {
+        resource_limit: Resources {
             slots,
             gpus,
             ..Resources::UNLIMITED
--- a/crates/standin/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-in runners and callers for simulation and lab: cores without I/O,
+//! Emulated runners and callers for simulation and lab: cores without I/O,
 //! and a tokio shell that makes a runner a server of its own.
 
 pub mod caller;
--- a/crates/standin/src/runner.rs
+++ b/crates/emulator/src/runner.rs
@@ -1,4 +1,4 @@
-//! A stand-in runner: it keeps tombstones, leases and ended runs as the
+//! An emulated runner: it keeps tombstones, leases and ended runs as the
 //! runner's side of the protocol asks, and can be told to misbehave.
 
 pub mod heartbeats;
@@ -14,8 +14,9 @@
 use std::collections::BTreeMap;
 use tombstones::Tombstones;
 use types::{
-    EndedRun, HeartbeatSequence, HeldRun, Milliseconds, Monotonic, OrderAnswer, OrderKind, Outcome,
-    RefusalReason, Resources, RunId, RunSpec, RunnerIncarnation, RunnerOrder, RunnerReport, Term,
+    ActiveRun, EndedRun, HeartbeatSequence, Milliseconds, Monotonic, OrderAnswer, OrderKind,
+    Outcome, RejectionReason, Resources, RunId, RunSpec, RunnerIncarnation, RunnerOrder,
+    RunnerReport, Term,
 };
 use work::Work;
 
@@ -46,19 +47,19 @@
 pub struct RunnerInstruction {
     /// Highest term the agent has seen.
     pub term: Term,
-    /// Newest heartbeat of this life the leader confirmed.
+    /// Newest heartbeat of this incarnation the leader confirmed.
     pub confirmed: Option<HeartbeatSequence>,
-    /// The life the confirmation is for.
+    /// The incarnation the confirmation is for.
     pub incarnation: RunnerIncarnation,
     /// Run lease, from when the confirmed heartbeat was sent.
     pub lease: Milliseconds,
     /// Ended runs the record has.
     pub recorded: Vec<RunId>,
-    /// Held runs the record closed.
+    /// Active runs the record closed.
     pub stop: Vec<RunId>,
 }
 
-/// A stand-in runner. The payload of a run is JSON with `duration_ms` and,
+/// An emulated runner. The payload of a run is JSON with `duration_ms` and,
 /// where wanted, `fail: true`, or `fail_task` with the position of one task
 /// that fails.
 ///
@@ -71,7 +72,7 @@
     highest_term: Term,
     heartbeats: HeartbeatLog,
     lease: Option<RunLease>,
-    held: BTreeMap<RunId, Work>,
+    active: BTreeMap<RunId, Work>,
     ended: BTreeMap<RunId, Outcome>,
     tombstones: Tombstones,
     /// Events of a heartbeat, which has no way to give them back.
@@ -87,7 +88,7 @@
             highest_term: Term::default(),
             heartbeats: HeartbeatLog::default(),
             lease: None,
-            held: BTreeMap::new(),
+            active: BTreeMap::new(),
             ended: BTreeMap::new(),
             tombstones: Tombstones::default(),
             waiting_events: Vec::new(),
@@ -107,11 +108,11 @@
     /// The next heartbeat.
     pub fn heartbeat(&mut self, now: Monotonic) -> RunnerReport {
         self.waiting_events = self.tick(now);
-        let sequence = self.heartbeats.note(now);
+        let sequence = self.heartbeats.record(now);
         self.tombstones.forget_before(self.heartbeats.oldest());
         let options = &self.options;
         RunnerReport {
-            place: None,
+            endpoint: None,
             unnamed: Vec::new(),
             runner: options.runner.clone(),
             incarnation: options.incarnation,
@@ -123,14 +124,14 @@
             free: self.free(),
             draining: self.draining,
             self_stop: true,
-            held: self.held_runs(now),
+            active: self.active_runs(now),
             ended: self.ended_runs(),
         }
     }
 
     /// Takes the agent's answer to a heartbeat. `confirmed` is the newest
-    /// heartbeat of this life that the leader confirmed. An answer for another
-    /// life, or under a lower term than one seen, changes nothing.
+    /// heartbeat of this incarnation that the leader confirmed. An answer for another
+    /// incarnation, or under a lower term than one seen, changes nothing.
     pub fn heartbeat_answered(
         &mut self,
         now: Monotonic,
@@ -157,7 +158,7 @@
         events
     }
 
-    /// Takes an order. Refusals are looked for in this order: other life,
+    /// Takes an order. Rejections are looked for in this order: other incarnation,
     /// lower term, and for a start: known run, draining, no room, stale basis.
     pub fn order(
         &mut self,
@@ -166,21 +167,23 @@
     ) -> (OrderAnswer, Vec<RunnerEvent>) {
         let mut events = self.tick(now);
         if order.incarnation != self.options.incarnation {
-            return refused(RefusalReason::OtherIncarnation, events);
+            return rejected(RejectionReason::OtherIncarnation, events);
         }
         if order.term < self.highest_term {
             if !self.mutated(RunnerMutation::NoTermFence) {
-                return refused(RefusalReason::StaleTerm, events);
+                return rejected(RejectionReason::StaleTerm, events);
             }
             events.push(RunnerEvent::AcceptedStale(order.clone()));
         }
         self.highest_term = self.highest_term.max(order.term);
         let answer = match &order.kind {
-            OrderKind::Start { run, basis, lease } => {
-                self.start(now, run, *basis, *lease, &mut events)
-            }
+            OrderKind::Start {
+                run,
+                based_on,
+                lease,
+            } => self.start(now, run, *based_on, *lease, &mut events),
             OrderKind::Stop { run } => self.stop(*run, &mut events),
-            OrderKind::Void { run } => self.void(*run),
+            OrderKind::Revoke { run } => self.revoke(*run),
         };
         (answer, events)
     }
@@ -196,8 +199,8 @@
     }
 
     /// Runs it holds.
-    pub fn held(&self) -> Vec<RunId> {
-        self.held.keys().copied().collect()
+    pub fn active(&self) -> Vec<RunId> {
+        self.active.keys().copied().collect()
     }
 
     /// When its run lease ends if no further heartbeat is confirmed.
@@ -207,8 +210,8 @@
 
     /// When [`Runner::tick`] wants to be called next; none when idle.
     pub fn next_wakeup(&self) -> Option<Monotonic> {
-        let due = self.held.values().filter_map(Work::ends_at).min();
-        if self.held.is_empty() || self.mutated(RunnerMutation::NoSelfStop) {
+        let due = self.active.values().filter_map(Work::ends_at).min();
+        if self.active.is_empty() || self.mutated(RunnerMutation::NoSelfStop) {
             return due;
         }
         let lease_end = self.lease.map(|lease| lease.ends());
@@ -219,23 +222,23 @@
         &mut self,
         now: Monotonic,
         run: &RunSpec,
-        basis: HeartbeatSequence,
+        based_on: HeartbeatSequence,
         lease: Milliseconds,
         events: &mut Vec<RunnerEvent>,
     ) -> OrderAnswer {
-        if let Some(reason) = self.reason_against(now, run, basis, lease) {
-            // The leader closes a refused run. The same order delivered again
+        if let Some(reason) = self.reason_against(now, run, based_on, lease) {
+            // The leader closes a rejected run. The same order delivered again
             // must not start it after all, when room has come back.
-            if reason != RefusalReason::KnownRun {
+            if reason != RejectionReason::KnownRun {
                 self.bury(run.run);
             }
-            return OrderAnswer::Refused(reason);
+            return OrderAnswer::Rejected(reason);
         }
         // The leader received the basis, so it counts as confirmed: every held
         // run stands under a lease from its first moment.
-        self.renew_lease(basis, lease);
+        self.renew_lease(based_on, lease);
         let work = Work::begin(run, now, self.options.behaviour, &mut self.random);
-        self.held.insert(run.run, work);
+        self.active.insert(run.run, work);
         events.push(RunnerEvent::Started(run.clone()));
         OrderAnswer::Started
     }
@@ -244,22 +247,22 @@
         &self,
         now: Monotonic,
         run: &RunSpec,
-        basis: HeartbeatSequence,
+        based_on: HeartbeatSequence,
         lease: Milliseconds,
-    ) -> Option<RefusalReason> {
+    ) -> Option<RejectionReason> {
         if self.is_known(run.run) {
-            return Some(RefusalReason::KnownRun);
+            return Some(RejectionReason::KnownRun);
         }
         if self.draining {
-            return Some(RefusalReason::Draining);
+            return Some(RejectionReason::Draining);
         }
         if !run.resources.fits_in(&self.free()) {
-            return Some(RefusalReason::NoRoom);
+            return Some(RejectionReason::NoCapacity);
         }
-        let sent_at = self.heartbeats.sent_at(basis);
+        let sent_at = self.heartbeats.sent_at(based_on);
         let fresh = sent_at.is_some_and(|sent_at| now < sent_at + lease);
-        if !fresh && !self.mutated(RunnerMutation::NoBasisCheck) {
-            return Some(RefusalReason::StaleBasis);
+        if !fresh && !self.mutated(RunnerMutation::NoHeartbeatCheck) {
+            return Some(RejectionReason::StaleHeartbeat);
         }
         None
     }
@@ -268,22 +271,22 @@
         if self.end(run, Outcome::Stopped, events) {
             return OrderAnswer::Stopping;
         }
-        self.void(run)
+        self.revoke(run)
     }
 
-    fn void(&mut self, run: RunId) -> OrderAnswer {
-        if self.held.contains_key(&run) {
-            return OrderAnswer::Held;
+    fn revoke(&mut self, run: RunId) -> OrderAnswer {
+        if self.active.contains_key(&run) {
+            return OrderAnswer::Active;
         }
         if self.ended.contains_key(&run) {
             return OrderAnswer::Ended;
         }
         self.bury(run);
-        OrderAnswer::Voided
+        OrderAnswer::Revoked
     }
 
     fn is_known(&self, run: RunId) -> bool {
-        self.held.contains_key(&run)
+        self.active.contains_key(&run)
             || self.ended.contains_key(&run)
             || self.tombstones.contains(run)
     }
@@ -299,7 +302,10 @@
         let Some(sent_at) = self.heartbeats.sent_at(confirmed) else {
             return;
         };
-        if self.lease.is_none_or(|held| confirmed >= held.confirmed) {
+        if self
+            .lease
+            .is_none_or(|active| confirmed >= active.confirmed)
+        {
             self.lease = Some(RunLease {
                 confirmed,
                 sent_at,
@@ -313,14 +319,14 @@
         if !over || self.mutated(RunnerMutation::NoSelfStop) {
             return;
         }
-        for run in self.held() {
+        for run in self.active() {
             self.end(run, Outcome::Stopped, events);
         }
     }
 
     fn end_due(&mut self, now: Monotonic, events: &mut Vec<RunnerEvent>) {
         let due: Vec<(RunId, Outcome)> = self
-            .held
+            .active
             .iter()
             .filter_map(|(run, work)| Some((*run, work.outcome(now)?)))
             .collect();
@@ -330,7 +336,7 @@
     }
 
     fn end(&mut self, run: RunId, outcome: Outcome, events: &mut Vec<RunnerEvent>) -> bool {
-        if self.held.remove(&run).is_none() {
+        if self.active.remove(&run).is_none() {
             return false;
         }
         self.ended.insert(run, outcome.clone());
@@ -340,21 +346,22 @@
 
     fn free(&self) -> Resources {
         let used = self
-            .held
+            .active
             .values()
             .fold(Resources::ZERO, |sum, work| sum.plus(&work.resources()));
         self.options.capacity.minus(&used)
     }
 
-    fn held_runs(&self, now: Monotonic) -> Vec<HeldRun> {
-        let held = self.held.iter();
-        held.map(|(run, work)| HeldRun {
-            progress: None,
-            checkpoint: None,
-            run: *run,
-            age: work.age(now),
-        })
-        .collect()
+    fn active_runs(&self, now: Monotonic) -> Vec<ActiveRun> {
+        let active = self.active.iter();
+        active
+            .map(|(run, work)| ActiveRun {
+                progress: None,
+                checkpoint: None,
+                run: *run,
+                age: work.age(now),
+            })
+            .collect()
     }
 
     fn ended_runs(&self) -> Vec<EndedRun> {
@@ -373,6 +380,6 @@
     }
 }
 
-fn refused(reason: RefusalReason, events: Vec<RunnerEvent>) -> (OrderAnswer, Vec<RunnerEvent>) {
-    (OrderAnswer::Refused(reason), events)
+fn rejected(reason: RejectionReason, events: Vec<RunnerEvent>) -> (OrderAnswer, Vec<RunnerEvent>) {
+    (OrderAnswer::Rejected(reason), events)
 }
--- a/crates/standin/src/runner/heartbeats.rs
+++ b/crates/emulator/src/runner/heartbeats.rs
@@ -4,10 +4,10 @@
 use types::{HeartbeatSequence, Milliseconds, Monotonic};
 
 /// Heartbeats remembered. At 50 a second this is 41 s, over twice the run
-/// lease; a basis that is forgotten is refused as stale, which is always safe.
+/// lease; a basis that is forgotten is rejected as stale, which is always safe.
 const MAX_REMEMBERED: usize = 2_048;
 
-/// When the last heartbeats of this life were sent.
+/// When the last heartbeats of this incarnation were sent.
 #[derive(Debug, Default)]
 pub struct HeartbeatLog {
     /// Of the newest; 0 before the first.
@@ -17,8 +17,8 @@
 }
 
 impl HeartbeatLog {
-    /// Notes a heartbeat sent now, and gives its number.
-    pub fn note(&mut self, now: Monotonic) -> HeartbeatSequence {
+    /// Records a heartbeat sent now, and gives its number.
+    pub fn record(&mut self, now: Monotonic) -> HeartbeatSequence {
         if self.sent_at.len() == MAX_REMEMBERED {
             self.sent_at.pop_front();
         }
@@ -39,9 +39,9 @@
 
     /// When a heartbeat was sent, while that is remembered.
     pub fn sent_at(&self, sequence: HeartbeatSequence) -> Option<Monotonic> {
-        let place = sequence.0.checked_sub(self.oldest().0)?;
-        let place = usize::try_from(place).ok()?;
-        self.sent_at.get(place).copied()
+        let index = sequence.0.checked_sub(self.oldest().0)?;
+        let index = usize::try_from(index).ok()?;
+        self.sent_at.get(index).copied()
     }
 }
 
--- a/crates/standin/src/runner/options.rs
+++ b/crates/emulator/src/runner/options.rs
@@ -1,13 +1,13 @@
-//! Settings of a stand-in runner.
+//! Settings of an emulated runner.
 
 use types::{Labels, PoolName, RackName, Resources, RunnerId, RunnerIncarnation};
 
-/// Settings of a stand-in runner.
+/// Settings of an emulated runner.
 #[derive(Debug, Clone)]
 pub struct RunnerOptions {
     /// Its name.
     pub runner: RunnerId,
-    /// This life.
+    /// This incarnation.
     pub incarnation: RunnerIncarnation,
     /// Its pool.
     pub pool: PoolName,
@@ -26,7 +26,7 @@
 }
 
 impl RunnerOptions {
-    /// The same runner in its next life.
+    /// The same runner in its next incarnation.
     pub fn restarted(&self) -> Self {
         Self {
             incarnation: self.incarnation.next(),
@@ -35,7 +35,7 @@
     }
 }
 
-/// How a stand-in runner behaves.
+/// How an emulated runner behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Behaviour {
     /// Does its work.
@@ -58,12 +58,12 @@
 /// A guard of the runner's side left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunnerMutation {
-    /// Voided, refused and recorded runs may start after all.
+    /// Revoked, rejected and recorded runs may start after all.
     NoTombstones,
     /// Orders of lower terms are taken.
     NoTermFence,
     /// Starts are taken however old their basis is.
-    NoBasisCheck,
+    NoHeartbeatCheck,
     /// Runs go on after the run lease.
     NoSelfStop,
 }
--- a/crates/standin/src/runner/work.rs
+++ b/crates/emulator/src/runner/work.rs
@@ -13,7 +13,7 @@
 /// A run of the task that a payload names as the failing one takes so long.
 const FAIL_TASK_AFTER_MS: u64 = 200;
 
-/// What a stand-in runner reads in a payload; other fields are left alone.
+/// What an emulated runner reads in a payload; other fields are left alone.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
 struct Payload {
--- a/crates/standin/src/shell.rs
+++ b/crates/emulator/src/shell.rs
@@ -1,4 +1,4 @@
-//! A stand-in runner as a server: it sends heartbeats to its agent and takes
+//! An emulated runner as a server: it sends heartbeats to its agent and takes
 //! orders, both as JSON over HTTP.
 
 mod driver;
@@ -7,7 +7,7 @@
 mod orders;
 
 use crate::runner::{Behaviour, RunnerEvent, RunnerOptions};
-use api::runner::{OrdersUrl, OrdersUrlProblem};
+use api::runner::{OrdersUrl, OrdersUrlError};
 use driver::Driver;
 use heartbeat::AgentClient;
 pub use lease::LeaseClock;
@@ -33,7 +33,7 @@
     },
     /// No agent could send orders to this socket.
     #[error("cannot take orders there: {0}")]
-    OrdersUrl(#[from] OrdersUrlProblem),
+    OrdersUrl(#[from] OrdersUrlError),
     /// The HTTP client for heartbeats cannot be made.
     #[error("cannot make the client for heartbeats: {0}")]
     Client(#[from] reqwest::Error),
--- a/crates/standin/src/shell/driver.rs
+++ b/crates/emulator/src/shell/driver.rs
@@ -25,7 +25,7 @@
     sending: JoinSet<Option<RunnerInstruction>>,
     last_heartbeat: Option<Monotonic>,
     /// A run ended or the runner drains: the agent should know at once.
-    has_news: bool,
+    report_due: bool,
 }
 
 impl Driver {
@@ -43,7 +43,7 @@
             lease,
             sending: JoinSet::new(),
             last_heartbeat: None,
-            has_news: false,
+            report_due: false,
         }
     }
 
@@ -64,14 +64,14 @@
                 },
                 Some((order, answer)) = orders.recv() => {
                     let (given, events) = self.runner.order(now(), &order);
-                    self.tell(events);
+                    self.handle_events(events);
                     // An agent that went away gets no answer.
                     let _ = answer.send(given);
                 }
                 Some(answered) = self.sending.join_next() => {
                     if let Ok(Some(instruction)) = answered {
                         let events = self.runner.heartbeat_answered(now(), &instruction);
-                        self.tell(events);
+                        self.handle_events(events);
                     }
                 }
                 () = tokio::time::sleep(pause) => {}
@@ -82,7 +82,7 @@
     /// Looks at leases and work first, then sends a heartbeat if one is due.
     fn advance(&mut self) {
         let events = self.runner.tick(now());
-        self.tell(events);
+        self.handle_events(events);
         let due = self.next_heartbeat().is_some_and(|due| now() >= due);
         if !due {
             return;
@@ -90,7 +90,7 @@
         let sent_at = now();
         let report = self.runner.heartbeat(sent_at);
         self.last_heartbeat = Some(sent_at);
-        self.has_news = false;
+        self.report_due = false;
         let agent = self.agent.clone();
         self.sending.spawn(async move { agent.send(report).await });
     }
@@ -100,7 +100,7 @@
         if !self.sending.is_empty() {
             return None;
         }
-        let spacing = if self.has_news {
+        let spacing = if self.report_due {
             HEARTBEAT_SPACING
         } else {
             HEARTBEAT_INTERVAL
@@ -118,22 +118,22 @@
 
     fn drain(&mut self) {
         self.runner.drain();
-        self.has_news = true;
+        self.report_due = true;
     }
 
     fn die(&mut self) {
         let events = self.runner.tick(now());
-        self.tell(events);
-        for run in self.runner.held() {
+        self.handle_events(events);
+        for run in self.runner.active() {
             let outcome = Outcome::Stopped;
-            self.tell(vec![RunnerEvent::Ended { run, outcome }]);
+            self.handle_events(vec![RunnerEvent::Ended { run, outcome }]);
         }
     }
 
-    fn tell(&mut self, events: Vec<RunnerEvent>) {
+    fn handle_events(&mut self, events: Vec<RunnerEvent>) {
         self.lease.set(self.runner.lease_until());
         for event in events {
-            self.has_news |= matches!(event, RunnerEvent::Ended { .. });
+            self.report_due |= matches!(event, RunnerEvent::Ended { .. });
             // Nobody has to listen to the history.
             let _ = self.events.send(event);
         }
@@ -141,5 +141,5 @@
 }
 
 fn now() -> Monotonic {
-    peer::clock::now().monotonic
+    transport::clock::now().monotonic
 }
--- a/crates/standin/src/shell/lease.rs
+++ b/crates/emulator/src/shell/lease.rs
@@ -1,4 +1,4 @@
-//! The run lease of a running stand-in, for whoever writes its history.
+//! The run lease of a running emulated, for whoever writes its history.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,7 +16,7 @@
     /// Time left; zero when it is over, none before the first lease.
     pub fn remaining(&self) -> Option<Milliseconds> {
         let ends = Monotonic(self.ends_ms.load(Ordering::Acquire));
-        (ends.0 > 0).then(|| ends.since(peer::clock::now().monotonic))
+        (ends.0 > 0).then(|| ends.since(transport::clock::now().monotonic))
     }
 
     pub(super) fn set(&self, ends: Option<Monotonic>) {
--- a/crates/standin/src/shell/orders.rs
+++ b/crates/emulator/src/shell/orders.rs
@@ -41,10 +41,10 @@
 ) -> Result<Json<OrderAnswerBody>, (StatusCode, String)> {
     let order = read_order(&body).map_err(|problem| (StatusCode::BAD_REQUEST, problem))?;
     let (answer, answered) = oneshot::channel();
-    let gone = || (StatusCode::SERVICE_UNAVAILABLE, "stopped".to_owned());
-    orders.send((order, answer)).await.map_err(|_| gone())?;
-    let answer = answered.await.map_err(|_| gone())?;
-    let body = OrderAnswerBody::from_answer(&answer).ok_or_else(gone)?;
+    let stopped = || (StatusCode::SERVICE_UNAVAILABLE, "stopped".to_owned());
+    orders.send((order, answer)).await.map_err(|_| stopped())?;
+    let answer = answered.await.map_err(|_| stopped())?;
+    let body = OrderAnswerBody::from_answer(&answer).ok_or_else(stopped)?;
     Ok(Json(body))
 }
 
--- a/crates/standin/src/workload.rs
+++ b/crates/emulator/src/workload.rs
@@ -2,7 +2,7 @@
 //! configuration they are made for.
 
 use crate::fleet::{
-    ACCELERATED_LICENCE, ACCELERATOR_LABEL, ACCELERATOR_VALUE, DOCUMENTS_POOL, STILLS_POOL,
+    ACCELERATED_LICENCE, ACCELERATOR_LABEL, ACCELERATOR_VALUE, DOCUMENTS_POOL, MEDIA_POOL,
     checked_name,
 };
 use rand::{Rng, SeedableRng};
@@ -22,7 +22,7 @@
 pub enum Mix {
     /// Contact sheets, catalogue strips, upscale and colour passes, and mostly
     /// hover frames: about 43 jobs a second over three tenants.
-    Stills,
+    Media,
     /// Completeness checks, price comparisons, document scans, and mostly
     /// status lookups: about 52 jobs a second over three tenants.
     Documents,
@@ -32,14 +32,14 @@
     /// The pool its queues are bound to.
     pub fn pool(self) -> &'static str {
         match self {
-            Self::Stills => STILLS_POOL,
+            Self::Media => MEDIA_POOL,
             Self::Documents => DOCUMENTS_POOL,
         }
     }
 
     fn kinds(self) -> &'static [JobKind] {
         match self {
-            Self::Stills => STILLS,
+            Self::Media => MEDIA_JOBS,
             Self::Documents => DOCUMENTS,
         }
     }
@@ -94,7 +94,7 @@
 }
 
 /// About 17 of the pool's 40 slots at the ordinary load.
-const STILLS: &[JobKind] = &[
+const MEDIA_JOBS: &[JobKind] = &[
     JobKind {
         jobs_per_second: 36.0,
         queue: "hover",
--- a/crates/standin/tests/caller.rs
+++ b/crates/emulator/tests/caller.rs
@@ -1,7 +1,7 @@
 //! The caller: it sends again after silence, comes back when told, and stops
 //! at a final state.
 
-use standin::caller::{Caller, CallerAction, CallerAnswer};
+use emulator::caller::{Caller, CallerAction, CallerAnswer};
 use types::{JobKey, JobState, Milliseconds, Monotonic};
 
 fn key(job: &str) -> JobKey {
@@ -66,7 +66,7 @@
 #[test]
 fn a_refusal_for_good_ends_the_job() {
     let (mut caller, job) = following("a");
-    caller.answered(&job, CallerAnswer::Refused, Monotonic(1));
+    caller.answered(&job, CallerAnswer::Rejected, Monotonic(1));
     assert_eq!(caller.unfinished(), 0);
     assert!(caller.actions(Monotonic(10_000)).is_empty());
 }
@@ -76,7 +76,7 @@
     let (mut caller, job) = following("a");
     caller.answered(&job, CallerAnswer::State(JobState::Cancelled), Monotonic(1));
     caller.answered(&job, CallerAnswer::Acknowledged, Monotonic(2));
-    caller.answered(&job, CallerAnswer::Silence, Monotonic(3));
+    caller.answered(&job, CallerAnswer::TimedOut, Monotonic(3));
     assert_eq!(caller.unfinished(), 0);
     assert!(caller.actions(Monotonic(10_000)).is_empty());
 }
--- a/crates/standin/tests/runner/bench.rs
+++ b/crates/emulator/tests/runner/bench.rs
@@ -1,6 +1,6 @@
 //! A runner with two slots and the orders it is given.
 
-use standin::runner::{Behaviour, Runner, RunnerInstruction, RunnerMutation, RunnerOptions};
+use emulator::runner::{Behaviour, Runner, RunnerInstruction, RunnerMutation, RunnerOptions};
 use types::{
     HeartbeatSequence, JobId, JobKey, Labels, Milliseconds, Monotonic, OrderKind, OrderSequence,
     PoolName, RackName, Resources, RunId, RunSpec, RunnerId, RunnerIncarnation, RunnerOrder,
@@ -89,19 +89,19 @@
     start_of(run(sequence, r#"{"duration_ms": 1800000}"#), 1)
 }
 
-pub fn start_of(mut run: RunSpec, basis: u64) -> RunnerOrder {
+pub fn start_of(mut run: RunSpec, based_on: u64) -> RunnerOrder {
     run.time_limit = Milliseconds(run.time_limit.0.max(20_000));
     let kind = OrderKind::Start {
         run,
-        basis: HeartbeatSequence(basis),
+        based_on: HeartbeatSequence(based_on),
         lease: Milliseconds(LEASE),
     };
     order(2, kind)
 }
 
-pub fn void(sequence: u64) -> RunnerOrder {
+pub fn revoke(sequence: u64) -> RunnerOrder {
     let run = run_id(sequence);
-    order(2, OrderKind::Void { run })
+    order(2, OrderKind::Revoke { run })
 }
 
 pub fn stop(sequence: u64) -> RunnerOrder {
--- a/crates/standin/tests/runner/lease.rs
+++ b/crates/emulator/tests/runner/lease.rs
@@ -1,7 +1,7 @@
 //! The run lease.
 
 use crate::bench::{confirm, order, run_id, runner, start};
-use standin::runner::{RunnerEvent, RunnerInstruction};
+use emulator::runner::{RunnerEvent, RunnerInstruction};
 use types::{HeartbeatSequence, Milliseconds, Monotonic, OrderAnswer, OrderKind, Outcome, Term};
 
 fn stopped(sequence: u64) -> RunnerEvent {
@@ -22,7 +22,7 @@
     assert_eq!(events, vec![stopped(1), stopped(2)]);
     assert_eq!(runner.next_wakeup(), None);
     let report = runner.heartbeat(Monotonic(10_001));
-    assert!(report.held.is_empty());
+    assert!(report.active.is_empty());
     assert_eq!(report.ended.len(), 2);
 }
 
@@ -73,7 +73,7 @@
     let mut by_heartbeat = runner();
     by_heartbeat.order(Monotonic(10), &start(1));
     let report = by_heartbeat.heartbeat(wakes);
-    assert!(report.held.is_empty());
+    assert!(report.active.is_empty());
     assert_eq!(by_heartbeat.tick(wakes), vec![stopped(1)]);
 
     let mut by_answer = runner();
@@ -83,8 +83,8 @@
 
     let mut by_order = runner();
     by_order.order(Monotonic(10), &start(1));
-    let void = order(2, OrderKind::Void { run: run_id(8) });
-    assert_eq!(by_order.order(wakes, &void).1, vec![stopped(1)]);
+    let revoke = order(2, OrderKind::Revoke { run: run_id(8) });
+    assert_eq!(by_order.order(wakes, &revoke).1, vec![stopped(1)]);
 }
 
 #[test]
--- a/crates/standin/tests/runner/main.rs
+++ b/crates/emulator/tests/runner/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the stand-in runner's core.
+//! Tests of the emulated runner's core.
 
 mod bench;
 mod lease;
--- a/crates/standin/tests/runner/work.rs
+++ b/crates/emulator/tests/runner/work.rs
@@ -1,7 +1,7 @@
 //! How runs end by themselves, and what heartbeats tell of them.
 
 use crate::bench::{options, run, run_id, runner, runner_with, slots, start_of};
-use standin::runner::{Behaviour, Runner, RunnerEvent};
+use emulator::runner::{Behaviour, Runner, RunnerEvent};
 use types::{Monotonic, Outcome};
 
 fn ends(runner: &mut Runner, payload: &str) -> Option<(u64, Outcome)> {
@@ -78,9 +78,9 @@
     runner.order(Monotonic(100), &start_of(run(1, ""), 1));
     let report = runner.heartbeat(Monotonic(150));
     assert_eq!(report.free, slots(1));
-    assert_eq!(report.held.len(), 1);
-    assert_eq!(report.held[0].run, run_id(1));
-    assert_eq!(report.held[0].age.0, 50);
+    assert_eq!(report.active.len(), 1);
+    assert_eq!(report.active[0].run, run_id(1));
+    assert_eq!(report.active[0].age.0, 50);
     let report = runner.heartbeat(Monotonic(200));
     assert_eq!(report.free, slots(2));
     assert_eq!(report.ended[0].outcome, Outcome::Done);
--- a/crates/standin/tests/shell.rs
+++ b/crates/emulator/tests/shell.rs
@@ -1,4 +1,4 @@
-//! The stand-in runner as a server, between a hand-made agent and orders.
+//! The emulated runner as a server, between a hand-made agent and orders.
 
 use api::runner::{
     AnswerName, HeartbeatAnswerBody, HeartbeatBody, OrderAnswerBody, OrderBody, OrderName,
@@ -8,8 +8,8 @@
 use axum::http::HeaderMap;
 use axum::routing::post;
 use axum::{Json, Router};
-use standin::runner::{Behaviour, RunnerEvent, RunnerOptions};
-use standin::shell::{RunnerHandle, RunnerServer};
+use emulator::runner::{Behaviour, RunnerEvent, RunnerOptions};
+use emulator::shell::{RunnerHandle, RunnerServer};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -118,7 +118,7 @@
     }
 }
 
-fn start(basis: u64, duration_ms: u64) -> OrderBody {
+fn start(based_on: u64, duration_ms: u64) -> OrderBody {
     OrderBody {
         term: 2,
         sequence: 1,
@@ -136,7 +136,7 @@
             resources: slots(1),
             time_limit_ms: 600_000,
             payload: format!(r#"{{"duration_ms": {duration_ms}}}"#),
-            basis,
+            based_on,
             lease_ms: 60_000,
         }),
     }
@@ -216,8 +216,8 @@
     };
     assert_eq!(guarded(history.recv()).await, Some(stopped));
     assert_eq!(guarded(history.recv()).await, None);
-    let refused = post_order(&url, &start(1, 10)).await;
-    assert!(refused.is_err());
+    let rejected = post_order(&url, &start(1, 10)).await;
+    assert!(rejected.is_err());
 }
 
 #[tokio::test]
--- a/crates/standin/tests/workload.rs
+++ b/crates/emulator/tests/workload.rs
@@ -1,13 +1,13 @@
 //! The mixes: what they draw, and that the fleet carries them.
 
 use api::configuration::ConfigurationBody;
-use record::{Command, CommandReply, Record};
-use standin::fleet::ACCELERATED_SEATS;
-use standin::workload::{Mix, Workload, example_configuration, pool_runners};
+use emulator::fleet::ACCELERATED_SEATS;
+use emulator::workload::{Mix, Workload, example_configuration, pool_runners};
+use state_machine::{Command, CommandReply, StateMachine};
 use std::collections::BTreeSet;
 use types::{ConfigurationVersion, JobSpec, Resources, Urgency, WallTime};
 
-const MIXES: [Mix; 2] = [Mix::Stills, Mix::Documents];
+const MIXES: [Mix; 2] = [Mix::Media, Mix::Documents];
 const DRAWS: usize = 20_000;
 
 fn draw(mix: Mix, seed: u64) -> Vec<JobSpec> {
@@ -39,7 +39,7 @@
 #[test]
 fn rates_are_those_of_the_deployments() {
     let rate = |mix| Workload::new(mix, "trial", 1).jobs_per_second();
-    assert!((rate(Mix::Stills) - 43.0).abs() < 0.5);
+    assert!((rate(Mix::Media) - 43.0).abs() < 0.5);
     assert!((rate(Mix::Documents) - 52.0).abs() < 0.5);
 }
 
@@ -83,9 +83,9 @@
 #[test]
 fn the_mean_load_leaves_seats_free_yet_they_bind_at_times() {
     let seats = f64::from(ACCELERATED_SEATS);
-    let held: f64 = MIXES.into_iter().map(mean_seats).sum();
-    let used = held / seats;
-    assert!((0.7..0.9).contains(&used), "{held:.1} of {seats} seats");
+    let active: f64 = MIXES.into_iter().map(mean_seats).sum();
+    let used = active / seats;
+    assert!((0.7..0.9).contains(&used), "{active:.1} of {seats} seats");
 
     let runners = MIXES.into_iter().flat_map(pool_runners);
     let accelerators: u32 = runners.map(|runner| runner.capacity.gpus).sum();
@@ -169,7 +169,7 @@
 fn the_record_takes_the_example_configuration_and_every_job() {
     let configuration = example_configuration();
     assert_eq!(configuration::validate(&configuration), []);
-    let mut record = Record::new();
+    let mut record = StateMachine::new();
     record.apply(&Command::PutConfiguration {
         version: ConfigurationVersion(1),
         document: configuration,
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -10,19 +10,21 @@
 
 mod access;
 mod interface;
-mod refusal;
+mod rejection;
 mod waiting;
 
 pub use interface::{Caller, Effect, GatewayOptions, Input, TicketId};
 
 use configuration::ClusterConfiguration;
-use peer::{Envelope, Operation, OperationReply, PeerMessage, Refusal, Reply, Request, RequestId};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use session::{SessionClient, SessionEvent, SessionOptions};
 use std::net::SocketAddr;
+use transport::{
+    Envelope, Operation, OperationReply, PeerMessage, Rejection, Reply, Request, RequestId,
+};
 use types::{ConfigurationVersion, Milliseconds, Monotonic, Now};
-use waiting::{Asked, NoPlace, WaitingTable};
+use waiting::{AdmissionError, Asked, WaitingTable};
 
 /// Most that a draw adds to the time to come back of an overloaded gateway.
 const OVERLOADED_JITTER_MS: u64 = 500;
@@ -71,7 +73,7 @@
     /// input counts for anything.
     pub fn handle(&mut self, now: Now, input: Input, effects: &mut Vec<Effect>) {
         if self.stopped {
-            self.refuse_after_stop(input, effects);
+            self.reject_after_stop(input, effects);
             return;
         }
         self.tick_session(now, effects);
@@ -98,7 +100,7 @@
             Input::Stop => self.stopping = true,
         }
         self.work_off_due(now, effects);
-        self.tell_readiness(now, effects);
+        self.report_readiness(now, effects);
         self.stop_when_empty(now, effects);
     }
 
@@ -134,23 +136,23 @@
             Ok(Admitted::Forward(asked)) => {
                 let id = self.next_request;
                 self.next_request = RequestId(id.0.wrapping_add(1));
-                let party = access::party(&asked.operation);
+                let owner = access::owner(&asked.operation);
                 let deadline = now.monotonic + time_left;
                 self.waiting
-                    .insert(id, party, asked, now.monotonic, deadline);
+                    .insert(id, owner, asked, now.monotonic, deadline);
             }
-            Err(refusal) => effects.push(respond(ticket, Err(refusal))),
+            Err(rejection) => effects.push(respond(ticket, Err(rejection))),
         }
     }
 
     /// Everything that can be said without the leader.
-    fn admit(&mut self, now: Now, mut asked: Asked) -> Result<Admitted, Refusal> {
+    fn admit(&mut self, now: Now, mut asked: Asked) -> Result<Admitted, Rejection> {
         if self.stopping {
-            return Err(refusal::unavailable("this gateway is stopping"));
+            return Err(rejection::unavailable("this gateway is stopping"));
         }
         let replica = self.session.configuration(now);
         let Some((version, document)) = replica.filter(|_| self.may_reach_leader(now)) else {
-            return Err(refusal::unavailable(NO_LEADER));
+            return Err(rejection::unavailable(NO_LEADER));
         };
         let token = asked.caller.token.as_deref();
         asked.operation = access::authorize(document, token, asked.operation)?;
@@ -160,22 +162,22 @@
                 document: document.clone(),
             }));
         }
-        self.check_place(&asked.operation)?;
+        self.check_capacity(&asked.operation)?;
         Ok(Admitted::Forward(asked))
     }
 
-    fn check_place(&mut self, operation: &Operation) -> Result<(), Refusal> {
-        let message = match self.waiting.check_place(&access::party(operation)) {
+    fn check_capacity(&mut self, operation: &Operation) -> Result<(), Rejection> {
+        let message = match self.waiting.check_capacity(&access::owner(operation)) {
             Ok(()) => return Ok(()),
-            Err(NoPlace::PartyFull) => "too many of this tenant's requests wait here",
-            Err(NoPlace::AllFull) => "too many requests wait here",
+            Err(AdmissionError::OwnerFull) => "too many of this tenant's requests wait here",
+            Err(AdmissionError::AllFull) => "too many requests wait here",
         };
         let jitter = Milliseconds(self.random.random_range(0..=OVERLOADED_JITTER_MS));
-        let retry_after = refusal::OVERLOADED_RETRY + jitter;
-        Err(refusal::overloaded(message, retry_after))
+        let retry_after = rejection::OVERLOADED_RETRY + jitter;
+        Err(rejection::overloaded(message, retry_after))
     }
 
-    /// True while a sending to a leader can still be hoped for: the session
+    /// Returns whether a sending to a leader can still be hoped for: the session
     /// holds, or a leader is known that may answer.
     fn may_reach_leader(&self, now: Now) -> bool {
         let holds = self.session.term(now).is_some();
@@ -195,9 +197,9 @@
         if let Some(PeerMessage::Reply(Reply { id, result })) = rest.map(|message| message.body)
             && let Some(waiting) = self.waiting.remove(id)
         {
-            let result = match waiting.sendings {
+            let result = match waiting.attempts {
                 0 | 1 => result,
-                _ => result.map_err(refusal::after_resend),
+                _ => result.map_err(rejection::after_resend),
             };
             effects.push(respond(waiting.asked.ticket, result));
         }
@@ -239,14 +241,14 @@
             return;
         }
         while let Some(id) = self.waiting.pop_due(now.monotonic) {
-            self.send_or_refuse(now, id, effects);
+            self.send_or_reject(now, id, effects);
         }
     }
 
     fn answer_timed_out(&mut self, now: Now, effects: &mut Vec<Effect>) {
         for id in self.waiting.timed_out(now.monotonic) {
             if let Some(waiting) = self.waiting.remove(id) {
-                effects.push(respond(waiting.asked.ticket, Err(refusal::timed_out())));
+                effects.push(respond(waiting.asked.ticket, Err(rejection::timed_out())));
             }
         }
     }
@@ -254,25 +256,25 @@
     fn give_up_all(&mut self, effects: &mut Vec<Effect>) {
         for id in self.waiting.ids() {
             if let Some(waiting) = self.waiting.remove(id) {
-                let refusal = match waiting.sendings {
-                    0 => refusal::unavailable(NO_LEADER),
-                    _ => refusal::leader_lost(),
+                let rejection = match waiting.attempts {
+                    0 => rejection::unavailable(NO_LEADER),
+                    _ => rejection::leader_lost(),
                 };
-                effects.push(respond(waiting.asked.ticket, Err(refusal)));
+                effects.push(respond(waiting.asked.ticket, Err(rejection)));
             }
         }
     }
 
     /// A key may have been revoked since the last sending; nothing is sent on
     /// its word then.
-    fn send_or_refuse(&mut self, now: Now, id: RequestId, effects: &mut Vec<Effect>) {
+    fn send_or_reject(&mut self, now: Now, id: RequestId, effects: &mut Vec<Effect>) {
         let Some(waiting) = self.waiting.get(id) else {
             return;
         };
         let token = waiting.asked.caller.token.as_deref();
         let replica = self.session.configuration(now);
         if !replica.is_some_and(|(_, document)| access::is_known(document, token)) {
-            effects.push(respond(waiting.asked.ticket, Err(refusal::revoked())));
+            effects.push(respond(waiting.asked.ticket, Err(rejection::revoked())));
             self.waiting.remove(id);
             return;
         }
@@ -287,7 +289,7 @@
         self.waiting.sent(id, to, now.monotonic);
     }
 
-    fn tell_readiness(&mut self, now: Now, effects: &mut Vec<Effect>) {
+    fn report_readiness(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let readiness = self.readiness_at(now);
         if self.readiness.as_ref() != Some(&readiness) {
             self.readiness = Some(readiness.clone());
@@ -319,10 +321,10 @@
         self.stopped = true;
     }
 
-    fn refuse_after_stop(&self, input: Input, effects: &mut Vec<Effect>) {
+    fn reject_after_stop(&self, input: Input, effects: &mut Vec<Effect>) {
         if let Input::Request { ticket, .. } = input {
-            let refusal = refusal::unavailable("this gateway is stopping");
-            effects.push(respond(ticket, Err(refusal)));
+            let rejection = rejection::unavailable("this gateway is stopping");
+            effects.push(respond(ticket, Err(rejection)));
         }
     }
 }
@@ -338,7 +340,7 @@
     }
 }
 
-/// A request that is not refused.
+/// A request that is not rejected.
 enum Admitted {
     /// The replica had the answer.
     Answered(OperationReply),
@@ -346,7 +348,7 @@
     Forward(Asked),
 }
 
-fn respond(ticket: TicketId, result: Result<OperationReply, Refusal>) -> Effect {
+fn respond(ticket: TicketId, result: Result<OperationReply, Rejection>) -> Effect {
     Effect::Respond { ticket, result }
 }
 
--- a/crates/gateway/src/core/access.rs
+++ b/crates/gateway/src/core/access.rs
@@ -1,10 +1,10 @@
 //! Who may ask for what.
 
-use crate::core::refusal;
-use crate::core::waiting::Party;
+use crate::core::rejection;
+use crate::core::waiting::RequestOwner;
 use configuration::{ClusterConfiguration, Key, KeyRole, authenticate, requires_keys};
-use peer::{Operation, Refusal};
-use record::CancelSelector;
+use state_machine::CancelSelector;
+use transport::{Operation, Rejection};
 use types::TenantId;
 
 /// Checks the key against the document and the operation against the key's
@@ -14,27 +14,27 @@
     document: &ClusterConfiguration,
     token: Option<&str>,
     operation: Operation,
-) -> Result<Operation, Refusal> {
+) -> Result<Operation, Rejection> {
     if !requires_keys(document) {
         return Ok(operation);
     }
     let key = find_key(document, token)?;
     match &key.role {
         KeyRole::Operator => Ok(operation),
-        KeyRole::Runner => Err(refusal::forbidden(
+        KeyRole::Runner => Err(rejection::forbidden(
             "a runner's key may only send heartbeats",
         )),
         KeyRole::Caller(tenant) => within_tenant(tenant, operation),
     }
 }
 
-/// True while the bearer's key stands in the document.
+/// Returns whether the bearer's key stands in the document.
 pub fn is_known(document: &ClusterConfiguration, token: Option<&str>) -> bool {
     !requires_keys(document) || find_key(document, token).is_ok()
 }
 
 /// Whose places a request takes: the one tenant it is about, or the operators'.
-pub fn party(operation: &Operation) -> Party {
+pub fn owner(operation: &Operation) -> RequestOwner {
     let tenant = match operation {
         Operation::Submit(spec) => Some(&spec.tenant),
         Operation::GetJob(key) | Operation::GetJobState(key) | Operation::Explain(key) => {
@@ -48,19 +48,21 @@
         }
         _ => None,
     };
-    tenant.cloned().map_or(Party::Operators, Party::Tenant)
+    tenant
+        .cloned()
+        .map_or(RequestOwner::Operators, RequestOwner::Tenant)
 }
 
 fn find_key<'a>(
     document: &'a ClusterConfiguration,
     token: Option<&str>,
-) -> Result<&'a Key, Refusal> {
-    let token = token.ok_or_else(|| refusal::unauthenticated("a bearer key is needed"))?;
+) -> Result<&'a Key, Rejection> {
+    let token = token.ok_or_else(|| rejection::unauthenticated("a bearer key is needed"))?;
     authenticate(document, token)
-        .ok_or_else(|| refusal::unauthenticated("the key is not known or was revoked"))
+        .ok_or_else(|| rejection::unauthenticated("the key is not known or was revoked"))
 }
 
-fn within_tenant(own: &TenantId, mut operation: Operation) -> Result<Operation, Refusal> {
+fn within_tenant(own: &TenantId, mut operation: Operation) -> Result<Operation, Rejection> {
     if let Operation::ListJobs(filter) = &mut operation {
         filter.tenant.get_or_insert_with(|| own.clone());
     }
@@ -72,10 +74,10 @@
         Operation::ListJobs(filter) => filter.tenant.as_ref() == Some(own),
         Operation::Cancel(CancelSelector::Tenant { tenant, .. }) => tenant == own,
         Operation::Cancel(CancelSelector::Jobs(jobs)) => jobs.iter().all(|key| key.tenant == *own),
-        _ => return Err(refusal::forbidden("only an operator's key may do this")),
+        _ => return Err(rejection::forbidden("only an operator's key may do this")),
     };
     if allowed {
         return Ok(operation);
     }
-    Err(refusal::forbidden("the key belongs to another tenant"))
+    Err(rejection::forbidden("the key belongs to another tenant"))
 }
--- a/crates/gateway/src/core/interface.rs
+++ b/crates/gateway/src/core/interface.rs
@@ -1,7 +1,7 @@
 //! What goes into the core and what comes out.
 
-use peer::{Envelope, Operation, OperationReply, PeerMessage, Refusal};
 use std::net::SocketAddr;
+use transport::{Envelope, Operation, OperationReply, PeerMessage, Rejection};
 use types::{Address, Milliseconds};
 
 /// Settings of the core.
@@ -11,7 +11,7 @@
     pub address: Address,
     /// Peer sockets of other processes of any role; may be dead, or its own.
     pub seeds: Vec<SocketAddr>,
-    /// Time between hellos.
+    /// Time between keep-alives.
     pub session_interval: Milliseconds,
     /// A configuration replica counts for this long after the leader's last word.
     pub replica_valid: Milliseconds,
@@ -90,7 +90,7 @@
         /// Number of the request.
         ticket: TicketId,
         /// The answer.
-        result: Result<OperationReply, Refusal>,
+        result: Result<OperationReply, Rejection>,
     },
     /// Whether this process should count as ready, and why not.
     Ready(Result<(), String>),
--- a/crates/gateway/src/core/refusal.rs
+++ b/crates/gateway/src/core/rejection.rs
@@ -1,6 +1,6 @@
-//! The refusals a gateway gives by itself.
+//! The rejections a gateway gives by itself.
 
-use peer::{Refusal, RefusalCode};
+use transport::{Rejection, RejectionCode};
 use types::Milliseconds;
 
 /// When to come back while no leader is known or this process stops.
@@ -11,70 +11,70 @@
 pub const OVERLOADED_RETRY: Milliseconds = Milliseconds(500);
 
 /// No leader can be reached.
-pub fn unavailable(message: &str) -> Refusal {
-    refuse(RefusalCode::Unavailable, message, Some(UNAVAILABLE_RETRY))
+pub fn unavailable(message: &str) -> Rejection {
+    reject(RejectionCode::Unavailable, message, Some(UNAVAILABLE_RETRY))
 }
 
 /// The leader went away before it answered.
-pub fn leader_lost() -> Refusal {
-    refuse(
-        RefusalCode::TimedOut,
+pub fn leader_lost() -> Rejection {
+    reject(
+        RejectionCode::TimedOut,
         "the leader was lost before it answered: it may or may not be taken, send the same again",
         Some(UNAVAILABLE_RETRY),
     )
 }
 
-/// A leader's refusal of a request that had been sent before: it speaks for
+/// A leader's rejection of a request that had been sent before: it speaks for
 /// the last sending only, an earlier one may still be taken.
-pub fn after_resend(refusal: Refusal) -> Refusal {
+pub fn after_resend(rejection: Rejection) -> Rejection {
     let is_momentary = matches!(
-        refusal.code,
-        RefusalCode::Overloaded | RefusalCode::Unavailable
+        rejection.code,
+        RejectionCode::Overloaded | RejectionCode::Unavailable
     );
     if !is_momentary {
-        return refusal;
+        return rejection;
     }
-    Refusal {
-        code: RefusalCode::TimedOut,
+    Rejection {
+        code: RejectionCode::TimedOut,
         message: format!(
             "an earlier sending may or may not be taken, send the same again: {}",
-            refusal.message
+            rejection.message
         ),
-        ..refusal
+        ..rejection
     }
 }
 
 /// The key went out of force while the request waited.
-pub fn revoked() -> Refusal {
+pub fn revoked() -> Rejection {
     unauthenticated("the key was revoked while the request waited: it may or may not be taken")
 }
 
 /// Every place that the asker may take is taken.
-pub fn overloaded(message: &str, retry_after: Milliseconds) -> Refusal {
-    refuse(RefusalCode::Overloaded, message, Some(retry_after))
+pub fn overloaded(message: &str, retry_after: Milliseconds) -> Rejection {
+    reject(RejectionCode::Overloaded, message, Some(retry_after))
 }
 
 /// The caller's time ran out before the leader answered.
-pub fn timed_out() -> Refusal {
-    refuse(
-        RefusalCode::TimedOut,
+pub fn timed_out() -> Rejection {
+    reject(
+        RejectionCode::TimedOut,
         "no answer came in time: it may or may not be taken, send the same again",
         Some(TIMED_OUT_RETRY),
     )
 }
 
 /// No key, or none that is known.
-pub fn unauthenticated(message: &str) -> Refusal {
-    refuse(RefusalCode::Unauthenticated, message, None)
+pub fn unauthenticated(message: &str) -> Rejection {
+    reject(RejectionCode::Unauthenticated, message, None)
 }
 
 /// The key may not do this.
-pub fn forbidden(message: &str) -> Refusal {
-    refuse(RefusalCode::Forbidden, message, None)
+pub fn forbidden(message: &str) -> Rejection {
+    reject(RejectionCode::Forbidden, message, None)
 }
 
-fn refuse(code: RefusalCode, message: &str, retry_after: Option<Milliseconds>) -> Refusal {
-    Refusal {
+fn reject(code: RejectionCode, message: &str, retry_after: Option<Milliseconds>) -> Rejection {
+    Rejection {
         code,
         message: message.to_owned(),
         retry_after,
--- a/crates/gateway/src/core/waiting.rs
+++ b/crates/gateway/src/core/waiting.rs
@@ -1,9 +1,9 @@
 //! Requests that wait for the leader: bounded places, deadlines, resends.
 
 use crate::core::{Caller, TicketId};
-use peer::{Operation, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
+use transport::{Operation, RequestId};
 use types::{Milliseconds, Monotonic, TenantId};
 
 /// One tenant may take this part of all places.
@@ -15,7 +15,7 @@
 
 /// Whose places a request takes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Party {
+pub enum RequestOwner {
     /// About one tenant's jobs.
     Tenant(TenantId),
     /// About the cluster, or several tenants.
@@ -24,9 +24,9 @@
 
 /// Why no place was given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoPlace {
+pub enum AdmissionError {
     /// The party has its part of the places.
-    PartyFull,
+    OwnerFull,
     /// All places are taken.
     AllFull,
 }
@@ -52,8 +52,8 @@
     /// Where it was sent last; none while it has not left.
     pub sent_to: Option<SocketAddr>,
     /// Times it was sent.
-    pub sendings: u32,
-    party: Party,
+    pub attempts: u32,
+    owner: RequestOwner,
     doublings: u32,
     due: Monotonic,
 }
@@ -61,43 +61,47 @@
 /// The requests that wait, by number and by what is due next.
 #[derive(Debug)]
 pub struct WaitingTable {
-    places: usize,
+    capacity: usize,
     resend_after: Milliseconds,
     requests: BTreeMap<RequestId, Waiting>,
     tickets: BTreeMap<TicketId, RequestId>,
-    agenda: BTreeSet<(Monotonic, RequestId)>,
-    taken: BTreeMap<Party, usize>,
+    schedule: BTreeSet<(Monotonic, RequestId)>,
+    used: BTreeMap<RequestOwner, usize>,
 }
 
 impl WaitingTable {
     /// An empty table with this many places.
-    pub fn new(places: usize, resend_after: Milliseconds) -> Self {
+    pub fn new(capacity: usize, resend_after: Milliseconds) -> Self {
         Self {
-            places: places.max(1),
+            capacity: capacity.max(1),
             resend_after: Milliseconds(resend_after.0.max(1)),
             requests: BTreeMap::new(),
             tickets: BTreeMap::new(),
-            agenda: BTreeSet::new(),
-            taken: BTreeMap::new(),
+            schedule: BTreeSet::new(),
+            used: BTreeMap::new(),
         }
     }
 
     /// Whether this party may take one more place.
-    pub fn check_place(&self, party: &Party) -> Result<(), NoPlace> {
-        if self.requests.len() >= self.places {
-            return Err(NoPlace::AllFull);
+    pub fn check_capacity(&self, owner: &RequestOwner) -> Result<(), AdmissionError> {
+        if self.requests.len() >= self.capacity {
+            return Err(AdmissionError::AllFull);
         }
-        if *party == Party::Operators {
+        if *owner == RequestOwner::Operators {
             return Ok(());
         }
-        let own = self.taken.get(party).copied().unwrap_or(0);
-        if own >= (self.places / TENANT_PART).max(1) {
-            return Err(NoPlace::PartyFull);
+        let own = self.used.get(owner).copied().unwrap_or(0);
+        if own >= (self.capacity / TENANT_PART).max(1) {
+            return Err(AdmissionError::OwnerFull);
         }
-        let operators = self.taken.get(&Party::Operators).copied().unwrap_or(0);
+        let operators = self
+            .used
+            .get(&RequestOwner::Operators)
+            .copied()
+            .unwrap_or(0);
         let tenants = self.requests.len() - operators;
-        if tenants >= self.places - self.places / OPERATOR_PART {
-            return Err(NoPlace::AllFull);
+        if tenants >= self.capacity - self.capacity / OPERATOR_PART {
+            return Err(AdmissionError::AllFull);
         }
         Ok(())
     }
@@ -106,20 +110,20 @@
     pub fn insert(
         &mut self,
         id: RequestId,
-        party: Party,
+        owner: RequestOwner,
         asked: Asked,
         now: Monotonic,
         deadline: Monotonic,
     ) {
-        *self.taken.entry(party.clone()).or_default() += 1;
+        *self.used.entry(owner.clone()).or_default() += 1;
         self.tickets.insert(asked.ticket, id);
-        self.agenda.insert((now, id));
+        self.schedule.insert((now, id));
         let waiting = Waiting {
             asked,
             deadline,
             sent_to: None,
-            sendings: 0,
-            party,
+            attempts: 0,
+            owner,
             doublings: 0,
             due: now,
         };
@@ -135,11 +139,11 @@
     pub fn remove(&mut self, id: RequestId) -> Option<Waiting> {
         let waiting = self.requests.remove(&id)?;
         self.tickets.remove(&waiting.asked.ticket);
-        self.agenda.remove(&(waiting.due, id));
-        if let Some(count) = self.taken.get_mut(&waiting.party) {
+        self.schedule.remove(&(waiting.due, id));
+        if let Some(count) = self.used.get_mut(&waiting.owner) {
             *count -= 1;
             if *count == 0 {
-                self.taken.remove(&waiting.party);
+                self.used.remove(&waiting.owner);
             }
         }
         Some(waiting)
@@ -151,7 +155,7 @@
         self.remove(id)
     }
 
-    /// Notes a sending, or an attempt while no leader was known. The waits
+    /// Records a sending, or an attempt while no leader was known. The waits
     /// between sendings grow, so that a slow leader is not asked ever more.
     pub fn sent(&mut self, id: RequestId, to: Option<SocketAddr>, now: Monotonic) {
         let Some(waiting) = self.requests.get_mut(&id) else {
@@ -159,7 +163,7 @@
         };
         let wait = Milliseconds(self.resend_after.0 << waiting.doublings);
         if to.is_some() {
-            waiting.sendings += 1;
+            waiting.attempts += 1;
             waiting.doublings = (waiting.doublings + 1).min(MAX_RESEND_DOUBLINGS);
         }
         waiting.sent_to = to.or(waiting.sent_to);
@@ -178,7 +182,7 @@
     /// Numbers of those whose callers stopped waiting. A request is due no
     /// later than its deadline, so only what is due needs a look.
     pub fn timed_out(&self, now: Monotonic) -> Vec<RequestId> {
-        let due = self.agenda.iter().take_while(|(due, _)| *due <= now);
+        let due = self.schedule.iter().take_while(|(due, _)| *due <= now);
         due.filter(|(_, id)| {
             let waiting = self.requests.get(id);
             waiting.is_some_and(|waiting| waiting.deadline <= now)
@@ -187,18 +191,18 @@
         .collect()
     }
 
-    /// Takes the next request that is due off the agenda.
+    /// Takes the next request that is due off the schedule.
     pub fn pop_due(&mut self, now: Monotonic) -> Option<RequestId> {
-        let (due, _) = self.agenda.first()?;
+        let (due, _) = self.schedule.first()?;
         if *due > now {
             return None;
         }
-        self.agenda.pop_first().map(|(_, id)| id)
+        self.schedule.pop_first().map(|(_, id)| id)
     }
 
     /// When the next request is due.
     pub fn next_due(&self) -> Option<Monotonic> {
-        self.agenda.first().map(|(due, _)| *due)
+        self.schedule.first().map(|(due, _)| *due)
     }
 
     /// Numbers of all that wait.
@@ -214,16 +218,16 @@
         self.requests.iter().filter_map(sent).collect()
     }
 
-    /// True when nothing waits.
+    /// Returns whether nothing waits.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
     fn plan(&mut self, id: RequestId, due: Monotonic) {
         if let Some(waiting) = self.requests.get_mut(&id) {
-            self.agenda.remove(&(waiting.due, id));
+            self.schedule.remove(&(waiting.due, id));
             waiting.due = due;
-            self.agenda.insert((due, id));
+            self.schedule.insert((due, id));
         }
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! The gateway role: a core without I/O and its tokio shell.
 //!
 //! Stateless: it checks keys against its configuration replica, admits or
-//! refuses by tenant, forwards to the leader under the caller's deadline, and
+//! rejects by tenant, forwards to the leader under the caller's deadline, and
 //! gives each request one final answer. Nothing an acknowledgement rests on is
 //! held here.
 
@@ -10,5 +10,6 @@
 
 pub use crate::core::{Caller, Effect, Gateway, GatewayOptions, Input, TicketId};
 pub use shell::{
-    Answer, Face, GatewayError, Replica, Requests, ShellOptions, ShownReplica, run, run_with_routes,
+    Answer, GatewayError, Replica, Requests, RouteContext, ShellOptions, ShownReplica, run,
+    run_with_routes,
 };
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -30,9 +30,9 @@
     /// Settings of the core.
     pub core: GatewayOptions,
     /// Peer listener.
-    pub transport: peer::TransportOptions,
+    pub transport: transport::TransportOptions,
     /// Shared key of the cluster.
-    pub cluster_key: peer::ClusterKey,
+    pub cluster_key: transport::ClusterKey,
     /// HTTP listener for callers and operators; also livez, readyz, metrics.
     pub http_listen: SocketAddr,
     /// Longest time to end after a polite stop.
@@ -44,7 +44,7 @@
 pub enum GatewayError {
     /// The peer listener cannot be used.
     #[error(transparent)]
-    Transport(#[from] peer::TransportError),
+    Transport(#[from] transport::TransportError),
     /// The HTTP listener cannot be used.
     #[error("cannot listen on {listen}: {source}")]
     Http {
@@ -66,7 +66,7 @@
 
 /// What the routes of a gateway are made from.
 #[derive(Debug, Clone)]
-pub struct Face {
+pub struct RouteContext {
     /// Where to ask.
     pub requests: Requests,
     /// The configuration replica.
@@ -84,7 +84,7 @@
 pub async fn run_with_routes(
     options: ShellOptions,
     stop: watch::Receiver<bool>,
-    routes: impl FnOnce(Face) -> Router,
+    routes: impl FnOnce(RouteContext) -> Router,
 ) -> Result<(), GatewayError> {
     let listen = options.http_listen;
     let listener = TcpListener::bind(listen)
@@ -95,17 +95,17 @@
 
 /// As [`run`], on an HTTP socket that is bound already.
 ///
-/// After the stop, waiting requests are finished and new ones refused; when
-/// the grace time is nearly over, what still waits is refused as well, and
+/// After the stop, waiting requests are finished and new ones rejected; when
+/// the grace time is nearly over, what still waits is rejected as well, and
 /// connections that do not end are cut off.
 pub async fn run_on(
     listener: TcpListener,
     options: ShellOptions,
     stop: watch::Receiver<bool>,
 ) -> Result<(), GatewayError> {
-    serve(listener, options, stop, |face| {
-        let server = Server::new(face.requests, face.node, face.stop);
-        http::router(server, face.readiness)
+    serve(listener, options, stop, |context| {
+        let server = Server::new(context.requests, context.node, context.stop);
+        http::router(server, context.readiness)
     })
     .await
 }
@@ -114,18 +114,18 @@
     listener: TcpListener,
     options: ShellOptions,
     stop: watch::Receiver<bool>,
-    routes: impl FnOnce(Face) -> Router,
+    routes: impl FnOnce(RouteContext) -> Router,
 ) -> Result<(), GatewayError> {
     let listen = options.http_listen;
     let own = options.core.address.clone();
-    let started = peer::Transport::start(options.transport, options.cluster_key, own.clone());
+    let started = transport::Transport::start(options.transport, options.cluster_key, own.clone());
     let (transport, arriving) = started.await?;
     let readiness = Readiness::starting();
     let (requests, inbox) = requests::channel();
-    let gateway = Gateway::new(options.core, peer::clock::now());
+    let gateway = Gateway::new(options.core, transport::clock::now());
     let (shown, replica) = watch::channel(None);
     let driver = Driver::new(gateway, transport.clone(), readiness.clone(), shown);
-    let face = Face {
+    let context = RouteContext {
         requests,
         replica,
         readiness,
@@ -136,8 +136,8 @@
     let grace = Duration::from_millis(options.grace.0);
     let closing = grace / CLOSING_PART;
 
-    let serving = axum::serve(LimitedListener::new(listener), routes(face))
-        .with_graceful_shutdown(turned_true(finished_seen))
+    let serving = axum::serve(LimitedListener::new(listener), routes(context))
+        .with_graceful_shutdown(wait_until_true(finished_seen))
         .into_future();
     let driving = async {
         driver.run(inbox, arriving, stop, grace - closing).await;
@@ -153,6 +153,6 @@
 }
 
 /// Waits until the value is true, or can never become it any more.
-async fn turned_true(mut value: watch::Receiver<bool>) {
+async fn wait_until_true(mut value: watch::Receiver<bool>) {
     let _ = value.wait_for(|value| *value).await;
 }
--- a/crates/gateway/src/shell/connection.rs
+++ b/crates/gateway/src/shell/connection.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct LimitedListener {
     listener: TcpListener,
-    places: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 }
 
 impl LimitedListener {
@@ -25,7 +25,7 @@
     pub fn new(listener: TcpListener) -> Self {
         Self {
             listener,
-            places: Arc::new(Semaphore::new(MAX_CONNECTIONS)),
+            permits: Arc::new(Semaphore::new(MAX_CONNECTIONS)),
         }
     }
 }
@@ -36,14 +36,14 @@
 
     async fn accept(&mut self) -> (LimitedStream, SocketAddr) {
         // The semaphore is never closed, so there is always a place in time.
-        let place = self.places.clone().acquire_owned().await.ok();
+        let permit = self.permits.clone().acquire_owned().await.ok();
         let (stream, peer) = Listener::accept(&mut self.listener).await;
         if let Err(problem) = stream.set_nodelay(true) {
-            tracing::debug!(%problem, "cannot set TCP_NODELAY");
+            tracing::debug!(%problem, "setting TCP_NODELAY failed");
         }
         let stream = LimitedStream {
             stream,
-            _place: place,
+            _permit: permit,
         };
         (stream, peer)
     }
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub struct LimitedStream {
     stream: TcpStream,
-    _place: Option<OwnedSemaphorePermit>,
+    _permit: Option<OwnedSemaphorePermit>,
 }
 
 impl AsyncRead for LimitedStream {
--- a/crates/gateway/src/shell/driver.rs
+++ b/crates/gateway/src/shell/driver.rs
@@ -5,16 +5,16 @@
 use crate::{Effect, Gateway, Input, TicketId};
 use admin::Readiness;
 use configuration::ClusterConfiguration;
-use peer::Transport;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
+use transport::Transport;
 use types::ConfigurationVersion;
 
 /// Longest sleep: tokio's clock may stand still where the core's counts on.
-const LONGEST_SLEEP: Duration = Duration::from_millis(250);
+const MAX_SLEEP: Duration = Duration::from_millis(250);
 
 /// A valid configuration replica.
 #[derive(Debug, Clone)]
@@ -57,11 +57,11 @@
     }
 
     /// Runs until the core has stopped after `stop` turned true, or `grace`
-    /// after that. What waits then is dropped, which refuses it.
+    /// after that. What waits then is dropped, which rejects it.
     pub async fn run(
         mut self,
         mut inbox: Inbox,
-        mut arriving: peer::Inbox,
+        mut arriving: transport::Inbox,
         mut stop: watch::Receiver<bool>,
         grace: Duration,
     ) {
@@ -82,14 +82,14 @@
         }
         if !self.stopped {
             let waiting = self.answers.len();
-            tracing::warn!(waiting, "the grace time is over");
+            tracing::warn!(waiting, "grace period expired, rejecting waiting requests");
         }
     }
 
     fn sleep_length(&self, ends_at: Option<Instant>) -> Duration {
-        let now = peer::clock::now().monotonic;
+        let now = transport::clock::now().monotonic;
         let until_wakeup = Duration::from_millis(self.gateway.next_wakeup().since(now).0);
-        let sleep = until_wakeup.min(LONGEST_SLEEP);
+        let sleep = until_wakeup.min(MAX_SLEEP);
         match ends_at {
             Some(end) => sleep.min(end.saturating_duration_since(Instant::now())),
             None => sleep,
@@ -101,7 +101,7 @@
             return;
         }
         self.answers.insert(question.ticket, question.answer);
-        let now = peer::clock::now().monotonic;
+        let now = transport::clock::now().monotonic;
         self.input(Input::Request {
             ticket: question.ticket,
             caller: question.caller,
@@ -118,7 +118,8 @@
 
     fn input(&mut self, input: Input) {
         let mut effects = Vec::new();
-        self.gateway.handle(peer::clock::now(), input, &mut effects);
+        self.gateway
+            .handle(transport::clock::now(), input, &mut effects);
         for effect in effects {
             self.carry_out(effect);
         }
@@ -128,7 +129,7 @@
 
     /// Shows the routes which configuration counts, if that changed.
     fn show_replica(&self) {
-        let now = peer::clock::now();
+        let now = transport::clock::now();
         let version = self.gateway.configuration_version(now);
         let changed = |shown: &ShownReplica| shown.as_ref().map(|shown| shown.version) != version;
         if changed(&self.shown.borrow()) {
--- a/crates/gateway/src/shell/http.rs
+++ b/crates/gateway/src/shell/http.rs
@@ -1,23 +1,23 @@
 //! The HTTP interface: routes, and what all handlers share.
 
 mod answer;
-mod asker;
 mod decisions;
 mod jobs;
 mod operator;
+mod requester;
 
 use crate::shell::requests::Requests;
 use admin::Readiness;
-use answer::{Failure, refuse};
+use answer::{Failure, reject};
 use api::route;
-use asker::Asker;
 use axum::Router;
 use axum::extract::DefaultBodyLimit;
 use axum::http::StatusCode;
 use axum::routing::{get, post, put};
-use peer::{Operation, OperationReply, RefusalCode};
+use requester::Requester;
 use std::time::Instant;
 use tokio::sync::watch;
+use transport::{Operation, OperationReply, RejectionCode};
 use types::NodeId;
 
 /// Longest body, in bytes; a longer one gets 413.
@@ -42,16 +42,20 @@
     }
 
     /// Asks, and notes how it went.
-    async fn ask(&self, asker: &Asker, operation: Operation) -> Result<OperationReply, Failure> {
+    async fn ask(
+        &self,
+        requester: &Requester,
+        operation: Operation,
+    ) -> Result<OperationReply, Failure> {
         let name = operation_name(&operation);
         let begun = Instant::now();
         let asked = self
             .requests
-            .ask(asker.caller.clone(), asker.time_left, operation);
+            .ask(requester.caller.clone(), requester.time_left, operation);
         let answer = asked.await;
         let outcome = match &answer {
             Ok(_) => "ok",
-            Err(refusal) => outcome_name(refusal.code),
+            Err(rejection) => outcome_name(rejection.code),
         };
         metrics::counter!(
             "cypressdrum_gateway_requests_total",
@@ -98,12 +102,12 @@
 }
 
 async fn unknown_path() -> Failure {
-    Failure::from(refuse(RefusalCode::NotFound, "no such path"))
+    Failure::from(reject(RejectionCode::NotFound, "no such path"))
 }
 
 async fn unknown_method() -> Failure {
-    let refusal = refuse(RefusalCode::Invalid, "this path does not take the method");
-    Failure::with_status(StatusCode::METHOD_NOT_ALLOWED, refusal)
+    let rejection = reject(RejectionCode::Invalid, "this path does not take the method");
+    Failure::with_status(StatusCode::METHOD_NOT_ALLOWED, rejection)
 }
 
 fn operation_name(operation: &Operation) -> &'static str {
@@ -131,15 +135,15 @@
     }
 }
 
-fn outcome_name(code: RefusalCode) -> &'static str {
+fn outcome_name(code: RejectionCode) -> &'static str {
     match code {
-        RefusalCode::Invalid => "invalid",
-        RefusalCode::Unauthenticated => "unauthenticated",
-        RefusalCode::Forbidden => "forbidden",
-        RefusalCode::NotFound => "not_found",
-        RefusalCode::Conflict => "conflict",
-        RefusalCode::Overloaded => "overloaded",
-        RefusalCode::Unavailable => "unavailable",
-        RefusalCode::TimedOut => "timed_out",
+        RejectionCode::Invalid => "invalid",
+        RejectionCode::Unauthenticated => "unauthenticated",
+        RejectionCode::Forbidden => "forbidden",
+        RejectionCode::NotFound => "not_found",
+        RejectionCode::Conflict => "conflict",
+        RejectionCode::Overloaded => "overloaded",
+        RejectionCode::Unavailable => "unavailable",
+        RejectionCode::TimedOut => "timed_out",
     }
 }
--- a/crates/gateway/src/shell/http/answer.rs
+++ b/crates/gateway/src/shell/http/answer.rs
@@ -1,48 +1,48 @@
 //! Answers: bodies, status codes and `Retry-After`.
 
 use api::BodyError;
-use api::refusal::RefusalBody;
+use api::rejection::RejectionBody;
 use axum::Json;
 use axum::extract::rejection::BytesRejection;
 use axum::http::{HeaderValue, StatusCode, header};
 use axum::response::{IntoResponse, Response};
-use peer::{Refusal, RefusalCode};
+use transport::{Rejection, RejectionCode};
 use types::Milliseconds;
 
 /// Challenge of an answer to a request without a known key.
 const BEARER: HeaderValue = HeaderValue::from_static("Bearer");
 
-/// When to come back if whoever refused did not say.
+/// When to come back if whoever rejected did not say.
 const DEFAULT_RETRY_AFTER: Milliseconds = Milliseconds(500);
 
 /// An answer that is not a success.
 #[derive(Debug)]
 pub struct Failure {
     status: StatusCode,
-    body: RefusalBody,
+    body: RejectionBody,
 }
 
 impl Failure {
-    /// A refusal under another status than its code's own.
-    pub fn with_status(status: StatusCode, refusal: Refusal) -> Self {
+    /// A rejection under another status than its code's own.
+    pub fn with_status(status: StatusCode, rejection: Rejection) -> Self {
         Self {
             status,
-            body: refusal.into(),
+            body: rejection.into(),
         }
     }
 
-    /// The refusal as it is shown.
-    pub fn body(&self) -> &RefusalBody {
+    /// The rejection as it is shown.
+    pub fn body(&self) -> &RejectionBody {
         &self.body
     }
 }
 
-impl From<Refusal> for Failure {
-    fn from(mut refusal: Refusal) -> Self {
-        if may_succeed_later(refusal.code) {
-            refusal.retry_after.get_or_insert(DEFAULT_RETRY_AFTER);
+impl From<Rejection> for Failure {
+    fn from(mut rejection: Rejection) -> Self {
+        if may_succeed_later(rejection.code) {
+            rejection.retry_after.get_or_insert(DEFAULT_RETRY_AFTER);
         }
-        let body = RefusalBody::from(refusal);
+        let body = RejectionBody::from(rejection);
         let status = StatusCode::from_u16(body.code.status());
         Self {
             status: status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR),
@@ -53,14 +53,14 @@
 
 impl From<BodyError> for Failure {
     fn from(error: BodyError) -> Self {
-        Self::from(Refusal::from(error))
+        Self::from(Rejection::from(error))
     }
 }
 
 impl From<BytesRejection> for Failure {
     fn from(rejection: BytesRejection) -> Self {
-        let refusal = refuse(RefusalCode::Invalid, &rejection.body_text());
-        Self::with_status(rejection.status(), refusal)
+        let answer = reject(RejectionCode::Invalid, &rejection.body_text());
+        Self::with_status(rejection.status(), answer)
     }
 }
 
@@ -79,16 +79,16 @@
     }
 }
 
-fn may_succeed_later(code: RefusalCode) -> bool {
+fn may_succeed_later(code: RejectionCode) -> bool {
     matches!(
         code,
-        RefusalCode::Overloaded | RefusalCode::Unavailable | RefusalCode::TimedOut
+        RejectionCode::Overloaded | RejectionCode::Unavailable | RejectionCode::TimedOut
     )
 }
 
-/// A refusal with nothing but a message.
-pub fn refuse(code: RefusalCode, message: &str) -> Refusal {
-    Refusal {
+/// A rejection with nothing but a message.
+pub fn reject(code: RejectionCode, message: &str) -> Rejection {
+    Rejection {
         code,
         message: message.to_owned(),
         retry_after: None,
@@ -102,6 +102,6 @@
     let message = "the leader's answer does not fit the request";
     Failure::with_status(
         StatusCode::BAD_GATEWAY,
-        refuse(RefusalCode::Unavailable, message),
+        reject(RejectionCode::Unavailable, message),
     )
 }
--- a/crates/gateway/src/shell/http/decisions.rs
+++ b/crates/gateway/src/shell/http/decisions.rs
@@ -7,10 +7,10 @@
 
 use crate::shell::http::Server;
 use crate::shell::http::answer::{Failure, unexpected};
-use crate::shell::http::asker::Asker;
+use crate::shell::http::requester::Requester;
 use api::BodyError;
 use api::decision::{DecisionLine, DecisionsQuery};
-use api::refusal::Code;
+use api::rejection::Code;
 use api::route::JSON_LINES;
 use axum::body::{Body, Bytes};
 use axum::extract::rejection::QueryRejection;
@@ -18,9 +18,9 @@
 use axum::http::header;
 use axum::response::{IntoResponse, Response};
 use futures_util::stream::unfold;
-use peer::{DecisionEntry, Operation, OperationReply};
 use std::convert::Infallible;
 use std::time::Duration;
+use transport::{DecisionEntry, Operation, OperationReply};
 
 /// Wait after a poll that brought nothing new.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
@@ -28,13 +28,13 @@
 /// `GET /v1/decisions`.
 pub async fn decisions(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
     query: Result<Query<DecisionsQuery>, QueryRejection>,
 ) -> Result<Response, Failure> {
     let Query(query) = query.map_err(|error| BodyError::new("query", error.body_text()))?;
     let mut tail = Tail {
         server,
-        asker,
+        requester,
         limit: query.checked_limit()?,
         last: Position {
             number: query.after,
@@ -61,7 +61,7 @@
 /// A reader of the log.
 struct Tail {
     server: Server,
-    asker: Asker,
+    requester: Requester,
     limit: u32,
     last: Position,
 }
@@ -94,7 +94,7 @@
 
     async fn ask(&self, after: u64, limit: u32) -> Result<Vec<DecisionEntry>, Failure> {
         let operation = Operation::Decisions { after, limit };
-        match self.server.ask(&self.asker, operation).await? {
+        match self.server.ask(&self.requester, operation).await? {
             OperationReply::Decisions(entries) => Ok(entries),
             _ => Err(unexpected()),
         }
@@ -124,14 +124,14 @@
 
 type TailState = (Option<Vec<u8>>, Tail);
 
-/// How long to wait after a refusal; none when it is for good, as after the
+/// How long to wait after a rejection; none when it is for good, as after the
 /// key was revoked.
 fn retry_wait(failure: &Failure) -> Option<Duration> {
     let body = failure.body();
     match body.code {
         Code::Overloaded | Code::Unavailable | Code::TimedOut => {
-            let told = Duration::from_millis(body.retry_after_ms.unwrap_or(0));
-            Some(told.max(POLL_INTERVAL))
+            let retry_after = Duration::from_millis(body.retry_after_ms.unwrap_or(0));
+            Some(retry_after.max(POLL_INTERVAL))
         }
         _ => None,
     }
--- a/crates/gateway/src/shell/http/jobs.rs
+++ b/crates/gateway/src/shell/http/jobs.rs
@@ -1,8 +1,8 @@
 //! Handlers for jobs.
 
 use crate::shell::http::Server;
-use crate::shell::http::answer::{Failure, refuse, unexpected};
-use crate::shell::http::asker::{Asker, parse_name};
+use crate::shell::http::answer::{Failure, reject, unexpected};
+use crate::shell::http::requester::{Requester, parse_name};
 use api::BodyError;
 use api::cancel::{CancelBody, CancelledBody, JobKeyBody};
 use api::job::JobBody;
@@ -12,8 +12,8 @@
 use axum::extract::rejection::{BytesRejection, QueryRejection};
 use axum::extract::{Path, Query, State};
 use axum::http::StatusCode;
-use peer::{Operation, OperationReply, RefusalCode};
-use record::CancelSelector;
+use state_machine::CancelSelector;
+use transport::{Operation, OperationReply, RejectionCode};
 use types::{JobKey, JobSpec};
 
 type JobPath = Path<(String, String)>;
@@ -21,12 +21,13 @@
 /// `POST /v1/jobs`.
 pub async fn submit(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
     body: Result<Bytes, BytesRejection>,
 ) -> Result<(StatusCode, Json<SubmittedBody>), Failure> {
     let body: JobBody = api::parse_json(&body?)?;
     let operation = Operation::Submit(JobSpec::from(body));
-    let OperationReply::Submitted { number, known } = server.ask(&asker, operation).await? else {
+    let OperationReply::Submitted { number, known } = server.ask(&requester, operation).await?
+    else {
         return Err(unexpected());
     };
     let status = if known {
@@ -44,12 +45,12 @@
 /// `GET /v1/jobs`.
 pub async fn list(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
     query: Result<Query<ListQuery>, QueryRejection>,
 ) -> Result<Json<JobsBody>, Failure> {
     let Query(query) = query.map_err(|error| BodyError::new("query", error.body_text()))?;
     let operation = Operation::ListJobs(query.into_filter()?);
-    let OperationReply::Jobs { jobs, next } = server.ask(&asker, operation).await? else {
+    let OperationReply::Jobs { jobs, next } = server.ask(&requester, operation).await? else {
         return Err(unexpected());
     };
     Ok(Json(JobsBody {
@@ -61,11 +62,11 @@
 /// `GET /v1/tenants/{tenant}/jobs/{job}`.
 pub async fn get(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
     path: JobPath,
 ) -> Result<Json<JobViewBody>, Failure> {
     let operation = Operation::GetJob(job_key(path)?);
-    let OperationReply::Job(view) = server.ask(&asker, operation).await? else {
+    let OperationReply::Job(view) = server.ask(&requester, operation).await? else {
         return Err(unexpected());
     };
     Ok(Json(JobViewBody::from(*view)))
@@ -74,11 +75,11 @@
 /// `GET /v1/tenants/{tenant}/jobs/{job}/explain`.
 pub async fn explain(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
     path: JobPath,
 ) -> Result<Json<ExplainedBody>, Failure> {
     let operation = Operation::Explain(job_key(path)?);
-    let OperationReply::Explained { lines } = server.ask(&asker, operation).await? else {
+    let OperationReply::Explained { lines } = server.ask(&requester, operation).await? else {
         return Err(unexpected());
     };
     Ok(Json(ExplainedBody { lines }))
@@ -87,31 +88,34 @@
 /// `DELETE /v1/tenants/{tenant}/jobs/{job}` and `POST .../cancel`.
 pub async fn cancel(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
     path: JobPath,
 ) -> Result<Json<CancelledBody>, Failure> {
     let selector = CancelSelector::Jobs(vec![job_key(path)?]);
-    let body = cancel_selected(&server, &asker, selector).await?;
+    let body = cancel_selected(&server, &requester, selector).await?;
     if body.unknown.is_empty() {
         return Ok(Json(body));
     }
-    Err(Failure::from(refuse(RefusalCode::NotFound, "no such job")))
+    Err(Failure::from(reject(
+        RejectionCode::NotFound,
+        "no such job",
+    )))
 }
 
 /// `POST /v1/cancels`.
 pub async fn cancel_many(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
     body: Result<Bytes, BytesRejection>,
 ) -> Result<Json<CancelledBody>, Failure> {
     let body: CancelBody = api::parse_json(&body?)?;
     let selector = body.into_selector()?;
-    Ok(Json(cancel_selected(&server, &asker, selector).await?))
+    Ok(Json(cancel_selected(&server, &requester, selector).await?))
 }
 
 async fn cancel_selected(
     server: &Server,
-    asker: &Asker,
+    requester: &Requester,
     selector: CancelSelector,
 ) -> Result<CancelledBody, Failure> {
     let operation = Operation::Cancel(selector);
@@ -119,7 +123,7 @@
         cancelled,
         finished,
         unknown,
-    } = server.ask(asker, operation).await?
+    } = server.ask(requester, operation).await?
     else {
         return Err(unexpected());
     };
--- a/crates/gateway/src/shell/http/operator.rs
+++ b/crates/gateway/src/shell/http/operator.rs
@@ -2,7 +2,7 @@
 
 use crate::shell::http::Server;
 use crate::shell::http::answer::{Failure, unexpected};
-use crate::shell::http::asker::{Asker, parse_name};
+use crate::shell::http::requester::{Requester, parse_name};
 use api::BodyError;
 use api::configuration::{ConfigurationBody, ConfigurationUpdateBody};
 use api::operator::{
@@ -16,16 +16,16 @@
 use axum::extract::rejection::BytesRejection;
 use axum::extract::{Path, State};
 use axum::http::{HeaderMap, header};
-use peer::{Operation, OperationReply};
 use serde::de::DeserializeOwned;
+use transport::{Operation, OperationReply};
 use types::ConfigurationVersion;
 
 /// `GET /v1/configuration`, from this gateway's replica.
 pub async fn configuration(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
 ) -> Result<Json<ConfigurationViewBody>, Failure> {
-    let reply = server.ask(&asker, Operation::GetConfiguration).await?;
+    let reply = server.ask(&requester, Operation::GetConfiguration).await?;
     let OperationReply::Configuration { version, document } = reply else {
         return Err(unexpected());
     };
@@ -39,7 +39,7 @@
 /// `PUT /v1/configuration/{version}`, in JSON or TOML.
 pub async fn put_configuration(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
     Path(version): Path<String>,
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
@@ -48,13 +48,13 @@
     let document: ConfigurationBody = parse_body(&headers, &body?)?;
     let document = document.into_document()?;
     let operation = Operation::PutConfiguration { version, document };
-    configure(&server, &asker, operation).await
+    configure(&server, &requester, operation).await
 }
 
 /// `PATCH /v1/configuration/{version}`, in JSON or TOML.
 pub async fn update_configuration(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
     Path(version): Path<String>,
     headers: HeaderMap,
     body: Result<Bytes, BytesRejection>,
@@ -63,15 +63,16 @@
     let update: ConfigurationUpdateBody = parse_body(&headers, &body?)?;
     let update = update.into_update()?;
     let operation = Operation::UpdateConfiguration { version, update };
-    configure(&server, &asker, operation).await
+    configure(&server, &requester, operation).await
 }
 
 async fn configure(
     server: &Server,
-    asker: &Asker,
+    requester: &Requester,
     operation: Operation,
 ) -> Result<Json<ConfiguredBody>, Failure> {
-    let OperationReply::Configured { version, known } = server.ask(asker, operation).await? else {
+    let OperationReply::Configured { version, known } = server.ask(requester, operation).await?
+    else {
         return Err(unexpected());
     };
     Ok(Json(ConfiguredBody {
@@ -96,9 +97,9 @@
 /// `GET /v1/configuration/status`.
 pub async fn configuration_status(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
 ) -> Result<Json<ConfigurationStatusBody>, Failure> {
-    let reply = server.ask(&asker, Operation::ListMembers).await?;
+    let reply = server.ask(&requester, Operation::ListMembers).await?;
     let OperationReply::Members(members) = reply else {
         return Err(unexpected());
     };
@@ -108,9 +109,9 @@
 /// `GET /v1/runners`.
 pub async fn runners(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
 ) -> Result<Json<RunnersBody>, Failure> {
-    let reply = server.ask(&asker, Operation::ListRunners).await?;
+    let reply = server.ask(&requester, Operation::ListRunners).await?;
     let OperationReply::Runners(runners) = reply else {
         return Err(unexpected());
     };
@@ -121,7 +122,7 @@
 /// `POST /v1/runners/{runner}/drain`.
 pub async fn drain_runner(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
     Path(runner): Path<String>,
     body: Result<Bytes, BytesRejection>,
 ) -> Result<Json<AcceptedBody>, Failure> {
@@ -130,7 +131,7 @@
         runner: parse_name("runner", &runner)?,
         draining: body.draining,
     };
-    let OperationReply::Accepted = server.ask(&asker, operation).await? else {
+    let OperationReply::Accepted = server.ask(&requester, operation).await? else {
         return Err(unexpected());
     };
     Ok(Json(AcceptedBody { accepted: true }))
@@ -139,13 +140,13 @@
 /// `POST /v1/runners/{runner}/lost`.
 pub async fn declare_runner_lost(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
     Path(runner): Path<String>,
 ) -> Result<Json<RunsLostBody>, Failure> {
     let operation = Operation::DeclareRunnerLost {
         runner: parse_name("runner", &runner)?,
     };
-    let OperationReply::RunsLost { runs } = server.ask(&asker, operation).await? else {
+    let OperationReply::RunsLost { runs } = server.ask(&requester, operation).await? else {
         return Err(unexpected());
     };
     let runs = runs.iter().map(ToString::to_string).collect();
@@ -155,9 +156,9 @@
 /// `GET /v1/queues`.
 pub async fn queues(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
 ) -> Result<Json<QueuesBody>, Failure> {
-    let reply = server.ask(&asker, Operation::ListQueues).await?;
+    let reply = server.ask(&requester, Operation::ListQueues).await?;
     let OperationReply::Queues(queues) = reply else {
         return Err(unexpected());
     };
@@ -168,9 +169,9 @@
 /// `GET /v1/licences`.
 pub async fn licences(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
 ) -> Result<Json<LicencesBody>, Failure> {
-    let reply = server.ask(&asker, Operation::ListLicences).await?;
+    let reply = server.ask(&requester, Operation::ListLicences).await?;
     let OperationReply::Licences(licences) = reply else {
         return Err(unexpected());
     };
@@ -181,9 +182,9 @@
 /// `GET /v1/tenants`.
 pub async fn tenants(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
 ) -> Result<Json<TenantsBody>, Failure> {
-    let reply = server.ask(&asker, Operation::ListTenants).await?;
+    let reply = server.ask(&requester, Operation::ListTenants).await?;
     let OperationReply::Tenants(tenants) = reply else {
         return Err(unexpected());
     };
@@ -194,9 +195,9 @@
 /// `GET /v1/members`.
 pub async fn members(
     State(server): State<Server>,
-    asker: Asker,
+    requester: Requester,
 ) -> Result<Json<MembersBody>, Failure> {
-    let reply = server.ask(&asker, Operation::ListMembers).await?;
+    let reply = server.ask(&requester, Operation::ListMembers).await?;
     let OperationReply::Members(members) = reply else {
         return Err(unexpected());
     };
--- a/crates/gateway/src/shell/http/asker.rs
+++ b/crates/gateway/src/shell/http/requester.rs
@@ -15,14 +15,14 @@
 
 /// Who asks and how long they wait.
 #[derive(Debug, Clone)]
-pub struct Asker {
+pub struct Requester {
     /// The key as sent.
     pub caller: Caller,
     /// How long the answer may take.
     pub time_left: Milliseconds,
 }
 
-impl<S: Sync> FromRequestParts<S> for Asker {
+impl<S: Sync> FromRequestParts<S> for Requester {
     type Rejection = Failure;
 
     async fn from_request_parts(parts: &mut Parts, _state: &S) -> Result<Self, Failure> {
@@ -56,8 +56,8 @@
     match parsed {
         Some(wait) if (1..=MAX_DEADLINE_MS).contains(&wait) => Ok(Milliseconds(wait)),
         _ => {
-            let problem = format!("must be a whole number between 1 and {MAX_DEADLINE_MS}");
-            Err(Failure::from(BodyError::new(DEADLINE_HEADER, problem)))
+            let message = format!("must be a whole number between 1 and {MAX_DEADLINE_MS}");
+            Err(Failure::from(BodyError::new(DEADLINE_HEADER, message)))
         }
     }
 }
@@ -65,5 +65,5 @@
 /// A name or number from the path.
 pub fn parse_name<Name: FromStr<Err: Display>>(place: &str, text: &str) -> Result<Name, Failure> {
     text.parse()
-        .map_err(|problem| Failure::from(BodyError::new(place, problem)))
+        .map_err(|message| Failure::from(BodyError::new(place, message)))
 }
--- a/crates/gateway/src/shell/requests.rs
+++ b/crates/gateway/src/shell/requests.rs
@@ -1,10 +1,10 @@
 //! The way of a request from an HTTP handler to the core and back.
 
 use crate::{Caller, TicketId};
-use peer::{Operation, OperationReply, Refusal, RefusalCode};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::{mpsc, oneshot};
+use transport::{Operation, OperationReply, Rejection, RejectionCode};
 use types::{Milliseconds, Monotonic};
 
 /// Requests handed over and not yet seen by the core.
@@ -13,7 +13,7 @@
 const RETRY_AFTER: Milliseconds = Milliseconds(500);
 
 /// The final answer to a request.
-pub type Answer = Result<OperationReply, Refusal>;
+pub type Answer = Result<OperationReply, Rejection>;
 
 /// A request on its way to the core.
 #[derive(Debug)]
@@ -77,15 +77,15 @@
         let question = Question {
             ticket,
             caller,
-            deadline: peer::clock::now().monotonic + time_left,
+            deadline: transport::clock::now().monotonic + time_left,
             operation,
             answer,
         };
         match self.questions.try_send(question) {
             Ok(()) => {}
             Err(mpsc::error::TrySendError::Full(_)) => {
-                return Err(refuse(
-                    RefusalCode::Overloaded,
+                return Err(reject(
+                    RejectionCode::Overloaded,
                     "this gateway is overloaded",
                 ));
             }
@@ -130,19 +130,19 @@
 }
 
 /// The core ended with the request: whether it was sent is not known here.
-fn ended_unanswered() -> Refusal {
-    refuse(
-        RefusalCode::TimedOut,
+fn ended_unanswered() -> Rejection {
+    reject(
+        RejectionCode::TimedOut,
         "this gateway stopped before the answer: it may or may not be taken",
     )
 }
 
-fn ending() -> Refusal {
-    refuse(RefusalCode::Unavailable, "this gateway has stopped")
+fn ending() -> Rejection {
+    reject(RejectionCode::Unavailable, "this gateway has stopped")
 }
 
-fn refuse(code: RefusalCode, message: &str) -> Refusal {
-    Refusal {
+fn reject(code: RejectionCode, message: &str) -> Rejection {
+    Rejection {
         code,
         message: message.to_owned(),
         retry_after: Some(RETRY_AFTER),
--- a/crates/gateway/tests/core/access.rs
+++ b/crates/gateway/tests/core/access.rs
@@ -1,8 +1,8 @@
 //! Keys and roles.
 
 use crate::bench::{Bench, job_key, submit};
-use peer::{JobFilter, Operation, OperationReply, RefusalCode};
-use record::CancelSelector;
+use state_machine::CancelSelector;
+use transport::{JobFilter, Operation, OperationReply, RejectionCode};
 
 const OPERATOR: Option<&str> = Some("boss.secret");
 const CALLER: Option<&str> = Some("app.secret");
@@ -47,13 +47,13 @@
     ]
 }
 
-fn code(token: Option<&str>, operation: Operation) -> Option<RefusalCode> {
+fn code(token: Option<&str>, operation: Operation) -> Option<RejectionCode> {
     let mut bench = Bench::with_keys();
     let ticket = bench.ask_as(token, 1_000, operation);
-    let refused = bench
+    let rejected = bench
         .answer(ticket)
         .and_then(|answer| answer.as_ref().err());
-    let code = refused.map(|refusal| refusal.code);
+    let code = rejected.map(|rejection| rejection.code);
     assert!(code.is_none() || bench.requests.is_empty());
     code
 }
@@ -75,8 +75,8 @@
         Some("x"),
         Some(""),
     ] {
-        let refused = code(token, submit("poster", "a"));
-        assert_eq!(refused, Some(RefusalCode::Unauthenticated), "{token:?}");
+        let rejected = code(token, submit("poster", "a"));
+        assert_eq!(rejected, Some(RejectionCode::Unauthenticated), "{token:?}");
     }
 }
 
@@ -95,16 +95,16 @@
     }
     let others = tenant_operations("editors").into_iter();
     for operation in others.chain(operator_operations()) {
-        let refused = code(CALLER, operation.clone());
-        assert_eq!(refused, Some(RefusalCode::Forbidden), "{operation:?}");
+        let rejected = code(CALLER, operation.clone());
+        assert_eq!(rejected, Some(RejectionCode::Forbidden), "{operation:?}");
     }
 }
 
 #[test]
 fn a_cancel_with_one_job_of_another_tenant_is_refused_whole() {
     let jobs = vec![job_key("poster", "a"), job_key("editors", "b")];
-    let refused = code(CALLER, Operation::Cancel(CancelSelector::Jobs(jobs)));
-    assert_eq!(refused, Some(RefusalCode::Forbidden));
+    let rejected = code(CALLER, Operation::Cancel(CancelSelector::Jobs(jobs)));
+    assert_eq!(rejected, Some(RejectionCode::Forbidden));
 }
 
 #[test]
@@ -125,8 +125,8 @@
 fn a_runners_key_opens_nothing_here() {
     let all = operator_operations().into_iter();
     for operation in all.chain(tenant_operations("poster")) {
-        let refused = code(RUNNER, operation.clone());
-        assert_eq!(refused, Some(RefusalCode::Forbidden), "{operation:?}");
+        let rejected = code(RUNNER, operation.clone());
+        assert_eq!(rejected, Some(RejectionCode::Forbidden), "{operation:?}");
     }
 }
 
@@ -151,9 +151,12 @@
     bench.advance(300);
     let sent = bench.requests.len();
     let fresh = bench.ask_as(CALLER, 1_000, submit("poster", "b"));
-    assert_eq!(bench.refusal(fresh).code, RefusalCode::Unauthenticated);
+    assert_eq!(bench.rejection(fresh).code, RejectionCode::Unauthenticated);
     bench.advance(1_000);
-    assert_eq!(bench.refusal(waiting).code, RefusalCode::Unauthenticated);
+    assert_eq!(
+        bench.rejection(waiting).code,
+        RejectionCode::Unauthenticated
+    );
     assert_eq!(bench.requests.len(), sent);
 }
 
--- a/crates/gateway/tests/core/bench.rs
+++ b/crates/gateway/tests/core/bench.rs
@@ -1,12 +1,12 @@
-//! One gateway before stand-in coordinators, on a clock that the test moves.
+//! One gateway before emulated coordinators, on a clock that the test moves.
 
 use configuration::{ClusterConfiguration, Key, KeyHash, KeyRole};
 use gateway::{Caller, Effect, Gateway, GatewayOptions, Input, TicketId};
-use peer::{
-    Envelope, Hello, Members, Operation, OperationReply, PeerMessage, Refusal, Reply, Request,
-    SessionLease,
-};
 use std::net::SocketAddr;
+use transport::{
+    Envelope, KeepAlive, Members, Operation, OperationReply, PeerMessage, Rejection, Reply,
+    Request, SessionLease,
+};
 use types::{
     Address, ClusterId, ConfigurationVersion, JobKey, JobSpec, Milliseconds, Monotonic, NodeId,
     Now, Role, StepSpec, Term, Urgency, WallTime,
@@ -16,7 +16,7 @@
 pub const RESEND_AFTER: u64 = 400;
 const STEP: u64 = 50;
 
-/// A coordinator that answers hellos as a leader, points at one, or is silent.
+/// A coordinator that answers keep-alives as a leader, points at one, or is silent.
 pub struct Coordinator {
     pub address: Address,
     pub leads: bool,
@@ -24,7 +24,7 @@
 }
 
 /// An answer as the shell gets it.
-pub type Answer = (TicketId, Result<OperationReply, Refusal>);
+pub type Answer = (TicketId, Result<OperationReply, Rejection>);
 
 /// The gateway under test and all it talks to.
 pub struct Bench {
@@ -176,21 +176,21 @@
     }
 
     /// The answer to a ticket, if it came. A second one fails the test.
-    pub fn answer(&self, ticket: TicketId) -> Option<&Result<OperationReply, Refusal>> {
+    pub fn answer(&self, ticket: TicketId) -> Option<&Result<OperationReply, Rejection>> {
         let mut answers = self.answers.iter().filter(|(given, _)| *given == ticket);
         let first = answers.next();
         assert!(answers.next().is_none(), "a second answer to {ticket:?}");
         first.map(|(_, result)| result)
     }
 
-    /// The refusal a ticket got.
-    pub fn refusal(&self, ticket: TicketId) -> &Refusal {
+    /// The rejection a ticket got.
+    pub fn rejection(&self, ticket: TicketId) -> &Rejection {
         let answer = self.answer(ticket).expect("no answer yet");
         answer.as_ref().expect_err("not a refusal")
     }
 
     /// Coordinator `from` answers the request it received last.
-    pub fn reply(&mut self, from: usize, result: Result<OperationReply, Refusal>) {
+    pub fn reply(&mut self, from: usize, result: Result<OperationReply, Rejection>) {
         let request = &self.requests.last().expect("no request").2;
         let body = PeerMessage::Reply(Reply {
             id: request.id,
@@ -281,18 +281,18 @@
                 term: Term(self.term),
                 cluster: Some(ClusterId(3)),
             })],
-            PeerMessage::Hello(hello) if hello.leaving => {
+            PeerMessage::KeepAlive(keep_alive) if keep_alive.leaving => {
                 self.goodbyes += 1;
                 Vec::new()
             }
-            PeerMessage::Hello(hello) if self.coordinators[index].leads => {
-                self.lease(index, &hello)
+            PeerMessage::KeepAlive(keep_alive) if self.coordinators[index].leads => {
+                self.lease(index, &keep_alive)
             }
             PeerMessage::Request(request) if self.coordinators[index].leads => {
                 self.requests.push((index, self.now, request));
                 Vec::new()
             }
-            PeerMessage::Hello(_) | PeerMessage::Request(_) => {
+            PeerMessage::KeepAlive(_) | PeerMessage::Request(_) => {
                 vec![PeerMessage::NotLeader { leader }]
             }
             other => panic!("unexpected {other:?}"),
@@ -300,10 +300,10 @@
     }
 
     /// The lease, given last, is delivered first; then the document, if wanted.
-    fn lease(&self, index: usize, hello: &Hello) -> Vec<PeerMessage> {
+    fn lease(&self, index: usize, keep_alive: &KeepAlive) -> Vec<PeerMessage> {
         let version = ConfigurationVersion(self.version);
         let mut answers = Vec::new();
-        if hello.configuration < version {
+        if keep_alive.configuration < version {
             answers.push(PeerMessage::Configuration {
                 version,
                 document: self.document.clone(),
@@ -313,7 +313,7 @@
             term: Term(self.term),
             leader: self.coordinators[index].address.clone(),
             cluster: ClusterId(3),
-            sequence: hello.sequence,
+            sequence: keep_alive.sequence,
             lease: Milliseconds(1_500),
             configuration: version,
             coordinators: self
@@ -368,7 +368,7 @@
 }
 
 /// The answer to a submit.
-pub fn submitted() -> Result<OperationReply, Refusal> {
+pub fn submitted() -> Result<OperationReply, Rejection> {
     Ok(OperationReply::Submitted {
         number: types::JobNumber(1),
         known: false,
--- a/crates/gateway/tests/core/forwarding.rs
+++ b/crates/gateway/tests/core/forwarding.rs
@@ -2,11 +2,11 @@
 
 use crate::bench::{Bench, RESEND_AFTER, job_key, submit, submitted};
 use gateway::Input;
-use peer::{Operation, OperationReply, PeerMessage, RefusalCode};
+use transport::{Operation, OperationReply, PeerMessage, RejectionCode};
 use types::Milliseconds;
 
-fn refusal(code: RefusalCode) -> peer::Refusal {
-    peer::Refusal {
+fn rejection(code: RejectionCode) -> transport::Rejection {
+    transport::Rejection {
         code,
         message: "tenant poster holds its most unfinished jobs".to_owned(),
         retry_after: Some(Milliseconds(700)),
@@ -53,11 +53,11 @@
     bench.advance(950);
     assert_eq!(bench.answer(ticket), None);
     bench.advance(50);
-    let refusal = bench.refusal(ticket);
-    assert_eq!(refusal.code, RefusalCode::TimedOut);
-    assert!(refusal.retry_after.is_some());
+    let rejection = bench.rejection(ticket);
+    assert_eq!(rejection.code, RejectionCode::TimedOut);
+    assert!(rejection.retry_after.is_some());
     bench.reply(0, submitted());
-    assert_eq!(bench.refusal(ticket).code, RefusalCode::TimedOut);
+    assert_eq!(bench.rejection(ticket).code, RejectionCode::TimedOut);
 }
 
 #[test]
@@ -71,21 +71,21 @@
 fn a_refusal_of_the_leader_is_passed_on_at_once() {
     let mut bench = Bench::connected();
     let ticket = bench.ask(30_000, submit("poster", "a"));
-    let refused = refusal(RefusalCode::Overloaded);
-    bench.reply(0, Err(refused.clone()));
-    assert_eq!(bench.refusal(ticket), &refused);
+    let rejected = rejection(RejectionCode::Overloaded);
+    bench.reply(0, Err(rejected.clone()));
+    assert_eq!(bench.rejection(ticket), &rejected);
 }
 
 #[test]
 fn a_momentary_refusal_of_a_resend_does_not_speak_for_the_first_sending() {
-    for code in [RefusalCode::Overloaded, RefusalCode::Unavailable] {
+    for code in [RejectionCode::Overloaded, RejectionCode::Unavailable] {
         let mut bench = Bench::connected();
         let ticket = bench.ask(30_000, submit("poster", "a"));
         bench.advance(RESEND_AFTER);
         assert_eq!(bench.requests.len(), 2);
-        bench.reply(0, Err(refusal(code)));
-        let told = bench.refusal(ticket);
-        assert_eq!(told.code, RefusalCode::TimedOut);
+        bench.reply(0, Err(rejection(code)));
+        let told = bench.rejection(ticket);
+        assert_eq!(told.code, RejectionCode::TimedOut);
         assert_eq!(told.retry_after, Some(Milliseconds(700)));
     }
 }
@@ -95,8 +95,8 @@
     let mut bench = Bench::connected();
     let ticket = bench.ask(30_000, submit("poster", "a"));
     bench.advance(RESEND_AFTER);
-    bench.reply(0, Err(refusal(RefusalCode::Conflict)));
-    assert_eq!(bench.refusal(ticket).code, RefusalCode::Conflict);
+    bench.reply(0, Err(rejection(RejectionCode::Conflict)));
+    assert_eq!(bench.rejection(ticket).code, RejectionCode::Conflict);
 }
 
 #[test]
@@ -137,9 +137,9 @@
         bench.deliver(from, PeerMessage::NotLeader { leader });
     }
     bench.advance(1_000);
-    let code = bench.refusal(ticket).code;
+    let code = bench.rejection(ticket).code;
     assert!(
-        matches!(code, RefusalCode::TimedOut | RefusalCode::Unavailable),
+        matches!(code, RejectionCode::TimedOut | RejectionCode::Unavailable),
         "{code:?}"
     );
 }
@@ -152,10 +152,10 @@
         coordinator.silent = true;
     }
     bench.advance(2_300);
-    let refusal = bench.refusal(ticket);
-    // It was sent: it may be taken yet, so it is no refusal.
-    assert_eq!(refusal.code, RefusalCode::TimedOut);
-    assert_eq!(refusal.retry_after, Some(Milliseconds(500)));
+    let rejection = bench.rejection(ticket);
+    // It was sent: it may be taken yet, so it is no rejection.
+    assert_eq!(rejection.code, RejectionCode::TimedOut);
+    assert_eq!(rejection.retry_after, Some(Milliseconds(500)));
 }
 
 #[test]
@@ -163,11 +163,11 @@
     let mut bench = Bench::connected();
     let ticket = bench.ask(2_000, submit("poster", "a"));
     let id = bench.requests[0].2.id;
-    let late = peer::Reply {
+    let late = transport::Reply {
         id,
         result: Ok(OperationReply::Accepted),
     };
-    let envelope = peer::Envelope {
+    let envelope = transport::Envelope {
         from: bench.coordinators[0].address.clone(),
         via: None,
         body: PeerMessage::Reply(late),
@@ -176,9 +176,9 @@
         coordinator.silent = true;
     }
     bench.freeze(20_000, Input::Peer(envelope));
-    assert_eq!(bench.refusal(ticket).code, RefusalCode::TimedOut);
+    assert_eq!(bench.rejection(ticket).code, RejectionCode::TimedOut);
     let fresh = bench.ask(2_000, Operation::GetJob(job_key("poster", "a")));
-    assert_eq!(bench.refusal(fresh).code, RefusalCode::Unavailable);
+    assert_eq!(bench.rejection(fresh).code, RejectionCode::Unavailable);
     assert!(bench.readiness.last().unwrap().is_err());
 }
 
--- a/crates/gateway/tests/core/main.rs
+++ b/crates/gateway/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's core before stand-in coordinators.
+//! The gateway's core before emulated coordinators.
 
 mod access;
 mod bench;
--- a/crates/gateway/tests/core/overload.rs
+++ b/crates/gateway/tests/core/overload.rs
@@ -1,8 +1,8 @@
-//! Bounded places: one tenant cannot take them all, and a refusal is at once.
+//! Bounded places: one tenant cannot take them all, and a rejection is at once.
 
 use crate::bench::{Bench, PLACES, submit};
 use gateway::{Input, TicketId};
-use peer::{Operation, RefusalCode};
+use transport::{Operation, RejectionCode};
 
 const TENANT_PLACES: usize = PLACES / 4;
 
@@ -12,7 +12,7 @@
         .collect()
 }
 
-fn refused(bench: &Bench, tickets: &[TicketId]) -> usize {
+fn rejected(bench: &Bench, tickets: &[TicketId]) -> usize {
     let answers = tickets.iter().filter_map(|ticket| bench.answer(*ticket));
     answers.filter(|answer| answer.is_err()).count()
 }
@@ -21,13 +21,13 @@
 fn one_tenant_at_many_times_its_load_leaves_the_others_their_places() {
     let mut bench = Bench::connected();
     let loud = flood(&mut bench, "poster", 20 * PLACES);
-    assert_eq!(refused(&bench, &loud), 20 * PLACES - TENANT_PLACES);
-    let refusal = bench.refusal(loud[TENANT_PLACES]);
-    assert_eq!(refusal.code, RefusalCode::Overloaded);
-    let wait = refusal.retry_after.unwrap().0;
+    assert_eq!(rejected(&bench, &loud), 20 * PLACES - TENANT_PLACES);
+    let rejection = bench.rejection(loud[TENANT_PLACES]);
+    assert_eq!(rejection.code, RejectionCode::Overloaded);
+    let wait = rejection.retry_after.unwrap().0;
     assert!((500..=1_000).contains(&wait), "{wait}");
     let quiet = flood(&mut bench, "editors", TENANT_PLACES);
-    assert_eq!(refused(&bench, &quiet), 0);
+    assert_eq!(rejected(&bench, &quiet), 0);
 }
 
 #[test]
@@ -39,10 +39,10 @@
     let operators: Vec<_> = (0..PLACES)
         .map(|_| bench.ask(30_000, Operation::ListMembers))
         .collect();
-    assert_eq!(refused(&bench, &operators), PLACES - PLACES / 8);
+    assert_eq!(rejected(&bench, &operators), PLACES - PLACES / 8);
     assert_eq!(
-        bench.refusal(*operators.last().unwrap()).code,
-        RefusalCode::Overloaded
+        bench.rejection(*operators.last().unwrap()).code,
+        RejectionCode::Overloaded
     );
 }
 
@@ -51,12 +51,12 @@
     let mut bench = Bench::connected();
     let tickets = flood(&mut bench, "poster", TENANT_PLACES);
     bench.reply(0, crate::bench::submitted());
-    assert_eq!(refused(&bench, &tickets), 0);
+    assert_eq!(rejected(&bench, &tickets), 0);
     let next = flood(&mut bench, "poster", 2);
-    assert_eq!(refused(&bench, &next), 1);
+    assert_eq!(rejected(&bench, &next), 1);
     bench.input(Input::Abandoned { ticket: tickets[0] });
     let next = flood(&mut bench, "poster", 2);
-    assert_eq!(refused(&bench, &next), 1);
+    assert_eq!(rejected(&bench, &next), 1);
 }
 
 #[test]
@@ -77,9 +77,9 @@
             .map(|number| bench.ask(100, submit("poster", &format!("j-{number}"))))
             .collect();
         bench.advance(150);
-        assert_eq!(refused(&bench, &tickets), TENANT_PLACES);
+        assert_eq!(rejected(&bench, &tickets), TENANT_PLACES);
         for ticket in tickets {
-            assert_eq!(bench.refusal(ticket).code, RefusalCode::TimedOut);
+            assert_eq!(bench.rejection(ticket).code, RejectionCode::TimedOut);
         }
     }
 }
--- a/crates/gateway/tests/core/readiness.rs
+++ b/crates/gateway/tests/core/readiness.rs
@@ -2,7 +2,7 @@
 
 use crate::bench::{Bench, submit, submitted};
 use gateway::Input;
-use peer::RefusalCode;
+use transport::RejectionCode;
 
 #[test]
 fn a_fresh_gateway_is_not_ready_and_refuses_at_once() {
@@ -13,9 +13,9 @@
     bench.input(Input::Tick);
     assert!(bench.readiness.last().unwrap().is_err());
     let ticket = bench.ask(30_000, submit("poster", "a"));
-    let refusal = bench.refusal(ticket);
-    assert_eq!(refusal.code, RefusalCode::Unavailable);
-    assert!(refusal.retry_after.is_some());
+    let rejection = bench.rejection(ticket);
+    assert_eq!(rejection.code, RejectionCode::Unavailable);
+    assert!(rejection.retry_after.is_some());
 }
 
 #[test]
@@ -54,9 +54,9 @@
     bench.input(Input::Stop);
     assert_eq!(bench.readiness.last(), Some(&Err("stopping".to_owned())));
     let late = bench.ask(5_000, submit("poster", "b"));
-    let refusal = bench.refusal(late);
-    assert_eq!(refusal.code, RefusalCode::Unavailable);
-    assert!(refusal.retry_after.is_some());
+    let rejection = bench.rejection(late);
+    assert_eq!(rejection.code, RejectionCode::Unavailable);
+    assert!(rejection.retry_after.is_some());
     assert!(!bench.stopped);
     assert_eq!(bench.goodbyes, 0);
     bench.reply(0, submitted());
@@ -64,7 +64,7 @@
     assert!(bench.stopped);
     assert_eq!(bench.goodbyes, 1);
     let later = bench.ask(5_000, submit("poster", "c"));
-    assert_eq!(bench.refusal(later).code, RefusalCode::Unavailable);
+    assert_eq!(bench.rejection(later).code, RejectionCode::Unavailable);
 }
 
 #[test]
--- a/crates/gateway/tests/http/decisions.rs
+++ b/crates/gateway/tests/http/decisions.rs
@@ -1,10 +1,10 @@
 //! The decision log over HTTP, also over a change of leader.
 
-use crate::fixture::{Fixture, refused};
-use peer::{DecisionEntry, DecisionEvent, Operation, OperationReply, RefusalCode};
+use crate::fixture::{Fixture, rejected};
 use reqwest::Response;
 use serde_json::Value;
 use std::sync::{Arc, Mutex};
+use transport::{DecisionEntry, DecisionEvent, Operation, OperationReply, RejectionCode};
 use types::{JobState, Term, WallTime};
 
 type Log = Arc<Mutex<Vec<DecisionEntry>>>;
@@ -108,7 +108,7 @@
 
 #[tokio::test]
 async fn a_refusal_comes_before_the_stream_begins() {
-    let fixture = Fixture::start(|_| refused(RefusalCode::Forbidden, None)).await;
+    let fixture = Fixture::start(|_| rejected(RejectionCode::Forbidden, None)).await;
     let response = fixture.get("/v1/decisions?follow=true").await;
     assert_eq!(response.status(), 403);
     assert_eq!(fixture.get("/v1/decisions?limit=0").await.status(), 400);
--- a/crates/gateway/tests/http/fixture.rs
+++ b/crates/gateway/tests/http/fixture.rs
@@ -1,11 +1,7 @@
-//! A gateway process in a task, a stand-in leader behind it, a client before.
+//! A gateway process in a task, an emulated leader behind it, a client before.
 
 use configuration::ClusterConfiguration;
 use gateway::shell::{GatewayError, ShellOptions, run_on};
-use peer::{
-    ClusterKey, Operation, OperationReply, PeerMessage, Refusal, RefusalCode, Reply, SessionLease,
-    Transport, TransportOptions,
-};
 use reqwest::header::{HeaderMap, HeaderValue};
 use reqwest::{Method, RequestBuilder, Response};
 use serde_json::Value;
@@ -14,6 +10,10 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
+use transport::{
+    ClusterKey, Operation, OperationReply, PeerMessage, Rejection, RejectionCode, Reply,
+    SessionLease, Transport, TransportOptions,
+};
 use types::{Address, ClusterId, ConfigurationVersion, Milliseconds, NodeId, Role, Term};
 
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
@@ -24,9 +24,9 @@
 pub const GATEWAY_NODE: u64 = u64::MAX;
 
 /// What the leader says; none is silence.
-pub type Script = dyn FnMut(&Operation) -> Option<Result<OperationReply, Refusal>> + Send;
+pub type Script = dyn FnMut(&Operation) -> Option<Result<OperationReply, Rejection>> + Send;
 
-/// The stand-in leader.
+/// The emulated leader.
 struct Leader {
     document: ClusterConfiguration,
     script: Box<Script>,
@@ -83,7 +83,7 @@
 impl Fixture {
     /// A ready gateway whose leader answers by the script.
     pub async fn start(
-        script: impl FnMut(&Operation) -> Option<Result<OperationReply, Refusal>> + Send + 'static,
+        script: impl FnMut(&Operation) -> Option<Result<OperationReply, Rejection>> + Send + 'static,
     ) -> Self {
         Self::start_with(Setup::default(), Box::new(script)).await
     }
@@ -144,12 +144,12 @@
     (status, response.json().await.unwrap())
 }
 
-/// A refusal of the leader.
-pub fn refused(
-    code: RefusalCode,
+/// A rejection of the leader.
+pub fn rejected(
+    code: RejectionCode,
     retry_after: Option<u64>,
-) -> Option<Result<OperationReply, Refusal>> {
-    Some(Err(Refusal {
+) -> Option<Result<OperationReply, Rejection>> {
+    Some(Err(Rejection {
         code,
         message: "the leader says no".to_owned(),
         retry_after: retry_after.map(Milliseconds),
@@ -183,7 +183,7 @@
     }
 }
 
-async fn lead(mut leader: Leader, transport: Transport, mut arriving: peer::Inbox) {
+async fn lead(mut leader: Leader, transport: Transport, mut arriving: transport::Inbox) {
     while let Some(envelope) = arriving.recv().await {
         let answers = leader.receive(transport.own(), envelope.body);
         for answer in answers {
@@ -195,18 +195,18 @@
 impl Leader {
     fn receive(&mut self, own: &Address, message: PeerMessage) -> Vec<PeerMessage> {
         match message {
-            PeerMessage::Discover => vec![PeerMessage::Members(peer::Members {
+            PeerMessage::Discover => vec![PeerMessage::Members(transport::Members {
                 members: vec![own.clone()],
                 leader: Some(own.clone()),
                 term: TERM,
                 cluster: Some(ClusterId(1)),
             })],
-            PeerMessage::Hello(hello) => vec![
+            PeerMessage::KeepAlive(keep_alive) => vec![
                 PeerMessage::Lease(SessionLease {
                     term: TERM,
                     leader: own.clone(),
                     cluster: ClusterId(1),
-                    sequence: hello.sequence,
+                    sequence: keep_alive.sequence,
                     lease: LONG,
                     configuration: ConfigurationVersion(1),
                     coordinators: vec![own.clone()],
--- a/crates/gateway/tests/http/jobs.rs
+++ b/crates/gateway/tests/http/jobs.rs
@@ -1,9 +1,9 @@
 //! Jobs over HTTP: status codes, bodies, errors.
 
-use crate::fixture::{Fixture, read, refused};
-use peer::{Operation, OperationReply, RefusalCode};
-use record::CancelSelector;
+use crate::fixture::{Fixture, read, rejected};
 use reqwest::Method;
+use state_machine::CancelSelector;
+use transport::{Operation, OperationReply, RejectionCode};
 use types::{JobNumber, JobState, JobView, StepView, WallTime};
 
 const JOB: &str = r#"{"tenant":"poster","job":"a-1","queue":"hover","steps":[{"name":"frame"}]}"#;
@@ -49,16 +49,16 @@
 
 #[tokio::test]
 async fn refusals_carry_their_status_and_when_to_come_back() {
-    let mut refusals = [
-        (RefusalCode::Conflict, None),
-        (RefusalCode::Overloaded, Some(1_200)),
-        (RefusalCode::Unavailable, Some(300)),
-        (RefusalCode::Unavailable, None),
+    let mut rejections = [
+        (RejectionCode::Conflict, None),
+        (RejectionCode::Overloaded, Some(1_200)),
+        (RejectionCode::Unavailable, Some(300)),
+        (RejectionCode::Unavailable, None),
     ]
     .into_iter();
     let fixture = Fixture::start(move |_| {
-        let (code, retry_after) = refusals.next().unwrap();
-        refused(code, retry_after)
+        let (code, retry_after) = rejections.next().unwrap();
+        rejected(code, retry_after)
     })
     .await;
     for (status, seconds) in [
--- a/crates/gateway/tests/http/lifecycle.rs
+++ b/crates/gateway/tests/http/lifecycle.rs
@@ -1,11 +1,11 @@
 //! Readiness, metrics, callers that go away, the polite stop.
 
 use crate::fixture::{Fixture, Setup, read};
-use peer::{Operation, OperationReply};
 use reqwest::Method;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::sync::mpsc;
+use transport::{Operation, OperationReply};
 use types::Milliseconds;
 
 #[tokio::test]
@@ -64,9 +64,9 @@
     requests.recv().await.unwrap();
     fixture.stop.send_replace(true);
     fixture.wait_for_readiness(503).await;
-    let refused = fixture.get("/v1/queues").await;
-    assert!(refused.headers().contains_key("retry-after"));
-    let (status, body) = read(refused).await;
+    let rejected = fixture.get("/v1/queues").await;
+    assert!(rejected.headers().contains_key("retry-after"));
+    let (status, body) = read(rejected).await;
     assert_eq!((status, body["code"].as_str()), (503, Some("unavailable")));
     open.store(true, Ordering::Relaxed);
     assert_eq!(waiting.await.unwrap().unwrap().status(), 200);
@@ -90,7 +90,7 @@
     requests.recv().await.unwrap();
     fixture.stop.send_replace(true);
     let (status, body) = read(waiting.await.unwrap().unwrap()).await;
-    // Whether the leader took it is not known here, so it is no refusal.
+    // Whether the leader took it is not known here, so it is no rejection.
     assert_eq!((status, body["code"].as_str()), (504, Some("timed_out")));
     fixture.gateway.await.unwrap().unwrap();
 }
--- a/crates/gateway/tests/http/main.rs
+++ b/crates/gateway/tests/http/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's shell over loopback, before a stand-in leader.
+//! The gateway's shell over loopback, before an emulated leader.
 
 mod decisions;
 mod fixture;
--- a/crates/gateway/tests/http/operator.rs
+++ b/crates/gateway/tests/http/operator.rs
@@ -2,8 +2,8 @@
 
 use crate::fixture::{Fixture, GATEWAY_NODE, Setup, read};
 use configuration::{ClusterConfiguration, Key, KeyHash, KeyRole};
-use peer::{MemberView, Operation, OperationReply};
 use reqwest::Method;
+use transport::{MemberView, Operation, OperationReply};
 use types::{Address, ConfigurationVersion, Milliseconds, NodeId, Role, RunId, Term};
 
 const JSON: &str = r#"{"timings":{"run_lease_ms":5000}}"#;
@@ -97,9 +97,9 @@
             zone: "z-1".parse().unwrap(),
             socket: ([127, 0, 0, 1], 1).into(),
         },
-        standing: "session".to_owned(),
+        status: "session".to_owned(),
         links: None,
-        silence: Milliseconds(10),
+        since_last_contact: Milliseconds(10),
         configuration: configuration.map(ConfigurationVersion),
     };
     // What a coordinator and an agent report, and whether that is everywhere.
@@ -190,9 +190,9 @@
     };
     // The document follows the first lease.
     while ask(None).await.status() == 200 {}
-    let refused = ask(None).await;
-    assert_eq!(refused.status(), 401);
-    assert_eq!(refused.headers()["www-authenticate"], "Bearer");
+    let rejected = ask(None).await;
+    assert_eq!(rejected.status(), 401);
+    assert_eq!(rejected.headers()["www-authenticate"], "Bearer");
     assert_eq!(ask(Some("Bearer boss.wrong")).await.status(), 401);
     assert_eq!(ask(Some("Basic boss.secret")).await.status(), 401);
     assert_eq!(ask(Some("Bearer boss.secret")).await.status(), 200);
--- a/crates/lab/src/callers.rs
+++ b/crates/lab/src/callers.rs
@@ -1,13 +1,13 @@
-//! Stand-in callers: both job mixes, sent open loop to all gateways in turn.
+//! Emulated callers: both job mixes, sent open loop to all gateways in turn.
 
 mod client;
 
 use crate::{History, LabError};
 use client::JobClient;
+use emulator::caller::{Caller, CallerAction, CallerAnswer};
+use emulator::workload::{Mix, Workload};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use standin::caller::{Caller, CallerAction, CallerAnswer};
-use standin::workload::{Mix, Workload};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -26,7 +26,7 @@
     pub submitted: AtomicU64,
     /// Jobs acknowledged.
     pub acknowledged: AtomicU64,
-    /// Jobs seen in a final state, or refused for good.
+    /// Jobs seen in a final state, or rejected for good.
     pub ended: AtomicU64,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// What one stand-in caller sends.
+/// What one emulated caller sends.
 #[derive(Debug, Clone)]
 pub struct CallerPlan {
     /// Its name in the history.
@@ -51,7 +51,7 @@
     pub seed: u64,
 }
 
-/// Running stand-in callers.
+/// Running emulated callers.
 pub struct Callers {
     progress: Arc<Progress>,
     sending: watch::Sender<bool>,
--- a/crates/lab/src/callers/client.rs
+++ b/crates/lab/src/callers/client.rs
@@ -2,12 +2,12 @@
 
 use crate::{History, LabError};
 use api::job::JobBody;
-use api::refusal::{Code, RefusalBody};
+use api::rejection::{Code, RejectionBody};
 use api::route;
 use api::view::JobViewBody;
 use checker::{Event, ExpectedStep, ReadState};
+use emulator::caller::CallerAnswer;
 use reqwest::{Client, RequestBuilder, Response, StatusCode};
-use standin::caller::CallerAnswer;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
@@ -20,7 +20,7 @@
 const ANSWER_MARGIN_MS: u64 = 500;
 /// Requests of one caller at the same time.
 const MAX_REQUESTS: usize = 256;
-/// When to come back where a refusal does not say it.
+/// When to come back where a rejection does not say it.
 const DEFAULT_RETRY: Milliseconds = Milliseconds(500);
 
 /// Sends a caller's requests to its gateways in turn. Clones share all.
@@ -41,8 +41,8 @@
 /// How a request ended.
 enum Answer {
     Success(Response),
-    Refused(RefusalBody),
-    Silence,
+    Rejected(RejectionBody),
+    TimedOut,
 }
 
 impl JobClient {
@@ -81,8 +81,8 @@
                 self.record(Event::SubmitAcknowledged { job: key });
                 CallerAnswer::Acknowledged
             }
-            Answer::Refused(refusal) => self.submit_refused(key, refusal),
-            Answer::Silence => self.silent("submit"),
+            Answer::Rejected(rejection) => self.submit_rejected(key, rejection),
+            Answer::TimedOut => self.timed_out("submit"),
         }
     }
 
@@ -97,9 +97,9 @@
         match send(self.shared.http.get(url)).await {
             Answer::Success(response) => match response.json::<JobViewBody>().await {
                 Ok(view) => self.state_read(key, asked_at, view),
-                Err(_) => self.silent("status"),
+                Err(_) => self.timed_out("status"),
             },
-            Answer::Refused(refusal) if refusal.code == Code::NotFound => {
+            Answer::Rejected(rejection) if rejection.code == Code::NotFound => {
                 self.record(Event::StateRead {
                     job: key.clone(),
                     asked_at,
@@ -107,8 +107,8 @@
                 });
                 CallerAnswer::Unknown
             }
-            Answer::Refused(refusal) => self.come_back("status", &refusal),
-            Answer::Silence => self.silent("status"),
+            Answer::Rejected(rejection) => self.come_back("status", &rejection),
+            Answer::TimedOut => self.timed_out("status"),
         }
     }
 
@@ -122,32 +122,34 @@
         CallerAnswer::State(state)
     }
 
-    fn submit_refused(&self, job: JobKey, refusal: RefusalBody) -> CallerAnswer {
-        if refusal.code == Code::TimedOut {
-            return self.silent("submit");
+    fn submit_rejected(&self, job: JobKey, rejection: RejectionBody) -> CallerAnswer {
+        if rejection.code == Code::TimedOut {
+            return self.timed_out("submit");
         }
-        self.record(Event::SubmitRefused {
+        self.record(Event::SubmitRejected {
             job,
-            code: format!("{:?}", refusal.code),
+            code: format!("{:?}", rejection.code),
         });
-        match refusal.code {
-            Code::Overloaded | Code::Unavailable => CallerAnswer::RetryAfter(retry_after(&refusal)),
-            _ => CallerAnswer::Refused,
+        match rejection.code {
+            Code::Overloaded | Code::Unavailable => {
+                CallerAnswer::RetryAfter(retry_after(&rejection))
+            }
+            _ => CallerAnswer::Rejected,
         }
     }
 
-    fn come_back(&self, operation: &str, refusal: &RefusalBody) -> CallerAnswer {
-        match refusal.code {
-            Code::TimedOut => self.silent(operation),
-            _ => CallerAnswer::RetryAfter(retry_after(refusal)),
+    fn come_back(&self, operation: &str, rejection: &RejectionBody) -> CallerAnswer {
+        match rejection.code {
+            Code::TimedOut => self.timed_out(operation),
+            _ => CallerAnswer::RetryAfter(retry_after(rejection)),
         }
     }
 
-    fn silent(&self, operation: &str) -> CallerAnswer {
+    fn timed_out(&self, operation: &str) -> CallerAnswer {
         self.record(Event::RequestTimedOut {
             operation: operation.to_owned(),
         });
-        CallerAnswer::Silence
+        CallerAnswer::TimedOut
     }
 
     fn record(&self, event: Event) {
@@ -166,22 +168,22 @@
 async fn send(request: RequestBuilder) -> Answer {
     let request = request.header(route::DEADLINE_HEADER, DEADLINE_MS);
     let Ok(response) = request.send().await else {
-        return Answer::Silence;
+        return Answer::TimedOut;
     };
     if response.status().is_success() {
         return Answer::Success(response);
     }
     let status = response.status();
     match response.json().await {
-        Ok(refusal) => Answer::Refused(refusal),
-        Err(_) if status == StatusCode::SERVICE_UNAVAILABLE => Answer::Refused(unavailable()),
-        Err(_) => Answer::Silence,
+        Ok(rejection) => Answer::Rejected(rejection),
+        Err(_) if status == StatusCode::SERVICE_UNAVAILABLE => Answer::Rejected(unavailable()),
+        Err(_) => Answer::TimedOut,
     }
 }
 
 /// What a 503 without a body says.
-fn unavailable() -> RefusalBody {
-    RefusalBody {
+fn unavailable() -> RejectionBody {
+    RejectionBody {
         code: Code::Unavailable,
         message: String::new(),
         retry_after_ms: None,
@@ -189,8 +191,8 @@
     }
 }
 
-fn retry_after(refusal: &RefusalBody) -> Milliseconds {
-    refusal.retry_after_ms.map_or(DEFAULT_RETRY, Milliseconds)
+fn retry_after(rejection: &RejectionBody) -> Milliseconds {
+    rejection.retry_after_ms.map_or(DEFAULT_RETRY, Milliseconds)
 }
 
 fn expected_steps(job: &JobSpec) -> Vec<ExpectedStep> {
--- a/crates/lab/src/capacity/figures.rs
+++ b/crates/lab/src/capacity/figures.rs
@@ -3,14 +3,14 @@
 use serde::Serialize;
 
 /// Parts of a thousand that percentiles are given in.
-const WHOLE: usize = 1_000;
+const PER_MILLE: usize = 1_000;
 
 /// The value that `per_thousand` of all values do not exceed (nearest rank);
 /// none without values.
 pub fn quantile(values: &[u64], per_thousand: usize) -> Option<u64> {
     let mut sorted = values.to_vec();
     sorted.sort_unstable();
-    let rank = (sorted.len() * per_thousand).div_ceil(WHOLE);
+    let rank = (sorted.len() * per_thousand).div_ceil(PER_MILLE);
     sorted.get(rank.saturating_sub(1)).copied()
 }
 
@@ -34,7 +34,7 @@
             count: values.len(),
             p50: quantile(values, 500),
             p99: quantile(values, 990),
-            max: quantile(values, WHOLE),
+            max: quantile(values, PER_MILLE),
         }
     }
 }
--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -9,17 +9,17 @@
 use crate::LabError;
 use crate::ports::Addresses;
 use agent::{Agent, AgentOptions, Effect, Input};
-use peer::{ClusterKey, Envelope, PeerMessage, Transport, TransportOptions};
-use standin::runner::{Behaviour, Runner, RunnerEvent, RunnerInstruction, RunnerOptions};
+use emulator::runner::{Behaviour, Runner, RunnerEvent, RunnerInstruction, RunnerOptions};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::task::JoinSet;
+use transport::{ClusterKey, Envelope, PeerMessage, Transport, TransportOptions};
 use types::{
     Address, Labels, Milliseconds, Monotonic, NodeId, Now, OrderAnswer, OrderKind, PoolName,
     RackName, Resources, Role, RunnerId, RunnerIncarnation, RunnerOrder, ZoneName,
 };
 
-/// Time between heartbeats, as the stand-in runners have it.
+/// Time between heartbeats, as the emulated runners have it.
 const HEARTBEAT_INTERVAL: Milliseconds = Milliseconds(200);
 /// Least time between two heartbeats when runs end one after another.
 const HEARTBEAT_SPACING: Milliseconds = Milliseconds(20);
@@ -47,7 +47,7 @@
     pub seeds: Vec<SocketAddr>,
     /// Key of the cluster.
     pub key: ClusterKey,
-    /// Room of each runner.
+    /// Capacity of each runner.
     pub capacity: Resources,
     /// Where they note what they see.
     pub observed: Observed,
@@ -64,10 +64,10 @@
     pub async fn start(plan: &HollowPlan, count: usize) -> Result<Self, LabError> {
         let addresses = Addresses::default();
         let mut workers = Self::default();
-        for place in 0..count {
-            let (worker, arriving) = HollowWorker::build(plan, &addresses, place).await?;
+        for index in 0..count {
+            let (worker, arriving) = HollowWorker::build(plan, &addresses, index).await?;
             workers.tasks.spawn(worker.run(arriving));
-            if place % START_BATCH == START_BATCH - 1 {
+            if index % START_BATCH == START_BATCH - 1 {
                 tokio::time::sleep(START_PAUSE).await;
             }
         }
@@ -91,19 +91,19 @@
     async fn build(
         plan: &HollowPlan,
         addresses: &Addresses,
-        place: usize,
-    ) -> Result<(Self, peer::Inbox), LabError> {
-        let name = format!("hollow-{place}");
-        let wrong = |problem: String| LabError::Runner {
+        index: usize,
+    ) -> Result<(Self, transport::Inbox), LabError> {
+        let name = format!("hollow-{index}");
+        let wrong = |message: String| LabError::Runner {
             runner: name.clone(),
-            problem,
+            message,
         };
-        let zone = ZONES[place % ZONES.len()];
+        let zone = ZONES[index % ZONES.len()];
         let own = Address {
             node: NodeId(rand::random()),
             role: Role::Agent,
-            zone: ZoneName::new(zone).map_err(|problem| wrong(problem.to_string()))?,
-            socket: SocketAddr::new(address(addresses, place)?, 0),
+            zone: ZoneName::new(zone).map_err(|message| wrong(message.to_string()))?,
+            socket: SocketAddr::new(address(addresses, index)?, 0),
         };
         let options = TransportOptions {
             listen: own.socket,
@@ -111,14 +111,14 @@
             max_frame_bytes: MAX_FRAME_BYTES,
         };
         let started = Transport::start(options, plan.key.clone(), own).await;
-        let (transport, arriving) = started.map_err(|problem| wrong(problem.to_string()))?;
+        let (transport, arriving) = started.map_err(|message| wrong(message.to_string()))?;
         let runner =
-            runner_options(plan, &name, place).map_err(|problem| wrong(problem.to_string()))?;
-        let now = peer::clock::now();
+            runner_options(plan, &name, index).map_err(|message| wrong(message.to_string()))?;
+        let now = transport::clock::now();
         // Heartbeats of a real fleet are spread over the interval.
-        let offset = Milliseconds(place as u64 % HEARTBEAT_INTERVAL.0);
+        let offset = Milliseconds(index as u64 % HEARTBEAT_INTERVAL.0);
         let worker = Self {
-            agent: Agent::new(agent_options(plan, &transport, place), now),
+            agent: Agent::new(agent_options(plan, &transport, index), now),
             name: runner.runner.clone(),
             runner: Runner::new(runner, now.monotonic),
             transport,
@@ -130,9 +130,9 @@
         Ok((worker, arriving))
     }
 
-    async fn run(mut self, mut arriving: peer::Inbox) {
+    async fn run(mut self, mut arriving: transport::Inbox) {
         loop {
-            self.advance(peer::clock::now());
+            self.advance(transport::clock::now());
             let pause = self.pause();
             tokio::select! {
                 Some(envelope) = arriving.recv() => self.take(envelope),
@@ -146,7 +146,7 @@
             PeerMessage::Configuration { version, .. } => Some(*version),
             _ => None,
         };
-        let now = peer::clock::now();
+        let now = transport::clock::now();
         self.input(now, Input::Peer(envelope));
         if let Some(version) = configured {
             self.observed.configured(version, now.monotonic);
@@ -155,7 +155,7 @@
 
     fn advance(&mut self, now: Now) {
         let events = self.runner.tick(now.monotonic);
-        self.note(now, events);
+        self.record(now, events);
         if now.monotonic >= self.next_heartbeat {
             self.heartbeat(now);
         }
@@ -179,7 +179,7 @@
             stop: answer.stop,
         };
         let events = self.runner.heartbeat_answered(now.monotonic, &instruction);
-        self.note(now, events);
+        self.record(now, events);
     }
 
     fn input(&mut self, now: Now, input: Input) {
@@ -210,7 +210,7 @@
 
     fn deliver(&mut self, now: Now, order: RunnerOrder) -> Input {
         let (answer, events) = self.runner.order(now.monotonic, &order);
-        self.note(now, events);
+        self.record(now, events);
         let is_start = matches!(order.kind, OrderKind::Start { .. });
         if is_start && answer != OrderAnswer::Started {
             self.observed.not_started();
@@ -218,7 +218,7 @@
         Input::Answered { order, answer }
     }
 
-    fn note(&mut self, now: Now, events: Vec<RunnerEvent>) {
+    fn record(&mut self, now: Now, events: Vec<RunnerEvent>) {
         for event in events {
             match event {
                 RunnerEvent::Started(spec) => {
@@ -241,18 +241,18 @@
     fn pause(&self) -> Duration {
         let next = self.next_heartbeat.min(self.agent.next_wakeup());
         let next = self.runner.next_wakeup().map_or(next, |due| due.min(next));
-        Duration::from_millis(next.since(peer::clock::now().monotonic).0)
+        Duration::from_millis(next.since(transport::clock::now().monotonic).0)
     }
 }
 
-fn address(addresses: &Addresses, place: usize) -> Result<std::net::IpAddr, LabError> {
+fn address(addresses: &Addresses, index: usize) -> Result<std::net::IpAddr, LabError> {
     let too_many = |_| LabError::Address(std::io::Error::other("too many hollow workers"));
-    let group = u8::try_from(FIRST_GROUP + place / GROUP_MACHINES).map_err(too_many)?;
-    let machine = u8::try_from(1 + place % GROUP_MACHINES).map_err(too_many)?;
+    let group = u8::try_from(FIRST_GROUP + index / GROUP_MACHINES).map_err(too_many)?;
+    let machine = u8::try_from(1 + index % GROUP_MACHINES).map_err(too_many)?;
     Ok(addresses.machine(group, machine))
 }
 
-fn agent_options(plan: &HollowPlan, transport: &Transport, place: usize) -> AgentOptions {
+fn agent_options(plan: &HollowPlan, transport: &Transport, index: usize) -> AgentOptions {
     AgentOptions {
         address: transport.own().clone(),
         seeds: plan.seeds.clone(),
@@ -260,24 +260,24 @@
         order_timeout: Milliseconds(1_000),
         freeze_after: Milliseconds(1_000),
         replica_valid: Milliseconds(1_800),
-        seed: place as u64,
+        seed: index as u64,
     }
 }
 
 fn runner_options(
     plan: &HollowPlan,
     name: &str,
-    place: usize,
+    index: usize,
 ) -> Result<RunnerOptions, types::InvalidName> {
     Ok(RunnerOptions {
         runner: RunnerId::new(name)?,
         incarnation: RunnerIncarnation(1),
         pool: PoolName::new(POOL)?,
-        rack: RackName::new(format!("rack-{}", place / RACK_MACHINES))?,
+        rack: RackName::new(format!("rack-{}", index / RACK_MACHINES))?,
         labels: Labels::new(),
         capacity: plan.capacity,
         behaviour: Behaviour::Healthy,
         mutation: None,
-        seed: place as u64,
+        seed: index as u64,
     })
 }
