--- a/crates/lab/src/capacity/load.rs
+++ b/crates/lab/src/capacity/load.rs
@@ -20,7 +20,7 @@
 };
 
 /// Time between two looks at what is due.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How long a caller waits for its answer.
 const TIMEOUT: Duration = Duration::from_secs(3);
 /// Requests on their way at once; what is due beyond is counted and dropped.
@@ -33,7 +33,7 @@
 pub struct Counts {
     /// Jobs acknowledged.
     pub acknowledged: AtomicU64,
-    /// Jobs refused, or without an answer in time.
+    /// Jobs rejected, or without an answer in time.
     pub unacknowledged: AtomicU64,
     /// Jobs not sent: too many requests were on their way.
     pub unsent: AtomicU64,
@@ -125,21 +125,21 @@
     /// Jobs whose tasks run through the whole trial.
     async fn fill(self, stream: Stream) {
         let jobs = self.shared.size.running.div_ceil(u64::from(stream.tasks));
-        for place in 0..jobs {
+        for index in 0..jobs {
             // The window opens only when they run, so none may be lost.
-            while !self.submit(stream, place).await {
-                tokio::time::sleep(LOOK_INTERVAL).await;
+            while !self.submit(stream, index).await {
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
     }
 
     async fn send_jobs(self, stream: Stream) {
         let started = Instant::now();
-        let mut looks = interval(LOOK_INTERVAL);
-        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut polls = interval(POLL_INTERVAL);
+        polls.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut sent = 0;
         loop {
-            looks.tick().await;
+            polls.tick().await;
             let due = (started.elapsed().as_secs_f64() * stream.jobs_per_second) as u64;
             while sent < due {
                 self.send_job(stream, sent);
@@ -148,20 +148,20 @@
         }
     }
 
-    fn send_job(&self, stream: Stream, place: u64) {
+    fn send_job(&self, stream: Stream, index: u64) {
         let Ok(permit) = self.shared.requests.clone().try_acquire_owned() else {
             self.counts().unsent.fetch_add(1, Ordering::Relaxed);
             return;
         };
         let load = self.clone();
         tokio::spawn(async move {
-            load.submit(stream, place).await;
+            load.submit(stream, index).await;
             drop(permit);
         });
     }
 
-    async fn submit(&self, stream: Stream, place: u64) -> bool {
-        let acknowledged = match self.job(stream, place) {
+    async fn submit(&self, stream: Stream, index: u64) -> bool {
+        let acknowledged = match self.job(stream, index) {
             Ok(job) => {
                 let url = format!("{}{}", self.gateway(), route::JOBS);
                 let request = self.shared.http.post(url).json(&JobBody::from(job));
@@ -179,11 +179,11 @@
         acknowledged
     }
 
-    fn job(&self, stream: Stream, place: u64) -> Result<JobSpec, InvalidName> {
-        let tenant = usize::try_from(place).unwrap_or_default();
+    fn job(&self, stream: Stream, index: u64) -> Result<JobSpec, InvalidName> {
+        let tenant = usize::try_from(index).unwrap_or_default();
         let payload = LoadPayload {
             duration_ms: stream.length.0,
-            sent_at: peer::clock::now().monotonic.0,
+            sent_at: transport::clock::now().monotonic.0,
             urgent: stream.urgency == Urgency::Urgent,
         };
         let step = StepSpec {
@@ -206,7 +206,7 @@
         Ok(JobSpec {
             payload: String::new(),
             tenant: self.shared.size.tenant(tenant)?,
-            job: JobId::new(format!("{}-{place}", stream.name))?,
+            job: JobId::new(format!("{}-{index}", stream.name))?,
             queue: QueueName::new(QUEUE)?,
             urgency: stream.urgency,
             start_at: None,
@@ -238,24 +238,24 @@
         };
         let path = route::CONFIGURATION_VERSION.replace("{version}", &version.to_string());
         let url = format!("{}{path}", self.gateway());
-        let sent_at = peer::clock::now().monotonic;
+        let sent_at = transport::clock::now().monotonic;
         let body = ConfigurationBody::from(document);
         let answer = self.shared.http.put(url).json(&body).send().await;
-        let taken = answer.is_ok_and(|answer| answer.status().is_success());
+        let accepted = answer.is_ok_and(|answer| answer.status().is_success());
         let mut put_at = self.shared.put_at.lock();
         let put_at = put_at.as_deref_mut().ok();
         if let Some(put_at) = put_at {
             // Sent again after a lost answer, it counts from the first time.
             put_at.entry(version).or_insert(sent_at);
         }
-        taken
+        accepted
     }
 
     /// The gateway whose turn it is.
     fn gateway(&self) -> &str {
         let turn = self.shared.turn.fetch_add(1, Ordering::Relaxed);
         let gateways = &self.shared.gateways;
-        let place = turn.checked_rem(gateways.len()).unwrap_or(0);
-        gateways.get(place).map_or("", String::as_str)
+        let index = turn.checked_rem(gateways.len()).unwrap_or(0);
+        gateways.get(index).map_or("", String::as_str)
     }
 }
--- a/crates/lab/src/capacity/observed.rs
+++ b/crates/lab/src/capacity/observed.rs
@@ -15,7 +15,7 @@
 pub struct Seen {
     /// Runs started.
     pub starts: u64,
-    /// Starts that were refused or not taken.
+    /// Starts that were rejected or not taken.
     pub not_started: u64,
     /// Sessions that were opened and lost again.
     pub sessions_lost: u64,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A start was refused.
+    /// A start was rejected.
     pub fn not_started(&self) {
         self.lock().not_started += 1;
     }
--- a/crates/lab/src/capacity/plan.rs
+++ b/crates/lab/src/capacity/plan.rs
@@ -11,12 +11,12 @@
 pub const POOL: &str = "hollow";
 /// The one queue.
 pub const QUEUE: &str = "work";
-/// Room the runners have beyond what runs, as a factor in tenths.
-const ROOM_TENTHS: u64 = 15;
+/// Capacity the runners have beyond what runs, as a factor in tenths.
+const HEADROOM_TENTHS: u64 = 15;
 /// Least slots of a runner.
 const MIN_SLOTS: u64 = 8;
 /// Length of tasks that are to run through the whole trial.
-const WHOLE_TRIAL: Milliseconds = Milliseconds(1_800_000);
+const TRIAL_LENGTH: Milliseconds = Milliseconds(1_800_000);
 /// Length of tasks when only starts are asked for.
 const SHORT_TASK: Milliseconds = Milliseconds(100);
 /// Ended jobs are kept this long, the shortest that is allowed.
@@ -43,7 +43,7 @@
     pub configurations_per_minute: u64,
 }
 
-/// What the runners read in a payload of this trial. The stand-in runner reads
+/// What the runners read in a payload of this trial. The emulated runner reads
 /// `duration_ms` alone.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LoadPayload {
@@ -60,16 +60,16 @@
     pub fn task_length(&self) -> Milliseconds {
         match (self.running, self.starts_per_second) {
             (0, _) => SHORT_TASK,
-            (_, 0) => WHOLE_TRIAL,
+            (_, 0) => TRIAL_LENGTH,
             (running, starts) => Milliseconds((running * 1_000 / starts).max(1)),
         }
     }
 
-    /// Room of each runner.
+    /// Capacity of each runner.
     pub fn capacity(&self) -> Resources {
         let running = self.running.max(self.starts_per_second);
         let workers = u64::try_from(self.workers).unwrap_or(u64::MAX).max(1);
-        let slots = (running * ROOM_TENTHS)
+        let slots = (running * HEADROOM_TENTHS)
             .div_ceil(10 * workers)
             .max(MIN_SLOTS);
         let slots = u32::try_from(slots).unwrap_or(u32::MAX);
@@ -122,7 +122,7 @@
         TenantSettings {
             // Whole percents: 80 tenants have one each.
             share_percent: (100 / tenants).max(1),
-            ceiling: Resources::UNLIMITED,
+            resource_limit: Resources::UNLIMITED,
             error_budget: ErrorBudget {
                 late_after: Milliseconds(60_000),
                 late_per_thousand: 10,
--- a/crates/lab/src/capacity/report.rs
+++ b/crates/lab/src/capacity/report.rs
@@ -25,7 +25,7 @@
     pub hollow: Share,
     /// Task starts a second on hollow runners.
     pub starts_per_second: f64,
-    /// Starts the hollow runners refused in the window.
+    /// Starts the hollow runners rejected in the window.
     pub not_started: u64,
     /// Sessions the hollow agents lost in the window.
     pub sessions_lost: u64,
@@ -33,7 +33,7 @@
     pub open_runs: f64,
     /// Jobs acknowledged, warm-up included.
     pub jobs_acknowledged: u64,
-    /// Jobs refused or not answered, warm-up included.
+    /// Jobs rejected or not answered, warm-up included.
     pub jobs_unacknowledged: u64,
     /// Jobs the callers could not send, warm-up included.
     pub jobs_unsent: u64,
--- a/crates/lab/src/capacity/trial.rs
+++ b/crates/lab/src/capacity/trial.rs
@@ -15,11 +15,11 @@
 use crate::runners::{RunnerPlan, Runners};
 use crate::setup::{TrialFolder, put_configuration};
 use crate::{Fleet, FleetPlan, History, LabError, MemberId};
-use peer::ClusterKey;
-use standin::workload::RunnerTemplate;
+use emulator::workload::RunnerTemplate;
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
+use transport::ClusterKey;
 use types::{Labels, PoolName, RackName, Role, Term};
 
 /// Longest wait for daemons to be ready, and for workers to be known.
@@ -27,7 +27,7 @@
 /// Longest wait for the first start under a new leader.
 const ELECTION_TIME: Duration = Duration::from_secs(30);
 /// Time between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between two looks at metrics.
 const WAIT_INTERVAL: Duration = Duration::from_millis(500);
 /// Where the kernel says how busy the machine is.
@@ -220,7 +220,7 @@
         let last_term = |seen: &Seen| seen.first_starts.keys().next_back().copied();
         let before = last_term(&self.observed.seen()).unwrap_or(Term(0));
         self.fleet.kill(leader)?;
-        let killed_at = peer::clock::now().monotonic;
+        let killed_at = transport::clock::now().monotonic;
         let started = Instant::now();
         loop {
             let seen = self.observed.seen();
@@ -233,7 +233,7 @@
                 eprintln!("{}", timed_out("a start after the election", ELECTION_TIME));
                 return Ok(None);
             }
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -306,9 +306,9 @@
     Ok(first.and_then(|load| load.parse().ok()).unwrap_or_default())
 }
 
-fn invalid(problem: types::InvalidName) -> LabError {
+fn invalid(message: types::InvalidName) -> LabError {
     LabError::Runner {
         runner: "hollow".to_owned(),
-        problem: problem.to_string(),
+        message: message.to_string(),
     }
 }
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -15,12 +15,12 @@
         source: std::io::Error,
     },
     /// A policy cannot be read.
-    #[error("{path}: {problem}", path = path.display())]
+    #[error("{path}: {message}", path = path.display())]
     Policy {
         /// The file.
         path: PathBuf,
         /// What is wrong.
-        problem: String,
+        message: String,
     },
     /// No free loopback address.
     #[error("no free loopback address: {0}")]
@@ -68,13 +68,13 @@
     /// The HTTP client cannot start.
     #[error("cannot start the HTTP client: {0}")]
     Http(#[from] reqwest::Error),
-    /// A stand-in runner cannot listen.
-    #[error("cannot start runner {runner}: {problem}")]
+    /// An emulated runner cannot listen.
+    #[error("cannot start runner {runner}: {message}")]
     Runner {
         /// The runner.
         runner: String,
         /// Why.
-        problem: String,
+        message: String,
     },
     /// A fault plan cannot be read.
     #[error(transparent)]
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -2,7 +2,7 @@
 
 mod member;
 mod plan;
-mod standing;
+mod status;
 
 pub use member::{Member, MemberId};
 pub use plan::FleetPlan;
@@ -19,7 +19,7 @@
 use types::Role;
 
 /// Time between two looks at something that is waited for.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest wait of one command to the fleet.
 const COMMAND_TIMEOUT_MS: u64 = 3_000;
 /// The secret of a trial's cluster; it guards nothing beyond one machine.
@@ -62,8 +62,8 @@
     /// an empty data folder; it is not started yet.
     pub fn add(&mut self, role: Role) -> Result<MemberId, LabError> {
         let count = self.of_role(role).count();
-        let place = u8::try_from(count + 1).unwrap_or(u8::MAX);
-        let id = MemberId { role, place };
+        let ordinal = u8::try_from(count + 1).unwrap_or(u8::MAX);
+        let id = MemberId { role, ordinal };
         let member = plan::member(id, &self.addresses, &self.folder)?;
         member.write_settings(&self.seeds, &self.key)?;
         self.members.push(member);
@@ -157,7 +157,7 @@
             if started.elapsed() > longest {
                 return Err(timed_out(format!("{id} to drain"), longest));
             }
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -192,7 +192,7 @@
             if started.elapsed() > longest {
                 return Err(timed_out(format!("{id} to be ready"), longest));
             }
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
--- a/crates/lab/src/fleet/member.rs
+++ b/crates/lab/src/fleet/member.rs
@@ -14,12 +14,12 @@
     /// Its role.
     pub role: Role,
     /// Its place among those of the role, from 1.
-    pub place: u8,
+    pub ordinal: u8,
 }
 
 impl fmt::Display for MemberId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}-{}", self.role, self.place)
+        write!(formatter, "{}-{}", self.role, self.ordinal)
     }
 }
 
--- a/crates/lab/src/fleet/plan.rs
+++ b/crates/lab/src/fleet/plan.rs
@@ -42,8 +42,8 @@
             (Role::Gateway, self.gateways),
             (Role::Agent, self.agents),
         ] {
-            for place in 1..=count {
-                members.push(member(MemberId { role, place }, addresses, folder)?);
+            for ordinal in 1..=count {
+                members.push(member(MemberId { role, ordinal }, addresses, folder)?);
             }
         }
         Ok(members)
@@ -65,9 +65,9 @@
     addresses: &Addresses,
     folder: &Path,
 ) -> Result<Member, LabError> {
-    let machine = addresses.machine(address_group(id.role), id.place);
+    let machine = addresses.machine(address_group(id.role), id.ordinal);
     let [peer, http] = free_sockets(machine)?;
-    let zone = ZONES[usize::from(id.place - 1) % ZONES.len()];
+    let zone = ZONES[usize::from(id.ordinal - 1) % ZONES.len()];
     let zone = ZoneName::new(zone).map_err(std::io::Error::other);
     Ok(Member {
         id,
@@ -86,9 +86,9 @@
 pub(super) fn seeds(members: &[Member]) -> Vec<SocketAddr> {
     let mut first: Vec<_> = members
         .iter()
-        .filter(|member| member.id.place == 1)
+        .filter(|member| member.id.ordinal == 1)
         .collect();
-    let others = members.iter().filter(|member| member.id.place != 1);
+    let others = members.iter().filter(|member| member.id.ordinal != 1);
     first.extend(others);
     first.iter().take(SEEDS).map(|member| member.peer).collect()
 }
--- a/crates/lab/src/fleet/standing.rs
+++ b/crates/lab/src/fleet/status.rs
@@ -1,6 +1,6 @@
 //! Which coordinator leads and which vote, as the fleet itself tells.
 
-use super::{Fleet, LOOK_INTERVAL, MemberId, timed_out};
+use super::{Fleet, MemberId, POLL_INTERVAL, timed_out};
 use crate::LabError;
 use api::operator::{MemberViewBody, MembersBody};
 use api::route;
@@ -18,12 +18,12 @@
     /// The coordinator that leads now, as the gateways are told.
     pub async fn leader(&self) -> Result<Option<MemberId>, LabError> {
         let members = self.standings().await?;
-        let leader = members.iter().find(|member| member.standing == LEADER);
+        let leader = members.iter().find(|member| member.status == LEADER);
         Ok(leader.and_then(|leader| self.id_of(leader)))
     }
 
     /// Waits until a coordinator leads.
-    pub async fn wait_leader(&self, longest: Duration) -> Result<MemberId, LabError> {
+    pub async fn wait_leader(&self, timeout: Duration) -> Result<MemberId, LabError> {
         let started = Instant::now();
         loop {
             match self.leader().await {
@@ -31,23 +31,23 @@
                 Ok(None) | Err(LabError::Client(ClientError::Unavailable(_))) => {}
                 Err(error) => return Err(error),
             }
-            give_up_after(started, longest, "a leader")?;
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            give_up_after(started, timeout, "a leader")?;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Waits until a running coordinator votes without leading.
-    pub async fn wait_follower(&self, longest: Duration) -> Result<MemberId, LabError> {
+    pub async fn wait_follower(&self, timeout: Duration) -> Result<MemberId, LabError> {
         let started = Instant::now();
         loop {
             let members = self.standings_or_none().await?;
-            let voters = members.iter().filter(|member| member.standing == VOTER);
+            let voters = members.iter().filter(|member| member.status == VOTER);
             let mut running = voters.filter_map(|voter| self.id_of(voter));
             if let Some(follower) = running.next() {
                 return Ok(follower);
             }
-            give_up_after(started, longest, "a follower")?;
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            give_up_after(started, timeout, "a follower")?;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -63,21 +63,21 @@
     /// the identity that is gone.
     pub async fn wait_replaced(
         &self,
-        gone: &str,
+        departed: &str,
         by: MemberId,
-        longest: Duration,
+        timeout: Duration,
     ) -> Result<(), LabError> {
         let started = Instant::now();
         loop {
             let members = self.standings_or_none().await?;
             let voters: Vec<_> = members.iter().filter(|member| may_vote(member)).collect();
-            let is_gone = voters.iter().all(|voter| voter.node != gone);
+            let has_departed = voters.iter().all(|voter| voter.node != departed);
             let votes = voters.iter().any(|voter| self.id_of(voter) == Some(by));
-            if is_gone && votes && voters.len() == VOTERS {
+            if has_departed && votes && voters.len() == VOTERS {
                 return Ok(());
             }
-            give_up_after(started, longest, &format!("{by} to vote"))?;
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            give_up_after(started, timeout, &format!("{by} to vote"))?;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -96,11 +96,11 @@
             let elapsed_ms = since.elapsed().as_millis();
             let members = self.standings_or_none().await?;
             let mut views = members.iter().filter(|view| self.id_of(view) == Some(id));
-            if views.any(|view| u128::from(view.silence_ms) < elapsed_ms) {
+            if views.any(|view| u128::from(view.since_last_contact_ms) < elapsed_ms) {
                 return Ok(());
             }
             give_up_after(started, max_wait, &format!("the leader to see {id}"))?;
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -126,12 +126,12 @@
 }
 
 fn may_vote(member: &MemberViewBody) -> bool {
-    member.standing == VOTER || member.standing == LEADER
+    member.status == VOTER || member.status == LEADER
 }
 
-fn give_up_after(started: Instant, longest: Duration, what: &str) -> Result<(), LabError> {
-    match started.elapsed() > longest {
-        true => Err(timed_out(what, longest)),
+fn give_up_after(started: Instant, timeout: Duration, what: &str) -> Result<(), LabError> {
+    match started.elapsed() > timeout {
+        true => Err(timed_out(what, timeout)),
         false => Ok(()),
     }
 }
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -31,7 +31,7 @@
         Milliseconds(u64::try_from(elapsed).unwrap_or(u64::MAX))
     }
 
-    /// The same clock for the stand-ins.
+    /// The same clock for the emulators.
     pub fn monotonic(&self) -> Monotonic {
         Monotonic(self.now().0)
     }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,7 +1,7 @@
-//! Trials on one machine: fleets of real processes, stand-ins, load and reports.
+//! Trials on one machine: fleets of real processes, emulators, load and reports.
 //!
 //! The daemons are child processes of the lab, each with a loopback address of
-//! its own; runners and callers are stand-ins inside the lab process. All that
+//! its own; runners and callers are emulators inside the lab process. All that
 //! callers and runners see goes into one history, which the checker judges.
 
 pub mod callers;
--- a/crates/lab/src/losses.rs
+++ b/crates/lab/src/losses.rs
@@ -8,7 +8,7 @@
 use account::account;
 use clap::Args;
 use cypressdrum::Exit;
-use dispatch::Policy;
+use scheduler::Policy;
 use simulation::{FleetSize, Plan};
 use std::path::{Path, PathBuf};
 use table::{Losses, SeedLosses, render};
@@ -16,7 +16,7 @@
 /// Seeds when none are asked for.
 const DEFAULT_SEEDS: u64 = 5;
 /// Switches of a settings file's policy that are no placement's.
-const GIVES_WAY: &str = "gives_way";
+const TRANSFER_WHEN_DEGRADED: &str = "gives_way";
 const MOVE_SLOW: &str = "move_slow";
 
 /// What to account for.
@@ -48,7 +48,7 @@
 struct Chosen {
     name: String,
     placement: Policy,
-    gives_way: bool,
+    transfer_when_degraded: bool,
 }
 
 /// Plays the seeds and prints the tables.
@@ -80,7 +80,7 @@
             let mut plan = day.clone();
             plan.seed = seed;
             plan.policy = policy.placement;
-            plan.gives_way = policy.gives_way;
+            plan.transfer_when_degraded = policy.transfer_when_degraded;
             let outcome = simulation::run(&plan)?;
             seeds.push(SeedLosses::new(seed, &account(&outcome)));
         }
@@ -108,7 +108,7 @@
         return Ok(vec![Chosen {
             name: "shipped".to_owned(),
             placement: Policy::default(),
-            gives_way: true,
+            transfer_when_degraded: true,
         }]);
     }
     paths.iter().map(|path| read_policy(path)).collect()
@@ -117,9 +117,9 @@
 /// The `policy` section of a settings file; what it does not name is as it ships.
 fn read_policy(path: &Path) -> Result<Chosen, LabError> {
     let text = std::fs::read_to_string(path).map_err(LabError::file(path))?;
-    let wrong = |problem: toml::de::Error| LabError::Policy {
+    let wrong = |message: toml::de::Error| LabError::Policy {
         path: path.to_owned(),
-        problem: problem.to_string(),
+        message: message.to_string(),
     };
     let mut file: toml::Table = toml::from_str(&text).map_err(wrong)?;
     let section = file.remove("policy");
@@ -128,10 +128,12 @@
         _ => toml::Table::new(),
     };
     section.remove(MOVE_SLOW);
-    let gives_way = section.remove(GIVES_WAY);
+    let transfer_when_degraded = section.remove(TRANSFER_WHEN_DEGRADED);
     Ok(Chosen {
         name: path.display().to_string(),
-        gives_way: gives_way.and_then(|on| on.as_bool()).unwrap_or(true),
+        transfer_when_degraded: transfer_when_degraded
+            .and_then(|on| on.as_bool())
+            .unwrap_or(true),
         placement: section.try_into().map_err(wrong)?,
     })
 }
--- a/crates/lab/src/losses/account.rs
+++ b/crates/lab/src/losses/account.rs
@@ -6,10 +6,10 @@
 //! decision stream says what.
 
 use checker::{Event, Observation};
-use dispatch::{DecisionKind, NotPlacedReason};
-use peer::DecisionEvent;
+use scheduler::{DecisionKind, NotPlacedReason};
 use simulation::{Outcome, TimedDecision};
 use std::collections::{BTreeMap, BTreeSet};
+use transport::DecisionEvent;
 use types::{JobKey, JobState, Milliseconds, QueueName, RunId, TenantId};
 
 /// What stood in the way of a job.
@@ -18,16 +18,19 @@
 pub enum Cause {
     /// The submit was not acknowledged: gateway, leader, log.
     Acceptance,
-    /// The tenant was at its ceiling.
-    Ceiling,
-    /// What was left of the ceiling is kept for more urgent work.
-    CeilingKept,
+    /// The tenant was at its resource limit.
+    #[serde(rename = "ceiling")]
+    ResourceLimit,
+    /// What was left of the resource limit is kept for more urgent work.
+    #[serde(rename = "ceiling_kept")]
+    UrgentHeadroom,
     /// The tenant was above its share.
     Share,
     /// No seat of a licence was free.
     Seat,
     /// No runner had room.
-    Room,
+    #[serde(rename = "room")]
+    Capacity,
     /// No runner with room carries the labels.
     Labels,
     /// The runners that could take it leave or are silent.
@@ -35,7 +38,8 @@
     /// The only room was on a runner on probation.
     Probation,
     /// A runner was kept free for a larger task.
-    Held,
+    #[serde(rename = "held")]
+    ReservedForLargerTask,
     /// The leader did not know its runners yet.
     NewLeader,
     /// Nothing stood against it, or for a moment only: the draw, the log, the
@@ -79,7 +83,7 @@
 }
 
 impl Span {
-    fn holds(&self, at: Milliseconds) -> bool {
+    fn contains(&self, at: Milliseconds) -> bool {
         self.from <= at && at < self.to
     }
 }
@@ -210,7 +214,7 @@
     /// None for a job that is not done, or that no decision names.
     fn account_of(&self, key: &JobKey, job: &SeenJob) -> Option<Account> {
         let queue = job.queue.clone()?;
-        let whole = Span {
+        let span = Span {
             from: job.sent?,
             to: job.ended?,
         };
@@ -221,8 +225,8 @@
             .copied()
             .collect();
         let reasons = self.reasons.get(&(key.tenant.clone(), queue.clone()));
-        let moments = moments_of(whole, job, &runs, reasons.map_or(&[], Vec::as_slice));
-        let total = whole.to.0.saturating_sub(whole.from.0).max(1) as f64;
+        let moments = moments_of(span, job, &runs, reasons.map_or(&[], Vec::as_slice));
+        let total = span.to.0.saturating_sub(span.from.0).max(1) as f64;
         let mut lost = BTreeMap::new();
         for pair in moments.windows(2) {
             let cause = cause_at(pair[0], job, &runs, reasons.map_or(&[], Vec::as_slice));
@@ -234,7 +238,7 @@
         Some(Account {
             job: key.clone(),
             queue,
-            sent: whole.from,
+            sent: span.from,
             lost,
         })
     }
@@ -243,7 +247,7 @@
 /// The moments within a job's time at which something changes, in order, with both
 /// ends.
 fn moments_of(
-    whole: Span,
+    span: Span,
     job: &SeenJob,
     runs: &[SeenRun],
     reasons: &[(Milliseconds, Option<Cause>)],
@@ -256,8 +260,8 @@
     let moments = moments.chain(explained);
     let moments = moments.chain(reasons.iter().map(|(at, _)| *at));
     let within: BTreeSet<Milliseconds> = moments
-        .filter(|at| whole.holds(*at))
-        .chain([whole.from, whole.to])
+        .filter(|at| span.contains(*at))
+        .chain([span.from, span.to])
         .collect();
     within.into_iter().collect()
 }
@@ -277,7 +281,7 @@
 ) -> Option<Cause> {
     let within = |from: Option<Milliseconds>, to: Option<Milliseconds>| {
         let to = to.unwrap_or(Milliseconds(u64::MAX));
-        from.is_some_and(|from| Span { from, to }.holds(at))
+        from.is_some_and(|from| Span { from, to }.contains(at))
     };
     let at_work = |run: &&SeenRun| within(run.started, run.ended);
     if runs.iter().filter(at_work).any(|run| run.done) {
@@ -303,22 +307,22 @@
     if waits_from.is_none_or(|from| at < from + UNEXPLAINED) {
         return Some(Cause::Draw);
     }
-    let told = reasons.partition_point(|(told, _)| *told <= at);
-    let reason = told.checked_sub(1).and_then(|last| reasons[last].1);
+    let known = reasons.partition_point(|(known, _)| *known <= at);
+    let reason = known.checked_sub(1).and_then(|last| reasons[last].1);
     Some(reason.unwrap_or(Cause::Draw))
 }
 
 fn cause_of(reason: &NotPlacedReason) -> Option<Cause> {
     match reason {
-        NotPlacedReason::TenantAtCeiling => Some(Cause::Ceiling),
-        NotPlacedReason::CeilingKeptForUrgent => Some(Cause::CeilingKept),
+        NotPlacedReason::TenantAtLimit => Some(Cause::ResourceLimit),
+        NotPlacedReason::LimitReservedForUrgent => Some(Cause::UrgentHeadroom),
         NotPlacedReason::NoSeat => Some(Cause::Seat),
         NotPlacedReason::TenantAboveShare => Some(Cause::Share),
         NotPlacedReason::RunnersAway => Some(Cause::RunnersAway),
-        NotPlacedReason::NoRoom => Some(Cause::Room),
+        NotPlacedReason::NoCapacity => Some(Cause::Capacity),
         NotPlacedReason::NoRunnerWithLabels => Some(Cause::Labels),
         NotPlacedReason::RunnerOnProbation => Some(Cause::Probation),
-        NotPlacedReason::HeldForLargerTask { .. } => Some(Cause::Held),
+        NotPlacedReason::ReservedForLargerTask { .. } => Some(Cause::ReservedForLargerTask),
         NotPlacedReason::NoRunnerKnown => Some(Cause::NewLeader),
         NotPlacedReason::BeforeItsTime { .. }
         | NotPlacedReason::WaitingForStep
--- a/crates/lab/src/losses/table.rs
+++ b/crates/lab/src/losses/table.rs
@@ -72,9 +72,9 @@
 /// Mean and spread over seeds.
 fn mean_and_spread(values: &[f64]) -> (f64, f64) {
     let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
-    let most = values.iter().copied().fold(f64::MIN, f64::max);
+    let max = values.iter().copied().fold(f64::MIN, f64::max);
     let least = values.iter().copied().fold(f64::MAX, f64::min);
-    (mean, if values.is_empty() { 0.0 } else { most - least })
+    (mean, if values.is_empty() { 0.0 } else { max - least })
 }
 
 /// All policies as text: each one's tables, then all side by side.
@@ -142,7 +142,7 @@
 fn rows(
     seeds: &[SeedLosses],
     of: impl Fn(&SeedLosses) -> BTreeMap<String, f64>,
-    most: usize,
+    max: usize,
 ) -> Vec<(String, f64, f64)> {
     let sums: Vec<BTreeMap<String, f64>> = seeds.iter().map(&of).collect();
     let names: BTreeSet<&String> = sums.iter().flat_map(BTreeMap::keys).collect();
@@ -159,7 +159,7 @@
         })
         .collect();
     rows.sort_by(|one, other| other.1.total_cmp(&one.1).then_with(|| one.0.cmp(&other.0)));
-    rows.truncate(most);
+    rows.truncate(max);
     rows
 }
 
--- a/crates/lab/src/rolling_change.rs
+++ b/crates/lab/src/rolling_change.rs
@@ -151,7 +151,7 @@
 /// and data folder, and waits until it is ready and the leader has seen it again.
 async fn change(trial: &mut Trial, id: MemberId, to: &Program) -> Result<(), LabError> {
     trial.fleet.terminate(id, READY_TIME).await?;
-    trial.note_borne_fault(format!("{id} ended, to be replaced"));
+    trial.record_tolerated_fault(format!("{id} ended, to be replaced"));
     let started = Instant::now();
     trial.fleet.start_with(id, to)?;
     trial.fleet.wait_ready(id, READY_TIME).await?;
--- a/crates/lab/src/runners.rs
+++ b/crates/lab/src/runners.rs
@@ -1,17 +1,17 @@
-//! Stand-in runners inside the lab process, each beside its agent.
+//! Emulated runners inside the lab process, each beside its agent.
 
 use crate::fleet::Member;
 use crate::{History, LabError};
 use checker::Event;
-use standin::runner::{Behaviour, RunnerEvent, RunnerOptions};
-use standin::shell::{LeaseClock, RunnerHandle, RunnerServer};
-use standin::workload::RunnerTemplate;
+use emulator::runner::{Behaviour, RunnerEvent, RunnerOptions};
+use emulator::shell::{LeaseClock, RunnerHandle, RunnerServer};
+use emulator::workload::RunnerTemplate;
 use std::net::SocketAddr;
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 use types::{RunnerId, RunnerIncarnation};
 
-/// One stand-in runner and the agent it reports to.
+/// One emulated runner and the agent it reports to.
 #[derive(Debug, Clone)]
 pub struct RunnerPlan {
     /// Its name.
@@ -29,18 +29,18 @@
 impl RunnerPlan {
     /// A runner on the machine of this agent.
     pub fn beside(agent: &Member, template: RunnerTemplate, seed: u64) -> Self {
-        let place = agent.id.place;
+        let ordinal = agent.id.ordinal;
         Self {
-            name: format!("runner-{place}"),
+            name: format!("runner-{ordinal}"),
             agent_url: agent.http_url(),
             listen: SocketAddr::new(agent.http.ip(), 0),
             template,
-            seed: seed.wrapping_add(u64::from(place)),
+            seed: seed.wrapping_add(u64::from(ordinal)),
         }
     }
 
     fn options(&self) -> Result<RunnerOptions, LabError> {
-        let runner = RunnerId::new(&self.name).map_err(|problem| self.error(&problem))?;
+        let runner = RunnerId::new(&self.name).map_err(|message| self.error(&message))?;
         Ok(RunnerOptions {
             runner,
             incarnation: RunnerIncarnation(1),
@@ -54,15 +54,15 @@
         })
     }
 
-    fn error(&self, problem: &dyn std::error::Error) -> LabError {
+    fn error(&self, message: &dyn std::error::Error) -> LabError {
         LabError::Runner {
             runner: self.name.clone(),
-            problem: problem.to_string(),
+            message: message.to_string(),
         }
     }
 }
 
-/// Running stand-in runners.
+/// Running emulated runners.
 #[derive(Debug, Default)]
 pub struct Runners {
     running: Vec<RunningRunner>,
@@ -102,7 +102,7 @@
         let options = plan.options()?;
         let (runner, incarnation) = (options.runner.clone(), options.incarnation);
         let started = RunnerServer::start(options, &plan.agent_url, None, plan.listen).await;
-        let (handle, events) = started.map_err(|problem| plan.error(&problem))?;
+        let (handle, events) = started.map_err(|message| plan.error(&message))?;
         let recorder = Recorder {
             runner,
             incarnation,
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -76,7 +76,7 @@
 }
 
 fn first(role: Role) -> MemberId {
-    MemberId { role, place: 1 }
+    MemberId { role, ordinal: 1 }
 }
 
 async fn kill_leader(trial: &mut Trial) -> Result<(), LabError> {
@@ -87,7 +87,7 @@
 
 async fn kill_and_restart(trial: &mut Trial, id: MemberId) -> Result<(), LabError> {
     trial.fleet.kill(id)?;
-    trial.note_borne_fault(format!("killed {id}"));
+    trial.record_tolerated_fault(format!("killed {id}"));
     trial.work_for(DOWN).await;
     restart(trial, id).await
 }
@@ -103,13 +103,13 @@
     for id in &coordinators {
         trial.fleet.kill(*id)?;
     }
-    trial.note_fault("killed all coordinators".to_owned());
+    trial.record_fault("killed all coordinators".to_owned());
     trial.work_for(DOWN).await;
     println!("all coordinators start again");
     for id in &coordinators {
         trial.fleet.start(*id)?;
     }
-    trial.note_healed();
+    trial.record_healed();
     for id in coordinators {
         trial.fleet.wait_ready(id, READY_TIME).await?;
     }
@@ -123,7 +123,7 @@
 
 async fn freeze(trial: &mut Trial, id: MemberId) -> Result<(), LabError> {
     trial.fleet.freeze(id)?;
-    trial.note_borne_fault(format!("froze {id}"));
+    trial.record_tolerated_fault(format!("froze {id}"));
     trial.work_for(FROZEN).await;
     trial.fleet.wake(id)?;
     println!("woke {id}");
@@ -132,24 +132,24 @@
 
 async fn wipe_follower(trial: &mut Trial) -> Result<(), LabError> {
     let follower = trial.fleet.wait_follower(READY_TIME).await?;
-    let gone = identity(trial, follower).await?;
+    let departed = identity(trial, follower).await?;
     trial.fleet.kill(follower)?;
     trial.fleet.wipe(follower)?;
-    trial.note_borne_fault(format!("{follower} lost its disk"));
+    trial.record_tolerated_fault(format!("{follower} lost its disk"));
     trial.fleet.start(follower)?;
-    kill_leader_after_repair(trial, &gone, follower).await
+    kill_leader_after_repair(trial, &departed, follower).await
 }
 
 async fn replace_follower(trial: &mut Trial) -> Result<(), LabError> {
     let follower = trial.fleet.wait_follower(READY_TIME).await?;
-    let gone = identity(trial, follower).await?;
+    let departed = identity(trial, follower).await?;
     trial.fleet.kill(follower)?;
     let replacement = trial.fleet.add(Role::Coordinator)?;
-    trial.note_borne_fault(format!(
+    trial.record_tolerated_fault(format!(
         "{replacement}, empty, takes the place of {follower}"
     ));
     trial.fleet.start(replacement)?;
-    kill_leader_after_repair(trial, &gone, replacement).await
+    kill_leader_after_repair(trial, &departed, replacement).await
 }
 
 async fn identity(trial: &Trial, id: MemberId) -> Result<String, LabError> {
@@ -160,11 +160,11 @@
 /// The second loss comes the moment the first is repaired.
 async fn kill_leader_after_repair(
     trial: &mut Trial,
-    gone: &str,
+    departed: &str,
     by: MemberId,
 ) -> Result<(), LabError> {
     let started = Instant::now();
-    trial.fleet.wait_replaced(gone, by, READY_TIME).await?;
+    trial.fleet.wait_replaced(departed, by, READY_TIME).await?;
     println!("{by} votes, {} ms later", started.elapsed().as_millis());
     kill_leader(trial).await
 }
@@ -178,7 +178,7 @@
         .collect();
     for id in ids {
         trial.fleet.terminate(id, READY_TIME).await?;
-        trial.note_borne_fault(format!("{id} restarts"));
+        trial.record_tolerated_fault(format!("{id} restarts"));
         restart(trial, id).await?;
         trial.work_for(BETWEEN_RESTARTS).await;
     }
--- a/crates/lab/src/setup.rs
+++ b/crates/lab/src/setup.rs
@@ -71,9 +71,9 @@
     for (tenant, settings) in &document.tenants {
         history.record(
             OPERATOR,
-            Event::CeilingSent {
+            Event::ResourceLimitSent {
                 tenant: tenant.clone(),
-                ceiling: settings.ceiling,
+                resource_limit: settings.resource_limit,
             },
         );
     }
@@ -82,14 +82,20 @@
         digest: digest.clone(),
     };
     history.record(OPERATOR, sent);
-    put_until_taken(fleet, version, document.clone()).await?;
+    put_until_accepted(fleet, version, document.clone()).await?;
     history.record(
         OPERATOR,
         Event::ConfigurationAcknowledged { version, digest },
     );
     for (tenant, settings) in &document.tenants {
-        let (tenant, ceiling) = (tenant.clone(), settings.ceiling);
-        history.record(OPERATOR, Event::CeilingInForce { tenant, ceiling });
+        let (tenant, resource_limit) = (tenant.clone(), settings.resource_limit);
+        history.record(
+            OPERATOR,
+            Event::ResourceLimitInForce {
+                tenant,
+                resource_limit,
+            },
+        );
     }
     for (licence, settings) in &document.licences {
         let (licence, seats) = (licence.clone(), settings.seats);
@@ -98,7 +104,7 @@
     Ok(())
 }
 
-async fn put_until_taken(
+async fn put_until_accepted(
     fleet: &Fleet,
     version: ConfigurationVersion,
     document: ClusterConfiguration,
@@ -123,7 +129,7 @@
 pub async fn wait_for_runners(
     fleet: &Fleet,
     count: usize,
-    longest: Duration,
+    timeout: Duration,
 ) -> Result<(), LabError> {
     let client = fleet.client()?;
     let started = Instant::now();
@@ -131,10 +137,10 @@
         let known = client.get::<RunnersBody>(route::RUNNERS, Vec::new()).await;
         match known {
             Ok(known) if known.runners.len() >= count => return Ok(()),
-            Ok(_) | Err(ClientError::Unavailable(_)) if started.elapsed() < longest => {
+            Ok(_) | Err(ClientError::Unavailable(_)) if started.elapsed() < timeout => {
                 tokio::time::sleep(TRY_INTERVAL).await;
             }
-            Ok(_) => return Err(timed_out(format!("{count} runners to be known"), longest)),
+            Ok(_) => return Err(timed_out(format!("{count} runners to be known"), timeout)),
             Err(error) => return Err(error.into()),
         }
     }
--- a/crates/lab/src/simulate.rs
+++ b/crates/lab/src/simulate.rs
@@ -179,12 +179,12 @@
 }
 
 fn describe(position: usize, result: &SeedResult, arguments: &SimulateArguments) -> FailedSeed {
-    let smallest = (arguments.shrink && position < SHRINK_SEEDS).then(|| cut_down(result));
+    let smallest = (arguments.shrink && position < SHRINK_SEEDS).then(|| minimize(result));
     FailedSeed::new(result, repeat_command(result, arguments), smallest)
 }
 
 /// Keeps to plans that break the same promise.
-fn cut_down(result: &SeedResult) -> Plan {
+fn minimize(result: &SeedResult) -> Plan {
     let wanted = result.report.violations.first().map(|found| found.kind);
     shrink(&result.plan, SHRINK_RUNS, |plan| {
         let again = run_plan(plan);
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -11,7 +11,7 @@
 use checker::{Event, Limits, Violation};
 use clap::Args;
 use cypressdrum::Exit;
-use standin::workload::{Mix, RunnerTemplate, example_configuration, pool_runners};
+use emulator::workload::{Mix, RunnerTemplate, example_configuration, pool_runners};
 use std::future::Future;
 use std::path::PathBuf;
 use std::sync::atomic::Ordering;
@@ -61,7 +61,7 @@
 impl TrialPlan {
     /// Today's size; the first agents have the runners of the first pool.
     pub fn today(program: Program) -> Self {
-        let pools = [Mix::Stills, Mix::Documents].into_iter();
+        let pools = [Mix::Media, Mix::Documents].into_iter();
         Self {
             fleet: FleetPlan::TODAY,
             program,
@@ -135,22 +135,22 @@
         }
     }
 
-    /// Notes a fault that should stop service until [`Trial::note_healed`].
-    pub fn note_fault(&self, what: String) {
+    /// Records a fault that should stop service until [`Trial::record_healed`].
+    pub fn record_fault(&self, what: String) {
         println!("{what}");
         self.history.record(OBSERVER, Event::Fault { what });
     }
 
-    /// Notes that nothing is broken any more that should stop service.
-    pub fn note_healed(&self) {
+    /// Records that nothing is broken any more that should stop service.
+    pub fn record_healed(&self) {
         self.history.record(OBSERVER, Event::Healed);
     }
 
-    /// Notes a fault that a fleet of this size must bear: service has to come
+    /// Records a fault that a fleet of this size must bear: service has to come
     /// back although it lasts.
-    pub fn note_borne_fault(&self, what: String) {
-        self.note_fault(what);
-        self.note_healed();
+    pub fn record_tolerated_fault(&self, what: String) {
+        self.record_fault(what);
+        self.record_healed();
     }
 
     /// Kills the coordinator that leads, and gives which it was.
@@ -158,7 +158,7 @@
         let leader = self.fleet.wait_leader(READY_TIME).await?;
         self.fleet.kill(leader)?;
         self.killed_at = Some(self.history.now());
-        self.note_borne_fault(format!("killed {leader}, which leads"));
+        self.record_tolerated_fault(format!("killed {leader}, which leads"));
         Ok(leader)
     }
 
@@ -244,7 +244,7 @@
         seed: arguments.seed.wrapping_mul(2).wrapping_add(offset),
     };
     vec![
-        plan("stills", Mix::Stills, 0),
+        plan("stills", Mix::Media, 0),
         plan("documents", Mix::Documents, 1),
     ]
 }
--- a/crates/lab/tests/rolling_change.rs
+++ b/crates/lab/tests/rolling_change.rs
@@ -2,11 +2,11 @@
 //! under load, and no promise breaks.
 
 use cypressdrum::Exit;
+use emulator::workload::{Mix, pool_runners};
 use lab::process::Program;
 use lab::rolling_change::{Pace, RollingChangeArguments, change_all, run};
 use lab::trial::{Trial, TrialArguments, TrialPlan};
 use lab::{Fleet, FleetPlan};
-use standin::workload::{Mix, pool_runners};
 use std::path::{Path, PathBuf};
 
 /// Two gateways, so that callers always find one.
@@ -39,7 +39,7 @@
 
 /// One runner of each pool, both with accelerators.
 fn plan(program: Program) -> TrialPlan {
-    let largest = [Mix::Stills, Mix::Documents].map(|mix| pool_runners(mix).pop().unwrap());
+    let largest = [Mix::Media, Mix::Documents].map(|mix| pool_runners(mix).pop().unwrap());
     TrialPlan {
         fleet: FLEET,
         program,
--- a/crates/lab/tests/small_fleet.rs
+++ b/crates/lab/tests/small_fleet.rs
@@ -1,12 +1,12 @@
 //! Real daemons: a small fleet takes a handful of jobs and ends them all.
 
 use checker::{Event, Limits, check};
+use emulator::workload::{Mix, example_configuration, pool_runners};
 use lab::callers::{CallerPlan, Callers};
 use lab::process::Program;
 use lab::runners::{RunnerPlan, Runners};
 use lab::setup::{TrialFolder, put_configuration, wait_for_runners};
 use lab::{Fleet, FleetPlan, History};
-use standin::workload::{Mix, example_configuration, pool_runners};
 use std::path::Path;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 
 /// One runner of each pool, both with accelerators.
 fn runner_plans(fleet: &Fleet) -> Vec<RunnerPlan> {
-    let largest = [Mix::Stills, Mix::Documents].map(|mix| pool_runners(mix).pop().unwrap());
+    let largest = [Mix::Media, Mix::Documents].map(|mix| pool_runners(mix).pop().unwrap());
     fleet
         .of_role(Role::Agent)
         .zip(largest)
@@ -41,7 +41,7 @@
         seed: 7,
     };
     vec![
-        plan("stills", Mix::Stills),
+        plan("stills", Mix::Media),
         plan("documents", Mix::Documents),
     ]
 }
--- a/crates/replay/src/cluster.rs
+++ b/crates/replay/src/cluster.rs
@@ -2,10 +2,10 @@
 
 use consensus::{Membership, Recovered};
 use coordinator::{Coordinator, CoordinatorOptions, Effect, Input};
-use peer::{DecisionEntry, Envelope, PeerMessage};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
 use storage::Identity;
+use transport::{DecisionEntry, Envelope, PeerMessage};
 use types::{
     Address, ClusterId, InvalidName, Milliseconds, Monotonic, NodeId, Now, Role, WallTime, ZoneName,
 };
@@ -82,7 +82,7 @@
         }
     }
 
-    /// True while it leads and may act.
+    /// Returns whether it leads and may act.
     pub fn is_serving(&self) -> bool {
         self.core.is_serving(self.now())
     }
@@ -111,7 +111,7 @@
     }
 
     /// Gives the core a message.
-    pub fn tell(&mut self, from: Address, body: PeerMessage, seen: &mut Vec<Seen>) {
+    pub fn deliver(&mut self, from: Address, body: PeerMessage, seen: &mut Vec<Seen>) {
         let via = None;
         self.handle(Input::Peer(Envelope { from, via, body }), seen);
     }
@@ -151,18 +151,18 @@
     CoordinatorOptions {
         address,
         seeds: Vec::new(),
-        founding: coordinator::Founding::Exact,
+        bootstrap_rule: coordinator::BootstrapRule::Exact,
         stalled_after: None,
         move_slow: true,
         initial_coordinators: 1,
         consensus: consensus::Options::default(),
-        dispatcher: dispatch::DispatcherOptions::default(),
+        scheduler: scheduler::SchedulerOptions::default(),
         session_lease: Milliseconds(2_000),
         replace_voter_after: Milliseconds(1_500),
         runner_wait: Milliseconds(2_000),
         snapshot_every: 10_000,
         max_waiting_requests: 4_096,
-        decisions_kept: 50_000,
+        decision_log_capacity: 50_000,
         seed,
         mutation: None,
     }
--- a/crates/replay/src/input.rs
+++ b/crates/replay/src/input.rs
@@ -5,9 +5,9 @@
 use api::configuration::{ConfigurationBody, ConfigurationUpdateBody};
 use api::job::JobBody;
 use api::runner::{HeartbeatBody, OrderAnswerBody, RunnerBodyError};
-use peer::Operation;
 use serde::Deserialize;
 use thiserror::Error;
+use transport::Operation;
 use types::{ConfigurationVersion, OrderAnswer, RunnerId, RunnerReport, WallTime};
 
 /// How a field is named that was not read to its end.
@@ -15,7 +15,7 @@
 
 /// Why a line cannot be taken.
 #[derive(Debug, Error)]
-pub enum LineProblem {
+pub enum LineError {
     /// A body or field is wrong.
     #[error(transparent)]
     Body(#[from] BodyError),
@@ -42,20 +42,20 @@
         last: u64,
     },
     /// Time jumps further than is walked.
-    #[error("at_ms: {at} lies more than {most} ms after {last}, the time of the line before")]
+    #[error("at_ms: {at} lies more than {max} ms after {last}, the time of the line before")]
     Gap {
         /// Time of this line.
         at: u64,
         /// Time of the line before.
         last: u64,
         /// Longest gap.
-        most: u64,
+        max: u64,
     },
     /// The line is too long.
-    #[error("the line is longer than {most} bytes")]
+    #[error("the line is longer than {max} bytes")]
     TooLong {
         /// Longest line.
-        most: u64,
+        max: u64,
     },
     /// The core would not lead: a fault of the program, not of the line.
     #[error("the coordinator did not come into service")]
@@ -121,8 +121,8 @@
 
 impl InputLine {
     /// Reads a line.
-    pub fn parse(bytes: &[u8]) -> Result<Self, LineProblem> {
-        let raw: RawLine = api::parse_json(bytes).map_err(name_whole)?;
+    pub fn parse(bytes: &[u8]) -> Result<Self, LineError> {
+        let raw: RawLine = api::parse_json(bytes).map_err(name_truncated)?;
         let at = WallTime(raw.at_ms);
         let kind = raw.into_kind()?;
         Ok(Self { at, kind })
@@ -130,7 +130,7 @@
 }
 
 impl RawLine {
-    fn into_kind(self) -> Result<InputKind, LineProblem> {
+    fn into_kind(self) -> Result<InputKind, LineError> {
         self.check_single()?;
         if let Some(job) = self.submit {
             return Ok(request(Operation::Submit(job.into())));
@@ -162,7 +162,7 @@
         }
     }
 
-    fn check_single(&self) -> Result<(), LineProblem> {
+    fn check_single(&self) -> Result<(), LineError> {
         let of_runner = [self.heartbeat.is_some(), self.answer.is_some()];
         let of_caller = [
             self.submit.is_some(),
@@ -173,10 +173,10 @@
         let inputs = of_runner.iter().chain(&of_caller);
         let found = inputs.filter(|given| **given).count();
         if found > 1 {
-            return Err(LineProblem::Several { found });
+            return Err(LineError::Several { found });
         }
         if self.runner.is_some() != of_runner.contains(&true) {
-            return Err(LineProblem::Runnerless);
+            return Err(LineError::Runnerless);
         }
         Ok(())
     }
@@ -187,14 +187,14 @@
 }
 
 /// A line cut short within an object has no field to name.
-fn name_whole(error: BodyError) -> BodyError {
-    match error.place.as_str() {
-        UNNAMED => BodyError::new("body", error.problem),
+fn name_truncated(error: BodyError) -> BodyError {
+    match error.path.as_str() {
+        UNNAMED => BodyError::new("body", error.message),
         _ => error,
     }
 }
 
 /// Puts the field of the line before the place within its body.
 fn in_field<T>(field: &str, result: Result<T, BodyError>) -> Result<T, BodyError> {
-    result.map_err(|error| BodyError::new(format!("{field}.{}", error.place), error.problem))
+    result.map_err(|error| BodyError::new(format!("{field}.{}", error.path), error.message))
 }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod runners;
 pub mod session;
 
-pub use input::{InputLine, LineProblem};
+pub use input::{InputLine, LineError};
 pub use output::{OutputLine, Summary};
 pub use run::{ReplayError, run};
 pub use session::Replay;
--- a/crates/replay/src/output.rs
+++ b/crates/replay/src/output.rs
@@ -2,12 +2,12 @@
 
 use api::cancel::{CancelledBody, JobKeyBody};
 use api::decision::DecisionLine;
-use api::refusal::RefusalBody;
+use api::rejection::RejectionBody;
 use api::runner::{HeartbeatAnswerBody, OrderAnswerBody, OrderBody, RunText};
 use api::version::ConfiguredBody;
 use api::view::SubmittedBody;
-use peer::{OperationReply, Refusal, RunnerUpdate};
 use serde::Serialize;
+use transport::{OperationReply, Rejection, RunnerUpdate};
 
 /// A line of output.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -33,15 +33,16 @@
         #[serde(skip_serializing_if = "Option::is_none")]
         answer: Option<AnswerBody>,
     },
-    /// A line of input was refused by the coordinator.
-    Refused {
+    /// A line of input was rejected by the coordinator.
+    #[serde(rename = "refused")]
+    Rejected {
         /// Its number, from 1.
         line: u64,
         /// Virtual time of the answer.
         at_ms: u64,
         /// Code and message.
         #[serde(flatten)]
-        refusal: RefusalBody,
+        rejection: RejectionBody,
     },
     /// An order went to a runner, which answered at once.
     Order {
@@ -86,8 +87,9 @@
     pub placed_in_shadow: u64,
     /// Orders to runners.
     pub orders: u64,
-    /// Lines refused.
-    pub refused: u64,
+    /// Lines rejected.
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Requests without an answer at the end of the input.
     pub unanswered: u64,
     /// Answers to orders given in the input that no order came for.
@@ -135,12 +137,12 @@
 }
 
 impl EventLine {
-    pub(crate) fn refused(line: u64, at_ms: u64, refusal: Refusal) -> Self {
-        let refusal = refusal.into();
-        Self::Refused {
+    pub(crate) fn rejected(line: u64, at_ms: u64, rejection: Rejection) -> Self {
+        let rejection = rejection.into();
+        Self::Rejected {
             line,
             at_ms,
-            refusal,
+            rejection,
         }
     }
 }
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -1,7 +1,7 @@
 //! A whole replay over a reader and a writer.
 
 use crate::Replay;
-use crate::input::{InputLine, LineProblem};
+use crate::input::{InputLine, LineError};
 use crate::output::{EventLine, OutputLine, Summary};
 use std::io::{self, BufRead, Read, Write};
 use thiserror::Error;
@@ -18,7 +18,7 @@
         /// Its number, from 1.
         line: u64,
         /// What is wrong.
-        problem: LineProblem,
+        problem: LineError,
     },
     /// The input cannot be read.
     #[error("cannot read the input: {0}")]
@@ -47,8 +47,8 @@
             break;
         };
         if count(&bytes) > MAX_LINE_BYTES {
-            let most = MAX_LINE_BYTES;
-            return Err(wrong(LineProblem::TooLong { most }));
+            let max = MAX_LINE_BYTES;
+            return Err(wrong(LineError::TooLong { max }));
         }
         let line = InputLine::parse(&bytes).map_err(wrong)?;
         let mut lines = Vec::new();
--- a/crates/replay/src/runners.rs
+++ b/crates/replay/src/runners.rs
@@ -19,7 +19,7 @@
     /// The agent.
     pub agent: Address,
     /// Runs it holds: those of its last heartbeat, and those started since.
-    held: BTreeSet<RunId>,
+    active: BTreeSet<RunId>,
     /// Ended runs its last heartbeat named.
     ended: BTreeSet<RunId>,
 }
@@ -34,8 +34,8 @@
 
 impl Runners {
     /// Takes a heartbeat; gives the agent it goes by, new or known.
-    pub fn heard(&mut self, report: &RunnerReport) -> Result<Address, InvalidName> {
-        let held = report.held.iter().map(|run| run.run).collect();
+    pub fn record_heartbeat(&mut self, report: &RunnerReport) -> Result<Address, InvalidName> {
+        let active = report.active.iter().map(|run| run.run).collect();
         let ended = report.ended.iter().map(|run| run.run).collect();
         let agent = match self.runners.get(&report.runner) {
             Some(known) => known.agent.clone(),
@@ -43,7 +43,7 @@
         };
         let runner = Runner {
             agent: agent.clone(),
-            held,
+            active,
             ended,
         };
         self.runners.insert(report.runner.clone(), runner);
@@ -75,8 +75,8 @@
         let runner = self.runners.get_mut(&order.runner)?;
         let answer = given.unwrap_or_else(|| runner.default_answer(&order.kind));
         let run = order.kind.run();
-        if matches!(answer, OrderAnswer::Started | OrderAnswer::Held) {
-            runner.held.insert(run);
+        if matches!(answer, OrderAnswer::Started | OrderAnswer::Active) {
+            runner.active.insert(run);
         }
         Some((runner.agent.clone(), answer))
     }
@@ -88,9 +88,9 @@
         match kind {
             OrderKind::Start { .. } => OrderAnswer::Started,
             _ if self.ended.contains(&run) => OrderAnswer::Ended,
-            OrderKind::Stop { .. } if self.held.contains(&run) => OrderAnswer::Stopping,
-            OrderKind::Void { .. } if self.held.contains(&run) => OrderAnswer::Held,
-            OrderKind::Stop { .. } | OrderKind::Void { .. } => OrderAnswer::Voided,
+            OrderKind::Stop { .. } if self.active.contains(&run) => OrderAnswer::Stopping,
+            OrderKind::Revoke { .. } if self.active.contains(&run) => OrderAnswer::Active,
+            OrderKind::Stop { .. } | OrderKind::Revoke { .. } => OrderAnswer::Revoked,
         }
     }
 }
--- a/crates/replay/src/session.rs
+++ b/crates/replay/src/session.rs
@@ -1,18 +1,18 @@
 //! A replay under way: lines in, lines out.
 
 use crate::cluster::{Cluster, Seen, address};
-use crate::input::{InputKind, InputLine, LineProblem};
+use crate::input::{InputKind, InputLine, LineError};
 use crate::output::{AnswerBody, EventLine, OutputLine, Summary};
 use crate::runners::Runners;
 use api::BodyError;
 use api::decision::{DecisionLine, EventBody};
 use api::runner::{OrderAnswerBody, OrderBody};
-use peer::{
-    AgentReport, Hello, Operation, OperationReply, OrderResult, PeerMessage, Refusal, RefusalCode,
-    Reply, Request, RequestId,
-};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
+use transport::{
+    AgentReport, KeepAlive, Operation, OperationReply, OrderResult, PeerMessage, Rejection,
+    RejectionCode, Reply, Request, RequestId,
+};
 use types::{
     Address, ConfigurationVersion, InvalidName, Milliseconds, NodeId, Role, RunnerId, RunnerOrder,
     RunnerReport, WallTime,
@@ -20,8 +20,8 @@
 
 /// Longest time between two lines: a week.
 pub const MAX_GAP: Milliseconds = Milliseconds::from_seconds(7 * 24 * 60 * 60);
-/// Time between hellos of an agent.
-const HELLO_INTERVAL: Milliseconds = Milliseconds(400);
+/// Time between keep-alives of an agent.
+const KEEP_ALIVE_INTERVAL: Milliseconds = Milliseconds(400);
 /// How long a request may wait for its answer.
 const REQUEST_TIME: Milliseconds = Milliseconds(30_000);
 const GATEWAY_NODE: NodeId = NodeId(2);
@@ -33,8 +33,8 @@
     /// Built at the time of the first line.
     cluster: Option<Cluster>,
     runners: Runners,
-    next_hello: WallTime,
-    hello_sequence: u64,
+    next_keep_alive: WallTime,
+    keep_alive_sequence: u64,
     /// Lines whose request has no answer yet; requests bear their numbers.
     waiting: BTreeMap<RequestId, u64>,
     /// The line whose heartbeat is being handled.
@@ -49,8 +49,8 @@
             seed,
             cluster: None,
             runners: Runners::default(),
-            next_hello: WallTime(0),
-            hello_sequence: 0,
+            next_keep_alive: WallTime(0),
+            keep_alive_sequence: 0,
             waiting: BTreeMap::new(),
             heartbeat: None,
             summary: Summary::default(),
@@ -63,7 +63,7 @@
         &mut self,
         input: InputLine,
         output: &mut Vec<OutputLine>,
-    ) -> Result<(), LineProblem> {
+    ) -> Result<(), LineError> {
         let mut cluster = match self.cluster.take() {
             Some(cluster) => cluster,
             None => Cluster::new(self.seed, input.at).map_err(wrong_name)?,
@@ -78,11 +78,11 @@
         cluster: &mut Cluster,
         input: InputLine,
         output: &mut Vec<OutputLine>,
-    ) -> Result<(), LineProblem> {
+    ) -> Result<(), LineError> {
         check_time(cluster.now().wall, input.at)?;
         self.walk(cluster, input.at, output);
         if !cluster.is_serving() {
-            return Err(LineProblem::NotServing);
+            return Err(LineError::NotServing);
         }
         self.summary.lines += 1;
         let line = self.summary.lines;
@@ -115,26 +115,26 @@
         let mut seen = Vec::new();
         while cluster.next_wakeup() < to {
             cluster.advance(cluster.next_wakeup());
-            self.say_hello(cluster, &mut seen);
+            self.send_keep_alive(cluster, &mut seen);
             cluster.tick(&mut seen);
             self.follow(cluster, &mut seen, output);
         }
         cluster.advance(to);
-        self.say_hello(cluster, &mut seen);
+        self.send_keep_alive(cluster, &mut seen);
         self.follow(cluster, &mut seen, output);
     }
 
     /// Renews the sessions of all agents when it is time.
-    fn say_hello(&mut self, cluster: &mut Cluster, seen: &mut Vec<Seen>) {
+    fn send_keep_alive(&mut self, cluster: &mut Cluster, seen: &mut Vec<Seen>) {
         let now = cluster.now().wall;
-        if now < self.next_hello {
+        if now < self.next_keep_alive {
             return;
         }
-        self.next_hello = now + HELLO_INTERVAL;
-        self.hello_sequence += 1;
+        self.next_keep_alive = now + KEEP_ALIVE_INTERVAL;
+        self.keep_alive_sequence += 1;
         for (runner, state) in self.runners.iter() {
-            let hello = hello(self.hello_sequence, runner);
-            cluster.tell(state.agent.clone(), hello, seen);
+            let keep_alive = keep_alive(self.keep_alive_sequence, runner);
+            cluster.deliver(state.agent.clone(), keep_alive, seen);
         }
     }
 
@@ -144,7 +144,7 @@
         line: u64,
         operation: Operation,
         seen: &mut Vec<Seen>,
-    ) -> Result<(), LineProblem> {
+    ) -> Result<(), LineError> {
         let id = RequestId(line);
         self.waiting.insert(id, line);
         let request = Request {
@@ -153,11 +153,11 @@
             operation,
         };
         let gateway = gateway().map_err(wrong_name)?;
-        cluster.tell(gateway, PeerMessage::Request(request), seen);
+        cluster.deliver(gateway, PeerMessage::Request(request), seen);
         Ok(())
     }
 
-    /// Carries a heartbeat to the core, after the hello without which it would
+    /// Carries a heartbeat to the core, after the keep-alive without which it would
     /// be passed over.
     fn report(
         &mut self,
@@ -165,14 +165,14 @@
         line: u64,
         report: RunnerReport,
         seen: &mut Vec<Seen>,
-    ) -> Result<(), LineProblem> {
-        let agent = self.runners.heard(&report).map_err(wrong_name)?;
-        self.hello_sequence += 1;
-        let hello = hello(self.hello_sequence, &report.runner);
-        cluster.tell(agent.clone(), hello, seen);
+    ) -> Result<(), LineError> {
+        let agent = self.runners.record_heartbeat(&report).map_err(wrong_name)?;
+        self.keep_alive_sequence += 1;
+        let keep_alive = keep_alive(self.keep_alive_sequence, &report.runner);
+        cluster.deliver(agent.clone(), keep_alive, seen);
         self.heartbeat = Some(line);
         let reports = vec![report];
-        cluster.tell(
+        cluster.deliver(
             agent,
             PeerMessage::AgentReport(AgentReport { reports }),
             seen,
@@ -180,19 +180,19 @@
         Ok(())
     }
 
-    /// A heartbeat that the core passed over is refused.
+    /// A heartbeat that the core passed over is rejected.
     fn end_heartbeat(&mut self, at: WallTime, output: &mut Vec<OutputLine>) {
         let Some(line) = self.heartbeat.take() else {
             return;
         };
-        self.summary.refused += 1;
-        let refusal = Refusal {
-            code: RefusalCode::Conflict,
+        self.summary.rejected += 1;
+        let rejection = Rejection {
+            code: RejectionCode::Conflict,
             message: "a later heartbeat of this runner is known".to_owned(),
             retry_after: None,
             problems: Vec::new(),
         };
-        output.push(EventLine::refused(line, at.0, refusal).into());
+        output.push(EventLine::rejected(line, at.0, rejection).into());
     }
 
     /// Writes down what the core did, and answers its orders, until it is
@@ -248,9 +248,9 @@
                 }
                 output.push(accepted(line, at, AnswerBody::from_reply(reply)));
             }
-            Err(refusal) => {
-                self.summary.refused += 1;
-                output.push(EventLine::refused(line, at.0, refusal).into());
+            Err(rejection) => {
+                self.summary.rejected += 1;
+                output.push(EventLine::rejected(line, at.0, rejection).into());
             }
         }
     }
@@ -275,19 +275,19 @@
         output.push(line.into());
         if let Some((agent, answer)) = carried_out {
             let results = vec![OrderResult { order, answer }];
-            cluster.tell(agent, PeerMessage::OrderResults { results }, seen);
+            cluster.deliver(agent, PeerMessage::OrderResults { results }, seen);
         }
     }
 }
 
-fn check_time(last: WallTime, at: WallTime) -> Result<(), LineProblem> {
+fn check_time(last: WallTime, at: WallTime) -> Result<(), LineError> {
     let (last, at) = (last.0, at.0);
     if at < last {
-        return Err(LineProblem::TimeGoesBack { at, last });
+        return Err(LineError::TimeGoesBack { at, last });
     }
     if at - last > MAX_GAP.0 {
-        let most = MAX_GAP.0;
-        return Err(LineProblem::Gap { at, last, most });
+        let max = MAX_GAP.0;
+        return Err(LineError::Gap { at, last, max });
     }
     Ok(())
 }
@@ -302,8 +302,8 @@
     .into()
 }
 
-fn hello(sequence: u64, runner: &RunnerId) -> PeerMessage {
-    PeerMessage::Hello(Hello {
+fn keep_alive(sequence: u64, runner: &RunnerId) -> PeerMessage {
+    PeerMessage::KeepAlive(KeepAlive {
         sequence,
         // The driver needs no document: none is sent to it.
         configuration: ConfigurationVersion(u64::MAX),
@@ -317,7 +317,7 @@
     address(GATEWAY_NODE, Role::Gateway, GATEWAY_IP)
 }
 
-fn wrong_name(error: InvalidName) -> LineProblem {
+fn wrong_name(error: InvalidName) -> LineError {
     BodyError::new("name", error).into()
 }
 
--- a/crates/replay/tests/determinism.rs
+++ b/crates/replay/tests/determinism.rs
@@ -49,10 +49,11 @@
         };
         lines.iter().position(holds)
     };
-    let ceiling = json!({"event": "not_placed", "task": "1.0.2", "reason": "tenant_at_ceiling"});
+    let resource_limit =
+        json!({"event": "not_placed", "task": "1.0.2", "reason": "tenant_at_ceiling"});
     let released = json!({"event": "closed", "run": "1-1", "outcome": "done"});
     let third = json!({"event": "placed", "task": "1.0.2"});
-    assert!(place(ceiling) < place(released.clone()) && place(released) < place(third));
+    assert!(place(resource_limit) < place(released.clone()) && place(released) < place(third));
 
     let before = json!({"event": "closed", "task": "1.0.2", "outcome": "done"});
     let after = json!({"event": "placed", "task": "1.1.0"});
--- a/crates/replay/tests/inputs.rs
+++ b/crates/replay/tests/inputs.rs
@@ -98,8 +98,8 @@
 #[test]
 fn an_answer_in_the_input_takes_the_place_of_the_default() {
     let mut lines = served();
-    let refused = json!({"answer": "refused", "reason": "no_room"});
-    let answer = |after| line(after, json!({"runner": "stills-1", "answer": refused}));
+    let rejected = json!({"answer": "refused", "reason": "no_room"});
+    let answer = |after| line(after, json!({"runner": "stills-1", "answer": rejected}));
     lines.push(answer(250));
     lines.push(submit(300, "sheet-1", "batch", 1));
     lines.push(heartbeat(1_200, 2, json!({})));
@@ -107,7 +107,7 @@
     lines.push(answer(2_100));
     let output = replayed(&lines);
     let orders = events(&output, "order");
-    assert_eq!(orders[0]["answer"], refused);
+    assert_eq!(orders[0]["answer"], rejected);
     assert_eq!(orders[1]["answer"], json!({"answer": "started"}));
     assert_eq!(events(&output, "closed")[0]["outcome"], "refused");
     assert_eq!(output.last().unwrap()["unused_answers"], 1);
@@ -158,16 +158,16 @@
     lines.push(heartbeat(340, 0, json!({})));
     lines.push(submit(350, "sheet-1", "batch", 1));
     let (result, output) = replay(&lines);
-    let refused = events(&output, "refused");
-    let codes: Vec<_> = refused.iter().map(|line| line["code"].as_str()).collect();
+    let rejected = events(&output, "refused");
+    let codes: Vec<_> = rejected.iter().map(|line| line["code"].as_str()).collect();
     let conflict = Some("conflict");
     assert_eq!(codes, [conflict, Some("invalid"), conflict, conflict]);
-    assert!(refused.iter().all(|line| line["message"] != ""));
-    assert_eq!(refused[0]["line"], 5);
+    assert!(rejected.iter().all(|line| line["message"] != ""));
+    assert_eq!(rejected[0]["line"], 5);
     let resent = events(&output, "accepted").pop().unwrap();
     assert_eq!(resent["answer"], json!({"number": 1, "known": true}));
     let summary = result.unwrap();
-    assert_eq!((summary.jobs, summary.refused), (1, 4));
+    assert_eq!((summary.jobs, summary.rejected), (1, 4));
 }
 
 #[test]
@@ -195,9 +195,9 @@
     assert_eq!(newest[0], json!({"version": 4, "known": false}));
     assert_eq!(newest[1], json!({"version": 4, "known": true}));
     assert_eq!(newest[2], json!({"version": 5, "known": false}));
-    let refused = events(&output, "refused");
-    assert_eq!(refused.len(), 1);
-    assert_eq!(refused[0]["code"], "conflict");
+    let rejected = events(&output, "refused");
+    assert_eq!(rejected.len(), 1);
+    assert_eq!(rejected[0]["code"], "conflict");
 }
 
 #[test]
--- a/crates/dispatch/examples/reserve_rate.rs
+++ b/crates/scheduler/examples/reserve_rate.rs
@@ -7,7 +7,7 @@
 use configuration::{
     ClusterConfiguration, ErrorBudget, PoolSettings, QueueMode, QueueSettings, TenantSettings,
 };
-use dispatch::{DecisionKind, Dispatcher, DispatcherOptions};
+use scheduler::{DecisionKind, Scheduler, SchedulerOptions};
 use std::error::Error;
 use std::time::Instant;
 use types::{
@@ -51,7 +51,7 @@
     for tenant in 0..TENANTS {
         let settings = TenantSettings {
             share_percent: 1,
-            ceiling: Resources::UNLIMITED,
+            resource_limit: Resources::UNLIMITED,
             error_budget: ErrorBudget {
                 late_after: Milliseconds(1_000),
                 late_per_thousand: 1,
@@ -76,7 +76,7 @@
 
 fn heartbeat(runner: RunnerId) -> Result<RunnerReport, InvalidName> {
     Ok(RunnerReport {
-        place: None,
+        endpoint: None,
         unnamed: Vec::new(),
         runner,
         incarnation: RunnerIncarnation(1),
@@ -88,15 +88,15 @@
         free: RUNNER,
         draining: false,
         self_stop: true,
-        held: Vec::new(),
+        active: Vec::new(),
         ended: Vec::new(),
     })
 }
 
-fn filled(jobs: u64, seed: u64) -> Result<Dispatcher, Box<dyn Error>> {
+fn filled(jobs: u64, seed: u64) -> Result<Scheduler, Box<dyn Error>> {
     let now = Now::default();
-    let mut dispatcher = Dispatcher::new(DispatcherOptions::default(), Term(1), seed);
-    dispatcher.configure(&document()?);
+    let mut scheduler = Scheduler::new(SchedulerOptions::default(), Term(1), seed);
+    scheduler.configure(&document()?);
     let queue = QueueName::new("queue")?;
     let tenants: Vec<TenantId> = (0..TENANTS).map(tenant_name).collect::<Result<_, _>>()?;
     for (job, tenant) in (0..jobs).zip(tenants.iter().cycle()) {
@@ -117,25 +117,25 @@
             max_copies: 1,
             not_before: None,
         };
-        dispatcher.publish(meta, now);
+        scheduler.publish(meta, now);
     }
     for runner in 0..RUNNERS {
-        dispatcher.heartbeat(&heartbeat(runner_name(runner)?)?, now);
+        scheduler.heartbeat(&heartbeat(runner_name(runner)?)?, now);
     }
-    Ok(dispatcher)
+    Ok(scheduler)
 }
 
 /// Reserves a second over `CYCLES` cycles of reserve and remove.
-fn measure(dispatcher: &mut Dispatcher) -> Result<f64, Box<dyn Error>> {
+fn measure(scheduler: &mut Scheduler) -> Result<f64, Box<dyn Error>> {
     let runners: Vec<RunnerId> = (0..RUNNERS).map(runner_name).collect::<Result<_, _>>()?;
     let mut open: Vec<Option<RunId>> = vec![None; RUNNERS * 8];
     let places = open.len();
     let begun = Instant::now();
     for cycle in 0..CYCLES as usize {
         if let Some(run) = open[cycle % places].take() {
-            dispatcher.remove_run(run);
+            scheduler.remove_run(run);
         }
-        let decision = dispatcher.reserve(&runners[cycle % RUNNERS], Now::default());
+        let decision = scheduler.reserve(&runners[cycle % RUNNERS], Now::default());
         let kind = decision.map(|decision| decision.kind);
         let Some(DecisionKind::Placed { reservation, .. }) = kind else {
             return Err("a reserve found nothing to start".into());
@@ -156,9 +156,9 @@
     for trial in 0..TRIALS {
         for jobs in &sizes {
             let begun = Instant::now();
-            let mut dispatcher = filled(*jobs, trial as u64)?;
+            let mut scheduler = filled(*jobs, trial as u64)?;
             let publishes = *jobs as f64 / begun.elapsed().as_secs_f64();
-            let reserves = measure(&mut dispatcher)?;
+            let reserves = measure(&mut scheduler)?;
             println!(
                 "trial {trial}: {jobs} jobs, {publishes:.0} publishes/s, {reserves:.0} reserves/s"
             );
--- a/crates/dispatch/src/audit.rs
+++ b/crates/scheduler/src/audit.rs
@@ -1,12 +1,12 @@
 //! Comparison of the view with the record, a slice of jobs at a time.
 
 use crate::shape::Shape;
-use crate::task::{Standing, Task};
-use crate::{AuditReport, Dispatcher, Published};
+use crate::task::{Task, TaskStatus};
+use crate::{AuditReport, Published, Scheduler};
 use std::collections::BTreeSet;
 use types::{JobNumber, Now, TaskMeta, TaskRef};
 
-impl Dispatcher {
+impl Scheduler {
     pub(crate) fn audit_slice(
         &mut self,
         from: JobNumber,
@@ -55,7 +55,7 @@
         };
         let tasks = self.tasks.range(first..=last);
         let waiting = tasks.filter(|(task, entry)| {
-            entry.standing != Standing::Bound || !self.runs_of.contains_key(task)
+            entry.status != TaskStatus::Bound || !self.runs_of.contains_key(task)
         });
         waiting.map(|(task, _)| *task).collect()
     }
@@ -64,12 +64,12 @@
         let Some(entry) = self.tasks.get(&meta.task) else {
             return false;
         };
-        let is_lost = entry.standing == Standing::Bound && !self.runs_of.contains_key(&meta.task);
-        let is_waiting = entry.standing != Standing::Bound;
-        is_lost || (is_waiting && !self.holds_content(entry, meta))
+        let is_lost = entry.status == TaskStatus::Bound && !self.runs_of.contains_key(&meta.task);
+        let is_waiting = entry.status != TaskStatus::Bound;
+        is_lost || (is_waiting && !self.has_same_content(entry, meta))
     }
 
-    fn holds_content(&self, entry: &Task, meta: &TaskMeta) -> bool {
+    fn has_same_content(&self, entry: &Task, meta: &TaskMeta) -> bool {
         let list = &self.lists[entry.list];
         let same_shape = self
             .shapes
--- a/crates/dispatch/src/bounds.rs
+++ b/crates/scheduler/src/bounds.rs
@@ -10,25 +10,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Bounds {
     /// No task needs less of any kind.
-    pub(crate) least: Resources,
+    pub(crate) min: Resources,
     /// No task needs more of any kind.
-    pub(crate) most: Resources,
+    pub(crate) max: Resources,
 }
 
 impl Bounds {
     /// Bounds of one task.
     pub(crate) fn of(needs: Resources) -> Self {
         Self {
-            least: needs,
-            most: needs,
+            min: needs,
+            max: needs,
         }
     }
 
     /// Bounds of both sets together.
     pub(crate) fn with(self, other: Self) -> Self {
         Self {
-            least: self.least.least(&other.least),
-            most: self.most.most(&other.most),
+            min: self.min.component_min(&other.min),
+            max: self.max.component_max(&other.max),
         }
     }
 
@@ -40,17 +40,13 @@
         }
     }
 
-    /// True when a task that needs this much may stand on a bound: without it
+    /// Returns whether a task that needs this much may stand on a bound: without it
     /// the bounds may be narrower.
     pub(crate) fn touches(&self, needs: &Resources) -> bool {
-        let on = |needs: u32, least: u32, most: u32| needs <= least || needs >= most;
-        on(needs.slots, self.least.slots, self.most.slots)
-            || on(needs.cpu_milli, self.least.cpu_milli, self.most.cpu_milli)
-            || on(
-                needs.memory_mib,
-                self.least.memory_mib,
-                self.most.memory_mib,
-            )
-            || on(needs.gpus, self.least.gpus, self.most.gpus)
+        let on = |needs: u32, min: u32, max: u32| needs <= min || needs >= max;
+        on(needs.slots, self.min.slots, self.max.slots)
+            || on(needs.cpu_milli, self.min.cpu_milli, self.max.cpu_milli)
+            || on(needs.memory_mib, self.min.memory_mib, self.max.memory_mib)
+            || on(needs.gpus, self.min.gpus, self.max.gpus)
     }
 }
--- a/crates/dispatch/src/configure.rs
+++ b/crates/scheduler/src/configure.rs
@@ -1,11 +1,11 @@
 //! Queues, pools and tenant contracts from a configuration.
 
-use crate::Dispatcher;
-use crate::task::Standing;
+use crate::Scheduler;
+use crate::task::TaskStatus;
 use configuration::{ClusterConfiguration, QueueMode};
 use types::{PoolName, QueueName, Resources, RunnerId, TaskRef, TenantId};
 
-impl Dispatcher {
+impl Scheduler {
     pub(crate) fn take_configuration(&mut self, document: &ClusterConfiguration) {
         for name in document.pools.keys() {
             self.pool_index(name);
@@ -49,7 +49,7 @@
             let list = self.queues[queue].lists[position];
             let shadowed: Vec<TaskRef> = self.lists[list].shadowed.iter().copied().collect();
             for task in shadowed {
-                self.stand(task, Standing::Pending);
+                self.stand(task, TaskStatus::Pending);
             }
         }
     }
@@ -60,7 +60,8 @@
             let settings = settings.and_then(|name| document.tenants.get(name));
             let entry = &mut self.tenants[tenant];
             entry.share_percent = settings.map_or(0, |settings| settings.share_percent);
-            entry.ceiling = settings.map_or(Resources::ZERO, |settings| settings.ceiling);
+            entry.resource_limit =
+                settings.map_or(Resources::ZERO, |settings| settings.resource_limit);
             self.refresh_tenant(tenant);
         }
     }
--- a/crates/dispatch/src/decision.rs
+++ b/crates/scheduler/src/decision.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use types::{QueueName, Reservation, RunnerId, TaskRef, TenantId, WallTime};
 
-/// One decision of the dispatcher.
+/// One decision of the scheduler.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
     /// Leader's wall time.
@@ -43,11 +43,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotPlacedReason {
-    /// The tenant's runs hold its ceiling.
-    TenantAtCeiling,
-    /// What is left below the ceiling is kept for more urgent queues of the
+    /// The tenant's runs hold its resource limit.
+    #[serde(rename = "tenant_at_ceiling")]
+    TenantAtLimit,
+    /// What is left below the resource limit is kept for more urgent queues of the
     /// tenant.
-    CeilingKeptForUrgent,
+    #[serde(rename = "ceiling_kept_for_urgent")]
+    LimitReservedForUrgent,
     /// No seat of the licence is free, or more urgent work waits for it.
     NoSeat,
     /// The tenant is above its share and another one below its own waits.
@@ -55,13 +57,15 @@
     /// The runners that could take it leave or are silent.
     RunnersAway,
     /// No runner of the pool has room.
-    NoRoom,
+    #[serde(rename = "no_room")]
+    NoCapacity,
     /// No runner with room carries the labels.
     NoRunnerWithLabels,
     /// The only room left is on a runner on probation.
     RunnerOnProbation,
     /// A runner is kept free for an older, larger task.
-    HeldForLargerTask {
+    #[serde(rename = "held_for_larger_task")]
+    ReservedForLargerTask {
         /// The runner.
         runner: RunnerId,
     },
@@ -85,8 +89,8 @@
 impl fmt::Display for NotPlacedReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TenantAtCeiling => formatter.write_str("the tenant is at its ceiling"),
-            Self::CeilingKeptForUrgent => {
+            Self::TenantAtLimit => formatter.write_str("the tenant is at its ceiling"),
+            Self::LimitReservedForUrgent => {
                 formatter.write_str("what is left below the ceiling is kept for more urgent work")
             }
             Self::NoSeat => formatter.write_str("no seat of its licence is free"),
@@ -96,14 +100,14 @@
             Self::RunnersAway => {
                 formatter.write_str("the runners that could take it leave or are silent")
             }
-            Self::NoRoom => formatter.write_str("no runner of the pool has room"),
+            Self::NoCapacity => formatter.write_str("no runner of the pool has room"),
             Self::NoRunnerWithLabels => {
                 formatter.write_str("no runner with room carries the labels asked for")
             }
             Self::RunnerOnProbation => {
                 formatter.write_str("the only room is on a runner on probation")
             }
-            Self::HeldForLargerTask { runner } => {
+            Self::ReservedForLargerTask { runner } => {
                 write!(formatter, "runner {runner} is kept free for a larger task")
             }
             Self::BeforeItsTime { not_before } => {
--- a/crates/dispatch/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -1,22 +1,22 @@
 //! What a tenant's work in one queue asks for at once, now and lately, and what
-//! of the tenant's ceiling is kept for it.
+//! of the tenant's resource limit is kept for it.
 //!
-//! A ceiling counts a tenant's runs in all pools. Work of a less urgent queue
+//! A resource limit counts a tenant's runs in all pools. Work of a less urgent queue
 //! that fills it up makes a quick task of a more urgent one wait until something
 //! ends, in whatever pool, while its own pool is empty. So less urgent work
-//! leaves under the ceiling what the more urgent queues of its tenant asked for
+//! leaves under the resource limit what the more urgent queues of its tenant asked for
 //! lately and do not hold now.
 
-use crate::Dispatcher;
+use crate::Scheduler;
 use crate::queue::{ListIndex, Tenant};
 use configuration::QueueMode;
 use types::{Milliseconds, Monotonic, Now, Resources};
 
 /// What was asked for counts for one such time at least and two at most.
 const WINDOW: Milliseconds = Milliseconds(10_000);
-/// Less urgent work that waits this many times `hold_after` at the kept part
+/// Less urgent work that waits this many times `reserve_after` at the kept part
 /// may use it for one start.
-const LONGEST_WAIT_FACTOR: u64 = 10;
+const MAX_WAIT_FACTOR: u64 = 10;
 
 /// Sums of amounts over tasks. Wider than [`Resources`], so that what was added
 /// can be taken away exactly.
@@ -70,11 +70,11 @@
     /// Of tasks that would start if they had room.
     waiting: Sum,
     /// Of open runs.
-    held: Sum,
+    usage: Sum,
     /// The most of both together, kind by kind, in the window.
-    most: Sum,
+    peak: Sum,
     /// The same in the window before.
-    most_before: Sum,
+    previous_peak: Sum,
     /// Number of the window.
     window: u64,
 }
@@ -83,7 +83,7 @@
     /// A task waits.
     pub(crate) fn wait(&mut self, needs: &Resources, now: Monotonic) {
         self.waiting.add(needs);
-        self.note(now);
+        self.record(now);
     }
 
     /// A task waits no more.
@@ -92,77 +92,82 @@
     }
 
     /// A run holds this.
-    pub(crate) fn hold(&mut self, amount: &Resources, now: Monotonic) {
-        self.held.add(amount);
-        self.note(now);
+    pub(crate) fn acquire(&mut self, amount: &Resources, now: Monotonic) {
+        self.usage.add(amount);
+        self.record(now);
     }
 
     /// A run holds it no more.
     pub(crate) fn let_go(&mut self, amount: &Resources) {
-        self.held.take_away(amount);
+        self.usage.take_away(amount);
     }
 
-    fn note(&mut self, now: Monotonic) {
+    fn record(&mut self, now: Monotonic) {
         let window = now.0 / WINDOW.0;
         if window != self.window {
-            self.most_before = self.most_of(window.saturating_sub(1));
-            self.most = Sum::default();
+            self.previous_peak = self.peak_of(window.saturating_sub(1));
+            self.peak = Sum::default();
             self.window = window;
         }
-        let asked = self.waiting.join(&self.held, u64::saturating_add);
-        self.most = self.most.join(&asked, u64::max);
+        let asked = self.waiting.join(&self.usage, u64::saturating_add);
+        self.peak = self.peak.join(&asked, u64::max);
     }
 
-    fn most_of(&self, window: u64) -> Sum {
+    fn peak_of(&self, window: u64) -> Sum {
         match window.checked_sub(self.window) {
-            Some(0) => self.most,
+            Some(0) => self.peak,
             _ => Sum::default(),
         }
     }
 
     /// What it asked for lately, and asks for now, beyond what its runs hold.
-    fn not_held(&self, now: Monotonic) -> Resources {
+    fn unmet(&self, now: Monotonic) -> Resources {
         let window = now.0 / WINDOW.0;
         let lately = match window.checked_sub(self.window) {
-            Some(0) => self.most.join(&self.most_before, u64::max),
-            Some(1) => self.most,
+            Some(0) => self.peak.join(&self.previous_peak, u64::max),
+            Some(1) => self.peak,
             _ => Sum::default(),
         };
-        let asked = self.waiting.join(&self.held, u64::saturating_add);
-        let most = lately.join(&asked, u64::max);
-        most.join(&self.held, u64::saturating_sub).narrowed()
+        let asked = self.waiting.join(&self.usage, u64::saturating_add);
+        let peak = lately.join(&asked, u64::max);
+        peak.join(&self.usage, u64::saturating_sub).narrowed()
     }
 }
 
 impl Tenant {
-    /// True when a run with these resources stays within the ceiling and leaves
-    /// `kept` of it. Of a kind of which the tenant holds less than half of its
-    /// ceiling nothing need be left.
-    pub(crate) fn allows_beside(&self, needs: &Resources, kept: &Resources) -> bool {
-        let allows = |held: u32, needs: u32, kept: u32, ceiling: u32| {
-            let (held, ceiling) = (u64::from(held), u64::from(ceiling));
-            let kept = match held * 2 < ceiling {
+    /// Returns whether a run with these resources stays within the resource limit and leaves
+    /// `headroom` of it. Of a kind of which the tenant holds less than half of its
+    /// resource limit nothing need be left.
+    pub(crate) fn allows_beside(&self, needs: &Resources, headroom: &Resources) -> bool {
+        let allows = |usage: u32, needs: u32, headroom: u32, resource_limit: u32| {
+            let (usage, resource_limit) = (u64::from(usage), u64::from(resource_limit));
+            let headroom = match usage * 2 < resource_limit {
                 true => 0,
-                false => u64::from(kept),
+                false => u64::from(headroom),
             };
-            needs == 0 || held + u64::from(needs) + kept <= ceiling
+            needs == 0 || usage + u64::from(needs) + headroom <= resource_limit
         };
-        let (held, ceiling) = (&self.held, &self.ceiling);
+        let (usage, resource_limit) = (&self.usage, &self.resource_limit);
         self.allows(needs)
-            && allows(held.slots, needs.slots, kept.slots, ceiling.slots)
             && allows(
-                held.cpu_milli,
+                usage.slots,
+                needs.slots,
+                headroom.slots,
+                resource_limit.slots,
+            )
+            && allows(
+                usage.cpu_milli,
                 needs.cpu_milli,
-                kept.cpu_milli,
-                ceiling.cpu_milli,
+                headroom.cpu_milli,
+                resource_limit.cpu_milli,
             )
             && allows(
-                held.memory_mib,
+                usage.memory_mib,
                 needs.memory_mib,
-                kept.memory_mib,
-                ceiling.memory_mib,
+                headroom.memory_mib,
+                resource_limit.memory_mib,
             )
-            && allows(held.gpus, needs.gpus, kept.gpus, ceiling.gpus)
+            && allows(usage.gpus, needs.gpus, headroom.gpus, resource_limit.gpus)
     }
 }
 
@@ -177,38 +182,37 @@
     }
 }
 
-impl Dispatcher {
-    /// True when the list's tenant may hold this much more for it.
+impl Scheduler {
+    /// Returns whether the list's tenant may hold this much more for it.
     pub(crate) fn list_allows(&self, index: ListIndex, needs: &Resources, now: Now) -> bool {
-        let kept = self.kept_for_urgent(index, now.monotonic);
-        self.tenants[self.lists[index].tenant].allows_beside(needs, &kept)
+        let headroom = self.urgent_headroom_of(index, now.monotonic);
+        self.tenants[self.lists[index].tenant].allows_beside(needs, &headroom)
     }
 
-    /// What work of a list leaves under its tenant's ceiling for the tenant's
+    /// What work of a list leaves under its tenant's resource limit for the tenant's
     /// more urgent queues.
-    pub(crate) fn kept_for_urgent(&self, index: ListIndex, now: Monotonic) -> Resources {
+    pub(crate) fn urgent_headroom_of(&self, index: ListIndex, now: Monotonic) -> Resources {
         let list = &self.lists[index];
-        let longest = self
-            .options
-            .hold_after
-            .0
-            .saturating_mul(LONGEST_WAIT_FACTOR);
+        let max_wait = self.options.reserve_after.0.saturating_mul(MAX_WAIT_FACTOR);
         let waits_too_long =
-            now.since(list.started_at).0 >= longest && now.since(list.waiting_since).0 >= longest;
-        if !self.options.policy.ceiling_reserve || waits_too_long {
+            now.since(list.started_at).0 >= max_wait && now.since(list.waiting_since).0 >= max_wait;
+        if !self.options.policy.urgent_headroom || waits_too_long {
             return Resources::ZERO;
         }
         let tenant = &self.tenants[list.tenant];
         let priority = self.queues[list.queue].priority;
         let more_urgent = tenant.lists.iter().map(|other| &self.lists[*other]);
-        let kept = more_urgent
+        let headroom = more_urgent
             .filter(|other| {
                 let queue = &self.queues[other.queue];
                 let starts_work = matches!(queue.mode, QueueMode::Active | QueueMode::Draining);
                 starts_work && queue.priority < priority
             })
-            .map(|other| other.demand.not_held(now))
+            .map(|other| other.demand.unmet(now))
             .fold(Resources::ZERO, |sum, needs| sum.plus(&needs));
-        kept.least(&part(&tenant.ceiling, self.options.urgent_ceiling_percent))
+        headroom.component_min(&part(
+            &tenant.resource_limit,
+            self.options.urgent_headroom_percent,
+        ))
     }
 }
--- a/crates/dispatch/src/draw.rs
+++ b/crates/scheduler/src/draw.rs
@@ -1,18 +1,18 @@
 //! Reserve: the draw among runnable tenants and the choice of a task.
 
-use crate::look::Starving;
 use crate::policy::Draw;
 use crate::queue::{ListIndex, RunnableSet};
 use crate::run::Run;
 use crate::runner::RunnerIndex;
-use crate::task::Standing;
-use crate::{Decision, DecisionKind, Dispatcher};
+use crate::scan::Starving;
+use crate::task::TaskStatus;
+use crate::{Decision, DecisionKind, Scheduler};
 use configuration::QueueMode;
 use rand::Rng;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use types::{
-    Labels, Milliseconds, Now, PlaceName, RackName, Reservation, Resources, RunId,
+    EndpointName, Labels, Milliseconds, Now, RackName, Reservation, Resources, RunId,
     RunnerIncarnation, TaskRef,
 };
 
@@ -27,11 +27,11 @@
     pub(crate) incarnation: RunnerIncarnation,
     pub(crate) self_stop: bool,
     pub(crate) pool: usize,
-    pub(crate) room: Resources,
+    pub(crate) free: Resources,
     pub(crate) capacity: Resources,
     pub(crate) labels: Arc<Labels>,
     pub(crate) rack: RackName,
-    pub(crate) place: Option<PlaceName>,
+    pub(crate) endpoint: Option<EndpointName>,
 }
 
 /// A task that the pull may take.
@@ -47,8 +47,8 @@
     below_share: Option<TaskRef>,
     bursting: Option<TaskRef>,
     starving: Option<TaskRef>,
-    /// Lists above their ceiling, and whether some task of each only leaves room.
-    above_ceiling: Vec<(ListIndex, bool)>,
+    /// Lists above their resource limit, and whether some task of each only leaves room.
+    above_limit: Vec<(ListIndex, bool)>,
 }
 
 /// Which of a queue's sets is drawn from.
@@ -58,7 +58,7 @@
     Copies,
 }
 
-impl Dispatcher {
+impl Scheduler {
     /// One pull for a runner whose due tasks have been admitted.
     pub(crate) fn pull(
         &mut self,
@@ -66,16 +66,16 @@
         starving: Starving,
         now: Now,
     ) -> Option<Decision> {
-        if self.pull_refusal(runner, now).is_some() {
+        if self.pull_rejection(runner, now).is_some() {
             return None;
         }
         let offer = self.offer(runner)?;
-        if offer.room == Resources::ZERO {
+        if offer.free == Resources::ZERO {
             return None;
         }
-        let choice = match self.held_task(runner, now) {
+        let choice = match self.reserved_task(runner, now) {
             Some(task) if self.gangs.has(task) => return None,
-            Some(task) => self.choose_held(task, &offer)?,
+            Some(task) => self.choose_reserved(task, &offer)?,
             None => self
                 .choose(Kind::Ordinary, &offer, starving, now)
                 .or_else(|| self.choose_copy(&offer, starving, now))?,
@@ -91,20 +91,20 @@
             incarnation: last.incarnation,
             self_stop: last.self_stop,
             pool: last.pool,
-            room: state.room(),
+            free: state.free(),
             capacity: last.capacity,
             labels: Arc::clone(&last.labels),
             rack: last.rack.clone(),
-            place: last.place.clone(),
+            endpoint: last.endpoint.clone(),
         })
     }
 
-    fn choose_held(&self, task: TaskRef, offer: &Offer) -> Option<Choice> {
+    fn choose_reserved(&self, task: TaskRef, offer: &Offer) -> Option<Choice> {
         let entry = self.tasks.get(&task)?;
         let needs = self.shapes.get(entry.shape)?;
         let has_seat = self.has_seats(needs, self.lists[entry.list].queue, 1);
-        let may_start = has_seat && self.may_hold_more(needs, offer.runner);
-        (may_start && needs.resources.fits_in(&offer.room)).then_some(Choice {
+        let may_start = has_seat && self.is_below_step_limit(needs, offer.runner);
+        (may_start && needs.resources.fits_in(&offer.free)).then_some(Choice {
             task,
             runnable_tenants: self.runnable_count(offer.pool, Kind::Ordinary),
         })
@@ -143,19 +143,19 @@
     ) -> Option<Choice> {
         let runnable_tenants = self.runnable_count(offer.pool, kind);
         let walk = self.walk_tenants(level, kind, offer, starving, now);
-        for (index, leaves_room) in walk.above_ceiling {
-            self.lists[index].above_ceiling = true;
-            self.lists[index].leaves_room = leaves_room;
+        for (index, limited_by_headroom) in walk.above_limit {
+            self.lists[index].above_limit = true;
+            self.lists[index].limited_by_headroom = limited_by_headroom;
             self.refresh_list(index);
         }
         if let Some(task) = walk.starving
-            && now.monotonic >= self.search_holds_after
-            && !self.hold_runner_for(task, offer.pool, now)
+            && now.monotonic >= self.search_backfills_after
+            && !self.reserve_runner_for(task, offer.pool, now)
         {
-            self.search_holds_after = now.monotonic + SEARCH_AGAIN_AFTER;
+            self.search_backfills_after = now.monotonic + SEARCH_AGAIN_AFTER;
         }
         let task = walk.below_share.or(walk.bursting);
-        let task = self.unless_just_held(task, offer.runner)?;
+        let task = self.unless_just_reserved(task, offer.runner)?;
         Some(Choice {
             task,
             runnable_tenants,
@@ -174,13 +174,13 @@
     ) -> Walk {
         let mut drawn = vec![0; self.pools[offer.pool].queues.len()];
         let mut walk = Walk::default();
-        while let Some(index) = self.draw_list(level, kind, offer.pool, &mut drawn) {
+        while let Some(index) = self.draw_tenant_list(level, kind, offer.pool, &mut drawn) {
             let finding = match kind {
-                Kind::Ordinary => self.look_for_task(index, offer, starving, now),
-                Kind::Copies => self.look_for_copy(index, offer),
+                Kind::Ordinary => self.scan_for_task(index, offer, starving, now),
+                Kind::Copies => self.scan_for_copy(index, offer),
             };
-            if finding.above_ceiling {
-                walk.above_ceiling.push((index, finding.leaves_room));
+            if finding.above_limit {
+                walk.above_limit.push((index, finding.limited_by_headroom));
             }
             if self.is_above_share(index, offer.pool) {
                 walk.bursting = walk.bursting.or(finding.startable);
@@ -196,14 +196,14 @@
     }
 
     // The very runner of this pull may have been the one to keep free.
-    fn unless_just_held(&self, task: Option<TaskRef>, runner: RunnerIndex) -> Option<TaskRef> {
+    fn unless_just_reserved(&self, task: Option<TaskRef>, runner: RunnerIndex) -> Option<TaskRef> {
         task.filter(|task| {
-            let hold = self.runners[runner].hold;
-            hold.is_none_or(|hold| hold.task == *task)
+            let backfill = self.runners[runner].backfill;
+            backfill.is_none_or(|backfill| backfill.task == *task)
         })
     }
 
-    fn draw_list(
+    fn draw_tenant_list(
         &mut self,
         level: u8,
         kind: Kind,
@@ -321,13 +321,13 @@
             task: choice.task,
             runner: self.runners.name(offer.runner)?.clone(),
             incarnation: offer.incarnation,
-            place: offer.place.clone(),
+            endpoint: offer.endpoint.clone(),
             self_stop: offer.self_stop,
         };
         let id = reservation.run;
         let shadow = self.queues[queue].mode == QueueMode::Shadow;
         if shadow {
-            self.stand(choice.task, Standing::Shadowed);
+            self.stand(choice.task, TaskStatus::Shadowed);
         } else {
             self.lists[index].started_at = now.monotonic;
             let run = Run {
@@ -374,7 +374,7 @@
         let task = run.task;
         self.open_run(id, run);
         if let Some(holder) = self.holder_of(task, pool) {
-            self.release_hold(holder);
+            self.release_backfill(holder);
         }
     }
 }
--- a/crates/dispatch/src/explain.rs
+++ b/crates/scheduler/src/explain.rs
@@ -1,22 +1,22 @@
 //! Why a ready task is not running.
 
-use crate::heartbeat::PullRefusal;
+use crate::heartbeat::PullRejection;
 use crate::queue::TenantList;
 use crate::runner::RunnerIndex;
 use crate::shape::Shape;
-use crate::task::{Standing, Task};
-use crate::{Dispatcher, NotPlacedReason};
+use crate::task::{Task, TaskStatus};
+use crate::{NotPlacedReason, Scheduler};
 use configuration::QueueMode;
 use types::{Now, TaskRef};
 
-impl Dispatcher {
+impl Scheduler {
     /// None when the task is unknown, or nothing stands against its start.
     pub(crate) fn reason_of(&self, task: TaskRef, now: Now) -> Option<NotPlacedReason> {
         let Some(entry) = self.tasks.get(&task) else {
             let is_running = self.runs_of.contains_key(&task);
             return is_running.then_some(NotPlacedReason::AlreadyRunning);
         };
-        if entry.standing == Standing::Bound {
+        if entry.status == TaskStatus::Bound {
             return Some(NotPlacedReason::AlreadyRunning);
         }
         if entry.not_before > now.wall {
@@ -36,10 +36,10 @@
         }
         let needs = self.shapes.get(entry.shape)?;
         if !self.tenants[list.tenant].allows(&needs.resources) {
-            return Some(NotPlacedReason::TenantAtCeiling);
+            return Some(NotPlacedReason::TenantAtLimit);
         }
         if !self.list_allows(entry.list, &needs.resources, now) {
-            return Some(NotPlacedReason::CeilingKeptForUrgent);
+            return Some(NotPlacedReason::LimitReservedForUrgent);
         }
         if !self.has_seats(needs, list.queue, 1) {
             return Some(NotPlacedReason::NoSeat);
@@ -61,7 +61,7 @@
         }
         let mut reason = NotPlacedReason::NoRunnerWithLabels;
         for &runner in &self.pools[pool].runners {
-            self.note_look();
+            self.record_scan();
             let against = self.reason_of_runner(runner, task, entry, needs, now)?;
             if rank(&against) > rank(&reason) {
                 reason = against;
@@ -84,19 +84,19 @@
         if !carries_labels.is_some_and(|last| needs.matches(&last.labels)) {
             return Some(NotPlacedReason::NoRunnerWithLabels);
         }
-        let refusal = self.pull_refusal(runner, now);
-        if refusal.is_some_and(|refusal| refusal != PullRefusal::OnProbation) {
+        let rejection = self.pull_rejection(runner, now);
+        if rejection.is_some_and(|rejection| rejection != PullRejection::OnProbation) {
             return Some(NotPlacedReason::RunnersAway);
         }
-        let is_copy_here = entry.standing == Standing::Copies && self.runs_on(task, runner);
-        if is_copy_here || !needs.resources.fits_in(&state.room()) {
-            return Some(NotPlacedReason::NoRoom);
+        let is_copy_here = entry.status == TaskStatus::Copies && self.runs_on(task, runner);
+        if is_copy_here || !needs.resources.fits_in(&state.free()) {
+            return Some(NotPlacedReason::NoCapacity);
         }
-        if refusal.is_some() {
+        if rejection.is_some() {
             return Some(NotPlacedReason::RunnerOnProbation);
         }
-        state.hold.filter(|hold| hold.task != task)?;
-        Some(NotPlacedReason::HeldForLargerTask {
+        state.backfill.filter(|backfill| backfill.task != task)?;
+        Some(NotPlacedReason::ReservedForLargerTask {
             runner: self.runners.name(runner)?.clone(),
         })
     }
@@ -113,7 +113,7 @@
             let other = &self.lists[*other];
             let tenant = &self.tenants[other.tenant];
             !other.pending.is_empty()
-                && !tenant.is_at_ceiling()
+                && !tenant.is_at_limit()
                 && !tenant.is_above_share(pool, capacity)
         });
         others_wait.then_some(NotPlacedReason::TenantAboveShare)
@@ -123,9 +123,9 @@
 // The nearer a runner came to taking the task, the more its reason says.
 fn rank(reason: &NotPlacedReason) -> u8 {
     match reason {
-        NotPlacedReason::HeldForLargerTask { .. } => 4,
+        NotPlacedReason::ReservedForLargerTask { .. } => 4,
         NotPlacedReason::RunnerOnProbation => 3,
-        NotPlacedReason::NoRoom => 2,
+        NotPlacedReason::NoCapacity => 2,
         NotPlacedReason::RunnersAway => 1,
         _ => 0,
     }
--- a/crates/dispatch/src/gang.rs
+++ b/crates/scheduler/src/gang.rs
@@ -5,11 +5,11 @@
 //! gang are drawn uniformly, and a tenant's oldest gang goes first. A gang that
 //! waits long has runners kept free for it, one gang of a pool at a time.
 
-use crate::hold::Hold;
+use crate::backfill::Backfill;
 use crate::queue::ListIndex;
 use crate::runner::RunnerIndex;
 use crate::shape::{Shape, StepRef};
-use crate::{Decision, Dispatcher};
+use crate::{Decision, Scheduler};
 use configuration::QueueMode;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -52,7 +52,7 @@
         }
     }
 
-    /// True when the task is a gathered member of a gang.
+    /// Returns whether the task is a gathered member of a gang.
     pub(crate) fn has(&self, task: TaskRef) -> bool {
         let gang = self.gangs.get(&StepRef::of(task));
         gang.is_some_and(|gang| gang.tasks.contains(&task.task))
@@ -60,15 +60,15 @@
 
     /// Gangs all of whose members may start, oldest first, by list.
     fn complete(&self) -> BTreeMap<ListIndex, Vec<StepRef>> {
-        let mut complete: BTreeMap<ListIndex, Vec<StepRef>> = BTreeMap::new();
-        let whole = self
+        let mut by_list: BTreeMap<ListIndex, Vec<StepRef>> = BTreeMap::new();
+        let complete = self
             .gangs
             .iter()
             .filter(|(_, gang)| gang.tasks.len() == gang.size as usize);
-        for (step, gang) in whole {
-            complete.entry(gang.list).or_default().push(*step);
+        for (step, gang) in complete {
+            by_list.entry(gang.list).or_default().push(*step);
         }
-        complete
+        by_list
     }
 }
 
@@ -83,7 +83,7 @@
     fits_empty: usize,
 }
 
-impl Dispatcher {
+impl Scheduler {
     /// Places complete gangs, as many as have room.
     pub(crate) fn place_gangs(&mut self, now: Now, limit: usize, decisions: &mut Vec<Decision>) {
         let mut waiting = self.gangs.complete();
@@ -138,16 +138,16 @@
         let waited = now.monotonic.since(entry.waiting_since);
         let candidates = self.gang_candidates(step, &needs, pool, now);
         let size = gang.size as usize;
-        let spread_out = !same_rack || waited >= self.options.patience;
+        let spread_out = !same_rack || waited >= self.options.locality_wait;
         let chosen = choose_in_rack(&candidates, &needs, size)
             .or_else(|| spread_out.then(|| choose(&candidates, size)).flatten());
         let Some(chosen) = chosen else {
-            if waited >= self.options.hold_after && self.options.policy.holds {
-                self.hold_for_gang(first, pool, &candidates, size, now);
+            if waited >= self.options.reserve_after && self.options.policy.backfill_reservations {
+                self.backfill_for_gang(first, pool, &candidates, size, now);
             }
             return Vec::new();
         };
-        self.release_gang_holds(step, pool);
+        self.release_gang_backfills(step, pool);
         let members = (0..gang.size).map(|member| step.task(member));
         members
             .zip(chosen)
@@ -165,9 +165,9 @@
         let runners: Vec<RunnerIndex> = self.pools[pool].runners.iter().copied().collect();
         let mut candidates = Vec::new();
         for runner in runners {
-            let held = self.held_task(runner, now);
-            let for_others = held.is_some_and(|task| StepRef::of(task) != step);
-            if for_others || self.pull_refusal(runner, now).is_some() {
+            let reserved = self.reserved_task(runner, now);
+            let for_others = reserved.is_some_and(|task| StepRef::of(task) != step);
+            if for_others || self.pull_rejection(runner, now).is_some() {
                 continue;
             }
             let state = &self.runners[runner];
@@ -183,7 +183,7 @@
             candidates.push(Candidate {
                 runner,
                 rack: last.rack.clone(),
-                fits: needs.resources.count_in(&state.room()).min(most),
+                fits: needs.resources.count_in(&state.free()).min(most),
                 fits_empty: needs.resources.count_in(&last.capacity).min(most),
             });
         }
@@ -192,7 +192,7 @@
 
     /// Keeps runners free that together could hold the gang, those first that
     /// have the most room already. One gang of a pool at a time.
-    fn hold_for_gang(
+    fn backfill_for_gang(
         &mut self,
         first: TaskRef,
         pool: usize,
@@ -201,10 +201,12 @@
         now: Now,
     ) {
         let step = StepRef::of(first);
-        let mut holds = self.pools[pool].holds.iter();
+        let mut holds = self.pools[pool].backfills.iter();
         let another = holds.any(|runner| {
-            let hold = self.runners[*runner].hold;
-            hold.is_some_and(|hold| self.gangs.has(hold.task) && StepRef::of(hold.task) != step)
+            let backfill = self.runners[*runner].backfill;
+            backfill.is_some_and(|backfill| {
+                self.gangs.has(backfill.task) && StepRef::of(backfill.task) != step
+            })
         });
         let possible: usize = candidates.iter().map(|c| c.fits_empty).sum();
         if another || possible < size {
@@ -212,26 +214,28 @@
         }
         let mut order: Vec<&Candidate> = candidates.iter().filter(|c| c.fits_empty > 0).collect();
         order.sort_by_key(|candidate| std::cmp::Reverse((candidate.fits, candidate.fits_empty)));
-        let mut kept = 0;
+        let mut reserved = 0;
         for candidate in order {
-            if kept >= size {
+            if reserved >= size {
                 return;
             }
-            kept += candidate.fits_empty;
-            self.pools[pool].holds.insert(candidate.runner);
-            self.runners[candidate.runner].hold.get_or_insert(Hold {
-                task: first,
-                since: now.monotonic,
-            });
+            reserved += candidate.fits_empty;
+            self.pools[pool].backfills.insert(candidate.runner);
+            self.runners[candidate.runner]
+                .backfill
+                .get_or_insert(Backfill {
+                    task: first,
+                    since: now.monotonic,
+                });
         }
     }
 
-    fn release_gang_holds(&mut self, step: StepRef, pool: usize) {
-        let holders: Vec<RunnerIndex> = self.pools[pool].holds.iter().copied().collect();
+    fn release_gang_backfills(&mut self, step: StepRef, pool: usize) {
+        let holders: Vec<RunnerIndex> = self.pools[pool].backfills.iter().copied().collect();
         for runner in holders {
-            let hold = self.runners[runner].hold;
-            if hold.is_some_and(|hold| StepRef::of(hold.task) == step) {
-                self.release_hold(runner);
+            let backfill = self.runners[runner].backfill;
+            if backfill.is_some_and(|backfill| StepRef::of(backfill.task) == step) {
+                self.release_backfill(runner);
             }
         }
     }
--- a/crates/dispatch/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -7,7 +7,7 @@
 use types::{JobNumber, Milliseconds, Monotonic};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-enum Standing {
+enum TaskStatus {
     #[default]
     Trusted,
     OnProbation {
@@ -20,7 +20,7 @@
 pub(crate) struct Health {
     /// Different jobs with a failed run since the last done one, oldest first.
     failed_jobs: VecDeque<JobNumber>,
-    standing: Standing,
+    status: TaskStatus,
     /// How the newest runs ended, oldest first.
     recent: VecDeque<Ended>,
 }
@@ -43,14 +43,14 @@
 
 impl Health {
     /// A run ended done: the runner is trusted again.
-    pub(crate) fn note_done(&mut self, now: Monotonic) {
+    pub(crate) fn record_done(&mut self, now: Monotonic) {
         self.remember(now, None);
         self.failed_jobs.clear();
-        self.standing = Standing::Trusted;
+        self.status = TaskStatus::Trusted;
     }
 
     /// A run of `job` failed. True when the runner should go on probation.
-    pub(crate) fn note_failed(&mut self, job: JobNumber, threshold: u32, now: Monotonic) -> bool {
+    pub(crate) fn record_failed(&mut self, job: JobNumber, threshold: u32, now: Monotonic) -> bool {
         self.remember(now, Some(job));
         if self.failed_jobs.contains(&job) {
             return false;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// True while much of what ended on the runner lately has failed: others
+    /// Returns whether much of what ended on the runner lately has failed: others
     /// are given work first.
     pub(crate) fn is_suspect(&self, now: Monotonic) -> bool {
         let recent = self.recent.iter();
@@ -87,18 +87,18 @@
 
     /// Puts the runner on probation.
     pub(crate) fn start_probation(&mut self, now: Monotonic, length: Milliseconds) {
-        self.standing = Standing::OnProbation {
+        self.status = TaskStatus::OnProbation {
             until: now + length,
         };
     }
 
-    /// True while nothing may start on the runner.
+    /// Returns whether nothing may start on the runner.
     pub(crate) fn on_probation(&self, now: Monotonic) -> bool {
-        matches!(self.standing, Standing::OnProbation { until } if now < until)
+        matches!(self.status, TaskStatus::OnProbation { until } if now < until)
     }
 
     /// True from the end of probation to the first success: one run at a time.
     pub(crate) fn on_trial(&self, now: Monotonic) -> bool {
-        matches!(self.standing, Standing::OnProbation { until } if now >= until)
+        matches!(self.status, TaskStatus::OnProbation { until } if now >= until)
     }
 }
--- a/crates/dispatch/src/heartbeat.rs
+++ b/crates/scheduler/src/heartbeat.rs
@@ -1,7 +1,7 @@
 //! What runners and operators say about runners, and when none may pull.
 
 use crate::runner::RunnerIndex;
-use crate::{Dispatcher, RunnerView};
+use crate::{RunnerView, Scheduler};
 use types::{Monotonic, Now, Resources, RunnerId, RunnerReport, TaskRef};
 
 /// One runner in this many of a pool may be on probation at once.
@@ -9,29 +9,29 @@
 
 /// Why a runner gets no pull.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum PullRefusal {
-    NotHeard,
+pub(crate) enum PullRejection {
+    NotSeen,
     Draining,
-    Silent,
+    Unresponsive,
     OnProbation,
 }
 
-impl Dispatcher {
-    pub(crate) fn pull_refusal(&self, runner: RunnerIndex, now: Now) -> Option<PullRefusal> {
+impl Scheduler {
+    pub(crate) fn pull_rejection(&self, runner: RunnerIndex, now: Now) -> Option<PullRejection> {
         let state = &self.runners[runner];
         let Some(last) = &state.reported else {
-            return Some(PullRefusal::NotHeard);
+            return Some(PullRejection::NotSeen);
         };
         if state.is_draining() {
-            return Some(PullRefusal::Draining);
+            return Some(PullRejection::Draining);
         }
-        if now.monotonic.since(last.heard_at) > self.options.silent_after {
-            return Some(PullRefusal::Silent);
+        if now.monotonic.since(last.received_at) > self.options.unresponsive_after {
+            return Some(PullRejection::Unresponsive);
         }
         let at = now.monotonic;
-        let is_tried = state.health.on_trial(at) && state.has_run_of_this_life();
+        let is_tried = state.health.on_trial(at) && state.has_run_of_current_incarnation();
         if state.health.on_probation(at) || is_tried {
-            return Some(PullRefusal::OnProbation);
+            return Some(PullRejection::OnProbation);
         }
         None
     }
@@ -44,16 +44,16 @@
         let pool = self.pool_index(&report.pool);
         let before = self.runners[runner].reported.as_ref();
         let before = before.map(|last| (last.pool, last.capacity, last.rack.clone()));
-        let told = (pool, report.capacity, report.rack.clone());
+        let current = (pool, report.capacity, report.rack.clone());
         let was_present = self.runners[runner].present(now.monotonic).is_some();
         self.runners[runner].take_report(report, pool, now.monotonic);
-        if was_present && before.as_ref() == Some(&told) {
+        if was_present && before.as_ref() == Some(&current) {
             return;
         }
         if let Some((old_pool, _, _)) = before
             && old_pool != pool
         {
-            self.release_hold(runner);
+            self.release_backfill(runner);
             self.pools[old_pool].leave(runner);
             self.sum_capacity(old_pool, now.monotonic);
         }
@@ -81,7 +81,7 @@
             return;
         };
         if !failed {
-            self.runners[index].health.note_done(now);
+            self.runners[index].health.record_done(now);
             return;
         }
         if self.runs_of.contains_key(&task) || self.tasks.contains_key(&task) {
@@ -90,12 +90,12 @@
         if !self.options.policy.probation {
             self.runners[index]
                 .health
-                .note_failed(task.job, u32::MAX, now);
+                .record_failed(task.job, u32::MAX, now);
             return;
         }
         let threshold = self.options.probation_failures;
         let health = &mut self.runners[index].health;
-        if health.note_failed(task.job, threshold, now) && self.may_go_on_probation(index, now) {
+        if health.record_failed(task.job, threshold, now) && self.may_go_on_probation(index, now) {
             let length = self.options.probation;
             self.runners[index].health.start_probation(now, length);
         }
@@ -115,24 +115,23 @@
 
     pub(crate) fn view_runners(&self, now: Now) -> Vec<RunnerView> {
         let runners = self.runners.iter();
-        let heard =
+        let seen =
             runners.filter_map(|(name, state)| Some((name, state, state.reported.as_ref()?)));
-        heard
-            .filter_map(|(name, state, last)| {
-                Some(RunnerView {
-                    runner: name.clone(),
-                    incarnation: last.incarnation,
-                    pool: self.pools.name(last.pool)?.clone(),
-                    rack: last.rack.clone(),
-                    labels: last.labels.as_ref().clone(),
-                    capacity: last.capacity,
-                    room: state.room(),
-                    open_runs: u32::try_from(state.open_runs()).unwrap_or(u32::MAX),
-                    draining: state.is_draining(),
-                    on_probation: state.health.on_probation(now.monotonic),
-                    silence: now.monotonic.since(last.heard_at),
-                })
+        seen.filter_map(|(name, state, last)| {
+            Some(RunnerView {
+                runner: name.clone(),
+                incarnation: last.incarnation,
+                pool: self.pools.name(last.pool)?.clone(),
+                rack: last.rack.clone(),
+                labels: last.labels.as_ref().clone(),
+                capacity: last.capacity,
+                free: state.free(),
+                open_runs: u32::try_from(state.open_runs()).unwrap_or(u32::MAX),
+                draining: state.is_draining(),
+                on_probation: state.health.on_probation(now.monotonic),
+                since_last_contact: now.monotonic.since(last.received_at),
             })
-            .collect()
+        })
+        .collect()
     }
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -7,18 +7,17 @@
 //! and four atomic steps: publish, reserve, reschedule, remove.
 
 mod audit;
+mod backfill;
 mod bounds;
 mod configure;
 pub mod decision;
 mod demand;
-pub mod dispatcher;
 mod draw;
+mod eligibility;
 mod explain;
 mod gang;
 mod health;
 mod heartbeat;
-mod hold;
-mod look;
 pub mod options;
 mod pending;
 mod place;
@@ -26,13 +25,14 @@
 mod queue;
 mod run;
 mod runner;
+mod scan;
+pub mod scheduler;
 mod seats;
 mod shape;
-mod suits;
 mod table;
 mod task;
 
 pub use decision::{Decision, DecisionKind, NotPlacedReason};
-pub use dispatcher::Dispatcher;
-pub use options::{AuditReport, DispatcherOptions, Published, RunnerView};
+pub use options::{AuditReport, Published, RunnerView, SchedulerOptions};
 pub use policy::{Draw, Policy};
+pub use scheduler::Scheduler;
--- a/crates/dispatch/src/options.rs
+++ b/crates/scheduler/src/options.rs
@@ -1,49 +1,49 @@
-//! Limits of the dispatcher, and what it answers with.
+//! Limits of the scheduler, and what it answers with.
 
 use crate::policy::Policy;
 use serde::{Deserialize, Serialize};
 use types::{Labels, Milliseconds, PoolName, RackName, Resources, RunnerId, RunnerIncarnation};
 
-/// Limits of the dispatcher.
+/// Limits of the scheduler.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DispatcherOptions {
+pub struct SchedulerOptions {
     /// Tasks of one tenant looked at past one that does not fit. Tasks with
     /// equal needs count as one, since none fits where the first does not.
-    pub look_ahead: usize,
+    pub scan_depth: usize,
     /// A task that has waited this long without fitting gets a runner kept free.
-    pub hold_after: Milliseconds,
+    pub reserve_after: Milliseconds,
     /// Failed runs of different jobs on one runner, without a done one in
     /// between, that put it on probation.
     pub probation_failures: u32,
     /// How long probation lasts.
     pub probation: Milliseconds,
     /// A runner silent for this long gets no pulls.
-    pub silent_after: Milliseconds,
+    pub unresponsive_after: Milliseconds,
     /// Part of each runner, in percent, that work leaves free for work of more
     /// urgent queues of its pool.
     pub urgent_reserve_percent: u32,
-    /// Most of a tenant's ceiling, in percent of each kind, that its less urgent
+    /// Most of a tenant's resource limit, in percent of each kind, that its less urgent
     /// work leaves to its more urgent queues. Less is left where these asked for
     /// less lately.
-    pub urgent_ceiling_percent: u32,
+    pub urgent_headroom_percent: u32,
     /// A task waits this long for the rack, or for another runner than the one
     /// it failed on, while those have no room; then any runner serves.
-    pub patience: Milliseconds,
+    pub locality_wait: Milliseconds,
     /// Which mechanisms decide.
     pub policy: Policy,
 }
 
-impl Default for DispatcherOptions {
+impl Default for SchedulerOptions {
     fn default() -> Self {
         Self {
-            look_ahead: 16,
-            hold_after: Milliseconds(5_000),
+            scan_depth: 16,
+            reserve_after: Milliseconds(5_000),
             probation_failures: 8,
             probation: Milliseconds(10_000),
-            silent_after: Milliseconds(1_500),
-            patience: Milliseconds(300),
+            unresponsive_after: Milliseconds(1_500),
+            locality_wait: Milliseconds(300),
             urgent_reserve_percent: 0,
-            urgent_ceiling_percent: 25,
+            urgent_headroom_percent: 25,
             policy: Policy::default(),
         }
     }
@@ -58,12 +58,12 @@
     Present,
 }
 
-/// A runner as the dispatcher sees it.
+/// A runner as the scheduler sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerView {
     /// The runner.
     pub runner: RunnerId,
-    /// Its current life.
+    /// Its current incarnation.
     pub incarnation: RunnerIncarnation,
     /// Its pool.
     pub pool: PoolName,
@@ -74,15 +74,15 @@
     /// All it has.
     pub capacity: Resources,
     /// Reported room less orders in flight.
-    pub room: Resources,
-    /// Open runs bound to it, those of earlier lives among them.
+    pub free: Resources,
+    /// Open runs bound to it, those of earlier incarnations among them.
     pub open_runs: u32,
-    /// True when it or an operator says so.
+    /// Whether it or an operator says so.
     pub draining: bool,
-    /// True when on probation.
+    /// Whether on probation.
     pub on_probation: bool,
     /// Time since its last heartbeat.
-    pub silence: Milliseconds,
+    pub since_last_contact: Milliseconds,
 }
 
 /// What one slice of the audit found.
--- a/crates/dispatch/src/pending.rs
+++ b/crates/scheduler/src/pending.rs
@@ -32,7 +32,7 @@
         self.length
     }
 
-    /// True when no task waits.
+    /// Returns whether no task waits.
     pub(crate) fn is_empty(&self) -> bool {
         self.length == 0
     }
--- a/crates/dispatch/src/place.rs
+++ b/crates/scheduler/src/place.rs
@@ -1,9 +1,9 @@
 //! Placement over all runners, and the changed reasons of what stays.
 
 use crate::bounds::Bounds;
-use crate::look::Starving;
 use crate::runner::RunnerIndex;
-use crate::{Decision, DecisionKind, Dispatcher};
+use crate::scan::Starving;
+use crate::{Decision, DecisionKind, Scheduler};
 use rand::Rng;
 use std::collections::{BTreeMap, BinaryHeap};
 use types::{Milliseconds, Now};
@@ -11,7 +11,7 @@
 /// Runners looked at for reasons in one call. A reason takes a look at every
 /// runner of its pool, so a large fleet has fewer lists looked at; the rest
 /// have their turn in the next calls.
-const RUNNERS_LOOKED_AT: usize = 4_096;
+const MAX_RUNNERS_SCANNED: usize = 4_096;
 
 /// A runner silent for this long with nothing bound to it is forgotten; until
 /// then operators see how long it has been silent.
@@ -30,15 +30,15 @@
     Sound,
 }
 
-impl Dispatcher {
+impl Scheduler {
     pub(crate) fn place_all(&mut self, now: Now, limit: usize) -> Vec<Decision> {
         self.admit_due(now);
         let mut decisions = Vec::new();
         let mut turns = BinaryHeap::new();
         let mut waiting = BTreeMap::new();
         for pool in 0..self.pools.len() {
-            self.review_holds(pool, now);
-            self.forget_silent(pool, now);
+            self.review_backfills(pool, now);
+            self.forget_unresponsive(pool, now);
             if let Some(bounds) = self.bounds_of_waiting(pool) {
                 self.collect_turns(pool, &bounds, now, &mut turns);
                 waiting.insert(pool, bounds);
@@ -79,10 +79,10 @@
         now: Now,
         turns: &mut BinaryHeap<Turn>,
     ) {
-        self.note_looks(self.pools[pool].runners.len());
+        self.record_scans(self.pools[pool].runners.len());
         let runners = self.pools[pool].runners.iter().copied();
         let usable: Vec<RunnerIndex> = runners
-            .filter(|runner| self.pull_refusal(*runner, now).is_none())
+            .filter(|runner| self.pull_rejection(*runner, now).is_none())
             .collect();
         for runner in usable {
             turns.extend(self.turn(runner, bounds, now));
@@ -92,8 +92,8 @@
     /// None where nothing that waits could fit: the runner needs no pull.
     fn turn(&mut self, runner: RunnerIndex, bounds: &Bounds, now: Now) -> Option<Turn> {
         let state = &self.runners[runner];
-        let room = state.room();
-        if !bounds.least.fits_in(&room) && self.passes_over {
+        let free = state.free();
+        if !bounds.min.fits_in(&free) && self.passes_over {
             return None;
         }
         let suspects_last = self.options.policy.suspects_last;
@@ -102,21 +102,21 @@
             false => Trust::Sound,
         };
         let draw = self.random.random();
-        Some((trust, room.slots, room.cpu_milli, draw, runner))
+        Some((trust, free.slots, free.cpu_milli, draw, runner))
     }
 
-    fn forget_silent(&mut self, pool: usize, now: Now) {
+    fn forget_unresponsive(&mut self, pool: usize, now: Now) {
         let runners = self.pools[pool].runners.iter().copied();
-        let gone: Vec<RunnerIndex> = runners
+        let departed: Vec<RunnerIndex> = runners
             .filter(|runner| {
                 let runner = &self.runners[*runner];
-                let silence = runner.reported.as_ref().map(|last| last.heard_at);
+                let silence = runner.reported.as_ref().map(|last| last.received_at);
                 runner.open_runs() == 0
                     && silence.is_none_or(|heard| now.monotonic.since(heard) >= FORGET_AFTER)
             })
             .collect();
-        for runner in gone {
-            self.release_hold(runner);
+        for runner in departed {
+            self.release_backfill(runner);
             self.runners[runner].reported = None;
             self.pools[pool].leave(runner);
         }
@@ -125,21 +125,21 @@
 
     // Each list in its turn: is a task starving, has its reason changed.
     fn review_lists(&mut self, now: Now, decisions: &mut Vec<Decision>) {
-        let affordable = RUNNERS_LOOKED_AT / self.runners.len().max(1);
+        let affordable = MAX_RUNNERS_SCANNED / self.runners.len().max(1);
         let lists = self.lists.len();
         for _ in 0..affordable.max(1).min(lists) {
             self.reason_cursor = (self.reason_cursor + 1) % lists;
-            self.look_again_if_it_leaves_room(self.reason_cursor);
+            self.rescan_if_limited_by_headroom(self.reason_cursor);
             self.relieve_list(self.reason_cursor, now);
             decisions.extend(self.changed_reason(self.reason_cursor, now));
         }
     }
 
     /// What is kept for urgent work shrinks as time goes by, and nothing tells.
-    fn look_again_if_it_leaves_room(&mut self, index: usize) {
+    fn rescan_if_limited_by_headroom(&mut self, index: usize) {
         let list = &mut self.lists[index];
-        if std::mem::take(&mut list.leaves_room) {
-            list.above_ceiling = false;
+        if std::mem::take(&mut list.limited_by_headroom) {
+            list.above_limit = false;
             self.refresh_list(index);
         }
     }
--- a/crates/dispatch/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -24,12 +24,12 @@
     pub(crate) copies: PendingList,
     /// Tasks that a shadow queue has decided on.
     pub(crate) shadowed: BTreeSet<TaskRef>,
-    /// True when every task looked at would exceed the tenant's ceiling; until
-    /// the list, the ceiling or the holdings change, it need not be drawn.
-    pub(crate) above_ceiling: bool,
-    /// True when some of them would start but for what is kept for urgent work,
+    /// Whether every task looked at would exceed the tenant's resource limit; until
+    /// the list, the resource limit or the holdings change, it need not be drawn.
+    pub(crate) above_limit: bool,
+    /// Whether some of them would start but for what is kept for urgent work,
     /// which shrinks as time goes by.
-    pub(crate) leaves_room: bool,
+    pub(crate) limited_by_headroom: bool,
     /// What its work asks for.
     pub(crate) demand: Demand,
     /// When a task of it was last given a runner.
@@ -101,9 +101,9 @@
     pub(crate) mode: QueueMode,
     /// Work of a lower number goes first.
     pub(crate) priority: u8,
-    /// Lists with startable tasks of tenants below their ceiling.
+    /// Lists with startable tasks of tenants below their resource limit.
     pub(crate) runnable: RunnableSet,
-    /// Lists with startable copies of tenants below their ceiling.
+    /// Lists with startable copies of tenants below their resource limit.
     pub(crate) copying: RunnableSet,
     pub(crate) lists: Vec<ListIndex>,
 }
@@ -118,7 +118,7 @@
     /// Sum over its runners.
     pub(crate) capacity: Resources,
     /// Runners kept free for a large task.
-    pub(crate) holds: BTreeSet<RunnerIndex>,
+    pub(crate) backfills: BTreeSet<RunnerIndex>,
 }
 
 impl Pool {
@@ -153,11 +153,11 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Tenant {
     pub(crate) share_percent: u32,
-    pub(crate) ceiling: Resources,
+    pub(crate) resource_limit: Resources,
     /// What its open runs hold in all pools.
-    pub(crate) held: Resources,
+    pub(crate) usage: Resources,
     /// The same by pool.
-    pub(crate) held_in: BTreeMap<usize, Resources>,
+    pub(crate) usage_by_pool: BTreeMap<usize, Resources>,
     pub(crate) lists: Vec<ListIndex>,
 }
 
@@ -166,36 +166,36 @@
     fn default() -> Self {
         Self {
             share_percent: 0,
-            ceiling: Resources::ZERO,
-            held: Resources::ZERO,
-            held_in: BTreeMap::new(),
+            resource_limit: Resources::ZERO,
+            usage: Resources::ZERO,
+            usage_by_pool: BTreeMap::new(),
             lists: Vec::new(),
         }
     }
 }
 
 impl Tenant {
-    /// True when a run with these resources stays within the ceiling.
+    /// Returns whether a run with these resources stays within the resource limit.
     pub(crate) fn allows(&self, resources: &Resources) -> bool {
-        self.held.plus(resources).fits_in(&self.ceiling)
+        self.usage.plus(resources).fits_in(&self.resource_limit)
     }
 
-    /// True when no kind of resource is left below the ceiling.
-    pub(crate) fn is_at_ceiling(&self) -> bool {
-        self.ceiling.fits_in(&self.held)
+    /// Returns whether no kind of resource is left below the resource limit.
+    pub(crate) fn is_at_limit(&self) -> bool {
+        self.resource_limit.fits_in(&self.usage)
     }
 
-    /// True when its runs in the pool hold more than its share of any kind.
+    /// Returns whether its runs in the pool hold more than its share of any kind.
     pub(crate) fn is_above_share(&self, pool: usize, capacity: &Resources) -> bool {
-        let Some(held) = self.held_in.get(&pool) else {
+        let Some(usage) = self.usage_by_pool.get(&pool) else {
             return false;
         };
         let share = u64::from(self.share_percent);
         let above =
-            |held: u32, all: u32| u64::from(held) * 100 > share.saturating_mul(u64::from(all));
-        above(held.slots, capacity.slots)
-            || above(held.cpu_milli, capacity.cpu_milli)
-            || above(held.memory_mib, capacity.memory_mib)
-            || above(held.gpus, capacity.gpus)
+            |usage: u32, all: u32| u64::from(usage) * 100 > share.saturating_mul(u64::from(all));
+        above(usage.slots, capacity.slots)
+            || above(usage.cpu_milli, capacity.cpu_milli)
+            || above(usage.memory_mib, capacity.memory_mib)
+            || above(usage.gpus, capacity.gpus)
     }
 }
--- a/crates/dispatch/src/run.rs
+++ b/crates/scheduler/src/run.rs
@@ -1,6 +1,6 @@
 //! Open runs: binding, adopting and closing them.
 
-use crate::Dispatcher;
+use crate::Scheduler;
 use crate::queue::ListIndex;
 use crate::runner::RunnerIndex;
 use types::{LicenceName, OpenRun, Resources, RunId, RunnerIncarnation, TaskRef};
@@ -18,7 +18,7 @@
     pub(crate) licence: Option<LicenceName>,
 }
 
-impl Dispatcher {
+impl Scheduler {
     pub(crate) fn next_run(&mut self) -> RunId {
         self.last_sequence += 1;
         RunId {
@@ -53,14 +53,14 @@
     /// Counts a run for its tenant, task and runner.
     pub(crate) fn open_run(&mut self, id: RunId, run: Run) {
         let tenant = &mut self.tenants[run.tenant];
-        tenant.held = tenant.held.plus(&run.resources);
+        tenant.usage = tenant.usage.plus(&run.resources);
         if let Some(pool) = run.pool {
-            let held = tenant.held_in.entry(pool).or_default();
-            *held = held.plus(&run.resources);
+            let usage = tenant.usage_by_pool.entry(pool).or_default();
+            *usage = usage.plus(&run.resources);
         }
         self.lists[run.list]
             .demand
-            .hold(&run.resources, self.latest);
+            .acquire(&run.resources, self.latest);
         self.runners[run.runner].bind(id, run.incarnation, run.resources);
         self.runs_of.entry(run.task).or_default().push(id);
         if let Some(licence) = &run.licence {
@@ -76,13 +76,13 @@
     pub(crate) fn close_run(&mut self, id: RunId) -> Option<Run> {
         let run = self.runs.remove(&id)?;
         let tenant = &mut self.tenants[run.tenant];
-        tenant.held = tenant.held.minus(&run.resources);
+        tenant.usage = tenant.usage.minus(&run.resources);
         if let Some(pool) = run.pool
-            && let Some(held) = tenant.held_in.get_mut(&pool)
+            && let Some(usage) = tenant.usage_by_pool.get_mut(&pool)
         {
-            *held = held.minus(&run.resources);
-            if *held == Resources::ZERO {
-                tenant.held_in.remove(&pool);
+            *usage = usage.minus(&run.resources);
+            if *usage == Resources::ZERO {
+                tenant.usage_by_pool.remove(&pool);
             }
         }
         self.lists[run.list].demand.let_go(&run.resources);
@@ -100,7 +100,7 @@
         Some(run)
     }
 
-    /// True when the task has an open run on the runner.
+    /// Returns whether the task has an open run on the runner.
     pub(crate) fn runs_on(&self, task: TaskRef, runner: RunnerIndex) -> bool {
         let runs = self.runs_of.get(&task).into_iter().flatten();
         runs.filter_map(|run| self.runs.get(run))
@@ -113,13 +113,13 @@
         let Some(entry) = self.tasks.get(&task) else {
             return;
         };
-        let standing = if open_runs >= entry.max_copies as usize {
-            crate::task::Standing::Bound
-        } else if entry.standing == crate::task::Standing::Delayed {
-            crate::task::Standing::Delayed
+        let status = if open_runs >= entry.max_copies as usize {
+            crate::task::TaskStatus::Bound
+        } else if entry.status == crate::task::TaskStatus::Delayed {
+            crate::task::TaskStatus::Delayed
         } else {
-            crate::task::Standing::Copies
+            crate::task::TaskStatus::Copies
         };
-        self.stand(task, standing);
+        self.stand(task, status);
     }
 }
--- a/crates/dispatch/src/runner.rs
+++ b/crates/scheduler/src/runner.rs
@@ -1,15 +1,15 @@
 //! A runner: what it last reported and which open runs are bound to it.
 
+use crate::backfill::Backfill;
 use crate::health::Health;
-use crate::hold::Hold;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use types::{
-    HeartbeatSequence, Labels, Milliseconds, Monotonic, PlaceName, RackName, Resources, RunId,
+    EndpointName, HeartbeatSequence, Labels, Milliseconds, Monotonic, RackName, Resources, RunId,
     RunnerIncarnation, RunnerReport,
 };
 
-/// Index of a runner in the dispatcher.
+/// Index of a runner in the scheduler.
 pub(crate) type RunnerIndex = usize;
 
 /// A runner silent for this long with nothing bound to it no longer counts in
@@ -23,13 +23,13 @@
     pub(crate) sequence: HeartbeatSequence,
     pub(crate) pool: usize,
     pub(crate) rack: RackName,
-    pub(crate) place: Option<PlaceName>,
+    pub(crate) endpoint: Option<EndpointName>,
     pub(crate) labels: Arc<Labels>,
     pub(crate) capacity: Resources,
     pub(crate) free: Resources,
     pub(crate) draining: bool,
     pub(crate) self_stop: bool,
-    pub(crate) heard_at: Monotonic,
+    pub(crate) received_at: Monotonic,
 }
 
 #[derive(Debug, Clone)]
@@ -48,9 +48,9 @@
     pub(crate) drained_by_operator: bool,
     pub(crate) health: Health,
     /// The large task it is kept free for.
-    pub(crate) hold: Option<Hold>,
+    pub(crate) backfill: Option<Backfill>,
     bound: BTreeMap<RunId, BoundRun>,
-    /// Sum over bound runs of its current life.
+    /// Sum over bound runs of its current incarnation.
     bound_sum: Resources,
     /// Sum over those of them that it has not listed yet.
     unlisted_sum: Resources,
@@ -64,16 +64,16 @@
             sequence: report.sequence,
             pool,
             rack: report.rack.clone(),
-            place: report.place.clone(),
+            endpoint: report.endpoint.clone(),
             labels: Arc::new(report.labels.clone()),
             capacity: report.capacity,
             free: report.free,
             draining: report.draining,
             self_stop: report.self_stop,
-            heard_at: now,
+            received_at: now,
         });
-        let held = report.held.iter().map(|held| held.run);
-        let listed: BTreeSet<RunId> = held
+        let active = report.active.iter().map(|run| run.run);
+        let listed: BTreeSet<RunId> = active
             .chain(report.ended.iter().map(|ended| ended.run))
             .collect();
         for (run, bound) in &mut self.bound {
@@ -82,7 +82,7 @@
         self.recount();
     }
 
-    /// True when the report is older than one already taken.
+    /// Returns whether the report is older than one already taken.
     pub(crate) fn is_stale(&self, report: &RunnerReport) -> bool {
         self.reported.as_ref().is_some_and(|last| {
             (report.incarnation, report.sequence) <= (last.incarnation, last.sequence)
@@ -90,15 +90,15 @@
     }
 
     /// Binds a run.
-    pub(crate) fn bind(&mut self, run: RunId, incarnation: RunnerIncarnation, held: Resources) {
+    pub(crate) fn bind(&mut self, run: RunId, incarnation: RunnerIncarnation, usage: Resources) {
         let bound = BoundRun {
-            resources: held,
+            resources: usage,
             incarnation,
             listed: false,
         };
         if self.counts(&bound) {
-            self.bound_sum = self.bound_sum.plus(&held);
-            self.unlisted_sum = self.unlisted_sum.plus(&held);
+            self.bound_sum = self.bound_sum.plus(&usage);
+            self.unlisted_sum = self.unlisted_sum.plus(&usage);
         }
         self.bound.insert(run, bound);
     }
@@ -121,37 +121,37 @@
     /// with nothing bound to it.
     pub(crate) fn present(&self, now: Monotonic) -> Option<&Reported> {
         let last = self.reported.as_ref()?;
-        let is_present = self.open_runs() > 0 || now.since(last.heard_at) < COUNTED_FOR;
+        let is_present = self.open_runs() > 0 || now.since(last.received_at) < COUNTED_FOR;
         is_present.then_some(last)
     }
 
-    /// Open runs, those of earlier lives among them.
+    /// Open runs, those of earlier incarnations among them.
     pub(crate) fn open_runs(&self) -> usize {
         self.bound.len()
     }
 
-    /// True when an open run belongs to its current life.
-    pub(crate) fn has_run_of_this_life(&self) -> bool {
+    /// Returns whether an open run belongs to its current incarnation.
+    pub(crate) fn has_run_of_current_incarnation(&self) -> bool {
         self.bound.values().any(|bound| self.counts(bound))
     }
 
     /// What may still be placed: reported free room less runs on their way,
     /// and never more than capacity less all its open runs.
-    pub(crate) fn room(&self) -> Resources {
+    pub(crate) fn free(&self) -> Resources {
         let Some(reported) = &self.reported else {
             return Resources::ZERO;
         };
         let by_report = reported.free.minus(&self.unlisted_sum);
         let by_record = reported.capacity.minus(&self.bound_sum);
-        by_report.least(&by_record)
+        by_report.component_min(&by_record)
     }
 
-    /// True when it or an operator says that it leaves.
+    /// Returns whether it or an operator says that it leaves.
     pub(crate) fn is_draining(&self) -> bool {
         self.drained_by_operator || self.reported.as_ref().is_some_and(|last| last.draining)
     }
 
-    // Runs of an earlier life died with it and take no room in this one.
+    // Runs of an earlier incarnation died with it and take no room in this one.
     fn counts(&self, bound: &BoundRun) -> bool {
         self.reported
             .as_ref()
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,11 +1,11 @@
-//! The dispatcher's public steps; each module beside this one has one part.
+//! The scheduler's public steps; each module beside this one has one part.
 
 use crate::gang::Gangs;
-use crate::look::Starving;
-use crate::options::{AuditReport, DispatcherOptions, Published, RunnerView};
+use crate::options::{AuditReport, Published, RunnerView, SchedulerOptions};
 use crate::queue::{ListIndex, Pool, Queue, Tenant, TenantList};
 use crate::run::Run;
 use crate::runner::{Runner, RunnerIndex};
+use crate::scan::Starving;
 use crate::seats::Seats;
 use crate::shape::ShapeTable;
 use crate::table::Table;
@@ -27,8 +27,8 @@
 /// decisions. The cost of a reserve grows with the tenants drawn and with the
 /// logarithm of the tasks waiting.
 #[derive(Debug, Clone)]
-pub struct Dispatcher {
-    pub(crate) options: DispatcherOptions,
+pub struct Scheduler {
+    pub(crate) options: SchedulerOptions,
     pub(crate) term: Term,
     pub(crate) last_sequence: u64,
     pub(crate) random: ChaCha8Rng,
@@ -48,18 +48,18 @@
     /// The runners on which an unfinished task failed.
     pub(crate) failed_on: BTreeMap<TaskRef, BTreeSet<RunnerIndex>>,
     pub(crate) reason_cursor: usize,
-    pub(crate) search_holds_after: Monotonic,
+    pub(crate) search_backfills_after: Monotonic,
     /// The latest time given.
     pub(crate) latest: Monotonic,
     /// Runners and lists that nothing could fit are passed over.
     pub(crate) passes_over: bool,
-    /// See [`Dispatcher::looks`].
-    looks: Cell<u64>,
+    /// See [`Scheduler::scan_cost`].
+    scan_cost: Cell<u64>,
 }
 
-impl Dispatcher {
+impl Scheduler {
     /// An empty view of the leader of `term`; run identifiers carry the term.
-    pub fn new(options: DispatcherOptions, term: Term, seed: u64) -> Self {
+    pub fn new(options: SchedulerOptions, term: Term, seed: u64) -> Self {
         Self {
             options,
             term,
@@ -80,10 +80,10 @@
             seats: Seats::default(),
             failed_on: BTreeMap::new(),
             reason_cursor: 0,
-            search_holds_after: Monotonic::default(),
+            search_backfills_after: Monotonic::default(),
             latest: Monotonic::default(),
             passes_over: true,
-            looks: Cell::new(0),
+            scan_cost: Cell::new(0),
         }
     }
 
@@ -96,7 +96,7 @@
 
     /// Atomic step: adds a task unless it is present, pending or running.
     pub fn publish(&mut self, meta: TaskMeta, now: Now) -> Published {
-        self.note_time(now);
+        self.record_time(now);
         self.add_task(meta, now)
     }
 
@@ -111,7 +111,7 @@
     /// queues counts once in each), takes that tenant's oldest startable task
     /// that fits, and binds it. None when nothing may start.
     pub fn reserve(&mut self, runner: &RunnerId, now: Now) -> Option<Decision> {
-        self.note_time(now);
+        self.record_time(now);
         let runner = self.runners.find(runner)?;
         self.admit_due(now);
         self.pull(runner, Starving::Search, now)
@@ -120,14 +120,14 @@
     /// Derives pulls from all known room, at most `limit` placements, and
     /// reports changed reasons of what stays, a bounded number in each call.
     pub fn place(&mut self, now: Now, limit: usize) -> Vec<Decision> {
-        self.note_time(now);
+        self.record_time(now);
         self.place_all(now, limit)
     }
 
     /// Atomic step: the run is over and its task may run again. For a run
     /// that is not open it publishes the task if it is absent.
     pub fn reschedule(&mut self, run: RunId, meta: TaskMeta, now: Now) {
-        self.note_time(now);
+        self.record_time(now);
         if let Some(closed) = self.close_run(run) {
             self.remove_task(closed.task);
         }
@@ -152,7 +152,7 @@
     /// Takes a runner's heartbeat: room, labels, draining, what it holds. One
     /// that is older than the last taken is passed over.
     pub fn heartbeat(&mut self, report: &RunnerReport, now: Now) {
-        self.note_time(now);
+        self.record_time(now);
         self.take_heartbeat(report, now);
     }
 
@@ -162,8 +162,8 @@
         self.runners[index].drained_by_operator = draining;
     }
 
-    /// Notes how a run on a runner ended, for the runner's health.
-    pub fn note_outcome(&mut self, runner: &RunnerId, task: TaskRef, failed: bool, now: Now) {
+    /// Records how a run on a runner ended, for the runner's health.
+    pub fn record_outcome(&mut self, runner: &RunnerId, task: TaskRef, failed: bool, now: Now) {
         self.take_outcome(runner, task, failed, now.monotonic);
     }
 
@@ -206,9 +206,9 @@
     }
 
     /// What the tenant's open runs hold in all pools.
-    pub fn holdings(&self, tenant: &TenantId) -> Resources {
+    pub fn usage(&self, tenant: &TenantId) -> Resources {
         let index = self.tenants.find(tenant);
-        index.map_or(Resources::ZERO, |index| self.tenants[index].held)
+        index.map_or(Resources::ZERO, |index| self.tenants[index].usage)
     }
 
     /// Open runs of all tenants.
@@ -218,26 +218,27 @@
 
     /// Tasks, runners and gangs looked at so far: what the work of this view
     /// is counted in, the same on every machine.
-    pub fn looks(&self) -> u64 {
-        self.looks.get()
+    pub fn scan_cost(&self) -> u64 {
+        self.scan_cost.get()
     }
 
     /// Passes over nothing any more, for proofs of what that is worth.
-    pub fn look_at_all(&mut self) {
+    pub fn scan_all(&mut self) {
         self.passes_over = false;
     }
 
-    fn note_time(&mut self, now: Now) {
+    fn record_time(&mut self, now: Now) {
         self.latest = self.latest.max(now.monotonic);
     }
 
-    pub(crate) fn note_look(&self) {
-        self.note_looks(1);
+    pub(crate) fn record_scan(&self) {
+        self.record_scans(1);
     }
 
-    pub(crate) fn note_looks(&self, looks: usize) {
-        let looks = u64::try_from(looks).unwrap_or(u64::MAX);
-        self.looks.set(self.looks.get().saturating_add(looks));
+    pub(crate) fn record_scans(&self, scan_cost: usize) {
+        let scan_cost = u64::try_from(scan_cost).unwrap_or(u64::MAX);
+        self.scan_cost
+            .set(self.scan_cost.get().saturating_add(scan_cost));
     }
 
     /// Published tasks, waiting and running.
--- a/crates/dispatch/src/seats.rs
+++ b/crates/scheduler/src/seats.rs
@@ -1,11 +1,11 @@
 //! Seats of licences, as the view counts them. What counts in the end is the
-//! record: it refuses a reservation without a seat, whatever is thought here.
+//! record: it rejects a reservation without a seat, whatever is thought here.
 //!
 //! Work of a more urgent queue gets the seats first, in whatever pool it waits:
 //! less urgent work takes one only if more are free than more urgent work asks
 //! for.
 
-use crate::Dispatcher;
+use crate::Scheduler;
 use crate::shape::Shape;
 use configuration::{LicenceSettings, QueueMode};
 use std::collections::BTreeMap;
@@ -65,7 +65,7 @@
     }
 }
 
-impl Dispatcher {
+impl Scheduler {
     /// True for a queue whose work starts, and goes before that of `priority`.
     fn starts_work_before(&self, queue: usize, priority: u8) -> bool {
         let queue = &self.queues[queue];
@@ -79,7 +79,7 @@
         licence.map_or((0, 0), |one| (one.taken, one.waiting.values().sum()))
     }
 
-    /// True when so many seats are free for work of the queue.
+    /// Returns whether so many seats are free for work of the queue.
     pub(crate) fn has_seats(&self, needs: &Shape, queue: usize, wanted: u32) -> bool {
         let Some(name) = &needs.licence else {
             return true;
--- a/crates/dispatch/src/shape.rs
+++ b/crates/scheduler/src/shape.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// True when a runner with these labels carries all that are asked for.
+    /// Returns whether a runner with these labels carries all that are asked for.
     pub(crate) fn matches(&self, labels: &Labels) -> bool {
         self.labels
             .iter()
@@ -84,7 +84,7 @@
 
 /// With more different needs than this, looking at each costs more than a search
 /// for a runner that finds none.
-const MOST_NEEDS_LOOKED_AT: usize = 256;
+const MAX_SHAPES_SCANNED: usize = 256;
 
 /// Index of a shape in the table.
 pub(crate) type ShapeIndex = u32;
@@ -161,13 +161,13 @@
         }
     }
 
-    /// True when tasks in use need less than this shape, and so could take the
+    /// Returns whether tasks in use need less than this shape, and so could take the
     /// room it waits for. With very many needs it takes that for granted.
     pub(crate) fn has_smaller(&self, index: ShapeIndex) -> bool {
         let Some(large) = self.get(index) else {
             return false;
         };
-        self.needs.len() > MOST_NEEDS_LOOKED_AT
+        self.needs.len() > MAX_SHAPES_SCANNED
             || self
                 .needs
                 .keys()
--- a/crates/dispatch/src/table.rs
+++ b/crates/scheduler/src/table.rs
@@ -1,7 +1,7 @@
 //! Named entries that are known by a small number everywhere inside.
 //!
 //! Entries are never taken out, so a number handed out stays good for the
-//! life of the table. This is the one place where the view indexes by number.
+//! incarnation of the table. This is the one place where the view indexes by number.
 
 use indexmap::{Equivalent, IndexMap};
 use std::hash::Hash;
--- a/crates/dispatch/src/task.rs
+++ b/crates/scheduler/src/task.rs
@@ -3,12 +3,12 @@
 use crate::pending::Order;
 use crate::queue::{ListIndex, TenantList};
 use crate::shape::{Shape, ShapeIndex};
-use crate::{Dispatcher, Published};
+use crate::{Published, Scheduler};
 use types::{Monotonic, Now, QueueName, StepRules, TaskMeta, TaskRef, TenantId, Urgency, WallTime};
 
 /// Where a published task stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Standing {
+pub(crate) enum TaskStatus {
     /// May start now.
     Pending,
     /// Runs, and may have a further copy.
@@ -30,7 +30,7 @@
     pub(crate) shape: ShapeIndex,
     pub(crate) max_copies: u32,
     pub(crate) urgency: Urgency,
-    pub(crate) standing: Standing,
+    pub(crate) status: TaskStatus,
     /// Zero when it may start at once.
     pub(crate) not_before: WallTime,
     /// Since when it may start, on this leader's clock.
@@ -48,11 +48,11 @@
 }
 
 /// True for a task that would start if it had room and a seat.
-fn is_waiting(standing: Standing) -> bool {
-    matches!(standing, Standing::Pending | Standing::Gathered)
+fn is_waiting(status: TaskStatus) -> bool {
+    matches!(status, TaskStatus::Pending | TaskStatus::Gathered)
 }
 
-impl Dispatcher {
+impl Scheduler {
     pub(crate) fn add_task(&mut self, meta: TaskMeta, now: Now) -> Published {
         let open_runs = self.runs_of.get(&meta.task).map_or(0, Vec::len);
         let is_bound = open_runs >= meta.max_copies.max(1) as usize;
@@ -68,7 +68,7 @@
             shape,
             max_copies: meta.max_copies.max(1),
             urgency: meta.urgency,
-            standing: Standing::Bound,
+            status: TaskStatus::Bound,
             not_before: meta.not_before.unwrap_or_default(),
             waiting_since: now.monotonic,
             rules: meta.rules,
@@ -83,7 +83,7 @@
         if !self.tasks.contains_key(&task) {
             return false;
         }
-        self.stand(task, Standing::Bound);
+        self.stand(task, TaskStatus::Bound);
         if let Some(entry) = self.tasks.remove(&task) {
             self.shapes.release(entry.shape);
         }
@@ -96,29 +96,29 @@
             return;
         };
         let open_runs = self.runs_of.get(&task).map_or(0, Vec::len);
-        let standing = if open_runs >= entry.max_copies as usize {
-            Standing::Bound
+        let status = if open_runs >= entry.max_copies as usize {
+            TaskStatus::Bound
         } else if entry.not_before > now.wall {
-            Standing::Delayed
+            TaskStatus::Delayed
         } else if open_runs == 0 && entry.rules.gang {
-            Standing::Gathered
+            TaskStatus::Gathered
         } else if open_runs == 0 {
-            Standing::Pending
+            TaskStatus::Pending
         } else {
-            Standing::Copies
+            TaskStatus::Copies
         };
-        if standing != entry.standing {
+        if status != entry.status {
             entry.waiting_since = now.monotonic;
         }
-        self.stand(task, standing);
+        self.stand(task, status);
     }
 
     /// Moves a task from where it stands to another standing.
-    pub(crate) fn stand(&mut self, task: TaskRef, standing: Standing) {
+    pub(crate) fn stand(&mut self, task: TaskRef, status: TaskStatus) {
         let Some(entry) = self.tasks.get_mut(&task) else {
             return;
         };
-        if entry.standing == standing {
+        if entry.status == status {
             return;
         }
         let order = entry.order(task);
@@ -127,11 +127,11 @@
         let needs = self.shapes.get(shape).map(|shape| shape.resources);
         let needs = needs.unwrap_or_default();
         let licence = entry.rules.licence.clone();
-        let waited = is_waiting(entry.standing);
-        let old = std::mem::replace(&mut entry.standing, standing);
+        let waited = is_waiting(entry.status);
+        let old = std::mem::replace(&mut entry.status, status);
         let latest = self.latest;
         let list = &mut self.lists[index];
-        match (waited, is_waiting(standing)) {
+        match (waited, is_waiting(status)) {
             (false, true) => {
                 if list.pending.is_empty() {
                     list.waiting_since = latest;
@@ -142,25 +142,25 @@
             _ => {}
         }
         match old {
-            Standing::Pending => drop(list.pending.remove(order, shape)),
-            Standing::Copies => drop(list.copies.remove(order, shape)),
-            Standing::Delayed => drop(self.delayed.remove(&(not_before, task))),
-            Standing::Shadowed => drop(list.shadowed.remove(&task)),
-            Standing::Gathered => self.gangs.leave(task),
-            Standing::Bound => {}
+            TaskStatus::Pending => drop(list.pending.remove(order, shape)),
+            TaskStatus::Copies => drop(list.copies.remove(order, shape)),
+            TaskStatus::Delayed => drop(self.delayed.remove(&(not_before, task))),
+            TaskStatus::Shadowed => drop(list.shadowed.remove(&task)),
+            TaskStatus::Gathered => self.gangs.leave(task),
+            TaskStatus::Bound => {}
         }
-        match standing {
-            Standing::Pending => drop(list.pending.insert(order, shape, needs)),
-            Standing::Copies => drop(list.copies.insert(order, shape, needs)),
-            Standing::Delayed => drop(self.delayed.insert((not_before, task))),
-            Standing::Shadowed => drop(list.shadowed.insert(task)),
-            Standing::Gathered => self.gangs.gather(task, size, index),
-            Standing::Bound => {}
+        match status {
+            TaskStatus::Pending => drop(list.pending.insert(order, shape, needs)),
+            TaskStatus::Copies => drop(list.copies.insert(order, shape, needs)),
+            TaskStatus::Delayed => drop(self.delayed.insert((not_before, task))),
+            TaskStatus::Shadowed => drop(list.shadowed.insert(task)),
+            TaskStatus::Gathered => self.gangs.gather(task, size, index),
+            TaskStatus::Bound => {}
         }
-        list.above_ceiling = false;
+        list.above_limit = false;
         if let Some(licence) = licence {
             let queue = self.lists[index].queue;
-            match (waited, is_waiting(standing)) {
+            match (waited, is_waiting(status)) {
                 (false, true) => self.seats.wait(&licence, queue),
                 (true, false) => self.seats.wait_no_more(&licence, queue),
                 _ => {}
@@ -200,8 +200,8 @@
             pending: Default::default(),
             copies: Default::default(),
             shadowed: Default::default(),
-            above_ceiling: false,
-            leaves_room: false,
+            above_limit: false,
+            limited_by_headroom: false,
             demand: Default::default(),
             started_at: self.latest,
             waiting_since: self.latest,
@@ -216,19 +216,19 @@
     /// Puts a list into its queue's runnable sets, or takes it out.
     pub(crate) fn refresh_list(&mut self, index: ListIndex) {
         let list = &self.lists[index];
-        let may_hold_more = !self.tenants[list.tenant].is_at_ceiling();
-        let runnable = may_hold_more && !list.above_ceiling && !list.pending.is_empty();
-        let copying = may_hold_more && !list.copies.is_empty();
+        let is_below_step_limit = !self.tenants[list.tenant].is_at_limit();
+        let runnable = is_below_step_limit && !list.above_limit && !list.pending.is_empty();
+        let copying = is_below_step_limit && !list.copies.is_empty();
         let queue = &mut self.queues[list.queue];
         queue.runnable.set(index, runnable);
         queue.copying.set(index, copying);
     }
 
-    /// The same for all lists of a tenant, after its holdings or ceiling moved.
+    /// The same for all lists of a tenant, after its holdings or resource limit moved.
     pub(crate) fn refresh_tenant(&mut self, tenant: usize) {
         for position in 0..self.tenants[tenant].lists.len() {
             let index = self.tenants[tenant].lists[position];
-            self.lists[index].above_ceiling = false;
+            self.lists[index].above_limit = false;
             self.refresh_list(index);
         }
     }
--- a/crates/dispatch/tests/cost.rs
+++ b/crates/scheduler/tests/cost.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use dispatch::Dispatcher;
+use scheduler::Scheduler;
 use support::*;
 use types::{HeartbeatSequence, RackName, Resources, RunnerReport, TaskMeta};
 
@@ -48,27 +48,27 @@
     meta
 }
 
-fn loaded(runners: u32, tasks: u32) -> Dispatcher {
+fn loaded(runners: u32, tasks: u32) -> Scheduler {
     let names: Vec<String> = (0..TENANTS).map(|number| format!("t{number}")).collect();
     let tenants: Vec<(&str, u32)> = names.iter().map(|name| (name.as_str(), 1_000)).collect();
     let mut document = document(&tenants);
     for tenant in document.tenants.values_mut() {
-        tenant.ceiling = Resources::UNLIMITED;
+        tenant.resource_limit = Resources::UNLIMITED;
     }
-    let mut dispatcher = dispatcher(&document);
+    let mut scheduler = scheduler(&document);
     for number in 0..runners {
-        dispatcher.heartbeat(&full(number), at(0));
+        scheduler.heartbeat(&full(number), at(0));
     }
     for job in 0..tasks {
-        dispatcher.publish(unlike_others(job), at(0));
+        scheduler.publish(unlike_others(job), at(0));
     }
-    dispatcher
+    scheduler
 }
 
-fn looks_of_a_placement(dispatcher: &mut Dispatcher) -> u64 {
-    let before = dispatcher.looks();
-    assert!(all_placed(dispatcher.place(at(50), 512)).is_empty());
-    dispatcher.looks() - before
+fn looks_of_a_placement(scheduler: &mut Scheduler) -> u64 {
+    let before = scheduler.scan_cost();
+    assert!(all_placed(scheduler.place(at(50), 512)).is_empty());
+    scheduler.scan_cost() - before
 }
 
 #[test]
@@ -82,25 +82,25 @@
 
 #[test]
 fn room_that_comes_back_is_used_in_the_same_placement() {
-    let mut dispatcher = loaded(240, 1_500);
-    looks_of_a_placement(&mut dispatcher);
+    let mut scheduler = loaded(240, 1_500);
+    looks_of_a_placement(&mut scheduler);
     let mut freed = full(7);
     freed.sequence = HeartbeatSequence(2);
     freed.free = freed.capacity;
-    dispatcher.heartbeat(&freed, at(60));
-    let placed = all_placed(dispatcher.place(at(400), 512));
+    scheduler.heartbeat(&freed, at(60));
+    let placed = all_placed(scheduler.place(at(400), 512));
     assert!(placed.len() >= 7, "{}", placed.len());
     assert!(placed.iter().all(|one| one.runner == runner("r7")));
 }
 
 #[test]
 fn a_small_task_behind_large_ones_is_still_found() {
-    let mut dispatcher = loaded(240, 600);
+    let mut scheduler = loaded(240, 600);
     let mut small = meta(9_999, "t3", 1);
     small.resources = needs(250);
-    dispatcher.publish(small, at(40));
-    let placed = all_placed(dispatcher.place(at(50), 512));
+    scheduler.publish(small, at(40));
+    let placed = all_placed(scheduler.place(at(50), 512));
     assert_eq!(placed.len(), 1);
     assert_eq!(placed[0].task, task(9_999));
-    assert!(all_placed(dispatcher.place(at(60), 512)).is_empty());
+    assert!(all_placed(scheduler.place(at(60), 512)).is_empty());
 }
--- a/crates/dispatch/tests/gangs.rs
+++ b/crates/scheduler/tests/gangs.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dispatch::{Dispatcher, Published};
+use scheduler::{Published, Scheduler};
 use std::collections::BTreeSet;
 use support::*;
 use types::{JobNumber, RackName, Reservation, RunnerReport, StepRules, TaskMeta, TaskRef};
@@ -27,9 +27,9 @@
     }
 }
 
-fn publish_gang(dispatcher: &mut Dispatcher, job: u64, size: u32, needs: u32) {
+fn publish_gang(scheduler: &mut Scheduler, job: u64, size: u32, needs: u32) {
     for index in 0..size {
-        let published = dispatcher.publish(gang_meta(job, index, size, needs), at(0));
+        let published = scheduler.publish(gang_meta(job, index, size, needs), at(0));
         assert_eq!(published, Published::New);
     }
 }
@@ -48,11 +48,11 @@
 
 #[test]
 fn a_gang_is_placed_in_one_go_over_several_runners() {
-    let mut dispatcher = dispatcher(&document(&[("a", 100)]));
-    dispatcher.heartbeat(&report("r1", 1, 2, 2), at(0));
-    dispatcher.heartbeat(&report("r2", 1, 2, 2), at(0));
-    publish_gang(&mut dispatcher, 1, 3, 1);
-    let placed = all_placed(dispatcher.place(at(0), 10));
+    let mut scheduler = scheduler(&document(&[("a", 100)]));
+    scheduler.heartbeat(&report("r1", 1, 2, 2), at(0));
+    scheduler.heartbeat(&report("r2", 1, 2, 2), at(0));
+    publish_gang(&mut scheduler, 1, 3, 1);
+    let placed = all_placed(scheduler.place(at(0), 10));
     let tasks: BTreeSet<TaskRef> = placed.iter().map(|one| one.task).collect();
     assert_eq!(tasks, (0..3).map(|index| member(1, index)).collect());
     assert_eq!(runners_of(&placed).len(), 2);
@@ -60,70 +60,70 @@
 
 #[test]
 fn nothing_of_a_gang_starts_while_all_of_it_has_no_room() {
-    let mut dispatcher = dispatcher(&document(&[("a", 100)]));
-    dispatcher.heartbeat(&report("r1", 1, 2, 2), at(0));
-    publish_gang(&mut dispatcher, 1, 3, 1);
-    assert!(all_placed(dispatcher.place(at(0), 10)).is_empty());
-    dispatcher.heartbeat(&report("r2", 1, 2, 1), at(10));
-    assert_eq!(all_placed(dispatcher.place(at(10), 10)).len(), 3);
+    let mut scheduler = scheduler(&document(&[("a", 100)]));
+    scheduler.heartbeat(&report("r1", 1, 2, 2), at(0));
+    publish_gang(&mut scheduler, 1, 3, 1);
+    assert!(all_placed(scheduler.place(at(0), 10)).is_empty());
+    scheduler.heartbeat(&report("r2", 1, 2, 1), at(10));
+    assert_eq!(all_placed(scheduler.place(at(10), 10)).len(), 3);
 }
 
 #[test]
 fn nothing_of_a_gang_starts_before_all_of_it_may() {
-    let mut dispatcher = dispatcher(&document(&[("a", 100)]));
-    dispatcher.heartbeat(&report("r1", 1, 8, 8), at(0));
+    let mut scheduler = scheduler(&document(&[("a", 100)]));
+    scheduler.heartbeat(&report("r1", 1, 8, 8), at(0));
     for index in [0, 2] {
-        dispatcher.publish(gang_meta(1, index, 3, 1), at(0));
+        scheduler.publish(gang_meta(1, index, 3, 1), at(0));
     }
-    assert!(all_placed(dispatcher.place(at(0), 10)).is_empty());
-    dispatcher.publish(gang_meta(1, 1, 3, 1), at(5));
-    assert_eq!(all_placed(dispatcher.place(at(5), 10)).len(), 3);
+    assert!(all_placed(scheduler.place(at(0), 10)).is_empty());
+    scheduler.publish(gang_meta(1, 1, 3, 1), at(5));
+    assert_eq!(all_placed(scheduler.place(at(5), 10)).len(), 3);
 }
 
 #[test]
 fn a_gang_above_the_tenant_s_ceiling_waits_as_a_whole() {
-    let mut dispatcher = dispatcher(&document(&[("a", 2)]));
-    dispatcher.heartbeat(&report("r1", 1, 8, 8), at(0));
-    publish_gang(&mut dispatcher, 1, 3, 1);
-    assert!(all_placed(dispatcher.place(at(0), 10)).is_empty());
+    let mut scheduler = scheduler(&document(&[("a", 2)]));
+    scheduler.heartbeat(&report("r1", 1, 8, 8), at(0));
+    publish_gang(&mut scheduler, 1, 3, 1);
+    assert!(all_placed(scheduler.place(at(0), 10)).is_empty());
 }
 
 #[test]
 fn a_gang_that_wants_one_rack_gets_one_if_it_has_room() {
-    let mut dispatcher = dispatcher(&document(&[("a", 100)]));
+    let mut scheduler = scheduler(&document(&[("a", 100)]));
     for (name, rack) in [("r1", "x"), ("r2", "y"), ("r3", "y")] {
-        dispatcher.heartbeat(&in_rack(rack, report(name, 1, 1, 1)), at(0));
+        scheduler.heartbeat(&in_rack(rack, report(name, 1, 1, 1)), at(0));
     }
     for index in 0..2 {
         let mut meta = gang_meta(1, index, 2, 1);
         meta.rules.same_rack = true;
-        dispatcher.publish(meta, at(0));
+        scheduler.publish(meta, at(0));
     }
-    let placed = all_placed(dispatcher.place(at(0), 10));
+    let placed = all_placed(scheduler.place(at(0), 10));
     assert_eq!(runners_of(&placed), BTreeSet::from(["r2", "r3"]));
 }
 
 #[test]
 fn a_gang_that_waits_long_gets_runners_kept_free() {
-    let mut dispatcher = dispatcher(&document(&[("a", 100), ("b", 100)]));
-    publish_gang(&mut dispatcher, 1, 2, 2);
+    let mut scheduler = scheduler(&document(&[("a", 100), ("b", 100)]));
+    publish_gang(&mut scheduler, 1, 2, 2);
     for job in 2..200 {
-        dispatcher.publish(meta(job, "b", 1), at(0));
+        scheduler.publish(meta(job, "b", 1), at(0));
     }
     let mut running = Vec::new();
     for tick in 0..400_u64 {
         let now = at(tick * 100);
         for name in ["r1", "r2"] {
-            dispatcher.heartbeat(&report(name, tick + 1, 2, 2), now);
+            scheduler.heartbeat(&report(name, tick + 1, 2, 2), now);
         }
-        let placed = all_placed(dispatcher.place(now, 10));
+        let placed = all_placed(scheduler.place(now, 10));
         if placed.iter().any(|one| one.task.job == JobNumber(1)) {
             assert!(tick < 100, "placed only at tick {tick}");
             return;
         }
         running.extend(placed.into_iter().map(|one| one.run));
         if !running.is_empty() {
-            dispatcher.remove_run(running.remove(0));
+            scheduler.remove_run(running.remove(0));
         }
     }
     panic!("small work starved the gang");
--- a/crates/dispatch/tests/model.rs
+++ b/crates/scheduler/tests/model.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use dispatch::{Decision, Dispatcher, NotPlacedReason};
 use proptest::prelude::*;
+use scheduler::{Decision, NotPlacedReason, Scheduler};
 use std::collections::{BTreeMap, BTreeSet};
 use support::*;
 use types::*;
@@ -77,7 +77,7 @@
     open: BTreeMap<RunId, (Reservation, u32)>,
     known_runs: BTreeSet<RunId>,
     draining: BTreeMap<usize, (bool, bool)>,
-    heard_at: BTreeMap<usize, u64>,
+    received_at: BTreeMap<usize, u64>,
 }
 
 impl Reference {
@@ -106,7 +106,7 @@
     fn take(&mut self, reservation: Reservation) {
         let meta = self.metas.get(&reservation.task).expect("a published task");
         let needs = meta.resources.slots;
-        let (owner, ceiling) = Self::owner(reservation.task.job.0);
+        let (owner, resource_limit) = Self::owner(reservation.task.job.0);
         let name = reservation.runner.as_str().to_owned();
         let runner = RUNNERS.iter().position(|known| *known == name).unwrap();
         assert!(self.known_runs.insert(reservation.run), "run used twice");
@@ -115,7 +115,10 @@
             self.draining.get(&runner).copied().unwrap_or_default(),
             (false, false)
         );
-        assert!(self.now - self.heard_at[&runner] <= 1_500, "silent runner");
+        assert!(
+            self.now - self.received_at[&runner] <= 1_500,
+            "silent runner"
+        );
         let copies = meta.max_copies as usize;
         let task = reservation.task;
         let twice_here = self
@@ -125,13 +128,16 @@
         assert!(!twice_here, "two copies on one runner");
         self.open.insert(reservation.run, (reservation, needs));
         assert!(self.runs_of(task) <= copies, "more runs than copies");
-        assert!(self.held_by_tenant(owner) <= ceiling, "above the ceiling");
+        assert!(
+            self.held_by_tenant(owner) <= resource_limit,
+            "above the ceiling"
+        );
         assert!(self.held_by_runner(&name) <= CAPACITY, "more than the room");
     }
 
     fn heartbeat(&mut self, runner: usize, draining: bool) -> RunnerReport {
         self.sequence += 1;
-        self.heard_at.insert(runner, self.now);
+        self.received_at.insert(runner, self.now);
         self.draining.entry(runner).or_default().0 = draining;
         let name = RUNNERS[runner];
         let used = self.held_by_runner(name);
@@ -139,7 +145,9 @@
         heartbeat.draining = draining;
         let open = self.open.values();
         let here = open.filter(|(reservation, _)| reservation.runner.as_str() == name);
-        heartbeat.held = here.map(|(reservation, _)| held(reservation.run)).collect();
+        heartbeat.active = here
+            .map(|(reservation, _)| usage(reservation.run))
+            .collect();
         heartbeat
     }
 
@@ -150,11 +158,11 @@
     }
 }
 
-fn start() -> Dispatcher {
-    dispatcher(&document(&TENANTS))
+fn start() -> Scheduler {
+    scheduler(&document(&TENANTS))
 }
 
-fn apply(dispatcher: &mut Dispatcher, books: &mut Reference, step: Step) -> Vec<Decision> {
+fn apply(scheduler: &mut Scheduler, books: &mut Reference, step: Step) -> Vec<Decision> {
     let now = at(books.now);
     match step {
         Step::Publish {
@@ -169,29 +177,29 @@
             let known = books.metas.contains_key(&new.task) || books.runs_of(new.task) > 0;
             if !known {
                 books.metas.insert(new.task, new.clone());
-                dispatcher.publish(new, now);
+                scheduler.publish(new, now);
             } else if let Some(known) = books.metas.get(&new.task) {
-                dispatcher.publish(known.clone(), now);
+                scheduler.publish(known.clone(), now);
             }
             Vec::new()
         }
         Step::Reserve { runner: index } => {
-            let decision = dispatcher.reserve(&runner(RUNNERS[index]), now);
+            let decision = scheduler.reserve(&runner(RUNNERS[index]), now);
             decision.into_iter().collect()
         }
-        Step::Place { limit } => dispatcher.place(now, limit),
+        Step::Place { limit } => scheduler.place(now, limit),
         Step::Reschedule { pick, delay } => {
             let Some((run, task)) = books.pick(pick) else {
                 return Vec::new();
             };
             books.open.remove(&run);
             let Some(known) = books.metas.get_mut(&task) else {
-                dispatcher.remove_run(run);
+                scheduler.remove_run(run);
                 return Vec::new();
             };
             known.not_before = (delay > 0).then(|| at(books.now + delay).wall);
-            dispatcher.reschedule(run, known.clone(), now);
-            dispatcher.reschedule(run, known.clone(), now);
+            scheduler.reschedule(run, known.clone(), now);
+            scheduler.reschedule(run, known.clone(), now);
             Vec::new()
         }
         Step::RemoveRun { pick } => {
@@ -200,19 +208,19 @@
             };
             books.open.remove(&run);
             books.metas.remove(&task);
-            dispatcher.remove_run(run);
-            dispatcher.remove_run(run);
+            scheduler.remove_run(run);
+            scheduler.remove_run(run);
             Vec::new()
         }
         Step::RemoveTask { job } => {
             books.metas.remove(&task(job));
-            dispatcher.remove(task(job));
-            dispatcher.remove(task(job));
+            scheduler.remove(task(job));
+            scheduler.remove(task(job));
             Vec::new()
         }
         Step::Heartbeat { runner, draining } => {
             let heartbeat = books.heartbeat(runner, draining);
-            dispatcher.heartbeat(&heartbeat, now);
+            scheduler.heartbeat(&heartbeat, now);
             Vec::new()
         }
         Step::Drain {
@@ -220,7 +228,7 @@
             draining,
         } => {
             books.draining.entry(index).or_default().1 = draining;
-            dispatcher.set_draining(&runner(RUNNERS[index]), draining);
+            scheduler.set_draining(&runner(RUNNERS[index]), draining);
             Vec::new()
         }
         Step::Wait { length } => {
@@ -230,37 +238,37 @@
     }
 }
 
-fn check_books(dispatcher: &Dispatcher, books: &Reference) {
+fn check_books(scheduler: &Scheduler, books: &Reference) {
     for (name, _) in TENANTS {
-        let held = dispatcher.holdings(&tenant(name));
-        assert_eq!(held, slots(books.held_by_tenant(name)));
+        let usage = scheduler.usage(&tenant(name));
+        assert_eq!(usage, slots(books.held_by_tenant(name)));
     }
-    assert_eq!(dispatcher.open_run_count(), books.open.len());
+    assert_eq!(scheduler.open_run_count(), books.open.len());
 }
 
 fn run_history(steps: Vec<Step>) -> Vec<Decision> {
-    let mut dispatcher = start();
+    let mut scheduler = start();
     let mut books = Reference::default();
     let mut all = Vec::new();
     for step in steps {
-        for decision in apply(&mut dispatcher, &mut books, step) {
+        for decision in apply(&mut scheduler, &mut books, step) {
             all.push(decision.clone());
             if let Some(reservation) = placed(Some(decision)) {
                 books.take(reservation);
             }
         }
-        check_books(&dispatcher, &books);
+        check_books(&scheduler, &books);
     }
     all
 }
 
-fn settled(dispatcher: &Dispatcher) -> Vec<(usize, Resources, Option<NotPlacedReason>)> {
+fn settled(scheduler: &Scheduler) -> Vec<(usize, Resources, Option<NotPlacedReason>)> {
     let tenants = TENANTS.iter().map(|(name, _)| tenant(name));
     let counts = tenants.map(|tenant| {
-        let pending = dispatcher.pending_count(&queue("main"), &tenant);
-        (pending, dispatcher.holdings(&tenant), None)
+        let pending = scheduler.pending_count(&queue("main"), &tenant);
+        (pending, scheduler.usage(&tenant), None)
     });
-    let reasons = (1..40).map(|job| (0, Resources::ZERO, dispatcher.explain(task(job), at(0))));
+    let reasons = (1..40).map(|job| (0, Resources::ZERO, scheduler.explain(task(job), at(0))));
     counts.chain(reasons).collect()
 }
 
@@ -307,16 +315,16 @@
             }),
     ) {
         let publish = |jobs: &[(u64, (u32, u32, u64))]| {
-            let mut dispatcher = start();
-            dispatcher.heartbeat(&report("r1", 1, CAPACITY, CAPACITY), at(0));
+            let mut scheduler = start();
+            scheduler.heartbeat(&report("r1", 1, CAPACITY, CAPACITY), at(0));
             for (job, (needs, copies, delay)) in jobs {
                 let mut new = meta(*job, Reference::owner(*job).0, *needs);
                 new.max_copies = *copies;
                 new.not_before = (*delay > 0).then(|| at(*delay).wall);
-                dispatcher.publish(new.clone(), at(0));
-                dispatcher.publish(new, at(0));
+                scheduler.publish(new.clone(), at(0));
+                scheduler.publish(new, at(0));
             }
-            dispatcher
+            scheduler
         };
         prop_assert_eq!(settled(&publish(&jobs.0)), settled(&publish(&jobs.1)));
     }
@@ -326,19 +334,19 @@
         viewed in jobs(),
         recorded in jobs(),
     ) {
-        let mut dispatcher = start();
+        let mut scheduler = start();
         for meta in metas(&viewed) {
-            dispatcher.publish(meta, at(0));
+            scheduler.publish(meta, at(0));
         }
         let record = metas(&recorded);
-        dispatcher.audit(JobNumber(0), JobNumber(99), &record, at(0));
+        scheduler.audit(JobNumber(0), JobNumber(99), &record, at(0));
         let mut rebuilt = start();
         for meta in metas(&recorded) {
             rebuilt.publish(meta, at(0));
         }
-        prop_assert_eq!(settled(&dispatcher), settled(&rebuilt));
-        prop_assert_eq!(dispatcher.next_start_time(), rebuilt.next_start_time());
-        let again = dispatcher.audit(JobNumber(0), JobNumber(99), &record, at(0));
+        prop_assert_eq!(settled(&scheduler), settled(&rebuilt));
+        prop_assert_eq!(scheduler.next_start_time(), rebuilt.next_start_time());
+        let again = scheduler.audit(JobNumber(0), JobNumber(99), &record, at(0));
         prop_assert_eq!((again.republished, again.removed), (0, 0));
         prop_assert_eq!(again.compared, record.len() as u64);
     }
--- a/crates/dispatch/tests/seats.rs
+++ b/crates/scheduler/tests/seats.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use configuration::{ClusterConfiguration, LicenceSettings, PoolSettings, QueueMode};
-use dispatch::{Dispatcher, NotPlacedReason};
+use scheduler::{NotPlacedReason, Scheduler};
 use support::*;
 use types::{LicenceName, PoolName, TaskMeta};
 
@@ -35,37 +35,37 @@
     meta
 }
 
-fn hear(dispatcher: &mut Dispatcher, sequence: u64, now: u64) {
-    dispatcher.heartbeat(&report("r1", sequence, 8, 8), at(now));
+fn hear(scheduler: &mut Scheduler, sequence: u64, now: u64) {
+    scheduler.heartbeat(&report("r1", sequence, 8, 8), at(now));
     let mut other = report("r2", sequence, 8, 8);
     other.pool = PoolName::new("other").unwrap();
-    dispatcher.heartbeat(&other, at(now));
+    scheduler.heartbeat(&other, at(now));
 }
 
 #[test]
 fn no_more_is_placed_than_there_are_seats() {
-    let mut dispatcher = dispatcher(&document_with(2));
-    hear(&mut dispatcher, 1, 0);
+    let mut scheduler = scheduler(&document_with(2));
+    hear(&mut scheduler, 1, 0);
     for job in 1..=5 {
-        dispatcher.publish(licensed(job, "main"), at(0));
+        scheduler.publish(licensed(job, "main"), at(0));
     }
-    let placed = all_placed(dispatcher.place(at(0), 10));
+    let placed = all_placed(scheduler.place(at(0), 10));
     assert_eq!(placed.len(), 2);
-    assert_eq!(dispatcher.seats_of(&licence()), (2, 3));
+    assert_eq!(scheduler.seats_of(&licence()), (2, 3));
     let waiting = (1..=5).find(|job| placed.iter().all(|one| one.task != task(*job)));
-    let reason = dispatcher.explain(task(waiting.unwrap()), at(1));
+    let reason = scheduler.explain(task(waiting.unwrap()), at(1));
     assert_eq!(reason, Some(NotPlacedReason::NoSeat));
-    dispatcher.remove_run(placed[0].run);
-    assert_eq!(all_placed(dispatcher.place(at(10), 10)).len(), 1);
+    scheduler.remove_run(placed[0].run);
+    assert_eq!(all_placed(scheduler.place(at(10), 10)).len(), 1);
 }
 
 #[test]
 fn work_without_a_licence_is_not_held_up_behind_work_that_waits_for_a_seat() {
-    let mut dispatcher = dispatcher(&document_with(0));
-    hear(&mut dispatcher, 1, 0);
-    dispatcher.publish(licensed(1, "main"), at(0));
-    dispatcher.publish(meta(2, "a", 1), at(0));
-    let placed = all_placed(dispatcher.place(at(0), 10));
+    let mut scheduler = scheduler(&document_with(0));
+    hear(&mut scheduler, 1, 0);
+    scheduler.publish(licensed(1, "main"), at(0));
+    scheduler.publish(meta(2, "a", 1), at(0));
+    let placed = all_placed(scheduler.place(at(0), 10));
     assert_eq!(placed.len(), 1);
     assert_eq!(placed[0].task, task(2));
 }
@@ -73,15 +73,15 @@
 #[test]
 fn live_work_gets_the_seat_before_overnight_work_of_another_pool() {
     for seed_job in 0..20 {
-        let mut dispatcher = dispatcher(&document_with(1));
-        hear(&mut dispatcher, 1, 0);
-        dispatcher.publish(licensed(100 + seed_job, "main"), at(0));
-        dispatcher.publish(licensed(500 + seed_job, "live"), at(0));
-        let placed = all_placed(dispatcher.place(at(0), 10));
+        let mut scheduler = scheduler(&document_with(1));
+        hear(&mut scheduler, 1, 0);
+        scheduler.publish(licensed(100 + seed_job, "main"), at(0));
+        scheduler.publish(licensed(500 + seed_job, "live"), at(0));
+        let placed = all_placed(scheduler.place(at(0), 10));
         assert_eq!(placed.len(), 1);
         assert_eq!(placed[0].task, task(500 + seed_job));
-        dispatcher.remove_run(placed[0].run);
-        let next = all_placed(dispatcher.place(at(10), 10));
+        scheduler.remove_run(placed[0].run);
+        let next = all_placed(scheduler.place(at(10), 10));
         assert_eq!(next[0].task, task(100 + seed_job));
     }
 }
@@ -90,23 +90,23 @@
 fn a_paused_queue_holds_no_seat_back() {
     let mut document = document_with(1);
     document.queues.get_mut(&queue("live")).unwrap().mode = QueueMode::Paused;
-    let mut dispatcher = dispatcher(&document);
-    hear(&mut dispatcher, 1, 0);
-    dispatcher.publish(licensed(1, "main"), at(0));
-    dispatcher.publish(licensed(2, "live"), at(0));
-    assert_eq!(all_placed(dispatcher.place(at(0), 10)).len(), 1);
+    let mut scheduler = scheduler(&document);
+    hear(&mut scheduler, 1, 0);
+    scheduler.publish(licensed(1, "main"), at(0));
+    scheduler.publish(licensed(2, "live"), at(0));
+    assert_eq!(all_placed(scheduler.place(at(0), 10)).len(), 1);
 }
 
 #[test]
 fn an_adopted_run_takes_its_seat() {
     let document = document_with(1);
-    let mut first = dispatcher(&document);
+    let mut first = scheduler(&document);
     hear(&mut first, 1, 0);
     first.publish(licensed(1, "main"), at(0));
     let placed = all_placed(first.place(at(0), 10)).remove(0);
-    let mut next = dispatcher(&document);
+    let mut next = scheduler(&document);
     next.adopt_run(types::OpenRun {
-        place: None,
+        endpoint: None,
         run: placed.run,
         task: placed.task,
         attempt: 1,
--- /dev/null
+++ b/crates/scheduler/tests/steps.rs
@@ -0,0 +1,233 @@
+//! The four atomic steps, one behaviour at a time.
+
+mod support;
+
+use scheduler::{NotPlacedReason, Published, Scheduler, SchedulerOptions};
+use support::*;
+use types::*;
+
+#[test]
+fn publish_is_idempotent_while_pending_delayed_and_running() {
+    let mut scheduler = scheduler(&document(&[("a", 10)]));
+    scheduler.heartbeat(&report("r1", 1, 4, 4), at(0));
+    assert_eq!(scheduler.publish(meta(1, "a", 1), at(0)), Published::New);
+    assert_eq!(
+        scheduler.publish(meta(1, "a", 1), at(0)),
+        Published::Present
+    );
+    let mut late = meta(2, "a", 1);
+    late.not_before = Some(at(500).wall);
+    assert_eq!(scheduler.publish(late.clone(), at(0)), Published::New);
+    assert_eq!(scheduler.publish(late, at(0)), Published::Present);
+    let reservation = placed(scheduler.reserve(&runner("r1"), at(0))).unwrap();
+    assert_eq!(reservation.task, task(1));
+    assert_eq!(
+        scheduler.publish(meta(1, "a", 1), at(0)),
+        Published::Present
+    );
+    assert_eq!(placed(scheduler.reserve(&runner("r1"), at(0))), None);
+}
+
+#[test]
+fn adopted_run_makes_its_task_present() {
+    let mut scheduler = scheduler(&document(&[("a", 10)]));
+    let run = RunId {
+        term: Term(2),
+        sequence: 9,
+    };
+    let open = OpenRun {
+        endpoint: None,
+        attempt: 1,
+        expected: None,
+        licence: None,
+        run,
+        task: task(1),
+        tenant: tenant("a"),
+        queue: queue("main"),
+        runner: runner("r1"),
+        incarnation: RunnerIncarnation(1),
+        resources: slots(2),
+        time_limit: Milliseconds(1_000),
+        reserved_at: at(0).wall,
+        self_stop: true,
+    };
+    scheduler.adopt_run(open.clone());
+    scheduler.adopt_run(open);
+    assert_eq!(scheduler.usage(&tenant("a")), slots(2));
+    assert_eq!(
+        scheduler.publish(meta(1, "a", 2), at(0)),
+        Published::Present
+    );
+    assert_eq!(
+        scheduler.explain(task(1), at(0)),
+        Some(NotPlacedReason::AlreadyRunning)
+    );
+    scheduler.reschedule(run, meta(1, "a", 2), at(0));
+    scheduler.reschedule(run, meta(1, "a", 2), at(0));
+    assert_eq!(scheduler.usage(&tenant("a")), Resources::ZERO);
+    assert_eq!(scheduler.pending_count(&queue("main"), &tenant("a")), 1);
+}
+
+#[test]
+fn urgent_tasks_go_first_then_the_oldest() {
+    let mut scheduler = scheduler(&document(&[("a", 10)]));
+    scheduler.heartbeat(&report("r1", 1, 4, 4), at(0));
+    scheduler.publish(meta(2, "a", 1), at(0));
+    scheduler.publish(meta(1, "a", 1), at(0));
+    let mut urgent = meta(3, "a", 1);
+    urgent.urgency = Urgency::Urgent;
+    scheduler.publish(urgent, at(0));
+    let mut order = Vec::new();
+    while let Some(reservation) = placed(scheduler.reserve(&runner("r1"), at(0))) {
+        order.push(reservation.task.job.0);
+    }
+    assert_eq!(order, [3, 1, 2]);
+}
+
+#[test]
+fn a_task_waits_for_its_time_and_next_start_time_names_it() {
+    let mut scheduler = scheduler(&document(&[("a", 10)]));
+    scheduler.heartbeat(&report("r1", 1, 4, 4), at(0));
+    let mut late = meta(1, "a", 1);
+    late.not_before = Some(at(500).wall);
+    scheduler.publish(late, at(0));
+    assert_eq!(scheduler.next_start_time(), Some(at(500).wall));
+    assert_eq!(
+        scheduler.explain(task(1), at(0)),
+        Some(NotPlacedReason::BeforeItsTime {
+            not_before: at(500).wall
+        })
+    );
+    assert_eq!(scheduler.reserve(&runner("r1"), at(499)), None);
+    assert!(scheduler.reserve(&runner("r1"), at(500)).is_some());
+    assert_eq!(scheduler.next_start_time(), None);
+}
+
+#[test]
+fn a_removed_task_keeps_its_holdings_until_its_run_is_removed() {
+    let mut scheduler = scheduler(&document(&[("a", 10)]));
+    scheduler.heartbeat(&report("r1", 1, 4, 4), at(0));
+    scheduler.publish(meta(1, "a", 2), at(0));
+    let run = placed(scheduler.reserve(&runner("r1"), at(0))).unwrap().run;
+    scheduler.remove(task(1));
+    scheduler.remove(task(1));
+    assert_eq!(scheduler.usage(&tenant("a")), slots(2));
+    assert_eq!(
+        scheduler.publish(meta(1, "a", 2), at(0)),
+        Published::Present
+    );
+    scheduler.remove_run(run);
+    scheduler.remove_run(run);
+    assert_eq!(scheduler.usage(&tenant("a")), Resources::ZERO);
+    assert_eq!(scheduler.task_count(), 0);
+}
+
+#[test]
+fn run_identifiers_carry_the_term_and_rise() {
+    let mut scheduler = scheduler(&document(&[("a", 10)]));
+    scheduler.heartbeat(&report("r1", 1, 4, 4), at(0));
+    for job in 1..=3 {
+        scheduler.publish(meta(job, "a", 1), at(0));
+    }
+    let mut last = 0;
+    while let Some(reservation) = placed(scheduler.reserve(&runner("r1"), at(0))) {
+        assert_eq!(reservation.run.term, Term(3));
+        assert!(reservation.run.sequence > last);
+        last = reservation.run.sequence;
+    }
+    assert_eq!(last, 3);
+}
+
+#[test]
+fn a_copy_starts_only_elsewhere_and_after_ordinary_work() {
+    let mut scheduler = scheduler(&document(&[("a", 10)]));
+    scheduler.heartbeat(&report("r1", 1, 4, 4), at(0));
+    scheduler.heartbeat(&report("r2", 1, 4, 4), at(0));
+    let mut doubled = meta(1, "a", 1);
+    doubled.max_copies = 2;
+    scheduler.publish(doubled, at(0));
+    let first = placed(scheduler.reserve(&runner("r1"), at(0))).unwrap();
+    assert_eq!(scheduler.reserve(&runner("r1"), at(0)), None);
+    scheduler.publish(meta(2, "a", 1), at(0));
+    let ordinary = placed(scheduler.reserve(&runner("r2"), at(0))).unwrap();
+    assert_eq!(ordinary.task, task(2));
+    let copy = placed(scheduler.reserve(&runner("r2"), at(0))).unwrap();
+    assert_eq!(copy.task, task(1));
+    assert_eq!(scheduler.reserve(&runner("r2"), at(0)), None);
+    scheduler.remove_run(first.run);
+    assert_eq!(scheduler.usage(&tenant("a")), slots(2));
+    assert_eq!(scheduler.reserve(&runner("r1"), at(0)), None);
+}
+
+#[test]
+fn the_look_ahead_is_bounded_by_needs_not_by_equal_tasks() {
+    let options = SchedulerOptions {
+        scan_depth: 1,
+        ..SchedulerOptions::default()
+    };
+    let mut scheduler = Scheduler::new(options, Term(3), 7);
+    scheduler.configure(&document(&[("a", 100)]));
+    scheduler.heartbeat(&report("r1", 1, 8, 2), at(0));
+    for job in 1..=50 {
+        scheduler.publish(meta(job, "a", 3), at(0));
+    }
+    scheduler.publish(meta(60, "a", 1), at(0));
+    let small = placed(scheduler.reserve(&runner("r1"), at(0))).unwrap();
+    assert_eq!(small.task, task(60));
+    // Two kinds that do not fit stand before the next small one.
+    scheduler.publish(meta(51, "a", 4), at(0));
+    scheduler.publish(meta(61, "a", 1), at(0));
+    assert_eq!(scheduler.reserve(&runner("r1"), at(0)), None);
+}
+
+#[test]
+fn a_view_rebuilt_in_its_term_uses_no_run_identifier_twice() {
+    let mut scheduler = scheduler(&document(&[("a", 100)]));
+    scheduler.heartbeat(&report("r1", 1, 8, 8), at(0));
+    let sequence = 41;
+    scheduler.adopt_run(OpenRun {
+        endpoint: None,
+        attempt: 1,
+        expected: None,
+        licence: None,
+        run: RunId {
+            term: Term(3),
+            sequence,
+        },
+        task: task(1),
+        tenant: tenant("a"),
+        queue: queue("main"),
+        runner: runner("r1"),
+        incarnation: RunnerIncarnation(1),
+        resources: slots(1),
+        time_limit: Milliseconds(1_000),
+        reserved_at: at(0).wall,
+        self_stop: true,
+    });
+    scheduler.publish(meta(2, "a", 1), at(0));
+    let next = placed(scheduler.reserve(&runner("r1"), at(0))).unwrap();
+    assert!(next.run.sequence > sequence);
+}
+
+#[test]
+fn the_look_ahead_bounds_the_search_for_a_copy_too() {
+    let start_copy_of = |scan_depth| {
+        let options = SchedulerOptions {
+            scan_depth,
+            ..SchedulerOptions::default()
+        };
+        let mut scheduler = Scheduler::new(options, Term(3), 7);
+        scheduler.configure(&document(&[("a", 100)]));
+        scheduler.heartbeat(&report("r1", 1, 8, 8), at(0));
+        scheduler.heartbeat(&report("r2", 1, 8, 8), at(0));
+        for (job, on) in [(1, "r1"), (2, "r1"), (3, "r2")] {
+            let mut doubled = meta(job, "a", 1);
+            doubled.max_copies = 2;
+            scheduler.publish(doubled, at(0));
+            scheduler.reserve(&runner(on), at(0)).unwrap();
+        }
+        placed(scheduler.reserve(&runner("r1"), at(0))).map(|copy| copy.task)
+    };
+    assert_eq!(start_copy_of(1), None);
+    assert_eq!(start_copy_of(2), Some(task(3)));
+}
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -1,11 +1,11 @@
-//! Builders shared by the dispatcher's tests.
+//! Builders shared by the scheduler's tests.
 
 #![allow(dead_code)]
 
 use configuration::{
     ClusterConfiguration, ErrorBudget, PoolSettings, QueueMode, QueueSettings, TenantSettings,
 };
-use dispatch::{Decision, DecisionKind, Dispatcher, DispatcherOptions};
+use scheduler::{Decision, DecisionKind, Scheduler, SchedulerOptions};
 use types::*;
 
 pub fn queue(name: &str) -> QueueName {
@@ -57,10 +57,10 @@
     }
 }
 
-pub fn contract(share_percent: u32, ceiling: Resources) -> TenantSettings {
+pub fn contract(share_percent: u32, resource_limit: Resources) -> TenantSettings {
     TenantSettings {
         share_percent,
-        ceiling,
+        resource_limit,
         error_budget: ErrorBudget {
             late_after: Milliseconds(1_000),
             late_per_thousand: 1,
@@ -83,8 +83,8 @@
         },
     );
     add_queue(&mut document, "main", QueueMode::Active);
-    for (name, ceiling) in tenants {
-        let settings = contract(100, slots(*ceiling));
+    for (name, resource_limit) in tenants {
+        let settings = contract(100, slots(*resource_limit));
         document.tenants.insert(tenant(name), settings);
     }
     document
@@ -102,7 +102,7 @@
 
 pub fn report(name: &str, sequence: u64, capacity: u32, free: u32) -> RunnerReport {
     RunnerReport {
-        place: None,
+        endpoint: None,
         unnamed: Vec::new(),
         runner: runner(name),
         incarnation: RunnerIncarnation(1),
@@ -114,13 +114,13 @@
         free: slots(free),
         draining: false,
         self_stop: true,
-        held: Vec::new(),
+        active: Vec::new(),
         ended: Vec::new(),
     }
 }
 
-pub fn held(run: RunId) -> HeldRun {
-    HeldRun {
+pub fn usage(run: RunId) -> ActiveRun {
+    ActiveRun {
         progress: None,
         checkpoint: None,
         run,
@@ -128,10 +128,10 @@
     }
 }
 
-pub fn dispatcher(document: &ClusterConfiguration) -> Dispatcher {
-    let mut dispatcher = Dispatcher::new(DispatcherOptions::default(), Term(3), 7);
-    dispatcher.configure(document);
-    dispatcher
+pub fn scheduler(document: &ClusterConfiguration) -> Scheduler {
+    let mut scheduler = Scheduler::new(SchedulerOptions::default(), Term(3), 7);
+    scheduler.configure(document);
+    scheduler
 }
 
 /// The reservation of a decision that binds.
