--- a/crates/session/src/client.rs
+++ b/crates/session/src/client.rs
@@ -1,16 +1,16 @@
 //! The session client, without I/O.
 
 use crate::directory::Directory;
-use crate::hello::{HelloLog, Path, SentHello};
+use crate::keep_alive::{KeepAliveLog, Path, SentKeepAlive};
 use crate::leader::LeaderContact;
 use crate::replica::Replica;
 use crate::round::HINTS_EACH_ROUND;
 use crate::route::{self, Opened};
 use configuration::ClusterConfiguration;
-use peer::{Envelope, Members, PeerMessage, SessionLease};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddr;
+use transport::{Envelope, Members, PeerMessage, SessionLease};
 use types::{
     Address, ClusterId, ConfigurationVersion, Milliseconds, Monotonic, Now, RunnerId, Term,
 };
@@ -22,7 +22,7 @@
     pub address: Address,
     /// Peer sockets of other processes of any role; may be dead, or its own.
     pub seeds: Vec<SocketAddr>,
-    /// Time between hellos.
+    /// Time between keep-alives.
     pub interval: Milliseconds,
     /// The replica counts for this long after the leader's last word.
     pub replica_valid: Milliseconds,
@@ -60,7 +60,7 @@
 pub struct SessionClient {
     pub(crate) options: SessionOptions,
     pub(crate) directory: Directory,
-    pub(crate) hellos: HelloLog,
+    pub(crate) keep_alives: KeepAliveLog,
     pub(crate) leader: Option<LeaderContact>,
     lease: Option<Lease>,
     highest_term: Term,
@@ -78,11 +78,11 @@
     pub fn new(options: SessionOptions, now: Now) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(options.seed ^ options.address.node.0);
         // Drawn, so that leases for an earlier process at the same socket answer
-        // no hello of this one.
+        // no keep-alive of this one.
         let first_sequence = u64::from(random.random::<u32>()) << 16;
         Self {
             directory: Directory::new(options.address.clone()),
-            hellos: HelloLog::new(first_sequence),
+            keep_alives: KeepAliveLog::new(first_sequence),
             leader: None,
             lease: None,
             highest_term: Term::default(),
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Sends hellos and discovery, ends leases that ran out. `out` receives
+    /// Sends keep-alives and discovery, ends leases that ran out. `out` receives
     /// messages to send.
     pub fn tick(&mut self, now: Now, runners: &[RunnerId], out: &mut Outbox) -> Vec<SessionEvent> {
         if self.runners != runners {
@@ -138,18 +138,18 @@
     }
 
     /// Gives up the lease and asks for a new one, as after a freeze that was
-    /// shorter than the lease. Answers to hellos from before count for nothing.
+    /// shorter than the lease. Answers to keep-alives from before count for nothing.
     pub fn rejoin(&mut self, now: Now, out: &mut Outbox) {
         self.lease = None;
-        self.hellos.forget_all();
+        self.keep_alives.forget_all();
         self.next_round = now.monotonic;
         self.send_round_if_due(now.monotonic, out);
     }
 
     /// Says goodbye to the leader.
     pub fn leave(&mut self, now: Now, out: &mut Outbox) {
-        let sequence = self.hellos.note(now.monotonic, Path::Direct);
-        let goodbye = self.hello(sequence, true);
+        let sequence = self.keep_alives.record(now.monotonic, Path::Direct);
+        let goodbye = self.keep_alive(sequence, true);
         out.extend(self.to_leader(now, goodbye));
     }
 
@@ -268,7 +268,7 @@
         lease: &SessionLease,
         events: &mut Vec<SessionEvent>,
     ) {
-        let Some(hello) = self.hellos.find(lease.sequence) else {
+        let Some(keep_alive) = self.keep_alives.find(lease.sequence) else {
             return;
         };
         if lease.term < self.highest_term || self.is_other_cluster(Some(lease.cluster)) {
@@ -278,12 +278,13 @@
         self.cluster = Some(lease.cluster);
         self.directory
             .replace(&lease.leader, &lease.coordinators, &lease.others);
-        self.note_answer(now, &lease.leader, hello, envelope.via);
-        self.replica.leader_said(hello.sent_at, lease.configuration);
-        self.extend_lease(now, lease.term, hello.sent_at + lease.lease, events);
+        self.record_answer(now, &lease.leader, keep_alive, envelope.via);
+        self.replica
+            .leader_said(keep_alive.sent_at, lease.configuration);
+        self.extend_lease(now, lease.term, keep_alive.sent_at + lease.lease, events);
     }
 
-    /// A lease that is over on arrival opens nothing: it answers a hello from
+    /// A lease that is over on arrival opens nothing: it answers a keep-alive from
     /// before a freeze or a long delay.
     fn extend_lease(
         &mut self,
@@ -304,11 +305,11 @@
         }
     }
 
-    fn note_answer(
+    fn record_answer(
         &mut self,
         now: Monotonic,
         leader: &Address,
-        hello: SentHello,
+        keep_alive: SentKeepAlive,
         via: Option<SocketAddr>,
     ) {
         let known = self.leader.as_ref().map(LeaderContact::address);
@@ -319,9 +320,9 @@
         let Some(contact) = &mut self.leader else {
             return;
         };
-        // A direct hello answered through a relay proves neither way whole.
-        let whole_way = matches!(hello.path, Path::Relayed(_)) || via.is_none();
-        contact.heard(whole_way.then_some(hello.path), now);
+        // A direct keep-alive answered through a relay proves neither way whole.
+        let proves_both_ways = matches!(keep_alive.path, Path::Relayed(_)) || via.is_none();
+        contact.record_contact(proves_both_ways.then_some(keep_alive.path), now);
     }
 
     fn take_not_leader(
@@ -351,14 +352,14 @@
         let answers = self
             .leader
             .as_ref()
-            .is_some_and(|contact| contact.address() == hint || !contact.is_silent(now));
+            .is_some_and(|contact| contact.address() == hint || !contact.is_unresponsive(now));
         if is_own || answers || self.hints_left == 0 {
             return;
         }
         self.hints_left -= 1;
         let contact = LeaderContact::new(hint.clone(), self.options.interval, now);
         self.leader = Some(contact);
-        self.send_hello(now, hint.socket, out);
+        self.send_keep_alive(now, hint.socket, out);
     }
 
     fn take_configuration(&mut self, envelope: Envelope, events: &mut Vec<SessionEvent>) {
@@ -380,7 +381,7 @@
     fn members(&self) -> Members {
         let leader = self.lease.and(self.leader.as_ref());
         Members {
-            members: self.directory.members_to_tell(),
+            members: self.directory.members_to_list(),
             leader: leader.map(|contact| contact.address().clone()),
             term: self.highest_term,
             cluster: self.cluster,
--- a/crates/session/src/directory.rs
+++ b/crates/session/src/directory.rs
@@ -10,7 +10,7 @@
 /// find coordinators again when all it knew are gone.
 pub const MAX_OTHERS: usize = 64;
 /// Members named at most in one answer to a discovery.
-pub const MAX_MEMBERS_TOLD: usize = 32;
+pub const MAX_MEMBERS_LISTED: usize = 32;
 
 /// Known members by peer socket, without the process itself.
 #[derive(Debug)]
@@ -75,7 +75,7 @@
         next
     }
 
-    /// True while no coordinator is known.
+    /// Returns whether no coordinator is known.
     pub fn has_no_coordinator(&self) -> bool {
         self.coordinators.is_empty()
     }
@@ -86,11 +86,11 @@
     }
 
     /// The process itself and the members it knows, coordinators first.
-    pub fn members_to_tell(&self) -> Vec<Address> {
+    pub fn members_to_list(&self) -> Vec<Address> {
         std::iter::once(&self.own)
             .chain(self.coordinators.values())
             .chain(self.others.values())
-            .take(MAX_MEMBERS_TOLD)
+            .take(MAX_MEMBERS_LISTED)
             .cloned()
             .collect()
     }
--- a/crates/session/src/hello.rs
+++ b/crates/session/src/keep_alive.rs
@@ -1,13 +1,13 @@
-//! Hellos sent and not forgotten yet: a lease counts from when its hello left.
+//! Keep-alives sent and not forgotten yet: a lease counts from when its keep-alive left.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use types::Monotonic;
 
-/// Hellos remembered at most; older ones could not open a lease any more.
+/// Keep-alives remembered at most; older ones could not open a lease any more.
 const MAX_REMEMBERED: usize = 64;
 
-/// How a hello was sent.
+/// How a keep-alive was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Path {
     /// To the coordinator itself.
@@ -16,9 +16,9 @@
     Relayed(SocketAddr),
 }
 
-/// A hello that was sent.
+/// A keep-alive that was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SentHello {
+pub struct SentKeepAlive {
     /// Its number.
     pub sequence: u64,
     /// When it left.
@@ -27,16 +27,16 @@
     pub path: Path,
 }
 
-/// The hellos of one process, numbered from a drawn start, so that an answer
+/// The keep-alives of one process, numbered from a drawn start, so that an answer
 /// meant for an earlier process at the same socket finds no match.
 #[derive(Debug)]
-pub struct HelloLog {
+pub struct KeepAliveLog {
     next_sequence: u64,
-    sent: VecDeque<SentHello>,
+    sent: VecDeque<SentKeepAlive>,
 }
 
-impl HelloLog {
-    /// An empty log whose first hello has this number.
+impl KeepAliveLog {
+    /// An empty log whose first keep-alive has this number.
     pub fn new(first_sequence: u64) -> Self {
         Self {
             next_sequence: first_sequence,
@@ -44,14 +44,14 @@
         }
     }
 
-    /// Notes a hello that leaves now, and gives its number.
-    pub fn note(&mut self, sent_at: Monotonic, path: Path) -> u64 {
+    /// Records a keep-alive that leaves now, and gives its number.
+    pub fn record(&mut self, sent_at: Monotonic, path: Path) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         if self.sent.len() == MAX_REMEMBERED {
             self.sent.pop_front();
         }
-        self.sent.push_back(SentHello {
+        self.sent.push_back(SentKeepAlive {
             sequence,
             sent_at,
             path,
@@ -64,11 +64,11 @@
         self.sent.clear();
     }
 
-    /// The hello of this number, while it is remembered.
-    pub fn find(&self, sequence: u64) -> Option<SentHello> {
+    /// The keep-alive of this number, while it is remembered.
+    pub fn find(&self, sequence: u64) -> Option<SentKeepAlive> {
         self.sent
             .iter()
-            .find(|hello| hello.sequence == sequence)
+            .find(|keep_alive| keep_alive.sequence == sequence)
             .copied()
     }
 }
--- a/crates/session/src/leader.rs
+++ b/crates/session/src/leader.rs
@@ -1,29 +1,29 @@
 //! The leader a session is kept with, and which ways to it answer.
 
-use crate::hello::Path;
+use crate::keep_alive::Path;
 use std::net::SocketAddr;
 use types::{Address, Milliseconds, Monotonic};
 
 /// Intervals without an answer after which a way counts as silent.
-const SILENT_INTERVALS: u64 = 2;
+const UNRESPONSIVE_INTERVALS: u64 = 2;
 /// Intervals for which an answered relay is used further.
 const RELAY_INTERVALS: u64 = 4;
 
-/// The coordinator that hellos go to.
+/// The coordinator that keep-alives go to.
 #[derive(Debug)]
 pub struct LeaderContact {
     address: Address,
     interval: Milliseconds,
-    heard_at: Monotonic,
-    direct_heard_at: Monotonic,
+    last_contact: Monotonic,
+    last_direct_contact: Monotonic,
     relay: Option<RelayContact>,
 }
 
-/// A follower that carried a hello to the leader and its answer back.
+/// A follower that carried a keep-alive to the leader and its answer back.
 #[derive(Debug, Clone, Copy)]
 struct RelayContact {
     follower: SocketAddr,
-    heard_at: Monotonic,
+    last_contact: Monotonic,
 }
 
 impl LeaderContact {
@@ -32,8 +32,8 @@
         Self {
             address,
             interval,
-            heard_at: now,
-            direct_heard_at: now,
+            last_contact: now,
+            last_direct_contact: now,
             relay: None,
         }
     }
@@ -43,38 +43,38 @@
         &self.address
     }
 
-    /// Notes an answer; `path` is the way that it proves to work both ways.
-    pub fn heard(&mut self, path: Option<Path>, now: Monotonic) {
-        self.heard_at = now;
+    /// Records an answer; `path` is the way that it proves to work both ways.
+    pub fn record_contact(&mut self, path: Option<Path>, now: Monotonic) {
+        self.last_contact = now;
         match path {
-            Some(Path::Direct) => self.direct_heard_at = now,
+            Some(Path::Direct) => self.last_direct_contact = now,
             Some(Path::Relayed(follower)) => {
                 self.relay = Some(RelayContact {
                     follower,
-                    heard_at: now,
+                    last_contact: now,
                 });
             }
             None => {}
         }
     }
 
-    /// True when no way to it answers.
-    pub fn is_silent(&self, now: Monotonic) -> bool {
-        now.since(self.heard_at) > self.intervals(SILENT_INTERVALS)
+    /// Returns whether no way to it answers.
+    pub fn is_unresponsive(&self, now: Monotonic) -> bool {
+        now.since(self.last_contact) > self.intervals(UNRESPONSIVE_INTERVALS)
     }
 
-    /// True when its direct answers have stopped.
-    pub fn is_direct_silent(&self, now: Monotonic) -> bool {
-        now.since(self.direct_heard_at) > self.intervals(SILENT_INTERVALS)
+    /// Returns whether its direct answers have stopped.
+    pub fn is_direct_unresponsive(&self, now: Monotonic) -> bool {
+        now.since(self.last_direct_contact) > self.intervals(UNRESPONSIVE_INTERVALS)
     }
 
     /// The follower to go through: only when direct answers have stopped and
-    /// hellos through it were answered lately.
+    /// keep-alives through it were answered lately.
     pub fn relay(&self, now: Monotonic) -> Option<SocketAddr> {
         let fresh =
-            |relay: &RelayContact| now.since(relay.heard_at) <= self.intervals(RELAY_INTERVALS);
+            |relay: &RelayContact| now.since(relay.last_contact) <= self.intervals(RELAY_INTERVALS);
         let relay = self.relay.filter(fresh)?;
-        self.is_direct_silent(now).then_some(relay.follower)
+        self.is_direct_unresponsive(now).then_some(relay.follower)
     }
 
     fn intervals(&self, count: u64) -> Milliseconds {
--- a/crates/session/src/replica.rs
+++ b/crates/session/src/replica.rs
@@ -10,13 +10,13 @@
     valid_for: Milliseconds,
     version: ConfigurationVersion,
     document: ClusterConfiguration,
-    last_word: Option<LeaderWord>,
+    last_version: Option<LeaderVersion>,
     confirmed_at: Option<Monotonic>,
 }
 
 /// What the leader said last about the version in force.
 #[derive(Debug, Clone, Copy)]
-struct LeaderWord {
+struct LeaderVersion {
     asked_at: Monotonic,
     version: ConfigurationVersion,
 }
@@ -28,7 +28,7 @@
             valid_for,
             version: ConfigurationVersion::default(),
             document: ClusterConfiguration::default(),
-            last_word: None,
+            last_version: None,
             confirmed_at: None,
         }
     }
@@ -51,10 +51,13 @@
 
     /// The leader, asked at `asked_at`, said that `version` is in force.
     pub fn leader_said(&mut self, asked_at: Monotonic, version: ConfigurationVersion) {
-        if self.last_word.is_some_and(|word| word.asked_at > asked_at) {
+        if self
+            .last_version
+            .is_some_and(|word| word.asked_at > asked_at)
+        {
             return;
         }
-        self.last_word = Some(LeaderWord { asked_at, version });
+        self.last_version = Some(LeaderVersion { asked_at, version });
         self.confirm();
     }
 
@@ -67,7 +70,7 @@
     /// A word about a newer version than the one held confirms nothing: the
     /// document held is known to be old.
     fn confirm(&mut self) {
-        if let Some(word) = self.last_word
+        if let Some(word) = self.last_version
             && word.version <= self.version
         {
             self.confirmed_at = self.confirmed_at.max(Some(word.asked_at));
--- a/crates/session/src/round.rs
+++ b/crates/session/src/round.rs
@@ -1,21 +1,21 @@
-//! Rounds of hellos and discovery: who is asked, and by which way.
+//! Rounds of keep-alives and discovery: who is asked, and by which way.
 
 use crate::SessionClient;
 use crate::client::Outbox;
-use crate::hello::Path;
+use crate::keep_alive::Path;
 use crate::route;
-use peer::{Hello, PeerMessage};
 use rand::Rng;
 use std::net::SocketAddr;
+use transport::{KeepAlive, PeerMessage};
 use types::{Milliseconds, Monotonic};
 
-/// Hints to another leader followed at once between two rounds of hellos. Two
+/// Hints to another leader followed at once between two rounds of keep-alives. Two
 /// coordinators that point at each other would otherwise keep it busy.
 pub(crate) const HINTS_EACH_ROUND: u32 = 3;
 /// While a relay is in use the direct way is tried once in this many rounds.
 const DIRECT_PROBE_ROUNDS: u64 = 4;
 /// A round comes up to this part of the interval later, drawn each time, so
-/// that a fleet's hellos spread.
+/// that a fleet's keep-alives spread.
 const JITTER_PART: u64 = 8;
 /// Without a lease the next round comes after this part of the interval:
 /// nothing is served until a leader is found.
@@ -37,7 +37,7 @@
         self.send_round(now, out);
     }
 
-    /// One round of hellos: to the leader; through a follower as well when its
+    /// One round of keep-alives: to the leader; through a follower as well when its
     /// direct answers have stopped; to another coordinator and to the seeds
     /// when it is silent altogether.
     fn send_round(&mut self, now: Monotonic, out: &mut Outbox) {
@@ -48,55 +48,55 @@
         };
         let socket = leader.address().socket;
         let relay = leader.relay(now);
-        let direct_silent = leader.is_direct_silent(now);
-        let silent = leader.is_silent(now);
+        let direct_unresponsive = leader.is_direct_unresponsive(now);
+        let unresponsive = leader.is_unresponsive(now);
         if relay.is_none() || self.round.is_multiple_of(DIRECT_PROBE_ROUNDS) {
-            self.send_hello(now, socket, out);
+            self.send_keep_alive(now, socket, out);
         }
-        if direct_silent {
+        if direct_unresponsive {
             let follower = relay.or_else(|| self.directory.next_coordinator(Some(socket)));
             if let Some(follower) = follower {
-                self.send_hello_through(now, follower, socket, out);
-                if silent {
-                    self.send_hello(now, follower, out);
+                self.send_keep_alive_through(now, follower, socket, out);
+                if unresponsive {
+                    self.send_keep_alive(now, follower, out);
                 }
             }
         }
-        if silent {
+        if unresponsive {
             self.discover(out);
         }
     }
 
     pub(crate) fn try_next(&mut self, now: Monotonic, out: &mut Outbox) {
         if let Some(socket) = self.directory.next_coordinator(None) {
-            self.send_hello(now, socket, out);
+            self.send_keep_alive(now, socket, out);
         }
     }
 
-    pub(crate) fn send_hello(&mut self, now: Monotonic, to: SocketAddr, out: &mut Outbox) {
-        let sequence = self.hellos.note(now, Path::Direct);
-        out.push((to, self.hello(sequence, false)));
+    pub(crate) fn send_keep_alive(&mut self, now: Monotonic, to: SocketAddr, out: &mut Outbox) {
+        let sequence = self.keep_alives.record(now, Path::Direct);
+        out.push((to, self.keep_alive(sequence, false)));
     }
 
-    fn send_hello_through(
+    fn send_keep_alive_through(
         &mut self,
         now: Monotonic,
         follower: SocketAddr,
         leader: SocketAddr,
         out: &mut Outbox,
     ) {
-        let sequence = self.hellos.note(now, Path::Relayed(follower));
-        let hello = self.hello(sequence, false);
+        let sequence = self.keep_alives.record(now, Path::Relayed(follower));
+        let keep_alive = self.keep_alive(sequence, false);
         out.push(route::through(
             &self.options.address,
             follower,
             leader,
-            hello,
+            keep_alive,
         ));
     }
 
-    pub(crate) fn hello(&self, sequence: u64, leaving: bool) -> PeerMessage {
-        PeerMessage::Hello(Hello {
+    pub(crate) fn keep_alive(&self, sequence: u64, leaving: bool) -> PeerMessage {
+        PeerMessage::KeepAlive(KeepAlive {
             sequence,
             configuration: self.replica.version(),
             runners: self.runners.clone(),
--- a/crates/session/src/route.rs
+++ b/crates/session/src/route.rs
@@ -1,7 +1,7 @@
 //! Addressing of answers and relays.
 
-use peer::{Envelope, PeerMessage, Relay};
 use std::net::SocketAddr;
+use transport::{Envelope, PeerMessage, Relay};
 use types::Address;
 
 /// Addresses an answer to the sender of `envelope`, by the member that relayed
@@ -64,8 +64,8 @@
             body: *relay.body,
         });
     }
-    let leads_back = relay.destination == relay.origin.socket;
-    if from.node == relay.origin.node && !leads_back {
+    let returns_to_origin = relay.destination == relay.origin.socket;
+    if from.node == relay.origin.node && !returns_to_origin {
         return Opened::Forward(relay.destination, PeerMessage::Relay(relay));
     }
     Opened::Dropped
--- a/crates/session/tests/session/bench.rs
+++ b/crates/session/tests/session/bench.rs
@@ -1,9 +1,9 @@
 //! A session client with a hand-moved clock, and answers of coordinators.
 
 use configuration::ClusterConfiguration;
-use peer::{Envelope, Hello, PeerMessage, Relay, SessionLease};
 use session::{SessionClient, SessionEvent, SessionOptions};
 use std::net::SocketAddr;
+use transport::{Envelope, KeepAlive, PeerMessage, Relay, SessionLease};
 use types::{
     Address, ClusterId, ConfigurationVersion, Milliseconds, Monotonic, Now, Role, Term, WallTime,
     ZoneName,
@@ -93,26 +93,28 @@
         self.receive(by, PeerMessage::Relay(relay));
     }
 
-    /// The newest direct hello to a socket.
-    pub fn hello_to(&self, number: u64) -> Option<Hello> {
+    /// The newest direct keep-alive to a socket.
+    pub fn hello_to(&self, number: u64) -> Option<KeepAlive> {
         self.sent
             .iter()
             .rev()
             .find_map(|(to, message)| match message {
-                PeerMessage::Hello(hello) if *to == socket(number) => Some(hello.clone()),
+                PeerMessage::KeepAlive(keep_alive) if *to == socket(number) => {
+                    Some(keep_alive.clone())
+                }
                 _ => None,
             })
     }
 
-    /// The newest hello through one member to another.
-    pub fn hello_through(&self, relay: u64, leader: u64) -> Option<Hello> {
+    /// The newest keep-alive through one member to another.
+    pub fn hello_through(&self, relay: u64, leader: u64) -> Option<KeepAlive> {
         self.sent.iter().rev().find_map(|(to, message)| {
             let PeerMessage::Relay(relayed) = message else {
                 return None;
             };
             let fits = *to == socket(relay) && relayed.destination == socket(leader);
             match &*relayed.body {
-                PeerMessage::Hello(hello) if fits => Some(hello.clone()),
+                PeerMessage::KeepAlive(keep_alive) if fits => Some(keep_alive.clone()),
                 _ => None,
             }
         })
@@ -122,15 +124,15 @@
     pub fn opened() -> Self {
         let mut bench = Self::new(&[1]);
         bench.tick_at(0);
-        let members = peer::Members {
+        let members = transport::Members {
             members: vec![coordinator(1), coordinator(2), coordinator(3)],
             leader: Some(coordinator(1)),
             term: Term(1),
             cluster: Some(ClusterId(9)),
         };
         bench.receive(&coordinator(1), PeerMessage::Members(members));
-        let hello = bench.hello_to(1).expect("a hello to the leader");
-        bench.receive(&coordinator(1), lease(1, 1, hello.sequence));
+        let keep_alive = bench.hello_to(1).expect("a hello to the leader");
+        bench.receive(&coordinator(1), lease(1, 1, keep_alive.sequence));
         bench
     }
 }
--- a/crates/session/tests/session/membership.rs
+++ b/crates/session/tests/session/membership.rs
@@ -3,8 +3,8 @@
 use crate::bench::{
     Bench, INTERVAL, LEASE, OWN, configuration, coordinator, lease, lease_with, socket,
 };
-use peer::PeerMessage;
 use session::SessionEvent;
+use transport::PeerMessage;
 use types::{ConfigurationVersion, Term};
 
 #[test]
@@ -28,7 +28,7 @@
         bench.tick_at(round * 2 * INTERVAL);
     }
     let gateway = crate::bench::address(8, types::Role::Gateway);
-    let members = peer::Members {
+    let members = transport::Members {
         members: vec![gateway.clone(), coordinator(2)],
         leader: None,
         term: Term(0),
@@ -40,8 +40,8 @@
         leader: Some(coordinator(3)),
     };
     bench.receive(&coordinator(2), hint);
-    let hello = bench.hello_to(3).expect("follows the hint at once");
-    bench.receive(&coordinator(3), lease(4, 3, hello.sequence));
+    let keep_alive = bench.hello_to(3).expect("follows the hint at once");
+    bench.receive(&coordinator(3), lease(4, 3, keep_alive.sequence));
     assert_eq!(bench.events, vec![SessionEvent::Opened { term: Term(4) }]);
     assert_eq!(bench.client.term(bench.now()), Some(Term(4)));
 }
@@ -65,9 +65,9 @@
         leader: Some(coordinator(1)),
     };
     bench.receive(&coordinator(2), hint);
-    let hello = bench.hello_to(1).expect("a hello");
+    let keep_alive = bench.hello_to(1).expect("a hello");
     bench.at = LEASE;
-    bench.receive(&coordinator(1), lease(1, 1, hello.sequence));
+    bench.receive(&coordinator(1), lease(1, 1, keep_alive.sequence));
     assert!(bench.events.is_empty());
     assert_eq!(bench.client.term(bench.now()), None);
 }
@@ -83,10 +83,10 @@
 fn terms_only_rise() {
     let mut bench = Bench::opened();
     bench.tick_at(2 * INTERVAL);
-    let hello = bench.hello_to(1).expect("a hello");
-    bench.receive(&coordinator(2), lease(3, 2, hello.sequence));
+    let keep_alive = bench.hello_to(1).expect("a hello");
+    bench.receive(&coordinator(2), lease(3, 2, keep_alive.sequence));
     assert_eq!(bench.client.term(bench.now()), Some(Term(3)));
-    bench.receive(&coordinator(1), lease(2, 1, hello.sequence));
+    bench.receive(&coordinator(1), lease(2, 1, keep_alive.sequence));
     assert_eq!(bench.client.term(bench.now()), Some(Term(3)));
     let (to, _) = bench
         .client
@@ -99,8 +99,8 @@
 fn another_clusters_lease_is_ignored() {
     let mut bench = Bench::opened();
     bench.tick_at(2 * INTERVAL);
-    let hello = bench.hello_to(1).expect("a hello");
-    let PeerMessage::Lease(mut other) = lease(8, 1, hello.sequence) else {
+    let keep_alive = bench.hello_to(1).expect("a hello");
+    let PeerMessage::Lease(mut other) = lease(8, 1, keep_alive.sequence) else {
         panic!("a lease");
     };
     other.cluster = types::ClusterId(10);
@@ -125,8 +125,8 @@
         leader: Some(coordinator(3)),
     };
     bench.receive(&coordinator(asked), hint);
-    let hello = bench.hello_to(3).expect("a hello to the new leader");
-    bench.receive(&coordinator(3), lease(2, 3, hello.sequence));
+    let keep_alive = bench.hello_to(3).expect("a hello to the new leader");
+    bench.receive(&coordinator(3), lease(2, 3, keep_alive.sequence));
     assert_eq!(
         bench.events.last(),
         Some(&SessionEvent::Opened { term: Term(2) })
@@ -160,13 +160,13 @@
 fn after_a_freeze_it_loses_the_lease_before_it_takes_anything() {
     let mut bench = Bench::opened();
     bench.tick_at(INTERVAL * 2);
-    let hello = bench.hello_to(1).expect("a hello");
+    let keep_alive = bench.hello_to(1).expect("a hello");
     bench.events.clear();
     bench.at = 30_000;
-    bench.receive(&coordinator(1), lease(1, 1, hello.sequence));
+    bench.receive(&coordinator(1), lease(1, 1, keep_alive.sequence));
     assert_eq!(bench.events, vec![SessionEvent::Lost]);
-    let hello = bench.hello_to(1).expect("rejoins at once");
-    bench.receive(&coordinator(1), lease(1, 1, hello.sequence));
+    let keep_alive = bench.hello_to(1).expect("rejoins at once");
+    bench.receive(&coordinator(1), lease(1, 1, keep_alive.sequence));
     assert_eq!(
         bench.events,
         vec![SessionEvent::Lost, SessionEvent::Opened { term: Term(1) }]
@@ -199,8 +199,8 @@
     let version = |bench: &Bench| bench.client.configuration(bench.now()).map(|(v, _)| v.0);
     assert_eq!(version(&bench), Some(0));
     bench.tick_at(1_000);
-    let hello = bench.hello_to(1).expect("a hello");
-    bench.receive(&coordinator(1), lease_with(1, 1, hello.sequence, 3));
+    let keep_alive = bench.hello_to(1).expect("a hello");
+    bench.receive(&coordinator(1), lease_with(1, 1, keep_alive.sequence, 3));
     bench.at = 2_000;
     assert_eq!(version(&bench), None, "known to be behind since 1000");
     bench.receive(&coordinator(1), configuration(3));
--- a/crates/session/tests/session/property.rs
+++ b/crates/session/tests/session/property.rs
@@ -1,9 +1,9 @@
 //! What holds of a session whatever arrives, in any order, after any pause.
 
 use crate::bench::{Bench, LEASE, configuration, coordinator, lease_with};
-use peer::{Hello, PeerMessage};
 use proptest::prelude::*;
 use session::SessionEvent;
+use transport::{KeepAlive, PeerMessage};
 use types::Term;
 
 #[derive(Debug, Clone)]
@@ -37,18 +37,18 @@
     ]
 }
 
-fn hello_in(message: &PeerMessage) -> Option<&Hello> {
+fn hello_in(message: &PeerMessage) -> Option<&KeepAlive> {
     match message {
-        PeerMessage::Hello(hello) => Some(hello),
+        PeerMessage::KeepAlive(keep_alive) => Some(keep_alive),
         PeerMessage::Relay(relay) => hello_in(&relay.body),
         _ => None,
     }
 }
 
-/// Hellos seen, with the time each was sent, and the latest end of a lease.
+/// Keep-alives seen, with the time each was sent, and the latest end of a lease.
 #[derive(Default)]
 struct Observer {
-    hellos: Vec<(u64, u64)>,
+    keep_alives: Vec<(u64, u64)>,
     latest_end: u64,
     is_open: bool,
     events_seen: usize,
@@ -59,13 +59,13 @@
 impl Observer {
     fn look(&mut self, bench: &Bench) {
         for (_, message) in &bench.sent {
-            if let Some(hello) = hello_in(message)
+            if let Some(keep_alive) = hello_in(message)
                 && !self
-                    .hellos
+                    .keep_alives
                     .iter()
-                    .any(|(known, _)| *known == hello.sequence)
+                    .any(|(known, _)| *known == keep_alive.sequence)
             {
-                self.hellos.push((hello.sequence, bench.at));
+                self.keep_alives.push((keep_alive.sequence, bench.at));
             }
         }
         for event in &bench.events[self.events_seen..] {
@@ -92,7 +92,7 @@
     }
 
     fn newest_hello(&self, back: usize) -> Option<(u64, u64)> {
-        self.hellos.iter().rev().nth(back).copied()
+        self.keep_alives.iter().rev().nth(back).copied()
     }
 }
 
--- a/crates/session/tests/session/relay.rs
+++ b/crates/session/tests/session/relay.rs
@@ -1,8 +1,8 @@
 //! Ways round a cut: relays through followers, and what is not relayed.
 
 use crate::bench::{Bench, INTERVAL, OWN, coordinator, lease, socket};
-use peer::{PeerMessage, Relay};
 use session::SessionEvent;
+use transport::{PeerMessage, Relay};
 use types::{Address, Term};
 
 fn relay(origin: &Address, destination: u64, body: PeerMessage) -> PeerMessage {
@@ -25,8 +25,8 @@
             .into_iter()
             .find(|follower| bench.hello_through(*follower, 1).is_some());
         if let Some(follower) = follower {
-            let hello = bench.hello_through(follower, 1).expect("found above");
-            let answer = lease(1, 1, hello.sequence);
+            let keep_alive = bench.hello_through(follower, 1).expect("found above");
+            let answer = lease(1, 1, keep_alive.sequence);
             bench.receive_relayed(&coordinator(follower), &coordinator(1), answer);
             return bench;
         }
@@ -50,8 +50,8 @@
         at += INTERVAL / 4;
         bench.tick_at(at);
         for follower in [2, 3] {
-            if let Some(hello) = bench.hello_through(follower, 1) {
-                let answer = lease(1, 1, hello.sequence);
+            if let Some(keep_alive) = bench.hello_through(follower, 1) {
+                let answer = lease(1, 1, keep_alive.sequence);
                 bench.receive_relayed(&coordinator(follower), &coordinator(1), answer);
             }
         }
@@ -63,15 +63,15 @@
 fn the_direct_way_is_taken_again_once_it_answers() {
     let mut bench = cut_from_leader();
     let mut at = bench.at;
-    let hello = loop {
+    let keep_alive = loop {
         at += INTERVAL / 4;
         assert!(at < 40 * INTERVAL, "the direct way is tried now and then");
         bench.tick_at(at);
-        if let Some(hello) = bench.hello_to(1) {
-            break hello;
+        if let Some(keep_alive) = bench.hello_to(1) {
+            break keep_alive;
         }
     };
-    bench.receive(&coordinator(1), lease(1, 1, hello.sequence));
+    bench.receive(&coordinator(1), lease(1, 1, keep_alive.sequence));
     let (to, message) = bench
         .client
         .to_leader(bench.now(), PeerMessage::Discover)
--- a/crates/settings/src/agent.rs
+++ b/crates/settings/src/agent.rs
@@ -42,7 +42,7 @@
 /// Table `timings` of an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AgentTimings {
-    /// Time between hellos to the leader. Default 400.
+    /// Time between keep-alives to the leader. Default 400.
     pub session_interval_ms: u64,
     /// The configuration replica counts for this long after the leader's last
     /// word. Default 1800.
--- a/crates/settings/src/coordinator.rs
+++ b/crates/settings/src/coordinator.rs
@@ -22,8 +22,8 @@
     pub timings: CoordinatorTimings,
     /// Table `limits`.
     pub limits: CoordinatorLimits,
-    /// Table `dispatcher`.
-    pub dispatcher: DispatcherSettings,
+    /// Table `scheduler`.
+    pub scheduler: SchedulerSettings,
     /// Table `policy`.
     pub policy: PolicySettings,
 }
@@ -36,7 +36,7 @@
         let initial_coordinators = read_initial_coordinators(reader);
         let timings = CoordinatorTimings::read(reader);
         let limits = CoordinatorLimits::read(reader);
-        let dispatcher = DispatcherSettings::read(reader);
+        let scheduler = SchedulerSettings::read(reader);
         let policy = PolicySettings::read(reader);
         Some(Self {
             node: node?,
@@ -45,7 +45,7 @@
             initial_coordinators,
             timings,
             limits,
-            dispatcher,
+            scheduler,
             policy,
         })
     }
@@ -64,7 +64,7 @@
     let key = "initial_coordinators";
     let count = reader.ranged(key, 3_u32, 3..=9);
     if count.is_multiple_of(2) {
-        reader.problem(
+        reader.message(
             key,
             format!("{count} is even; a majority needs an odd number"),
         );
@@ -112,13 +112,13 @@
 
     fn check(&self, reader: &mut Reader) {
         if self.leader_lease_ms >= self.election_timeout_ms {
-            reader.problem(
+            reader.message(
                 "timings.leader_lease_ms",
                 "must be less than timings.election_timeout_ms, or two leaders could act at once",
             );
         }
         if self.heartbeat_interval_ms.saturating_mul(2) > self.leader_lease_ms {
-            reader.problem(
+            reader.message(
                 "timings.heartbeat_interval_ms",
                 "must be at most half of timings.leader_lease_ms, or one lost heartbeat ends it",
             );
@@ -134,7 +134,7 @@
     /// Requests that may wait for the log at once. Default 4096.
     pub max_waiting_requests: usize,
     /// Lines of the decision log kept in memory. Default 50000.
-    pub decisions_kept: usize,
+    pub decision_log_capacity: usize,
 }
 
 impl CoordinatorLimits {
@@ -150,7 +150,7 @@
                 4_096,
                 1..=1_000_000,
             ),
-            decisions_kept: reader.ranged("limits.decisions_kept", 50_000, 0..=10_000_000),
+            decision_log_capacity: reader.ranged("limits.decisions_kept", 50_000, 0..=10_000_000),
         }
     }
 }
@@ -164,10 +164,10 @@
     pub shares: bool,
     /// Work of more urgent queues goes first and keeps its part free.
     pub priorities: bool,
-    /// Less urgent work leaves a part of its tenant's ceiling to more urgent work.
-    pub ceiling_reserve: bool,
+    /// Less urgent work leaves a part of its tenant's resource limit to more urgent work.
+    pub urgent_headroom: bool,
     /// A runner is kept free for a task or a gang that starves.
-    pub holds: bool,
+    pub backfill_reservations: bool,
     /// Further copies of running tasks, where a step allows them.
     pub copies: bool,
     /// Runners on which much failed lately come last.
@@ -175,13 +175,13 @@
     /// Runners on which many jobs failed in a row get nothing for a while.
     pub probation: bool,
     /// A task waits for the rack where it runs best.
-    pub rack_patience: bool,
+    pub rack_locality: bool,
     /// A task waits for another runner than those it failed on.
     pub avoid_failed: bool,
-    /// Runs on a slow runner are moved (needs `dispatcher.stalled_after_ms`).
+    /// Runs on a slow runner are moved (needs `scheduler.stalled_after_ms`).
     pub move_slow: bool,
-    /// A leader that is badly placed gives way to a voter that is not.
-    pub gives_way: bool,
+    /// A leader that is degraded transfers leadership to a voter that is not.
+    pub transfer_when_degraded: bool,
 }
 
 /// How a tenant is chosen.
@@ -201,60 +201,60 @@
         Self {
             shares: on("shares"),
             priorities: on("priorities"),
-            ceiling_reserve: on("ceiling_reserve"),
-            holds: on("holds"),
+            urgent_headroom: on("ceiling_reserve"),
+            backfill_reservations: on("holds"),
             copies: on("copies"),
             suspects_last: on("suspects_last"),
             probation: on("probation"),
-            rack_patience: on("rack_patience"),
+            rack_locality: on("rack_patience"),
             avoid_failed: on("avoid_failed"),
             move_slow: on("move_slow"),
-            gives_way: on("gives_way"),
+            transfer_when_degraded: on("gives_way"),
             draw: reader.defaulted("policy.draw", DrawSetting::Uniform),
         }
     }
 }
 
-/// Table `dispatcher`.
+/// Table `scheduler`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct DispatcherSettings {
+pub struct SchedulerSettings {
     /// Tasks of one tenant looked at past one that does not fit. Default 16.
-    pub look_ahead_tasks: usize,
+    pub scan_depth: usize,
     /// A task that has waited this long without fitting gets a runner kept
     /// free. Default 5000.
-    pub hold_after_ms: u64,
+    pub reserve_after_ms: u64,
     /// Failed runs of different jobs in a row that put a runner on probation.
     /// Default 8.
     pub probation_failures: u32,
     /// Length of probation. Default 10000.
     pub probation_ms: u64,
     /// A runner silent for this long gets nothing new. Default 1500.
-    pub silent_after_ms: u64,
+    pub unresponsive_after_ms: u64,
     /// A task waits this long for its rack, or for another runner than the one
     /// it failed on. Default 300.
-    pub patience_ms: u64,
+    pub locality_wait_ms: u64,
     /// Part of each runner, in percent, that work leaves free for more urgent
     /// queues of its pool. Default 0.
     pub urgent_reserve_percent: u32,
-    /// Most of a tenant's ceiling, in percent, that its less urgent work leaves to
+    /// Most of a tenant's resource limit, in percent, that its less urgent work leaves to
     /// its more urgent queues. Default 25.
-    pub urgent_ceiling_percent: u32,
+    pub urgent_headroom_percent: u32,
     /// A run whose progress stands still for this long is stopped and placed
     /// again. Without the key, and by default, it is left alone.
     pub stalled_after_ms: Option<u64>,
 }
 
-impl DispatcherSettings {
+impl SchedulerSettings {
     fn read(reader: &mut Reader) -> Self {
         Self {
-            look_ahead_tasks: reader.ranged("dispatcher.look_ahead_tasks", 16, 0..=100_000),
-            hold_after_ms: reader.ranged("dispatcher.hold_after_ms", 5_000, 0..=3_600_000),
+            scan_depth: reader.ranged("dispatcher.look_ahead_tasks", 16, 0..=100_000),
+            reserve_after_ms: reader.ranged("dispatcher.hold_after_ms", 5_000, 0..=3_600_000),
             probation_failures: reader.ranged("dispatcher.probation_failures", 8, 1..=100_000),
             probation_ms: reader.ranged("dispatcher.probation_ms", 10_000, 0..=86_400_000),
-            silent_after_ms: reader.ranged("dispatcher.silent_after_ms", 1_500, 100..=60_000),
+            unresponsive_after_ms: reader.ranged("dispatcher.silent_after_ms", 1_500, 100..=60_000),
             urgent_reserve_percent: reader.ranged("dispatcher.urgent_reserve_percent", 0, 0..=90),
-            urgent_ceiling_percent: reader.ranged("dispatcher.urgent_ceiling_percent", 25, 0..=50),
-            patience_ms: reader.ranged("dispatcher.patience_ms", 300, 0..=60_000),
+            urgent_headroom_percent: reader.ranged("dispatcher.urgent_ceiling_percent", 25, 0..=50),
+            locality_wait_ms: reader.ranged("dispatcher.patience_ms", 300, 0..=60_000),
             stalled_after_ms: match reader.ranged("dispatcher.stalled_after_ms", 0, 0..=3_600_000) {
                 0 => None,
                 length => Some(length),
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -5,28 +5,28 @@
 
 /// One thing wrong with the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("{place}: {problem}")]
-pub struct SettingsProblem {
+#[error("{location}: {message}")]
+pub struct InvalidSetting {
     /// Where it stands: the file or flag, and the key, if it has one.
-    pub place: String,
+    pub location: String,
     /// What is wrong, in one sentence.
-    pub problem: String,
+    pub message: String,
 }
 
 /// Everything wrong with the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError {
     /// The problems in the order the keys were read; never empty.
-    pub problems: Vec<SettingsProblem>,
+    pub problems: Vec<InvalidSetting>,
 }
 
 impl SettingsError {
     /// An error with a single problem.
-    pub fn single(place: impl Into<String>, problem: impl Into<String>) -> Self {
+    pub fn single(location: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
-            problems: vec![SettingsProblem {
-                place: place.into(),
-                problem: problem.into(),
+            problems: vec![InvalidSetting {
+                location: location.into(),
+                message: message.into(),
             }],
         }
     }
@@ -39,8 +39,8 @@
             "{} problem(s) in the settings",
             self.problems.len()
         )?;
-        for problem in &self.problems {
-            write!(formatter, "\n  {problem}")?;
+        for message in &self.problems {
+            write!(formatter, "\n  {message}")?;
         }
         Ok(())
     }
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -46,7 +46,7 @@
 /// Table `timings` of a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GatewayTimings {
-    /// Time between hellos to the leader. Default 400.
+    /// Time between keep-alives to the leader. Default 400.
     pub session_interval_ms: u64,
     /// The configuration replica counts for this long after the leader's last
     /// word. Default 1800.
@@ -71,7 +71,7 @@
     let interval = reader.ranged("timings.session_interval_ms", 400_u64, 20..=10_000);
     let valid = reader.ranged("timings.replica_valid_ms", 1_800, 100..=60_000);
     if interval.saturating_mul(2) > valid {
-        reader.problem(
+        reader.message(
             "timings.session_interval_ms",
             "must be at most half of timings.replica_valid_ms, or one lost hello ends service",
         );
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A daemon learns its place from a TOML file, from flags, or from both; flags
 //! win. Reading gives either settings whose every value is checked, or all
-//! problems at once, each with its place. Unknown keys are refused. Settings
+//! problems at once, each with its place. Unknown keys are rejected. Settings
 //! know nothing of the roles' crates: the binary converts them.
 
 pub mod agent;
@@ -17,10 +17,10 @@
 
 pub use agent::{AgentSettings, AgentTimings};
 pub use coordinator::{
-    CoordinatorLimits, CoordinatorSettings, CoordinatorTimings, DispatcherSettings, DrawSetting,
-    PolicySettings,
+    CoordinatorLimits, CoordinatorSettings, CoordinatorTimings, DrawSetting, PolicySettings,
+    SchedulerSettings,
 };
-pub use error::{SettingsError, SettingsProblem};
+pub use error::{InvalidSetting, SettingsError};
 pub use gateway::{GatewayLimits, GatewaySettings, GatewayTimings};
 pub use log::{LogFormat, LogLevel, LogSettings};
 pub use node::{NodeSettings, TransportSettings};
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -56,13 +56,13 @@
     let given: Option<SocketAddr> = reader.optional("advertise");
     let advertise = given.or(listen)?;
     if advertise.ip().is_unspecified() {
-        reader.problem(
+        reader.message(
             "advertise",
             format!("others cannot reach {advertise}; give the address they dial"),
         );
     }
     if advertise.port() == 0 {
-        reader.problem("advertise", "port 0 cannot be dialled");
+        reader.message("advertise", "port 0 cannot be dialled");
     }
     Some(advertise)
 }
@@ -71,11 +71,11 @@
     let seeds: Vec<SocketAddr> = reader.required("seeds")?;
     if seeds.len() != SEEDS {
         let found = seeds.len();
-        reader.problem("seeds", format!("needs {SEEDS} sockets, has {found}"));
+        reader.message("seeds", format!("needs {SEEDS} sockets, has {found}"));
     }
     let distinct: std::collections::BTreeSet<_> = seeds.iter().collect();
     if distinct.len() != seeds.len() {
-        reader.problem("seeds", "names a socket twice");
+        reader.message("seeds", "names a socket twice");
     }
     Some(seeds)
 }
@@ -88,7 +88,7 @@
 ) -> Option<SocketAddr> {
     let listener: SocketAddr = reader.required(key)?;
     if node.is_some_and(|node| node.listen == listener) {
-        reader.problem(key, "is the same socket as listen");
+        reader.message(key, "is the same socket as listen");
     }
     Some(listener)
 }
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,6 +1,6 @@
 //! Reads settings key by key, so that one problem does not hide the next.
 
-use crate::SettingsProblem;
+use crate::InvalidSetting;
 use figment::Figment;
 use figment::value::{Dict, Value};
 use serde::de::DeserializeOwned;
@@ -13,7 +13,7 @@
     figment: Figment,
     source: String,
     known: BTreeSet<String>,
-    problems: Vec<SettingsProblem>,
+    problems: Vec<InvalidSetting>,
 }
 
 impl Reader {
@@ -31,7 +31,7 @@
     pub fn required<T: DeserializeOwned>(&mut self, key: &str) -> Option<T> {
         self.known.insert(key.to_owned());
         if self.is_absent(key) {
-            self.problem(key, "is missing");
+            self.message(key, "is missing");
             return None;
         }
         self.extract(key)
@@ -59,28 +59,28 @@
         let value = self.defaulted(key, default);
         if !range.contains(&value) {
             let (least, most) = range.into_inner();
-            self.problem(key, format!("{value} is not between {least} and {most}"));
+            self.message(key, format!("{value} is not between {least} and {most}"));
         }
         value
     }
 
     /// Adds a problem with a key's value, placed where the value came from.
-    pub fn problem(&mut self, key: &str, problem: impl Into<String>) {
-        let place = format!("{}: {key}", self.origin(key));
-        self.problems.push(SettingsProblem {
-            place,
-            problem: problem.into(),
+    pub fn message(&mut self, key: &str, message: impl Into<String>) {
+        let location = format!("{}: {key}", self.origin(key));
+        self.problems.push(InvalidSetting {
+            location,
+            message: message.into(),
         });
     }
 
     /// All problems, with one for each key that nobody asked for.
-    pub fn finish(mut self) -> Vec<SettingsProblem> {
+    pub fn finish(mut self) -> Vec<InvalidSetting> {
         let values: Dict = self.figment.extract().unwrap_or_default();
         let mut present = Vec::new();
         collect_keys("", &values, &self.known, &mut present);
         for key in present {
             if !self.known.contains(&key) {
-                self.problem(&key, "is not a known key");
+                self.message(&key, "is not a known key");
             }
         }
         self.problems
@@ -94,7 +94,7 @@
         match self.figment.extract_inner(key) {
             Ok(value) => Some(value),
             Err(error) => {
-                self.problem(key, error.kind.to_string());
+                self.message(key, error.kind.to_string());
                 None
             }
         }
@@ -126,7 +126,7 @@
     }
 }
 
-/// True when known keys stand under this one.
+/// Returns whether known keys stand under this one.
 fn is_table(key: &str, known: &BTreeSet<String>) -> bool {
     let prefix = format!("{key}.");
     known.iter().any(|name| name.starts_with(&prefix))
--- a/crates/settings/src/secret.rs
+++ b/crates/settings/src/secret.rs
@@ -25,7 +25,7 @@
             Ok(bytes) => bytes,
             Err(error) => {
                 let shown = path.display();
-                reader.problem(key, format!("{shown} cannot be read: {error}"));
+                reader.message(key, format!("{shown} cannot be read: {error}"));
                 return None;
             }
         };
@@ -35,7 +35,7 @@
         if bytes.len() < MIN_SECRET_BYTES {
             let found = bytes.len();
             let shown = path.display();
-            reader.problem(
+            reader.message(
                 key,
                 format!("{shown} holds {found} bytes, at least {MIN_SECRET_BYTES} are needed"),
             );
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -124,9 +124,9 @@
 }
 
 fn read_file(path: &Path) -> Result<File, SettingsError> {
-    let place = path.display().to_string();
+    let location = path.display().to_string();
     let text = std::fs::read_to_string(path)
-        .map_err(|error| SettingsError::single(&place, format!("cannot be read: {error}")))?;
+        .map_err(|error| SettingsError::single(&location, format!("cannot be read: {error}")))?;
     let file = File {
         path: path.to_owned(),
         text,
@@ -134,7 +134,7 @@
     match file.data() {
         Ok(_) => Ok(file),
         Err(error) => Err(SettingsError::single(
-            place,
+            location,
             format!("is not TOML: {}", error.kind),
         )),
     }
--- a/crates/settings/tests/golden_keys/keyed.rs
+++ b/crates/settings/tests/golden_keys/keyed.rs
@@ -3,8 +3,8 @@
 use serde::Serialize;
 use settings::{
     AgentSettings, AgentTimings, CoordinatorLimits, CoordinatorSettings, CoordinatorTimings,
-    DispatcherSettings, DrawSetting, GatewayLimits, GatewaySettings, GatewayTimings, LogSettings,
-    NodeSettings, PolicySettings, RoleSettings, TransportSettings,
+    DrawSetting, GatewayLimits, GatewaySettings, GatewayTimings, LogSettings, NodeSettings,
+    PolicySettings, RoleSettings, SchedulerSettings, TransportSettings,
 };
 use std::collections::BTreeMap;
 use toml::Value;
@@ -90,7 +90,7 @@
     let CoordinatorLimits {
         snapshot_every_entries,
         max_waiting_requests,
-        decisions_kept,
+        decision_log_capacity,
     } = limits;
     insert(
         values,
@@ -98,30 +98,30 @@
         snapshot_every_entries,
     );
     insert(values, "limits.max_waiting_requests", max_waiting_requests);
-    insert(values, "limits.decisions_kept", decisions_kept);
+    insert(values, "limits.decisions_kept", decision_log_capacity);
 }
 
-fn insert_dispatcher(values: &mut Values, dispatcher: DispatcherSettings) {
-    let DispatcherSettings {
-        look_ahead_tasks,
-        hold_after_ms,
+fn insert_dispatcher(values: &mut Values, scheduler: SchedulerSettings) {
+    let SchedulerSettings {
+        scan_depth,
+        reserve_after_ms,
         probation_failures,
         probation_ms,
-        silent_after_ms,
-        patience_ms,
+        unresponsive_after_ms,
+        locality_wait_ms,
         urgent_reserve_percent,
-        urgent_ceiling_percent,
+        urgent_headroom_percent,
         stalled_after_ms,
-    } = dispatcher;
+    } = scheduler;
     let mut insert = |key: &str, value: u64| insert(values, &format!("dispatcher.{key}"), value);
-    insert("look_ahead_tasks", look_ahead_tasks as u64);
-    insert("hold_after_ms", hold_after_ms);
+    insert("look_ahead_tasks", scan_depth as u64);
+    insert("hold_after_ms", reserve_after_ms);
     insert("probation_failures", probation_failures.into());
     insert("probation_ms", probation_ms);
-    insert("silent_after_ms", silent_after_ms);
-    insert("patience_ms", patience_ms);
+    insert("silent_after_ms", unresponsive_after_ms);
+    insert("patience_ms", locality_wait_ms);
     insert("urgent_reserve_percent", urgent_reserve_percent.into());
-    insert("urgent_ceiling_percent", urgent_ceiling_percent.into());
+    insert("urgent_ceiling_percent", urgent_headroom_percent.into());
     insert("stalled_after_ms", stalled_after_ms.unwrap_or(0));
 }
 
@@ -137,29 +137,29 @@
         draw,
         shares,
         priorities,
-        ceiling_reserve,
-        holds,
+        urgent_headroom,
+        backfill_reservations,
         copies,
         suspects_last,
         probation,
-        rack_patience,
+        rack_locality,
         avoid_failed,
         move_slow,
-        gives_way,
+        transfer_when_degraded,
     } = policy;
     insert(values, "policy.draw", draw_word(draw));
     let mut insert = |key: &str, on: bool| insert(values, &format!("policy.{key}"), on);
     insert("shares", shares);
     insert("priorities", priorities);
-    insert("ceiling_reserve", ceiling_reserve);
-    insert("holds", holds);
+    insert("ceiling_reserve", urgent_headroom);
+    insert("holds", backfill_reservations);
     insert("copies", copies);
     insert("suspects_last", suspects_last);
     insert("probation", probation);
-    insert("rack_patience", rack_patience);
+    insert("rack_patience", rack_locality);
     insert("avoid_failed", avoid_failed);
     insert("move_slow", move_slow);
-    insert("gives_way", gives_way);
+    insert("gives_way", transfer_when_degraded);
 }
 
 impl Keyed for CoordinatorSettings {
@@ -173,7 +173,7 @@
             initial_coordinators,
             timings,
             limits,
-            dispatcher,
+            scheduler,
             policy,
         } = self;
         let mut values = Values::new();
@@ -183,7 +183,7 @@
         insert(&mut values, "initial_coordinators", initial_coordinators);
         insert_coordinator_timings(&mut values, timings);
         insert_coordinator_limits(&mut values, limits);
-        insert_dispatcher(&mut values, dispatcher);
+        insert_dispatcher(&mut values, scheduler);
         insert_policy(&mut values, policy);
         values
     }
--- a/crates/settings/tests/loading.rs
+++ b/crates/settings/tests/loading.rs
@@ -50,7 +50,7 @@
 fn assert_mentions(problems: &[String], parts: &[&str]) {
     let found = problems
         .iter()
-        .any(|problem| parts.iter().all(|part| problem.contains(part)));
+        .any(|message| parts.iter().all(|part| message.contains(part)));
     assert!(found, "no problem mentions {parts:?} in {problems:#?}");
 }
 
--- a/crates/simulation/src/busy.rs
+++ b/crates/simulation/src/busy.rs
@@ -1,33 +1,33 @@
 //! Coordinators that take time: while one is at work, what is sent to it waits.
 //!
 //! The simulation charges no processor time by default. A plan may say what a look
-//! of the dispatcher, an input and a step cost; then a leader can fall behind, and
+//! of the scheduler, an input and a step cost; then a leader can fall behind, and
 //! it shows whether it catches up or loses its sessions.
 
-use crate::event::{Event, Life};
+use crate::event::{Event, Incarnation};
 use crate::network::Micros;
 use crate::plan::Processing;
 use crate::process::{Core, Input, ProcessIndex};
 use crate::world::World;
-use peer::{Envelope, Lane};
+use transport::{Envelope, Lane};
 use types::{Milliseconds, Role};
 
-/// Inputs that share a step, and the wait after which a request is refused: as
+/// Inputs that share a step, and the wait after which a request is rejected: as
 /// in the daemon's shell.
 const STEP_INPUTS: usize = 64;
-const LONGEST_REQUEST_WAIT: Micros = 300_000;
+const MAX_REQUEST_WAIT: Micros = 300_000;
 
 /// What waits for a coordinator, and until when it is at work.
 #[derive(Debug, Default)]
 pub struct Busy {
     until: Micros,
     waiting: Vec<(Micros, Envelope)>,
-    /// Looks of its dispatcher, when it was last asked.
-    looks: u64,
+    /// Looks of its scheduler, when it was last asked.
+    scan_cost: u64,
 }
 
 impl World {
-    /// True while the process is at work.
+    /// Returns whether the process is at work.
     pub(crate) fn is_busy(&self, process: ProcessIndex) -> bool {
         self.processes[process.0].busy.until > self.now
     }
@@ -47,14 +47,14 @@
 
     fn schedule_resume(&mut self, process: ProcessIndex) {
         let state = &self.processes[process.0];
-        let (until, life) = (state.busy.until, state.life);
-        self.schedule(until, Event::Resume(process, life));
+        let (until, incarnation) = (state.busy.until, state.incarnation);
+        self.schedule(until, Event::Resume(process, incarnation));
     }
 
     /// The process has done its step: it takes what has arrived meanwhile.
-    pub(crate) fn resume(&mut self, process: ProcessIndex, life: Life) {
+    pub(crate) fn resume(&mut self, process: ProcessIndex, incarnation: Incarnation) {
         let state = &mut self.processes[process.0];
-        if state.life != life {
+        if state.incarnation != incarnation {
             state.busy.waiting.clear();
             return;
         }
@@ -75,31 +75,31 @@
         if !single {
             waiting.sort_by_key(|(_, envelope)| Lane::of(&envelope.body));
         }
-        let most = match single {
+        let max = match single {
             true => 1,
             false => STEP_INPUTS,
         };
-        let taken = waiting.drain(..most.min(waiting.len()));
-        let mut longest = self.longest_liveness_wait;
-        let inputs = taken
+        let batch = waiting.drain(..max.min(waiting.len()));
+        let mut max_wait = self.max_liveness_wait;
+        let inputs = batch
             .map(|(since, envelope)| {
                 let waited = now - since;
                 let lane = Lane::of(&envelope.body);
                 if lane == Lane::Liveness {
-                    longest = longest.max(waited);
+                    max_wait = max_wait.max(waited);
                 }
-                let overdue = lane == Lane::Requests && waited > LONGEST_REQUEST_WAIT;
+                let overdue = lane == Lane::Requests && waited > MAX_REQUEST_WAIT;
                 match overdue && !single {
                     true => Input::Overdue(envelope),
                     false => Input::Message(envelope),
                 }
             })
             .collect();
-        self.longest_liveness_wait = longest;
+        self.max_liveness_wait = max_wait;
         inputs
     }
 
-    /// Notes what a step of so many inputs cost.
+    /// Records what a step of so many inputs cost.
     pub(crate) fn charge(&mut self, process: ProcessIndex, inputs: usize) {
         if self.processing == Processing::default() {
             return;
@@ -108,20 +108,22 @@
         if state.role() != Role::Coordinator {
             return;
         }
-        let looks = match &state.core {
-            Some(Core::Coordinator(core)) => core.looks(),
+        let scan_cost = match &state.core {
+            Some(Core::Coordinator(core)) => core.scan_cost(),
             _ => 0,
         };
         // A new leader begins anew.
-        let since = looks.checked_sub(state.busy.looks).unwrap_or(looks);
-        state.busy.looks = looks;
+        let since = scan_cost
+            .checked_sub(state.busy.scan_cost)
+            .unwrap_or(scan_cost);
+        state.busy.scan_cost = scan_cost;
         let inputs = u64::try_from(inputs).unwrap_or(u64::MAX);
         let cost = self.processing.cost_micros(since, inputs);
         state.busy.until = self.now + cost;
     }
 
     /// How long a liveness message waited at most for a coordinator at work.
-    pub fn longest_liveness_wait(&self) -> Milliseconds {
-        Milliseconds(self.longest_liveness_wait / 1_000)
+    pub fn max_liveness_wait(&self) -> Milliseconds {
+        Milliseconds(self.max_liveness_wait / 1_000)
     }
 }
--- a/crates/simulation/src/caller.rs
+++ b/crates/simulation/src/caller.rs
@@ -1,9 +1,9 @@
-//! Caller hosts: stand-in callers that send over gateways, ask for states, and
+//! Caller hosts: emulated callers that send over gateways, ask for states, and
 //! cancel when the plan says so.
 
 use crate::network::Micros;
-use standin::caller::Caller;
-use standin::workload::Workload;
+use emulator::caller::Caller;
+use emulator::workload::Workload;
 use std::collections::BTreeMap;
 use types::{JobKey, JobSpec};
 
--- a/crates/simulation/src/campaign.rs
+++ b/crates/simulation/src/campaign.rs
@@ -37,12 +37,12 @@
 }
 
 impl SeedResult {
-    /// True when no promise broke.
+    /// Returns whether no promise broke.
     pub fn is_good(&self) -> bool {
         self.error.is_none() && self.report.violations.is_empty()
     }
 
-    /// True when a promise of this kind broke.
+    /// Returns whether a promise of this kind broke.
     pub fn breaks(&self, kind: ViolationKind) -> bool {
         let mut violations = self.report.violations.iter();
         violations.any(|violation| violation.kind == kind)
--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -6,41 +6,41 @@
 use crate::process::ProcessIndex;
 use agent::HeartbeatAnswer;
 use gateway::TicketId;
-use peer::{Envelope, Operation, OperationReply, Refusal};
 use std::cmp::Ordering;
+use transport::{Envelope, Operation, OperationReply, Rejection};
 use types::{Milliseconds, OrderAnswer, RunnerOrder, RunnerReport};
 
 /// Something that happens at a moment.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// A daemon's own timer.
-    Tick(ProcessIndex, Life),
+    Tick(ProcessIndex, Incarnation),
     /// A daemon that was at work takes what has arrived meanwhile.
-    Resume(ProcessIndex, Life),
+    Resume(ProcessIndex, Incarnation),
     /// A message reaches a daemon.
     Message(ProcessIndex, Envelope),
     /// A coordinator's disk has finished its oldest write.
-    DiskDone(ProcessIndex, Life),
+    DiskDone(ProcessIndex, Incarnation),
     /// A daemon is started, with an empty disk if asked for.
     Start(ProcessIndex, DiskState),
     /// A daemon past its polite stop is killed.
-    GraceOver(ProcessIndex, Life),
+    GraceOver(ProcessIndex, Incarnation),
     /// A runner's own timer.
-    RunnerTick(usize, Life),
+    RunnerTick(usize, Incarnation),
     /// A runner sends a heartbeat.
-    RunnerHeartbeat(usize, Life),
+    RunnerHeartbeat(usize, Incarnation),
     /// A heartbeat reaches an agent.
-    HeartbeatArrives(usize, Life, RunnerReport),
+    HeartbeatArrives(usize, Incarnation, RunnerReport),
     /// The answer to a heartbeat reaches a runner.
-    HeartbeatAnswered(usize, Life, HeartbeatAnswer),
+    HeartbeatAnswered(usize, Incarnation, HeartbeatAnswer),
     /// An order reaches a runner.
     OrderArrives(usize, RunnerOrder),
     /// The answer to an order reaches an agent.
-    OrderAnswered(ProcessIndex, Life, RunnerOrder, OrderAnswer),
+    OrderAnswered(ProcessIndex, Incarnation, RunnerOrder, OrderAnswer),
     /// A runner is started.
     StartRunner(usize),
     /// A runner behaves again.
-    RunnerHealthy(usize, Life),
+    RunnerHealthy(usize, Incarnation),
     /// A caller has a new job.
     Arrival(usize),
     /// A caller has something to send.
@@ -48,9 +48,9 @@
     /// An HTTP request reaches a gateway.
     RequestArrives(ProcessIndex, TicketId, Milliseconds, Operation),
     /// An HTTP answer reaches its sender.
-    ResponseArrives(TicketId, Box<Result<OperationReply, Refusal>>),
+    ResponseArrives(TicketId, Box<Result<OperationReply, Rejection>>),
     /// The sender of an HTTP request gives up.
-    RequestSilence(TicketId),
+    RequestTimeout(TicketId),
     /// An operator looks what to do.
     OperatorTimer(usize),
     /// Configurations are read at all gateways.
@@ -102,15 +102,15 @@
     }
 }
 
-/// One life of a daemon or runner; events of an earlier life are void.
+/// One incarnation of a daemon or runner; events of an earlier incarnation are revocation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub struct Life(pub u32);
+pub struct Incarnation(pub u32);
 
 /// What a daemon finds on its disk when it is started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiskState {
     /// What was there.
-    Kept,
+    Retained,
     /// Nothing.
     Empty,
 }
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -2,11 +2,11 @@
 
 use crate::event::{DiskState, Event};
 use crate::machine::MachineIndex;
-use crate::network::{LossyLinks, Micros, Weather};
+use crate::network::{LossyLinks, Micros, NetworkConditions};
 use crate::plan::{Acknowledgement, Behaviour, Fault};
 use crate::process::{Core, Input, Process, ProcessIndex};
-use crate::run::LONGEST_REPAIR_MS;
-use crate::runner::OrderTrouble;
+use crate::run::MAX_REPAIR_MS;
+use crate::runner::OrderFaults;
 use crate::world::World;
 use checker::Event as Seen;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -17,7 +17,7 @@
 /// Time a draining runner keeps saying so before it is stopped.
 const DRAIN_MICROS: Micros = 8_000_000;
 /// Time between two looks whether the cluster is whole.
-const REPAIR_LOOK_MICROS: Micros = 100_000;
+const REPAIR_CHECK_MICROS: Micros = 100_000;
 /// Port of all peer listeners.
 pub const PEER_PORT: u16 = 7_000;
 
@@ -27,7 +27,9 @@
         let what = format!("{fault:?}");
         self.observe("fault", Seen::Fault { what });
         match fault {
-            Fault::Kill { machine, down_ms } => self.kill_for(&machine, down_ms, DiskState::Kept),
+            Fault::Kill { machine, down_ms } => {
+                self.kill_for(&machine, down_ms, DiskState::Retained)
+            }
             Fault::LoseDisk { machine, down_ms } => {
                 self.kill_for(&machine, down_ms, DiskState::Empty);
             }
@@ -46,7 +48,7 @@
                     true => Fault::LoseDisk { machine, down_ms },
                     false => Fault::Kill { machine, down_ms },
                 };
-                let until = self.now + LONGEST_REPAIR_MS * 1_000;
+                let until = self.now + MAX_REPAIR_MS * 1_000;
                 self.await_repair(fault, after_ms * 1_000, until);
             }
             Fault::KillRunner { machine, down_ms } => {
@@ -73,7 +75,7 @@
             Fault::CutOneWay { from, to, for_ms } => {
                 if let (Some(from), Some(to)) = (self.machine_named(&from), self.machine_named(&to))
                 {
-                    self.network.cut(from, to, self.now + for_ms * 1_000);
+                    self.network.partition(from, to, self.now + for_ms * 1_000);
                 }
             }
             Fault::Weather {
@@ -82,12 +84,13 @@
                 delay_ms,
                 for_ms,
             } => {
-                let weather = Weather {
+                let conditions = NetworkConditions {
                     loss_per_thousand,
                     double_per_thousand,
                     delay_ms,
                 };
-                self.network.set_weather(weather, self.now + for_ms * 1_000);
+                self.network
+                    .set_conditions(conditions, self.now + for_ms * 1_000);
             }
             Fault::LossyLinks {
                 machine,
@@ -111,7 +114,7 @@
                 for_ms,
             } => {
                 if let Some(runner) = self.runner_on(&machine) {
-                    self.runners[runner].trouble = OrderTrouble {
+                    self.runners[runner].order_faults = OrderFaults {
                         delay_ms,
                         loss_per_thousand,
                         until: self.now + for_ms * 1_000,
@@ -198,11 +201,11 @@
         let Some(process) = self.process_on(machine) else {
             return;
         };
-        let life = self.processes[process.0].life;
+        let incarnation = self.processes[process.0].incarnation;
         self.input(process, Input::Stop);
-        self.schedule_in(GRACE_MICROS, Event::GraceOver(process, life));
+        self.schedule_in(GRACE_MICROS, Event::GraceOver(process, incarnation));
         let back = GRACE_MICROS + down_ms * 1_000;
-        self.schedule_in(back, Event::Start(process, DiskState::Kept));
+        self.schedule_in(back, Event::Start(process, DiskState::Retained));
     }
 
     fn kill_coordinators(&mut self, down_ms: u64, power_loss: bool) {
@@ -213,7 +216,7 @@
                 self.kill_process(process, power_loss);
                 let stagger = u64::try_from(position).unwrap_or(0) * 40_000;
                 let back = down_ms * 1_000 + stagger;
-                self.schedule_in(back, Event::Start(process, DiskState::Kept));
+                self.schedule_in(back, Event::Start(process, DiskState::Retained));
             }
         }
     }
@@ -241,7 +244,7 @@
     /// Carries a fault out some time after the cluster is whole, if that is
     /// before `until`.
     pub(crate) fn await_repair(&mut self, fault: Fault, after: Micros, until: Micros) {
-        if self.is_whole() {
+        if self.is_healthy() {
             self.schedule_in(after, Event::Fault(fault));
         } else if self.now < until {
             let event = Event::AwaitRepair {
@@ -249,13 +252,13 @@
                 after,
                 until,
             };
-            self.schedule_in(REPAIR_LOOK_MICROS, event);
+            self.schedule_in(REPAIR_CHECK_MICROS, event);
         }
     }
 
-    /// True when a leader serves, every voter is up, and there are as many as
+    /// Returns whether a leader serves, every voter is up, and there are as many as
     /// there are coordinators.
-    fn is_whole(&self) -> bool {
+    fn is_healthy(&self) -> bool {
         let wanted = self.coordinators().count();
         let is_up = |node| {
             self.coordinators()
@@ -295,7 +298,7 @@
             monotonic_start_ms: 5_000,
             wall_offset_ms: 0,
             frozen_until: None,
-            held: Vec::new(),
+            deferred: Vec::new(),
         };
         let position = self.machines.len();
         self.machines[machine.0].name = format!("{name}-retired-{position}");
@@ -332,8 +335,8 @@
                 continue;
             }
             for machine in &inside {
-                self.network.cut(*machine, other, until);
-                self.network.cut(other, *machine, until);
+                self.network.partition(*machine, other, until);
+                self.network.partition(other, *machine, until);
             }
         }
     }
@@ -358,11 +361,11 @@
     }
 
     fn misbehave(&mut self, name: &str, behaviour: Behaviour, for_ms: u64) {
-        use standin::runner::Behaviour as Standin;
+        use emulator::runner::Behaviour as Standin;
         let Some(runner) = self.runner_on(name) else {
             return;
         };
-        let life = self.runners[runner].life;
+        let incarnation = self.runners[runner].incarnation;
         let behaviour = match behaviour {
             Behaviour::FailsHalf => Standin::Failing { per_thousand: 500 },
             Behaviour::FailsAll => Standin::Failing {
@@ -373,7 +376,7 @@
         };
         if let Some(inner) = &mut self.runners[runner].runner {
             inner.behave(behaviour);
-            self.schedule_in(for_ms * 1_000, Event::RunnerHealthy(runner, life));
+            self.schedule_in(for_ms * 1_000, Event::RunnerHealthy(runner, incarnation));
         }
     }
 
@@ -389,14 +392,14 @@
         for position in 0..self.processes.len() {
             let process = ProcessIndex(position);
             if !self.processes[position].is_up() {
-                self.start_process(process, DiskState::Kept);
+                self.start_process(process, DiskState::Retained);
             }
         }
         for runner in 0..self.runners.len() {
-            self.runners[runner].trouble = OrderTrouble::default();
+            self.runners[runner].order_faults = OrderFaults::default();
             self.start_runner(runner);
             if let Some(inner) = &mut self.runners[runner].runner {
-                inner.behave(standin::runner::Behaviour::Healthy);
+                inner.behave(emulator::runner::Behaviour::Healthy);
             }
         }
         self.observe("fault", Seen::Healed);
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -2,22 +2,22 @@
 
 use crate::Mutation;
 use crate::caller::CallerHost;
-use crate::event::{DiskState, Event, Life};
+use crate::event::{DiskState, Event, Incarnation};
 use crate::fault::socket_of;
 use crate::machine::{Machine, MachineIndex};
 use crate::operator::OperatorHost;
 use crate::plan::{FleetSize, Plan};
 use crate::process::{DiskSlot, Process, ProcessIndex, Settings};
-use crate::runner::{OrderTrouble, RunnerHost};
+use crate::runner::{OrderFaults, RunnerHost};
 use crate::world::World;
 use agent::AgentOptions;
 use coordinator::CoordinatorOptions;
+use emulator::caller::Caller;
+use emulator::runner::{Behaviour, RunnerOptions};
+use emulator::workload::{Mix, RunnerTemplate, Workload, example_configuration, pool_runners};
 use gateway::GatewayOptions;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use standin::caller::Caller;
-use standin::runner::{Behaviour, RunnerOptions};
-use standin::workload::{Mix, RunnerTemplate, Workload, example_configuration, pool_runners};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use types::{
@@ -27,7 +27,7 @@
 
 /// Zones of the brief.
 pub const ZONES: usize = 3;
-/// Time between hellos of gateways and agents.
+/// Time between keep-alives of gateways and agents.
 const SESSION_INTERVAL: Milliseconds = Milliseconds(300);
 /// A session ends after this much silence.
 const SESSION_LEASE: Milliseconds = Milliseconds(1_500);
@@ -62,7 +62,7 @@
             monotonic_start_ms,
             wall_offset_ms: 0,
             frozen_until: None,
-            held: Vec::new(),
+            deferred: Vec::new(),
         });
     }
     Ok(())
@@ -101,25 +101,25 @@
         Role::Coordinator => Settings::Coordinator(CoordinatorOptions {
             address,
             seeds: seeds.to_vec(),
-            founding: coordinator::Founding::Exact,
+            bootstrap_rule: coordinator::BootstrapRule::Exact,
             stalled_after: None,
             move_slow: true,
             initial_coordinators: u32::try_from(fleet.coordinators).unwrap_or(u32::MAX),
             consensus: consensus::Options {
-                gives_way: plan.gives_way,
+                transfer_when_degraded: plan.transfer_when_degraded,
                 mutation: plan.mutation.and_then(Mutation::of_consensus),
                 ..consensus::Options::default()
             },
-            dispatcher: dispatch::DispatcherOptions {
+            scheduler: scheduler::SchedulerOptions {
                 policy: plan.policy,
-                ..dispatch::DispatcherOptions::default()
+                ..scheduler::SchedulerOptions::default()
             },
             session_lease: SESSION_LEASE,
             replace_voter_after: Milliseconds(2_000),
             runner_wait: Milliseconds(1_000),
             snapshot_every: 1_000,
             max_waiting_requests: 10_000,
-            decisions_kept: 1_000,
+            decision_log_capacity: 1_000,
             seed: 0,
             mutation: plan.mutation.and_then(Mutation::of_coordinator),
         }),
@@ -159,7 +159,7 @@
         machine: MachineIndex(position),
         address,
         settings,
-        life: Life::default(),
+        incarnation: Incarnation::default(),
         core: None,
         disk: DiskSlot::None,
         writes: VecDeque::new(),
@@ -176,15 +176,15 @@
 fn add_runners(world: &mut World, plan: &Plan) -> Result<(), InvalidName> {
     let fleet = &plan.fleet;
     let first_side = fleet.coordinators + fleet.gateways;
-    let stills = pool_runners(Mix::Stills)
+    let media = pool_runners(Mix::Media)
         .into_iter()
         .cycle()
-        .take(fleet.stills_runners);
+        .take(fleet.media_runners);
     let documents = pool_runners(Mix::Documents)
         .into_iter()
         .cycle()
         .take(fleet.documents_runners);
-    let templates: Vec<RunnerTemplate> = stills.chain(documents).collect();
+    let templates: Vec<RunnerTemplate> = media.chain(documents).collect();
     for (number, template) in templates.into_iter().enumerate() {
         let position = first_side + number;
         world.runners.push(RunnerHost {
@@ -201,10 +201,10 @@
                 mutation: plan.mutation.and_then(Mutation::of_runner),
                 seed: 0,
             },
-            life: Life::default(),
+            incarnation: Incarnation::default(),
             runner: None,
             timer: None,
-            trouble: OrderTrouble::default(),
+            order_faults: OrderFaults::default(),
         });
         world.schedule_in(1_000_000, Event::StartRunner(number));
     }
@@ -212,7 +212,7 @@
 }
 
 fn add_callers(world: &mut World, plan: &Plan) {
-    for (number, mix) in [Mix::Stills, Mix::Documents].into_iter().enumerate() {
+    for (number, mix) in [Mix::Media, Mix::Documents].into_iter().enumerate() {
         let seed = world.random.random();
         world.callers.push(CallerHost {
             name: format!("caller-{number}"),
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! The daemons' own cores run here, unchanged, on a virtual clock, a network
 //! that delays, loses, doubles, reorders and cuts, and disks that forget what
-//! was not synced. Stand-in runners, callers and operators work against them
+//! was not synced. Emulated runners, callers and operators work against them
 //! and write down what they saw; the checker reads that history. The same seed
 //! gives the same run to the byte.
 
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -25,7 +25,7 @@
     /// Frozen until then.
     pub frozen_until: Option<Micros>,
     /// What came while it was frozen, in order.
-    pub held: Vec<Event>,
+    pub deferred: Vec<Event>,
 }
 
 impl Machine {
@@ -44,7 +44,7 @@
         at.0.saturating_sub(self.monotonic_start_ms) * 1_000
     }
 
-    /// True while it stands still.
+    /// Returns whether it stands still.
     pub fn is_frozen(&self, now: Micros) -> bool {
         self.frozen_until.is_some_and(|until| now < until)
     }
--- a/crates/simulation/src/mutation.rs
+++ b/crates/simulation/src/mutation.rs
@@ -5,10 +5,10 @@
 //! starts of processes.
 
 use agent::AgentMutation;
+use emulator::runner::RunnerMutation;
 use serde::de::IntoDeserializer;
 use serde::de::value::Error as NameError;
 use serde::{Deserialize, Serialize};
-use standin::runner::RunnerMutation;
 use std::fmt;
 use std::str::FromStr;
 
@@ -20,9 +20,10 @@
     VoteDespiteLeader,
     /// The leader's lease is dated from when the answers came.
     LeaseFromReply,
-    /// An unanswered start is sent again, where a void belongs.
-    ResendStartInsteadOfVoid,
-    /// An unanswered start is given up without a void.
+    /// An unanswered start is sent again, where a revocation belongs.
+    #[serde(rename = "resend_start_instead_of_void")]
+    ResendStartInsteadOfRevoke,
+    /// An unanswered start is given up without a revocation.
     CloseUnansweredStart,
     /// The leader acts without looking at its lease.
     SkipLeaseCheck,
@@ -35,7 +36,8 @@
     /// Runners take orders of any term.
     NoRunnerTermFence,
     /// Runners take starts however old their basis is.
-    NoBasisCheck,
+    #[serde(rename = "no_basis_check")]
+    NoHeartbeatCheck,
     /// Runners go on after their run lease.
     NoSelfStop,
     /// Disks say that a write is synced before it is written.
@@ -52,8 +54,9 @@
     ForgetFailures,
     /// The end of one member does not end the rest of its gang.
     KeepRestOfGang,
-    /// The dispatcher pulls for every runner and looks into every list.
-    LookAtAll,
+    /// The scheduler pulls for every runner and looks into every list.
+    #[serde(rename = "look_at_all")]
+    ScanAll,
     /// Agents deliver orders of any term.
     NoAgentTermFence,
     /// Agents keep orders over a lost session or a freeze.
@@ -65,14 +68,14 @@
     pub const ALL: [Self; 21] = [
         Self::VoteDespiteLeader,
         Self::LeaseFromReply,
-        Self::ResendStartInsteadOfVoid,
+        Self::ResendStartInsteadOfRevoke,
         Self::CloseUnansweredStart,
         Self::SkipLeaseCheck,
         Self::AcknowledgeBeforeCommit,
         Self::ExpireRunsEarly,
         Self::NoTombstones,
         Self::NoRunnerTermFence,
-        Self::NoBasisCheck,
+        Self::NoHeartbeatCheck,
         Self::NoSelfStop,
         Self::AcknowledgeBeforeSync,
         Self::KeepIdentityOnEmptyDisk,
@@ -81,7 +84,7 @@
         Self::SkipReservationCheck,
         Self::ForgetFailures,
         Self::KeepRestOfGang,
-        Self::LookAtAll,
+        Self::ScanAll,
         Self::NoAgentTermFence,
         Self::AgentKeepsOrders,
     ];
@@ -98,19 +101,21 @@
     /// The part of it that is built into the coordinator.
     pub fn of_coordinator(self) -> Option<coordinator::Mutation> {
         match self {
-            Self::ResendStartInsteadOfVoid => Some(coordinator::Mutation::ResendStartInsteadOfVoid),
+            Self::ResendStartInsteadOfRevoke => {
+                Some(coordinator::Mutation::ResendStartInsteadOfRevoke)
+            }
             Self::CloseUnansweredStart => Some(coordinator::Mutation::CloseUnansweredStart),
             Self::SkipLeaseCheck => Some(coordinator::Mutation::SkipLeaseCheck),
             Self::AcknowledgeBeforeCommit => Some(coordinator::Mutation::AcknowledgeBeforeCommit),
             Self::ExpireRunsEarly => Some(coordinator::Mutation::ExpireRunsEarly),
-            Self::LookAtAll => Some(coordinator::Mutation::LookAtAll),
-            other => other.of_record().map(coordinator::Mutation::Record),
+            Self::ScanAll => Some(coordinator::Mutation::ScanAll),
+            other => other.of_record().map(coordinator::Mutation::StateMachine),
         }
     }
 
     /// The part of it that is built into the record.
-    fn of_record(self) -> Option<record::mutation::Mutation> {
-        use record::mutation::Mutation as OfRecord;
+    fn of_record(self) -> Option<state_machine::mutation::Mutation> {
+        use state_machine::mutation::Mutation as OfRecord;
         match self {
             Self::AnyConfigurationVersion => Some(OfRecord::AnyConfigurationVersion),
             Self::ResentSubmitIsNew => Some(OfRecord::ResentSubmitIsNew),
@@ -130,12 +135,12 @@
         }
     }
 
-    /// The part of it that is built into the stand-in runner.
+    /// The part of it that is built into the emulated runner.
     pub fn of_runner(self) -> Option<RunnerMutation> {
         match self {
             Self::NoTombstones => Some(RunnerMutation::NoTombstones),
             Self::NoRunnerTermFence => Some(RunnerMutation::NoTermFence),
-            Self::NoBasisCheck => Some(RunnerMutation::NoBasisCheck),
+            Self::NoHeartbeatCheck => Some(RunnerMutation::NoHeartbeatCheck),
             Self::NoSelfStop => Some(RunnerMutation::NoSelfStop),
             _ => None,
         }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -15,7 +15,7 @@
 
 /// Loss, doubling and delay of the whole network.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Weather {
+pub struct NetworkConditions {
     /// Messages lost in a thousand.
     pub loss_per_thousand: u32,
     /// Messages doubled in a thousand.
@@ -43,21 +43,21 @@
     /// When what waits on a lossy link has come through.
     free_at: BTreeMap<(MachineIndex, MachineIndex), Micros>,
     cuts: BTreeMap<(MachineIndex, MachineIndex), Micros>,
-    weather: Weather,
-    weather_until: Micros,
+    conditions: NetworkConditions,
+    conditions_until: Micros,
 }
 
 impl Network {
     /// Cuts one direction until `until`; a longer cut stays.
-    pub fn cut(&mut self, from: MachineIndex, to: MachineIndex, until: Micros) {
+    pub fn partition(&mut self, from: MachineIndex, to: MachineIndex, until: Micros) {
         let end = self.cuts.entry((from, to)).or_default();
         *end = (*end).max(until);
     }
 
     /// Sets the weather until `until`.
-    pub fn set_weather(&mut self, weather: Weather, until: Micros) {
-        self.weather = weather;
-        self.weather_until = until;
+    pub fn set_conditions(&mut self, conditions: NetworkConditions, until: Micros) {
+        self.conditions = conditions;
+        self.conditions_until = until;
     }
 
     /// Has the links of a machine lose packets.
@@ -69,11 +69,11 @@
     pub fn heal(&mut self) {
         self.lossy.clear();
         self.cuts.clear();
-        self.weather_until = 0;
+        self.conditions_until = 0;
     }
 
-    /// True when nothing gets through in this direction now.
-    pub fn is_cut(&self, from: MachineIndex, to: MachineIndex, now: Micros) -> bool {
+    /// Returns whether nothing gets through in this direction now.
+    pub fn is_partitioned(&self, from: MachineIndex, to: MachineIndex, now: Micros) -> bool {
         self.cuts.get(&(from, to)).is_some_and(|until| now < *until)
     }
 
@@ -86,20 +86,20 @@
         to: MachineIndex,
         same_zone: bool,
     ) -> Vec<Micros> {
-        if self.is_cut(from, to, now) {
+        if self.is_partitioned(from, to, now) {
             return Vec::new();
         }
-        let weather = self.weather_at(now);
-        if per_thousand(random, weather.loss_per_thousand) {
+        let conditions = self.conditions_at(now);
+        if per_thousand(random, conditions.loss_per_thousand) {
             return Vec::new();
         }
-        let copies = if per_thousand(random, weather.double_per_thousand) {
+        let copies = if per_thousand(random, conditions.double_per_thousand) {
             2
         } else {
             1
         };
         let delays: Vec<Micros> = (0..copies)
-            .map(|_| delay(random, same_zone, weather.delay_ms))
+            .map(|_| delay(random, same_zone, conditions.delay_ms))
             .collect();
         match self.lossy_link(from, to, now) {
             None => delays,
@@ -136,11 +136,11 @@
         (now + delay).max(*free_at) - now
     }
 
-    fn weather_at(&self, now: Micros) -> Weather {
-        if now < self.weather_until {
-            self.weather
+    fn conditions_at(&self, now: Micros) -> NetworkConditions {
+        if now < self.conditions_until {
+            self.conditions
         } else {
-            Weather::default()
+            NetworkConditions::default()
         }
     }
 }
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -2,7 +2,7 @@
 //! items by turns, resend those whose answer was lost, and sometimes race.
 
 use configuration::{ClusterConfiguration, ConfigurationUpdate};
-use peer::Operation;
+use transport::Operation;
 use types::ConfigurationVersion;
 
 /// Time between an operator's looks at what to do.
@@ -10,11 +10,11 @@
 /// How long an operator waits for an answer.
 pub const OPERATOR_TIMEOUT_MS: u64 = 2_000;
 
-/// One in this many documents changes a ceiling.
-const CEILING_EVERY: u32 = 3;
-/// Least slots of a changed ceiling: every task and gang still fits.
+/// One in this many documents changes a resource limit.
+const LIMIT_CHANGE_EVERY: u32 = 3;
+/// Least slots of a changed resource limit: every task and gang still fits.
 pub const LEAST_SLOTS: u32 = 6;
-/// Least accelerators of a changed ceiling: every task still fits.
+/// Least accelerators of a changed resource limit: every task still fits.
 const LEAST_GPUS: u32 = 2;
 /// Ceilings go up and down in strides within a range.
 const SLOTS_STEP: u32 = 11;
@@ -60,13 +60,13 @@
     pub document: ClusterConfiguration,
     /// The order it has sent and has no final answer to.
     pub open_order: Option<Order>,
-    /// True while an HTTP request of its is under way.
+    /// Whether an HTTP request of its is under way.
     pub waiting: bool,
     /// Changes it still wants to make.
     pub wanted: u32,
-    /// Documents it still wants to send that must be refused.
+    /// Documents it still wants to send that must be rejected.
     pub wanted_invalid: u32,
-    /// The order it has sent, if that must be refused.
+    /// The order it has sent, if that must be rejected.
     pub sends_invalid: bool,
     /// Makes each of its documents differ from all others.
     pub marker: u32,
@@ -113,7 +113,7 @@
     }
 
     /// The next document: the known one with other bursts, and every third
-    /// time another ceiling for one tenant, up or down.
+    /// time another resource limit for one tenant, up or down.
     pub fn next_document(&mut self) -> ClusterConfiguration {
         let mut document = self.document.clone();
         document.replaces = None;
@@ -121,17 +121,17 @@
         for tenant in document.tenants.values_mut() {
             tenant.submit_burst = 10_000 + self.marker;
         }
-        if self.marker.is_multiple_of(CEILING_EVERY) {
+        if self.marker.is_multiple_of(LIMIT_CHANGE_EVERY) {
             let chosen = self.marker as usize % document.tenants.len().max(1);
             if let Some(tenant) = document.tenants.values_mut().nth(chosen) {
-                tenant.ceiling.slots = LEAST_SLOTS + self.marker * SLOTS_STEP % SLOTS_RANGE;
-                tenant.ceiling.gpus = LEAST_GPUS + self.marker * GPUS_STEP % GPUS_RANGE;
+                tenant.resource_limit.slots = LEAST_SLOTS + self.marker * SLOTS_STEP % SLOTS_RANGE;
+                tenant.resource_limit.gpus = LEAST_GPUS + self.marker * GPUS_STEP % GPUS_RANGE;
             }
         }
         document
     }
 
-    /// A document that must be refused: its queues are bound to no pool.
+    /// A document that must be rejected: its queues are bound to no pool.
     pub fn invalid_document(&mut self) -> ClusterConfiguration {
         let mut document = self.next_document();
         document.pools.clear();
@@ -139,10 +139,17 @@
     }
 }
 
+/// Name of [`TenantSettings::resource_limit`](configuration::TenantSettings) in the text
+/// that digests are taken of. Recorded histories were written with it, and a digest must
+/// not change because a field was renamed.
+const RECORDED_LIMIT_NAME: &str = "ceiling: ";
+/// Name of the same field in the code.
+const LIMIT_NAME: &str = "resource_limit: ";
+
 /// Digest of a document, for the history.
 pub fn digest(document: &ClusterConfiguration) -> String {
     use sha2::{Digest, Sha256};
-    let text = format!("{document:?}");
+    let text = format!("{document:?}").replace(LIMIT_NAME, RECORDED_LIMIT_NAME);
     let hash = Sha256::digest(text.as_bytes());
     hash.iter()
         .take(8)
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -24,10 +24,11 @@
     pub processing: Processing,
     /// Which mechanisms of placement decide.
     #[serde(default)]
-    pub policy: dispatch::Policy,
-    /// A badly placed leader gives way.
+    pub policy: scheduler::Policy,
+    /// A degraded leader transfers leadership.
     #[serde(default = "default_gives_way")]
-    pub gives_way: bool,
+    #[serde(rename = "gives_way")]
+    pub transfer_when_degraded: bool,
     /// A mechanism turned off, for proofs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub mutation: Option<Mutation>,
@@ -62,7 +63,8 @@
     /// Gateways.
     pub gateways: usize,
     /// Runners of the first pool, each with an agent.
-    pub stills_runners: usize,
+    #[serde(rename = "stills_runners")]
+    pub media_runners: usize,
     /// Runners of the second pool, each with an agent.
     pub documents_runners: usize,
     /// Load in percent of the brief's.
@@ -74,7 +76,7 @@
         Self {
             coordinators: 3,
             gateways: 3,
-            stills_runners: 5,
+            media_runners: 5,
             documents_runners: 6,
             load_percent: 100,
         }
@@ -85,8 +87,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Processing {
-    /// A look of the dispatcher.
-    pub nanos_per_look: u64,
+    /// A look of the scheduler.
+    #[serde(rename = "nanos_per_look")]
+    pub nanos_per_scan: u64,
     /// An input of any kind.
     pub micros_per_input: u64,
     /// A step, whatever it takes in.
@@ -98,8 +101,8 @@
 
 impl Processing {
     /// Time that a step takes, in microseconds.
-    pub fn cost_micros(&self, looks: u64, inputs: u64) -> u64 {
-        looks.saturating_mul(self.nanos_per_look) / 1_000
+    pub fn cost_micros(&self, scan_cost: u64, inputs: u64) -> u64 {
+        scan_cost.saturating_mul(self.nanos_per_scan) / 1_000
             + inputs.saturating_mul(self.micros_per_input)
             + self.micros_per_step
     }
@@ -167,7 +170,7 @@
         after_ms: u64,
         /// Time until it is started again.
         down_ms: u64,
-        /// True when its disk is empty then.
+        /// Whether its disk is empty then.
         loses_disk: bool,
     },
     /// As soon as something is acknowledged, some coordinators lose their disks
@@ -281,7 +284,7 @@
         /// How many.
         count: u32,
     },
-    /// An operator sends a configuration that must be refused.
+    /// An operator sends a configuration that must be rejected.
     InvalidConfiguration,
     /// Callers cancel some of their unfinished jobs at once.
     CancelBatch {
@@ -353,8 +356,8 @@
             load_ms: DEFAULT_LOAD_MS,
             calm_ms: DEFAULT_CALM_MS,
             processing: Processing::default(),
-            policy: dispatch::Policy::default(),
-            gives_way: true,
+            policy: scheduler::Policy::default(),
+            transfer_when_degraded: true,
             mutation: None,
             faults: Vec::new(),
         }
@@ -391,7 +394,7 @@
 impl FleetSize {
     /// Names of all machines.
     pub fn machine_names(&self) -> Vec<String> {
-        let sides = self.stills_runners + self.documents_runners;
+        let sides = self.media_runners + self.documents_runners;
         let coordinators = (0..self.coordinators).map(|n| format!("coordinator-{n}"));
         let gateways = (0..self.gateways).map(|n| format!("gateway-{n}"));
         let sides = (0..sides).map(|n| format!("side-{n}"));
--- a/crates/simulation/src/planner.rs
+++ b/crates/simulation/src/planner.rs
@@ -8,9 +8,9 @@
 /// Mixed into a plan's seed, so that plan and run draw apart.
 const PLANNER_STREAM: u64 = 0x706c_616e;
 /// Longest freeze and cut, above the brief's twenty seconds.
-const LONGEST_MS: u64 = 26_000;
+const MAX_FAULT_MS: u64 = 26_000;
 /// Longest time a daemon is down.
-const LONGEST_DOWN_MS: u64 = 6_000;
+const MAX_DOWN_MS: u64 = 6_000;
 
 /// What the planner may draw.
 #[derive(Debug, Clone)]
@@ -20,7 +20,7 @@
     /// Callers send new jobs for this long; faults fall within it.
     pub load_ms: u64,
     /// Most faults in a plan.
-    pub most_faults: usize,
+    pub max_faults: usize,
 }
 
 impl Default for PlannerOptions {
@@ -31,7 +31,7 @@
                 ..FleetSize::default()
             },
             load_ms: 30_000,
-            most_faults: 8,
+            max_faults: 8,
         }
     }
 }
@@ -43,7 +43,7 @@
 /// loss of all: the users' world loses one core machine at a time.
 pub fn plan_from_seed(seed: u64, options: &PlannerOptions) -> Plan {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ PLANNER_STREAM);
-    let count = random.random_range(1..=options.most_faults.max(1));
+    let count = random.random_range(1..=options.max_faults.max(1));
     let mut faults = Vec::new();
     for _ in 0..count {
         let at_ms = random.random_range(0..options.load_ms);
@@ -61,7 +61,7 @@
         calm_ms: crate::plan::DEFAULT_CALM_MS,
         processing: Default::default(),
         policy: Default::default(),
-        gives_way: true,
+        transfer_when_degraded: true,
         mutation: None,
         faults,
     }
@@ -74,12 +74,12 @@
 /// lost disk can be done. The promise covers one loss at a time, and a second
 /// one "right after" the repair.
 fn keep_one_disk_loss_at_a_time(faults: &mut Vec<PlannedFault>) {
-    let mut kept: Vec<PlannedFault> = Vec::new();
+    let mut accepted: Vec<PlannedFault> = Vec::new();
     let mut majority_busy: Vec<(u64, u64)> = Vec::new();
     let mut disk_lost: Vec<u64> = Vec::new();
     for planned in faults.drain(..) {
         if is_second_loss(&planned.fault) {
-            keep_second_loss(planned, &mut kept, &mut majority_busy, &mut disk_lost);
+            keep_second_loss(planned, &mut accepted, &mut majority_busy, &mut disk_lost);
             continue;
         }
         let from = planned.at_ms;
@@ -103,9 +103,9 @@
         if touches_core {
             majority_busy.push((from, until));
         }
-        kept.push(planned);
+        accepted.push(planned);
     }
-    *faults = kept;
+    *faults = accepted;
 }
 
 fn is_second_loss(fault: &Fault) -> bool {
@@ -116,11 +116,11 @@
 /// before it; it is kept with it, and takes the core for as long.
 fn keep_second_loss(
     planned: PlannedFault,
-    kept: &mut Vec<PlannedFault>,
+    accepted: &mut Vec<PlannedFault>,
     majority_busy: &mut Vec<(u64, u64)>,
     disk_lost: &mut Vec<u64>,
 ) {
-    let follows = kept.last().is_some_and(|first| {
+    let follows = accepted.last().is_some_and(|first| {
         let takes_disk = matches!(first.fault, Fault::LoseDisk { .. } | Fault::Replace { .. });
         takes_disk && first.at_ms == planned.at_ms
     });
@@ -130,15 +130,15 @@
     let until = planned.at_ms + crate::run::lasts_ms(&planned.fault) + REPAIR_MS;
     majority_busy.push((planned.at_ms, until));
     disk_lost.push(until);
-    kept.push(planned);
+    accepted.push(planned);
 }
 
 fn touches_coordinator(fault: &Fault) -> bool {
-    let whole_core = matches!(
+    let is_core_fault = matches!(
         fault,
         Fault::KillCoordinators { .. } | Fault::PowerLoss { .. } | Fault::Weather { .. }
     );
-    whole_core
+    is_core_fault
         || fault
             .machines()
             .iter()
@@ -295,11 +295,11 @@
 }
 
 fn down(random: &mut ChaCha8Rng) -> u64 {
-    random.random_range(0..LONGEST_DOWN_MS)
+    random.random_range(0..MAX_DOWN_MS)
 }
 
 fn long(random: &mut ChaCha8Rng) -> u64 {
-    random.random_range(200..LONGEST_MS)
+    random.random_range(200..MAX_FAULT_MS)
 }
 
 fn any_machine(random: &mut ChaCha8Rng, fleet: &FleetSize) -> String {
@@ -325,6 +325,6 @@
 }
 
 fn side(random: &mut ChaCha8Rng, fleet: &FleetSize) -> String {
-    let sides = fleet.stills_runners + fleet.documents_runners;
+    let sides = fleet.media_runners + fleet.documents_runners;
     format!("side-{}", random.random_range(0..sides))
 }
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -3,18 +3,18 @@
 
 use crate::Mutation;
 use crate::busy::Busy;
-use crate::event::{DiskState, Life};
+use crate::event::{DiskState, Incarnation};
 use crate::machine::MachineIndex;
 use crate::network::Micros;
 use agent::{Agent, AgentOptions};
 use coordinator::{Coordinator, CoordinatorOptions};
 use gateway::{Caller, Gateway, GatewayOptions, TicketId};
-use peer::{DecisionEntry, Envelope, Operation, OperationReply, PeerMessage, Refusal};
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use storage::memory::MemoryDisk;
 use storage::{Batch, Identity, Store};
+use transport::{DecisionEntry, Envelope, Operation, OperationReply, PeerMessage, Rejection};
 use types::{Address, Milliseconds, Monotonic, Now, OrderAnswer, Role, RunnerOrder, RunnerReport};
 
 /// Position of a daemon in the world.
@@ -69,7 +69,7 @@
     /// Give an order to a runner.
     Deliver(RunnerOrder),
     /// Answer an HTTP request.
-    Respond(TicketId, Result<OperationReply, Refusal>),
+    Respond(TicketId, Result<OperationReply, Rejection>),
     /// A line of the decision log.
     Decision(Box<DecisionEntry>),
     /// The process ends.
@@ -114,12 +114,12 @@
 pub struct Process {
     /// Where it stands.
     pub machine: MachineIndex,
-    /// Who it is in its current or last life.
+    /// Who it is in its current or last incarnation.
     pub address: Address,
-    /// Settings for its next life, identity and seed replaced each time.
+    /// Settings for its next incarnation, identity and seed replaced each time.
     pub settings: Settings,
-    /// Its current life.
-    pub life: Life,
+    /// Its current incarnation.
+    pub incarnation: Incarnation,
     /// The core, while it is up.
     pub core: Option<Core>,
     /// Its disk, if it is a coordinator.
@@ -130,7 +130,7 @@
     pub busy: Busy,
     /// Moment of the timer in the queue.
     pub timer: Option<Micros>,
-    /// True when it is gone for good.
+    /// Whether it is gone for good.
     pub retired: bool,
     /// The identity that its disk had last.
     pub last_identity: Option<Identity>,
@@ -144,7 +144,7 @@
         self.address.role
     }
 
-    /// True while it runs.
+    /// Returns whether it runs.
     pub fn is_up(&self) -> bool {
         self.core.is_some()
     }
@@ -157,7 +157,7 @@
         seed: u64,
         disk: DiskState,
     ) -> Result<(), storage::StorageError> {
-        self.life = Life(self.life.0 + 1);
+        self.incarnation = Incarnation(self.incarnation.0 + 1);
         self.timer = None;
         self.writes.clear();
         self.busy = Busy::default();
@@ -192,7 +192,7 @@
         state: DiskState,
     ) -> Result<Core, storage::StorageError> {
         let disk = match (std::mem::replace(&mut self.disk, DiskSlot::None), state) {
-            (DiskSlot::Closed(disk), DiskState::Kept) => disk,
+            (DiskSlot::Closed(disk), DiskState::Retained) => disk,
             _ => MemoryDisk::default(),
         };
         let mut opened = Store::open(disk)?;
@@ -216,7 +216,7 @@
     pub fn kill(&mut self, random: &mut ChaCha8Rng, power_loss: bool) {
         self.core = None;
         self.writes.clear();
-        self.life = Life(self.life.0 + 1);
+        self.incarnation = Incarnation(self.incarnation.0 + 1);
         let disk = match std::mem::replace(&mut self.disk, DiskSlot::None) {
             DiskSlot::None => return,
             DiskSlot::Closed(disk) => disk,
@@ -236,7 +236,7 @@
             machine,
             address,
             settings: self.settings.clone(),
-            life: Life::default(),
+            incarnation: Incarnation::default(),
             core: None,
             disk: DiskSlot::None,
             writes: VecDeque::new(),
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -15,9 +15,9 @@
 /// Time the run goes on after the last job ended.
 const AFTERGLOW_MICROS: Micros = 3_000_000;
 /// A second loss waits this long for a repair.
-pub const LONGEST_REPAIR_MS: u64 = 15_000;
+pub const MAX_REPAIR_MS: u64 = 15_000;
 /// Time between two looks whether the run is over.
-const LOOK_MICROS: Micros = 250_000;
+const CHECK_MICROS: Micros = 250_000;
 
 /// What a run gave.
 #[derive(Debug, Clone, Serialize)]
@@ -39,11 +39,12 @@
     pub virtual_time: Milliseconds,
     /// Longest wait of a message that keeps leases and sessions alive, where the plan
     /// charges for the work of coordinators.
-    pub longest_liveness_wait: Milliseconds,
+    #[serde(rename = "longest_liveness_wait")]
+    pub max_liveness_wait: Milliseconds,
 }
 
 impl Outcome {
-    /// True when no promise broke and no daemon gave up.
+    /// Returns whether no promise broke and no daemon gave up.
     pub fn is_good(&self) -> bool {
         self.report.violations.is_empty() && self.broken.is_empty()
     }
@@ -69,7 +70,7 @@
 /// Steps until the first configuration stands everywhere.
 fn reach_service(world: &mut World) -> bool {
     while world.now < FIRST_SERVICE_MICROS {
-        let until = world.now + LOOK_MICROS;
+        let until = world.now + CHECK_MICROS;
         while world.step(until) {}
         if world.operators[0].known.0 > 0 {
             let settle = world.now + 1_000_000;
@@ -115,7 +116,7 @@
         Fault::Stop { down_ms, .. } => down_ms + 5_000,
         Fault::KillOnceRepaired {
             after_ms, down_ms, ..
-        } => LONGEST_REPAIR_MS + after_ms + down_ms,
+        } => MAX_REPAIR_MS + after_ms + down_ms,
         Fault::DrainRunner { down_ms, .. } => down_ms + 8_000,
         Fault::Freeze { for_ms, .. }
         | Fault::Cut { for_ms, .. }
@@ -138,7 +139,7 @@
 fn finish_work(world: &mut World, plan: &Plan) {
     let give_up = world.now + plan.calm_ms * 1_000;
     while world.now < give_up {
-        let until = world.now + LOOK_MICROS;
+        let until = world.now + CHECK_MICROS;
         while world.step(until) {}
         let open: usize = world
             .callers
@@ -172,14 +173,14 @@
         .iter()
         .map(|byte| format!("{byte:02x}"))
         .collect();
-    let longest_liveness_wait = world.longest_liveness_wait();
+    let max_liveness_wait = world.max_liveness_wait();
     Outcome {
         report,
         digest,
         events: world.handled,
         broken: world.broken,
         virtual_time: Milliseconds(world.now / 1_000),
-        longest_liveness_wait,
+        max_liveness_wait,
         decisions: world.decisions,
         history: world.history,
     }
--- a/crates/simulation/src/runner.rs
+++ b/crates/simulation/src/runner.rs
@@ -1,15 +1,15 @@
-//! Runner hosts: stand-in runners on side machines.
+//! Runner hosts: emulated runners on side machines.
 
-use crate::event::Life;
+use crate::event::Incarnation;
 use crate::machine::MachineIndex;
 use crate::network::Micros;
 use crate::process::ProcessIndex;
-use standin::runner::{Behaviour, Runner, RunnerOptions};
+use emulator::runner::{Behaviour, Runner, RunnerOptions};
 use types::{RunnerId, RunnerIncarnation};
 
 /// Lateness and loss of orders to one runner.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct OrderTrouble {
+pub struct OrderFaults {
     /// Extra delay, up to this many milliseconds.
     pub delay_ms: u64,
     /// Orders or answers lost in a thousand.
@@ -24,16 +24,16 @@
     pub machine: MachineIndex,
     /// The agent beside it.
     pub agent: ProcessIndex,
-    /// Settings for its next life.
+    /// Settings for its next incarnation.
     pub options: RunnerOptions,
-    /// Its current life.
-    pub life: Life,
+    /// Its current incarnation.
+    pub incarnation: Incarnation,
     /// The runner, while it is up.
     pub runner: Option<Runner>,
     /// Moment of the timer in the queue.
     pub timer: Option<Micros>,
     /// Lateness and loss of its orders.
-    pub trouble: OrderTrouble,
+    pub order_faults: OrderFaults,
 }
 
 impl RunnerHost {
@@ -44,9 +44,9 @@
 
     /// Starts it with a new incarnation.
     pub fn start(&mut self, now: types::Monotonic, seed: u64) {
-        self.life = Life(self.life.0 + 1);
+        self.incarnation = Incarnation(self.incarnation.0 + 1);
         self.timer = None;
-        self.options.incarnation = RunnerIncarnation(u64::from(self.life.0));
+        self.options.incarnation = RunnerIncarnation(u64::from(self.incarnation.0));
         self.options.behaviour = Behaviour::Healthy;
         self.options.seed = seed;
         self.runner = Some(Runner::new(self.options.clone(), now));
@@ -54,9 +54,9 @@
 
     /// Ends it at once; gives the runs that died with it.
     pub fn kill(&mut self) -> Vec<types::RunId> {
-        self.life = Life(self.life.0 + 1);
+        self.incarnation = Incarnation(self.incarnation.0 + 1);
         match self.runner.take() {
-            Some(runner) => runner.held(),
+            Some(runner) => runner.active(),
             None => Vec::new(),
         }
     }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -2,7 +2,7 @@
 
 use crate::Mutation;
 use crate::caller::{CallerHost, Waiting};
-use crate::event::{DiskState, Event, Life, Scheduled};
+use crate::event::{DiskState, Event, Incarnation, Scheduled};
 use crate::machine::{Machine, MachineIndex};
 use crate::network::{Micros, Network};
 use crate::operator::OperatorHost;
@@ -11,11 +11,11 @@
 use crate::runner::RunnerHost;
 use checker::Observation;
 use gateway::TicketId;
-use peer::{DecisionEntry, Envelope, PeerMessage};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
+use transport::{DecisionEntry, Envelope, PeerMessage};
 use types::{Milliseconds, NodeId, Now};
 
 /// Least time between two timers of one daemon.
@@ -64,7 +64,7 @@
     /// What the work of coordinators costs.
     pub processing: Processing,
     /// Longest wait of a liveness message for a coordinator at work.
-    pub(crate) longest_liveness_wait: Micros,
+    pub(crate) max_liveness_wait: Micros,
     /// Losses that wait for an acknowledgement.
     pub armed: Vec<Fault>,
     /// A daemon that could not go on, and why.
@@ -107,7 +107,7 @@
             newest_acknowledged: types::ConfigurationVersion(0),
             armed: Vec::new(),
             processing: Processing::default(),
-            longest_liveness_wait: 0,
+            max_liveness_wait: 0,
             broken: Vec::new(),
             handled: 0,
             queue: BinaryHeap::new(),
@@ -160,16 +160,16 @@
 
     fn handle(&mut self, event: Event) {
         if let Some(machine) = self.frozen_machine(&event) {
-            self.machines[machine.0].held.push(event);
+            self.machines[machine.0].deferred.push(event);
             return;
         }
         match event {
-            Event::Tick(process, life) => self.tick(process, life),
+            Event::Tick(process, incarnation) => self.tick(process, incarnation),
             Event::Message(process, envelope) => self.message_arrives(process, envelope),
-            Event::Resume(process, life) => self.resume(process, life),
-            Event::DiskDone(process, life) => self.disk_done(process, life),
+            Event::Resume(process, incarnation) => self.resume(process, incarnation),
+            Event::DiskDone(process, incarnation) => self.disk_done(process, incarnation),
             Event::Start(process, disk) => self.start_process(process, disk),
-            Event::GraceOver(process, life) => self.grace_over(process, life),
+            Event::GraceOver(process, incarnation) => self.grace_over(process, incarnation),
             Event::Wake(machine) => self.wake(machine),
             Event::Fault(fault) => self.apply_fault(fault),
             Event::AwaitRepair {
@@ -215,7 +215,7 @@
         }
         self.machines[machine.0].frozen_until = None;
         self.observe_wake(machine);
-        for event in std::mem::take(&mut self.machines[machine.0].held) {
+        for event in std::mem::take(&mut self.machines[machine.0].deferred) {
             self.schedule_in(0, event);
         }
     }
@@ -234,20 +234,20 @@
         self.machines[machine.0].clock(self.now)
     }
 
-    fn tick(&mut self, process: ProcessIndex, life: Life) {
-        let stale = self.processes[process.0].life != life;
+    fn tick(&mut self, process: ProcessIndex, incarnation: Incarnation) {
+        let stale = self.processes[process.0].incarnation != incarnation;
         if stale || !self.is_due(self.processes[process.0].timer) {
             return;
         }
         if self.is_busy(process) {
-            return self.schedule_in(BUSY_MICROS, Event::Tick(process, life));
+            return self.schedule_in(BUSY_MICROS, Event::Tick(process, incarnation));
         }
         self.processes[process.0].timer = None;
         self.input(process, Input::Tick);
     }
 
-    /// True when a timer's moment has come. An event of a timer that was set
-    /// anew for another moment is void.
+    /// Returns whether a timer's moment has come. An event of a timer that was set
+    /// anew for another moment is revocation.
     pub(crate) fn is_due(&self, timer: Option<Micros>) -> bool {
         timer.is_some_and(|at| at <= self.now)
     }
@@ -290,7 +290,7 @@
     }
 
     fn begin_write(&mut self, process: ProcessIndex, write: Write) {
-        let life = self.processes[process.0].life;
+        let incarnation = self.processes[process.0].incarnation;
         let idle = self.processes[process.0].writes.is_empty();
         let early = match &write {
             Write::Batch { number, .. } => Input::Persisted(*number),
@@ -298,31 +298,31 @@
         };
         self.processes[process.0].writes.push_back(write);
         if self.mutation == Some(Mutation::AcknowledgeBeforeSync) {
-            self.schedule_in(UNSYNCED_MICROS, Event::DiskDone(process, life));
+            self.schedule_in(UNSYNCED_MICROS, Event::DiskDone(process, incarnation));
             self.input(process, early);
         } else if idle {
-            self.schedule_sync(process, life);
+            self.schedule_sync(process, incarnation);
         }
     }
 
-    fn schedule_sync(&mut self, process: ProcessIndex, life: Life) {
+    fn schedule_sync(&mut self, process: ProcessIndex, incarnation: Incarnation) {
         let delay = self.random.random_range(SYNC_MICROS.0..=SYNC_MICROS.1);
-        self.schedule_in(delay, Event::DiskDone(process, life));
+        self.schedule_in(delay, Event::DiskDone(process, incarnation));
     }
 
-    fn disk_done(&mut self, process: ProcessIndex, life: Life) {
-        if self.processes[process.0].life != life {
+    fn disk_done(&mut self, process: ProcessIndex, incarnation: Incarnation) {
+        if self.processes[process.0].incarnation != incarnation {
             return;
         }
         if self.is_busy(process) {
-            return self.schedule_in(BUSY_MICROS, Event::DiskDone(process, life));
+            return self.schedule_in(BUSY_MICROS, Event::DiskDone(process, incarnation));
         }
         match self.processes[process.0].finish_write() {
             None => {}
             Some(Ok(_)) if self.mutation == Some(Mutation::AcknowledgeBeforeSync) => {}
             Some(Ok(input)) => {
                 if !self.processes[process.0].writes.is_empty() {
-                    self.schedule_sync(process, life);
+                    self.schedule_sync(process, incarnation);
                 }
                 self.input(process, input);
             }
@@ -371,8 +371,8 @@
             .is_none_or(|timer| at < timer);
         if earlier {
             self.processes[process.0].timer = Some(at);
-            let life = self.processes[process.0].life;
-            self.schedule(at, Event::Tick(process, life));
+            let incarnation = self.processes[process.0].incarnation;
+            self.schedule(at, Event::Tick(process, incarnation));
         }
     }
 
@@ -396,8 +396,8 @@
         self.processes[process.0].kill(&mut self.random, power_loss);
     }
 
-    fn grace_over(&mut self, process: ProcessIndex, life: Life) {
-        if self.processes[process.0].life == life {
+    fn grace_over(&mut self, process: ProcessIndex, incarnation: Incarnation) {
+        if self.processes[process.0].incarnation == incarnation {
             self.kill_process(process, false);
         }
     }
--- a/crates/simulation/src/world_http.rs
+++ b/crates/simulation/src/world_http.rs
@@ -9,11 +9,11 @@
 use crate::world::World;
 use checker::event::ExpectedStep;
 use checker::{Event as Seen, ReadState};
+use emulator::caller::{CallerAction, CallerAnswer};
 use gateway::TicketId;
-use peer::{Operation, OperationReply, Refusal, RefusalCode};
 use rand::Rng;
-use record::CancelSelector;
-use standin::caller::{CallerAction, CallerAnswer};
+use state_machine::CancelSelector;
+use transport::{Operation, OperationReply, Rejection, RejectionCode};
 use types::{JobKey, JobSpec, Milliseconds, StepSpec};
 
 /// Payload of a task that fails each time.
@@ -26,7 +26,7 @@
 const OUTSIDE_MICROS: (Micros, Micros) = (400, 1_500);
 
 /// An HTTP answer.
-pub type Answer = Result<OperationReply, Refusal>;
+pub type Answer = Result<OperationReply, Rejection>;
 
 impl World {
     /// Handles an event of callers, operators and their requests.
@@ -43,7 +43,7 @@
                 self.input(gateway, input);
             }
             Event::ResponseArrives(ticket, answer) => self.response(ticket, *answer),
-            Event::RequestSilence(ticket) => self.silence(ticket),
+            Event::RequestTimeout(ticket) => self.request_timed_out(ticket),
             Event::OperatorTimer(operator) => self.operator_acts(operator),
             Event::ReadConfigurations => self.read_configurations(),
             _ => {}
@@ -79,9 +79,9 @@
             let left = Milliseconds(timeout_ms);
             let event = Event::RequestArrives(process, ticket, left, operation);
             self.schedule_in(delay, event);
-            self.schedule_in(timeout_ms * 1_000, Event::RequestSilence(ticket));
+            self.schedule_in(timeout_ms * 1_000, Event::RequestTimeout(ticket));
         } else {
-            self.schedule_in(delay, Event::RequestSilence(ticket));
+            self.schedule_in(delay, Event::RequestTimeout(ticket));
         }
         ticket
     }
@@ -124,7 +124,7 @@
 
     /// One job in a hundred and twenty can never succeed, and two allow two
     /// copies of each task. The steps of three in 480 are gangs where they can
-    /// be: a gang may take all that the least ceiling leaves its tenant for
+    /// be: a gang may take all that the least resource limit leaves its tenant for
     /// seconds, so more would not end in the calm phase after a burst.
     fn sometimes_unusual(&mut self, spec: &mut JobSpec) {
         match self.random.random_range(0..480) {
@@ -225,14 +225,14 @@
         }
     }
 
-    fn silence(&mut self, ticket: TicketId) {
+    fn request_timed_out(&mut self, ticket: TicketId) {
         let Some(waiting) = self.waiting.remove(&ticket) else {
             return;
         };
         match waiting {
             Waiting::Submit { caller, job } | Waiting::Ask { caller, job, .. } => {
                 self.callers[caller].gateway += 1;
-                self.tell_caller(caller, &job, CallerAnswer::Silence);
+                self.answer_caller(caller, &job, CallerAnswer::TimedOut);
             }
             Waiting::Cancel { caller, .. } => self.callers[caller].gateway += 1,
             Waiting::Configure { operator } | Waiting::ReadVersion { operator } => {
@@ -263,11 +263,11 @@
         }
     }
 
-    fn tell_caller(&mut self, caller: usize, job: &JobKey, answer: CallerAnswer) {
+    fn answer_caller(&mut self, caller: usize, job: &JobKey, answer: CallerAnswer) {
         let now = self.outside_clock();
         let is_final = match &answer {
             CallerAnswer::State(state) => state.is_final(),
-            CallerAnswer::Refused => true,
+            CallerAnswer::Rejected => true,
             _ => false,
         };
         self.callers[caller].caller.answered(job, answer, now);
@@ -279,31 +279,31 @@
 
     fn submit_answered(&mut self, caller: usize, job: JobKey, answer: Answer) {
         let name = self.callers[caller].name.clone();
-        let told = match answer {
+        let outcome = match answer {
             Ok(_) => {
                 self.observe(name, Seen::SubmitAcknowledged { job: job.clone() });
                 self.acknowledged(Acknowledgement::Submit);
                 CallerAnswer::Acknowledged
             }
-            Err(refusal) => {
-                let seen = Seen::SubmitRefused {
+            Err(rejection) => {
+                let seen = Seen::SubmitRejected {
                     job: job.clone(),
-                    code: refusal_code(&refusal),
+                    code: rejection_code(&rejection),
                 };
                 self.observe(name, seen);
-                told_of(&refusal)
+                outcome_of(&rejection)
             }
         };
-        if told == CallerAnswer::Silence {
+        if outcome == CallerAnswer::TimedOut {
             self.callers[caller].gateway += 1;
         }
-        self.tell_caller(caller, &job, told);
+        self.answer_caller(caller, &job, outcome);
     }
 
     fn ask_answered(&mut self, caller: usize, job: JobKey, asked_at: Micros, answer: Answer) {
         let state = match &answer {
             Ok(OperationReply::Job(view)) => Some(ReadState::Known(view.state)),
-            Err(refusal) if refusal.code == RefusalCode::NotFound => Some(ReadState::Unknown),
+            Err(rejection) if rejection.code == RejectionCode::NotFound => Some(ReadState::Unknown),
             _ => None,
         };
         if let Some(state) = state {
@@ -314,13 +314,13 @@
             };
             self.observe(self.callers[caller].name.clone(), seen);
         }
-        let told = match (state, &answer) {
+        let outcome = match (state, &answer) {
             (Some(ReadState::Known(state)), _) => CallerAnswer::State(state),
             (Some(ReadState::Unknown), _) => CallerAnswer::Unknown,
-            (None, Err(refusal)) => told_of(refusal),
-            (None, Ok(_)) => CallerAnswer::Silence,
+            (None, Err(rejection)) => outcome_of(rejection),
+            (None, Ok(_)) => CallerAnswer::TimedOut,
         };
-        self.tell_caller(caller, &job, told);
+        self.answer_caller(caller, &job, outcome);
     }
 
     fn cancel_answered(&mut self, caller: usize, jobs: Vec<JobKey>, answer: &Answer) {
@@ -334,7 +334,7 @@
     }
 }
 
-/// A gang that no ceiling lets start would wait for ever, as it should: those
+/// A gang that no resource limit lets start would wait for ever, as it should: those
 /// stay single tasks.
 fn make_gangs(spec: &mut JobSpec, payload: &str) {
     let may_be_gang = |step: &&mut StepSpec| (2..=LEAST_SLOTS).contains(&step.tasks);
@@ -360,18 +360,19 @@
         .collect()
 }
 
-/// How a refusal is called in the history.
-pub(crate) fn refusal_code(refusal: &Refusal) -> String {
-    format!("{:?}", refusal.code).to_lowercase()
+/// How a rejection is called in the history.
+pub(crate) fn rejection_code(rejection: &Rejection) -> String {
+    format!("{:?}", rejection.code).to_lowercase()
 }
 
-/// What a refusal means to a caller: come back, ask again, or give up.
-fn told_of(refusal: &Refusal) -> CallerAnswer {
-    match (refusal.code, refusal.retry_after) {
+/// What a rejection means to a caller: come back, ask again, or give up.
+fn outcome_of(rejection: &Rejection) -> CallerAnswer {
+    match (rejection.code, rejection.retry_after) {
         (_, Some(after)) => CallerAnswer::RetryAfter(after),
-        (RefusalCode::TimedOut | RefusalCode::Unavailable | RefusalCode::Overloaded, None) => {
-            CallerAnswer::Silence
-        }
-        _ => CallerAnswer::Refused,
+        (
+            RejectionCode::TimedOut | RejectionCode::Unavailable | RejectionCode::Overloaded,
+            None,
+        ) => CallerAnswer::TimedOut,
+        _ => CallerAnswer::Rejected,
     }
 }
--- a/crates/simulation/src/world_operator.rs
+++ b/crates/simulation/src/world_operator.rs
@@ -7,9 +7,9 @@
 use crate::operator::{OPERATOR_INTERVAL_MS, OPERATOR_TIMEOUT_MS, digest};
 use crate::plan::Acknowledgement;
 use crate::world::World;
-use crate::world_http::{Answer, refusal_code};
+use crate::world_http::{Answer, rejection_code};
 use checker::Event as Seen;
-use peer::{Operation, OperationReply, Refusal, RefusalCode};
+use transport::{Operation, OperationReply, Rejection, RejectionCode};
 use types::Milliseconds;
 
 /// Time between two reads of the configuration at every gateway.
@@ -39,7 +39,7 @@
         };
         self.observe(name, seen);
         if !self.operators[operator].sends_invalid {
-            self.note_sent_ceilings(&order.document);
+            self.record_sent_resource_limits(&order.document);
         }
         self.operators[operator].waiting = true;
         let waiting = Waiting::Configure { operator };
@@ -64,7 +64,7 @@
                 // An acknowledgement may come after that of a newer version.
                 if version > self.newest_acknowledged {
                     self.newest_acknowledged = version;
-                    self.note_ceilings(&document);
+                    self.record_resource_limits(&document);
                 }
                 if self.operators[operator].sends_invalid {
                     let problem = format!("invalid configuration {version} was acknowledged");
@@ -73,33 +73,33 @@
                 self.operators[operator].document = document;
                 self.operator_sends(operator);
             }
-            Err(refusal) => {
-                let seen = Seen::ConfigurationRefused {
+            Err(rejection) => {
+                let seen = Seen::ConfigurationRejected {
                     version,
                     digest: digest(&document),
-                    code: refusal_code(&refusal),
+                    code: rejection_code(&rejection),
                 };
                 self.observe(name, seen);
-                self.after_refused_configuration(operator, &refusal);
+                self.after_rejected_configuration(operator, &rejection);
             }
         }
     }
 
-    fn note_sent_ceilings(&mut self, document: &configuration::ClusterConfiguration) {
+    fn record_sent_resource_limits(&mut self, document: &configuration::ClusterConfiguration) {
         for (tenant, settings) in &document.tenants {
-            let seen = Seen::CeilingSent {
+            let seen = Seen::ResourceLimitSent {
                 tenant: tenant.clone(),
-                ceiling: settings.ceiling,
+                resource_limit: settings.resource_limit,
             };
             self.observe("operator", seen);
         }
     }
 
-    fn note_ceilings(&mut self, document: &configuration::ClusterConfiguration) {
+    fn record_resource_limits(&mut self, document: &configuration::ClusterConfiguration) {
         for (tenant, settings) in &document.tenants {
-            let seen = Seen::CeilingInForce {
+            let seen = Seen::ResourceLimitInForce {
                 tenant: tenant.clone(),
-                ceiling: settings.ceiling,
+                resource_limit: settings.resource_limit,
             };
             self.observe("operator", seen);
         }
@@ -112,9 +112,9 @@
         }
     }
 
-    fn after_refused_configuration(&mut self, operator: usize, refusal: &Refusal) {
-        match refusal.code {
-            RefusalCode::Conflict | RefusalCode::Invalid => {
+    fn after_rejected_configuration(&mut self, operator: usize, rejection: &Rejection) {
+        match rejection.code {
+            RejectionCode::Conflict | RejectionCode::Invalid => {
                 self.operators[operator].open_order = None;
                 self.operators[operator].waiting = true;
                 let gateway = self.operators[operator].gateway;
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Takes what is in force, after an order was refused.
+    /// Takes what is in force, after an order was rejected.
     pub(crate) fn version_read(&mut self, operator: usize, answer: Answer) {
         let host = &mut self.operators[operator];
         host.waiting = false;
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Notes which configuration a gateway knows.
+    /// Records which configuration a gateway knows.
     pub(crate) fn configuration_read(&mut self, daemon: String, asked_at: Micros, answer: Answer) {
         if let Ok(OperationReply::Configuration { version, document }) = answer {
             let seen = Seen::ConfigurationRead {
--- a/crates/simulation/src/world_runner.rs
+++ b/crates/simulation/src/world_runner.rs
@@ -1,13 +1,13 @@
 //! The world's runners: heartbeats, orders and answers between a runner and
 //! the agent beside it.
 
-use crate::event::{Event, Life};
+use crate::event::{Event, Incarnation};
 use crate::network::{Micros, per_thousand};
 use crate::process::{Input, ProcessIndex};
 use crate::world::World;
 use checker::Event as Seen;
+use emulator::runner::{Behaviour, RunnerEvent, RunnerInstruction};
 use rand::Rng;
-use standin::runner::{Behaviour, RunnerEvent, RunnerInstruction};
 use types::{Milliseconds, OrderKind, Outcome, RunnerOrder};
 
 /// Time between a runner's heartbeats.
@@ -19,54 +19,59 @@
     /// Handles an event at a runner or between it and its agent.
     pub(crate) fn handle_runner_event(&mut self, event: Event) {
         match event {
-            Event::RunnerTick(runner, life) => self.runner_timer(runner, life),
-            Event::RunnerHeartbeat(runner, life) => self.heartbeat_timer(runner, life),
-            Event::HeartbeatArrives(runner, life, report) => {
-                self.heartbeat_arrives(runner, life, report);
+            Event::RunnerTick(runner, incarnation) => self.runner_timer(runner, incarnation),
+            Event::RunnerHeartbeat(runner, incarnation) => {
+                self.heartbeat_timer(runner, incarnation)
             }
-            Event::HeartbeatAnswered(runner, life, answer) => {
-                self.heartbeat_answered(runner, life, &answer);
+            Event::HeartbeatArrives(runner, incarnation, report) => {
+                self.heartbeat_arrives(runner, incarnation, report);
+            }
+            Event::HeartbeatAnswered(runner, incarnation, answer) => {
+                self.heartbeat_answered(runner, incarnation, &answer);
             }
             Event::OrderArrives(runner, order) => self.order_arrives(runner, &order),
-            Event::OrderAnswered(agent, life, order, answer) => {
-                self.order_answered(agent, life, order, answer);
+            Event::OrderAnswered(agent, incarnation, order, answer) => {
+                self.order_answered(agent, incarnation, order, answer);
             }
             Event::StartRunner(runner) => self.start_runner(runner),
-            Event::RunnerHealthy(runner, life) => self.runner_healthy(runner, life),
+            Event::RunnerHealthy(runner, incarnation) => self.runner_healthy(runner, incarnation),
             _ => {}
         }
     }
 
-    fn runner_timer(&mut self, runner: usize, life: Life) {
+    fn runner_timer(&mut self, runner: usize, incarnation: Incarnation) {
         let due = self.is_due(self.runners[runner].timer);
-        if self.runners[runner].life == life && due {
+        if self.runners[runner].incarnation == incarnation && due {
             self.runners[runner].timer = None;
             self.tick_runner(runner);
         }
     }
 
-    fn heartbeat_timer(&mut self, runner: usize, life: Life) {
-        if self.runners[runner].life == life {
+    fn heartbeat_timer(&mut self, runner: usize, incarnation: Incarnation) {
+        if self.runners[runner].incarnation == incarnation {
             self.send_heartbeat(runner);
-            self.schedule_in(HEARTBEAT_MICROS, Event::RunnerHeartbeat(runner, life));
+            self.schedule_in(
+                HEARTBEAT_MICROS,
+                Event::RunnerHeartbeat(runner, incarnation),
+            );
         }
     }
 
     fn order_answered(
         &mut self,
         agent: ProcessIndex,
-        life: Life,
+        incarnation: Incarnation,
         order: RunnerOrder,
         answer: types::OrderAnswer,
     ) {
-        if self.processes[agent.0].life == life {
+        if self.processes[agent.0].incarnation == incarnation {
             self.input(agent, Input::Answered(order, answer));
         }
     }
 
-    fn runner_healthy(&mut self, runner: usize, life: Life) {
+    fn runner_healthy(&mut self, runner: usize, incarnation: Incarnation) {
         let host = &mut self.runners[runner];
-        if host.life == life
+        if host.incarnation == incarnation
             && let Some(inner) = &mut host.runner
         {
             inner.behave(Behaviour::Healthy);
@@ -82,9 +87,9 @@
         let machine = self.runners[runner].machine;
         let now = self.machines[machine.0].clock(self.now).monotonic;
         self.runners[runner].start(now, seed);
-        let life = self.runners[runner].life;
+        let incarnation = self.runners[runner].incarnation;
         let first = self.random.random_range(0..HEARTBEAT_MICROS);
-        self.schedule_in(first, Event::RunnerHeartbeat(runner, life));
+        self.schedule_in(first, Event::RunnerHeartbeat(runner, incarnation));
     }
 
     /// Kills a runner; its runs die with it.
@@ -123,7 +128,7 @@
         let ended = events
             .iter()
             .any(|event| matches!(event, RunnerEvent::Ended { .. }));
-        self.note_runner_events(runner, events);
+        self.record_runner_events(runner, events);
         if ended {
             self.send_heartbeat(runner);
         }
@@ -138,9 +143,9 @@
         let machine = host.machine;
         let at = self.machines[machine.0].when(wakeup).max(self.now + 1_000);
         if host.timer.is_none_or(|timer| at < timer) {
-            let life = host.life;
+            let incarnation = host.incarnation;
             self.runners[runner].timer = Some(at);
-            self.schedule(at, Event::RunnerTick(runner, life));
+            self.schedule(at, Event::RunnerTick(runner, incarnation));
         }
     }
 
@@ -151,16 +156,21 @@
     fn send_heartbeat(&mut self, runner: usize) {
         let machine = self.runners[runner].machine;
         let now = self.machines[machine.0].clock(self.now).monotonic;
-        let life = self.runners[runner].life;
+        let incarnation = self.runners[runner].incarnation;
         let Some(inner) = &mut self.runners[runner].runner else {
             return;
         };
         let report = inner.heartbeat(now);
         let delay = self.local_delay();
-        self.schedule_in(delay, Event::HeartbeatArrives(runner, life, report));
+        self.schedule_in(delay, Event::HeartbeatArrives(runner, incarnation, report));
     }
 
-    fn heartbeat_arrives(&mut self, runner: usize, life: Life, report: types::RunnerReport) {
+    fn heartbeat_arrives(
+        &mut self,
+        runner: usize,
+        incarnation: Incarnation,
+        report: types::RunnerReport,
+    ) {
         let agent = self.runners[runner].agent;
         if !self.processes[agent.0].is_up() {
             return;
@@ -172,11 +182,16 @@
         };
         let answer = core.heartbeat_answer(&id);
         let delay = self.local_delay();
-        self.schedule_in(delay, Event::HeartbeatAnswered(runner, life, answer));
+        self.schedule_in(delay, Event::HeartbeatAnswered(runner, incarnation, answer));
     }
 
-    fn heartbeat_answered(&mut self, runner: usize, life: Life, answer: &agent::HeartbeatAnswer) {
-        if self.runners[runner].life != life {
+    fn heartbeat_answered(
+        &mut self,
+        runner: usize,
+        incarnation: Incarnation,
+        answer: &agent::HeartbeatAnswer,
+    ) {
+        if self.runners[runner].incarnation != incarnation {
             return;
         }
         let machine = self.runners[runner].machine;
@@ -193,7 +208,7 @@
             return;
         };
         let events = inner.heartbeat_answered(now, &instruction);
-        self.note_runner_events(runner, events);
+        self.record_runner_events(runner, events);
         self.set_runner_timer(runner);
     }
 
@@ -214,14 +229,14 @@
 
     fn order_delay(&mut self, runner: usize) -> Option<Micros> {
         let local = self.local_delay();
-        let trouble = self.runners[runner].trouble;
-        if self.now >= trouble.until {
+        let order_faults = self.runners[runner].order_faults;
+        if self.now >= order_faults.until {
             return Some(local);
         }
-        if per_thousand(&mut self.random, trouble.loss_per_thousand) {
+        if per_thousand(&mut self.random, order_faults.loss_per_thousand) {
             return None;
         }
-        let extra = self.random.random_range(0..=trouble.delay_ms * 1_000);
+        let extra = self.random.random_range(0..=order_faults.delay_ms * 1_000);
         Some(local + extra)
     }
 
@@ -243,11 +258,11 @@
             return;
         };
         let (answer, events) = inner.order(now, order);
-        let refused = matches!(answer, types::OrderAnswer::Refused(_));
+        let rejected = matches!(answer, types::OrderAnswer::Rejected(_));
         let stale = events
             .iter()
             .any(|event| matches!(event, RunnerEvent::AcceptedStale(_)));
-        if !refused {
+        if !rejected {
             let seen = Seen::OrderAccepted {
                 runner: id.clone(),
                 term: order.term,
@@ -255,17 +270,17 @@
             };
             self.observe(id.as_str(), seen);
         }
-        self.note_runner_events(runner, events);
+        self.record_runner_events(runner, events);
         self.set_runner_timer(runner);
         if let Some(delay) = self.order_delay(runner) {
             let agent = self.runners[runner].agent;
-            let life = self.processes[agent.0].life;
-            let event = Event::OrderAnswered(agent, life, order.clone(), answer);
+            let incarnation = self.processes[agent.0].incarnation;
+            let event = Event::OrderAnswered(agent, incarnation, order.clone(), answer);
             self.schedule_in(delay, event);
         }
     }
 
-    fn note_runner_events(&mut self, runner: usize, events: Vec<RunnerEvent>) {
+    fn record_runner_events(&mut self, runner: usize, events: Vec<RunnerEvent>) {
         let id = self.runners[runner].id().clone();
         let incarnation = self.runners[runner].options.incarnation;
         for event in events {
--- a/crates/simulation/tests/behind.rs
+++ b/crates/simulation/tests/behind.rs
@@ -12,11 +12,11 @@
     let mut plan = Plan::calm(seed);
     plan.load_ms = 8_000;
     plan.calm_ms = 240_000;
-    plan.fleet.stills_runners = 60;
+    plan.fleet.media_runners = 60;
     plan.fleet.documents_runners = 60;
     plan.fleet.load_percent = 400;
     plan.processing = Processing {
-        nanos_per_look: 2_000,
+        nanos_per_scan: 2_000,
         micros_per_input: 60,
         micros_per_step: 100,
         single_queue: false,
@@ -36,7 +36,7 @@
 fn show(name: &str, outcome: &Outcome) {
     println!(
         "{name}: liveness waited {}, {} jobs done, {} violations",
-        outcome.longest_liveness_wait,
+        outcome.max_liveness_wait,
         outcome.report.done_jobs,
         outcome.report.violations.len()
     );
@@ -48,7 +48,7 @@
         let outcome = run(&day(seed)).unwrap();
         show("as it is", &outcome);
         assert!(outcome.is_good(), "{:#?}", outcome.report.violations);
-        let waited = outcome.longest_liveness_wait;
+        let waited = outcome.max_liveness_wait;
         assert!(waited.0 * 5 < SESSION_LEASE.0, "seed {seed}: {waited}");
     }
 }
@@ -60,11 +60,11 @@
     for seed in [63, 64] {
         let mut plan = day(seed);
         plan.processing.single_queue = true;
-        plan.mutation = Some(Mutation::LookAtAll);
+        plan.mutation = Some(Mutation::ScanAll);
         let outcome = run(&plan).unwrap();
         show("one queue, all looked at", &outcome);
         assert!(!outcome.is_good(), "seed {seed}: nothing broke");
-        let waited = outcome.longest_liveness_wait;
+        let waited = outcome.max_liveness_wait;
         assert!(waited.0 * 3 > SESSION_LEASE.0, "seed {seed}: {waited}");
     }
 }
--- a/crates/simulation/tests/lossy_links.rs
+++ b/crates/simulation/tests/lossy_links.rs
@@ -1,5 +1,5 @@
 //! The links of one coordinator lose packets, each one's in a run of its own: a leader
-//! there gives way, fewer submits are late for it, and no promise breaks.
+//! there transfers leadership, fewer submits are late for it, and no promise breaks.
 
 use checker::Event;
 use simulation::{Fault, Outcome, Plan, PlannedFault, run};
@@ -12,9 +12,9 @@
 /// An acknowledgement that takes longer is late: a lost packet takes 250 ms.
 const LATE_MS: u64 = 200;
 
-fn day(seed: u64, lossy: usize, gives_way: bool) -> Plan {
+fn day(seed: u64, lossy: usize, transfer_when_degraded: bool) -> Plan {
     let mut plan = Plan::calm(seed);
-    plan.gives_way = gives_way;
+    plan.transfer_when_degraded = transfer_when_degraded;
     plan.fleet.coordinators = COORDINATORS;
     plan.load_ms = 2_000 + SPELL_MS;
     plan.fleet.load_percent = 40;
@@ -49,11 +49,11 @@
     waits
 }
 
-fn late_in_hundred(gives_way: bool) -> f64 {
+fn late_in_hundred(transfer_when_degraded: bool) -> f64 {
     let (mut late, mut all) = (0, 0);
     for seed in SEEDS {
         for lossy in 0..COORDINATORS {
-            let outcome = run(&day(seed, lossy, gives_way)).unwrap();
+            let outcome = run(&day(seed, lossy, transfer_when_degraded)).unwrap();
             let violations = &outcome.report.violations;
             assert!(outcome.is_good(), "seed {seed}, {lossy}: {violations:#?}");
             let waits = waits(&outcome);
--- a/crates/simulation/tests/mutations.rs
+++ b/crates/simulation/tests/mutations.rs
@@ -39,7 +39,7 @@
 fn without_a_void_before_a_second_try_the_checker_finds_a_start_sent_twice() {
     assert_needed(
         plan!("resend_start_instead_of_void"),
-        Mutation::ResendStartInsteadOfVoid,
+        Mutation::ResendStartInsteadOfRevoke,
         ViolationKind::DoubleStart,
     );
 }
@@ -102,7 +102,7 @@
 fn without_the_basis_check_the_checker_finds_a_repeated_task() {
     assert_needed(
         plan!("no_basis_check"),
-        Mutation::NoBasisCheck,
+        Mutation::NoHeartbeatCheck,
         ViolationKind::RepeatedTask,
     );
 }
--- a/crates/simulation/tests/runs.rs
+++ b/crates/simulation/tests/runs.rs
@@ -12,7 +12,7 @@
             ..FleetSize::default()
         },
         load_ms: 15_000,
-        most_faults: 6,
+        max_faults: 6,
     }
 }
 
--- a/crates/record/src/command.rs
+++ b/crates/state_machine/src/command.rs
@@ -1,7 +1,7 @@
 //! Commands of the replicated log, their answers and what they change.
 
-use crate::RecordError;
-use configuration::{ClusterConfiguration, ConfigurationProblem, ConfigurationUpdate};
+use crate::StateMachineError;
+use configuration::{ClusterConfiguration, ConfigurationError, ConfigurationUpdate};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use types::{
@@ -29,7 +29,7 @@
     /// Bind tasks to runners. Each is checked again against the state, on its
     /// own; orders leave only for those taken.
     Reserve {
-        /// The dispatcher's choices.
+        /// The scheduler's choices.
         reservations: Vec<Reservation>,
         /// Leader's wall time.
         at: WallTime,
@@ -85,13 +85,13 @@
 
 impl Command {
     /// The bytes for the log.
-    pub fn encode(&self) -> Result<Vec<u8>, RecordError> {
-        postcard::to_stdvec(self).map_err(RecordError::Command)
+    pub fn encode(&self) -> Result<Vec<u8>, StateMachineError> {
+        postcard::to_stdvec(self).map_err(StateMachineError::Command)
     }
 
     /// A command from the log's bytes.
-    pub fn decode(bytes: &[u8]) -> Result<Self, RecordError> {
-        postcard::from_bytes(bytes).map_err(RecordError::Command)
+    pub fn decode(bytes: &[u8]) -> Result<Self, StateMachineError> {
+        postcard::from_bytes(bytes).map_err(StateMachineError::Command)
     }
 }
 
@@ -136,7 +136,7 @@
 pub struct Applied {
     /// The answer to whoever proposed it.
     pub reply: CommandReply,
-    /// What changed, for the leader's dispatcher and orders.
+    /// What changed, for the leader's scheduler and orders.
     pub changes: Vec<Change>,
 }
 
@@ -162,9 +162,9 @@
     /// What became of each reservation.
     Reserved {
         /// Bound; their orders may leave.
-        taken: Vec<RunId>,
+        accepted: Vec<RunId>,
         /// Not bound.
-        refused: Vec<(RunId, ReserveRefusal)>,
+        rejected: Vec<(RunId, ReservationRejection)>,
     },
     /// Runs closed by this command, in order.
     Closed {
@@ -181,12 +181,12 @@
     /// Done, with nothing to tell.
     Accepted,
     /// Nothing was changed, for this reason.
-    Refused(RecordRefusal),
+    Rejected(CommandRejection),
 }
 
-/// Why the record refused a command.
+/// Why the record rejected a command.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
-pub enum RecordRefusal {
+pub enum CommandRejection {
     /// Same key, other content.
     #[error("job {key} is known with other content")]
     OtherContent {
@@ -240,13 +240,13 @@
     #[error("the configuration has {} problems", problems.len())]
     InvalidConfiguration {
         /// Every problem found.
-        problems: Vec<ConfigurationProblem>,
+        problems: Vec<ConfigurationError>,
     },
 }
 
 /// Why one reservation was not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error, Serialize, Deserialize)]
-pub enum ReserveRefusal {
+pub enum ReservationRejection {
     /// The task is unknown, blocked, finished, or has all its copies running.
     #[error("the task may not start")]
     NotReady,
@@ -259,12 +259,12 @@
     /// The queue is not active.
     #[error("the queue is not active")]
     QueueNotActive,
-    /// The tenant would exceed its ceiling.
+    /// The tenant would exceed its resource limit.
     #[error("the tenant is at its ceiling")]
-    TenantAtCeiling,
+    TenantAtLimit,
     /// The runner holds as many runs of the step as it may.
     #[error("the runner holds as many runs of the step as it may")]
-    RunnerHoldsEnough,
+    RunnerAtStepLimit,
     /// No seat of the licence is free.
     #[error("no seat of the licence is free")]
     NoSeat,
--- a/crates/record/src/error.rs
+++ b/crates/state_machine/src/error.rs
@@ -4,7 +4,7 @@
 
 /// Bytes that are not a command or snapshot of this format.
 #[derive(Debug, Error)]
-pub enum RecordError {
+pub enum StateMachineError {
     /// A log entry that cannot be read.
     #[error("a log entry does not hold a command: {0}")]
     Command(postcard::Error),
--- a/crates/record/src/lib.rs
+++ b/crates/state_machine/src/lib.rs
@@ -4,7 +4,7 @@
 //! Every coordinator applies the same commands in the same order and reaches
 //! the same state. Nothing here reads a clock or draws at random: the leader
 //! stamps each command with its wall time. A command that no longer fits the
-//! state is answered with a refusal and changes nothing.
+//! state is answered with a rejection and changes nothing.
 
 pub mod command;
 pub mod error;
@@ -13,8 +13,8 @@
 pub mod state;
 
 pub use command::{
-    Applied, CancelSelector, Change, ClosedRun, Command, CommandReply, RecordRefusal,
-    ReserveRefusal,
+    Applied, CancelSelector, Change, ClosedRun, Command, CommandRejection, CommandReply,
+    ReservationRejection,
 };
-pub use error::RecordError;
-pub use state::{Record, TaskStanding};
+pub use error::StateMachineError;
+pub use state::{StateMachine, TaskStatus};
--- a/crates/record/src/state.rs
+++ b/crates/state_machine/src/state.rs
@@ -5,38 +5,38 @@
 //! a snapshot. With the indexes every command costs its own size times the
 //! logarithm of the state, never a walk over all jobs.
 
+mod applied_configurations;
 mod cancel;
 mod configuration;
-mod holdings;
 mod indexes;
 mod job;
 mod jobs;
-mod late;
+mod late_ends;
 mod queries;
 mod retention;
 mod runs;
 mod settle;
 mod snapshot;
 pub mod submission;
-mod taken;
+mod usage;
 
-pub use queries::TaskStanding;
+pub use queries::TaskStatus;
 
 use crate::mutation::Mutation;
-use crate::{Applied, Change, Command, CommandReply, RecordRefusal};
+use crate::{Applied, Change, Command, CommandRejection, CommandReply};
 use ::configuration::ClusterConfiguration;
+use applied_configurations::AppliedConfigurations;
 use indexes::Indexes;
 use job::Job;
 use std::collections::{BTreeMap, BTreeSet};
-use taken::TakenConfigurations;
 use types::{ConfigurationVersion, JobNumber, OpenRun, RunId, RunnerId, TaskRef};
 
 /// Jobs, runs, configuration and operators' words on runners.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Record {
+pub struct StateMachine {
     version: ConfigurationVersion,
     document: ClusterConfiguration,
-    taken: TakenConfigurations,
+    applied_configurations: AppliedConfigurations,
     last_number: JobNumber,
     jobs: BTreeMap<JobNumber, Job>,
     open_runs: BTreeMap<RunId, OpenRun>,
@@ -46,7 +46,7 @@
     /// The highest run of any forgotten job. Runs grow by term and sequence
     /// in the order of the log, and a job is forgotten a retention after its
     /// last run, so no leader still has a lower one to reserve; one that
-    /// tries is refused, and the dispatcher draws another. This one value
+    /// tries is rejected, and the scheduler draws another. This one value
     /// keeps every run of every forgotten job from starting again.
     highest_forgotten_run: Option<RunId>,
     indexes: Indexes,
@@ -54,7 +54,7 @@
     mutation: Option<Mutation>,
 }
 
-impl Record {
+impl StateMachine {
     /// An empty record at configuration version 0.
     pub fn new() -> Self {
         Self::default()
@@ -77,7 +77,7 @@
         let mut changes = Vec::new();
         let reply = self.reply_to(command, &mut changes);
         Applied {
-            reply: reply.unwrap_or_else(CommandReply::Refused),
+            reply: reply.unwrap_or_else(CommandReply::Rejected),
             changes,
         }
     }
@@ -86,7 +86,7 @@
         &mut self,
         command: &Command,
         changes: &mut Vec<Change>,
-    ) -> Result<CommandReply, RecordRefusal> {
+    ) -> Result<CommandReply, CommandRejection> {
         match command {
             Command::Submit { spec, at } => self.submit(spec, *at, changes),
             Command::Cancel { selector, at } => Ok(self.cancel(selector, *at, changes)),
--- a/crates/record/src/state/taken.rs
+++ b/crates/state_machine/src/state/applied_configurations.rs
@@ -8,7 +8,7 @@
 use types::ConfigurationVersion;
 
 /// Versions remembered. An order resent after more newer ones is a conflict.
-pub(super) const MAX_TAKEN: usize = 1_024;
+pub(super) const MAX_APPLIED: usize = 1_024;
 
 /// SHA-256 of an order: of a document's bytes in the log, or of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,31 +44,35 @@
 /// Digests of the newest versions taken.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
-pub(super) struct TakenConfigurations {
+pub(super) struct AppliedConfigurations {
     digests: BTreeMap<ConfigurationVersion, OrderDigest>,
 }
 
-impl TakenConfigurations {
-    /// Notes that an order was taken; forgets the oldest beyond the limit.
-    pub(super) fn note(&mut self, version: ConfigurationVersion, order: Option<OrderDigest>) {
+impl AppliedConfigurations {
+    /// Records that an order was taken; forgets the oldest beyond the limit.
+    pub(super) fn record(&mut self, version: ConfigurationVersion, order: Option<OrderDigest>) {
         let Some(digest) = order else {
             return;
         };
         self.digests.insert(version, digest);
-        while self.digests.len() > MAX_TAKEN {
+        while self.digests.len() > MAX_APPLIED {
             self.digests.pop_first();
         }
     }
 
-    /// True when this order was taken under this version.
-    pub(super) fn holds(&self, version: ConfigurationVersion, order: Option<OrderDigest>) -> bool {
-        let taken = self.digests.get(&version).copied();
-        taken.is_some() && taken == order
+    /// Returns whether this order was taken under this version.
+    pub(super) fn contains(
+        &self,
+        version: ConfigurationVersion,
+        order: Option<OrderDigest>,
+    ) -> bool {
+        let applied_configurations = self.digests.get(&version).copied();
+        applied_configurations.is_some() && applied_configurations == order
     }
 
-    /// True when no more are held than may be, and none above the one in force.
+    /// Returns whether no more are held than may be, and none above the one in force.
     pub(super) fn fits(&self, in_force: ConfigurationVersion) -> bool {
         let newest = self.digests.last_key_value();
-        self.digests.len() <= MAX_TAKEN && newest.is_none_or(|(version, _)| *version <= in_force)
+        self.digests.len() <= MAX_APPLIED && newest.is_none_or(|(version, _)| *version <= in_force)
     }
 }
--- a/crates/record/src/state/cancel.rs
+++ b/crates/state_machine/src/state/cancel.rs
@@ -1,10 +1,10 @@
 //! Cancelling jobs.
 
-use super::Record;
+use super::StateMachine;
 use crate::{CancelSelector, Change, CommandReply};
 use types::{JobNumber, JobState, QueueName, TenantId, WallTime};
 
-impl Record {
+impl StateMachine {
     /// Cancels the jobs selected that are not in a final state.
     pub(super) fn cancel(
         &mut self,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// True when the job was not in a final state before.
+    /// Returns whether the job was not in a final state before.
     fn cancel_job(&mut self, number: JobNumber, at: WallTime, changes: &mut Vec<Change>) -> bool {
         let job = self.jobs.get(&number);
         let unfinished = job.is_some_and(|job| !job.state.is_final());
--- a/crates/record/src/state/configuration.rs
+++ b/crates/state_machine/src/state/configuration.rs
@@ -1,16 +1,16 @@
 //! Taking configurations and operators' words on runners.
 
-use super::Record;
-use super::taken::OrderDigest;
+use super::StateMachine;
+use super::applied_configurations::OrderDigest;
 use crate::mutation::Mutation;
-use crate::{Change, CommandReply, RecordRefusal};
+use crate::{Change, CommandRejection, CommandReply};
 use configuration::{
-    ClusterConfiguration, ConfigurationProblem, ConfigurationUpdate, LeftOutQueues, QueueMode,
+    ClusterConfiguration, ConfigurationError, ConfigurationUpdate, LeftOutQueues, QueueMode,
     validate,
 };
 use types::{ConfigurationVersion, RunnerId};
 
-impl Record {
+impl StateMachine {
     /// Takes a document by compare-and-set on its version. The same document
     /// under a version that was taken is acknowledged again, also after newer
     /// ones: the first acknowledgement may have been lost.
@@ -19,10 +19,10 @@
         version: ConfigurationVersion,
         document: &ClusterConfiguration,
         changes: &mut Vec<Change>,
-    ) -> Result<CommandReply, RecordRefusal> {
+    ) -> Result<CommandReply, CommandRejection> {
         let order = OrderDigest::of_document(document);
         let in_force = version == self.version && *document == self.document;
-        if in_force || self.taken.holds(version, order) {
+        if in_force || self.applied_configurations.contains(version, order) {
             return Ok(CommandReply::Configured {
                 version,
                 known: true,
@@ -41,9 +41,9 @@
         version: ConfigurationVersion,
         update: &ConfigurationUpdate,
         changes: &mut Vec<Change>,
-    ) -> Result<CommandReply, RecordRefusal> {
+    ) -> Result<CommandReply, CommandRejection> {
         let order = OrderDigest::of_update(update);
-        if self.taken.holds(version, order) {
+        if self.applied_configurations.contains(version, order) {
             return Ok(CommandReply::Configured {
                 version,
                 known: true,
@@ -52,28 +52,29 @@
         self.compare_version(version, update.replaces)?;
         let problems = update.problems();
         if !problems.is_empty() {
-            return Err(RecordRefusal::InvalidConfiguration { problems });
+            return Err(CommandRejection::InvalidConfiguration { problems });
         }
         let document = update.applied_to(&self.document);
         self.put_in_force(version, &document, order, changes)
     }
 
-    /// True when this very update was taken under this version.
-    pub fn has_taken(&self, version: ConfigurationVersion, update: &ConfigurationUpdate) -> bool {
-        self.taken.holds(version, OrderDigest::of_update(update))
+    /// Returns whether this very update was taken under this version.
+    pub fn has_applied(&self, version: ConfigurationVersion, update: &ConfigurationUpdate) -> bool {
+        self.applied_configurations
+            .contains(version, OrderDigest::of_update(update))
     }
 
     fn compare_version(
         &self,
         version: ConfigurationVersion,
         base: ConfigurationVersion,
-    ) -> Result<(), RecordRefusal> {
+    ) -> Result<(), CommandRejection> {
         let fits = (base == self.version && version > self.version)
             || self.mutation == Some(Mutation::AnyConfigurationVersion);
         if fits {
             return Ok(());
         }
-        Err(RecordRefusal::VersionConflict {
+        Err(CommandRejection::VersionConflict {
             wanted: version,
             current: self.version,
         })
@@ -86,18 +87,18 @@
         document: &ClusterConfiguration,
         order: Option<OrderDigest>,
         changes: &mut Vec<Change>,
-    ) -> Result<CommandReply, RecordRefusal> {
+    ) -> Result<CommandReply, CommandRejection> {
         let mut problems = validate(document);
         if document.left_out == LeftOutQueues::Refuse {
             problems.extend(self.find_removed_in_use(document));
         }
         if !problems.is_empty() {
-            return Err(RecordRefusal::InvalidConfiguration { problems });
+            return Err(CommandRejection::InvalidConfiguration { problems });
         }
         self.version = version;
         let old = std::mem::replace(&mut self.document, document.clone());
         self.keep_left_out(&old);
-        self.taken.note(version, order);
+        self.applied_configurations.record(version, order);
         changes.push(Change::ConfigurationChanged(version));
         Ok(CommandReply::Configured {
             version,
@@ -108,7 +109,7 @@
     /// Queues and tenants that the document leaves out while they hold
     /// unfinished jobs. Those jobs could neither start nor end any more, so
     /// the operator first drains or cancels them; nothing is lost silently.
-    fn find_removed_in_use(&self, document: &ClusterConfiguration) -> Vec<ConfigurationProblem> {
+    fn find_removed_in_use(&self, document: &ClusterConfiguration) -> Vec<ConfigurationError> {
         let queues = &self.indexes.unfinished_of_queue;
         let removed_queues = queues
             .iter()
@@ -128,7 +129,7 @@
 
     /// Keeps what the document leaves out while unfinished jobs need it: their
     /// queues drain under their last settings. Does nothing where the document
-    /// would have been refused for it.
+    /// would have been rejected for it.
     fn keep_left_out(&mut self, old: &ClusterConfiguration) {
         for name in self.indexes.unfinished_of_queue.keys() {
             let left_out = !self.document.queues.contains_key(name);
@@ -177,9 +178,9 @@
     }
 }
 
-fn in_use(place: String, count: u64) -> ConfigurationProblem {
-    ConfigurationProblem {
-        place,
-        problem: format!("may not be removed while it has {count} unfinished jobs"),
+fn in_use(path: String, count: u64) -> ConfigurationError {
+    ConfigurationError {
+        path,
+        message: format!("may not be removed while it has {count} unfinished jobs"),
     }
 }
--- a/crates/record/src/state/indexes.rs
+++ b/crates/state_machine/src/state/indexes.rs
@@ -1,7 +1,7 @@
 //! What follows from the jobs and open runs, kept for quick answers.
 
-use super::holdings::Holdings;
 use super::job::Job;
+use super::usage::Usage;
 use std::collections::{BTreeMap, BTreeSet};
 use types::{
     JobKey, JobNumber, LicenceName, OpenRun, QueueName, RunId, TaskRef, TenantId, WallTime,
@@ -35,7 +35,7 @@
     /// Open runs by task.
     pub runs_of_task: BTreeSet<(TaskRef, RunId)>,
     /// What each tenant's open runs hold.
-    pub holdings: BTreeMap<TenantId, Holdings>,
+    pub usage: BTreeMap<TenantId, Usage>,
     /// Seats that open runs take.
     pub seats: BTreeMap<LicenceName, u32>,
 }
@@ -120,8 +120,8 @@
     /// Enters an open run.
     pub fn insert_run(&mut self, run: &OpenRun) {
         self.runs_of_task.insert((run.task, run.run));
-        let held = self.holdings.entry(run.tenant.clone()).or_default();
-        *held = held.plus(run.resources);
+        let usage = self.usage.entry(run.tenant.clone()).or_default();
+        *usage = usage.plus(run.resources);
         if let Some(licence) = &run.licence {
             *self.seats.entry(licence.clone()).or_default() += 1;
         }
@@ -139,10 +139,10 @@
                 self.seats.remove(licence);
             }
         }
-        if let Some(held) = self.holdings.get_mut(&run.tenant) {
-            *held = held.minus(run.resources);
-            if *held == Holdings::default() {
-                self.holdings.remove(&run.tenant);
+        if let Some(usage) = self.usage.get_mut(&run.tenant) {
+            *usage = usage.minus(run.resources);
+            if *usage == Usage::default() {
+                self.usage.remove(&run.tenant);
             }
         }
     }
--- a/crates/record/src/state/job.rs
+++ b/crates/state_machine/src/state/job.rs
@@ -124,7 +124,7 @@
             .fold(Counts::default(), Counts::plus);
     }
 
-    /// True when every task ended done.
+    /// Returns whether every task ended done.
     pub fn is_done(&self) -> bool {
         self.counts.done as usize == self.tasks.len()
     }
@@ -195,12 +195,12 @@
         }
     }
 
-    /// True when every step is done.
+    /// Returns whether every step is done.
     pub fn all_done(&self) -> bool {
         self.unfinished_steps == 0
     }
 
-    /// True when a task may start, now or from its time on.
+    /// Returns whether a task may start, now or from its time on.
     pub fn has_startable(&self) -> bool {
         self.steps.iter().any(|step| step.counts.startable > 0)
     }
@@ -235,7 +235,7 @@
         self.open_runs = (self.open_runs + open_after).saturating_sub(open_before);
     }
 
-    /// Notes that a step is done; the steps that may start by that.
+    /// Records that a step is done; the steps that may start by that.
     pub fn complete_step(&mut self, done: u16) -> Vec<u16> {
         self.unfinished_steps = self.unfinished_steps.saturating_sub(1);
         let Some(name) = self.spec.steps.get(usize::from(done)).map(|s| &s.name) else {
@@ -274,7 +274,7 @@
         (0..steps).flat_map(move |step| self.step_tasks(number, step))
     }
 
-    /// True when the task may have another run. A member of a gang may only
+    /// Returns whether the task may have another run. A member of a gang may only
     /// while no run of the whole gang is open.
     pub fn is_startable(&self, at: TaskRef) -> bool {
         self.task(at).is_some_and(|(spec, step, task)| {
@@ -283,7 +283,7 @@
         })
     }
 
-    /// True when the task's step is a gang.
+    /// Returns whether the task's step is a gang.
     pub fn is_gang(&self, step: u16) -> bool {
         let spec = self.spec.steps.get(usize::from(step));
         spec.is_some_and(|spec| spec.rules.gang)
@@ -301,7 +301,7 @@
     }
 
     /// Where the checkpoint of a task is kept: a gang has one in common.
-    fn checkpoint_place(&self, at: TaskRef) -> (u16, u32) {
+    fn checkpoint_position(&self, at: TaskRef) -> (u16, u32) {
         match self.is_gang(at.step) {
             true => (at.step, 0),
             false => (at.step, at.task),
@@ -310,13 +310,13 @@
 
     /// What runs of the task saved last.
     pub fn checkpoint(&self, at: TaskRef) -> Option<&String> {
-        self.checkpoints.get(&self.checkpoint_place(at))
+        self.checkpoints.get(&self.checkpoint_position(at))
     }
 
     /// Keeps what a run of the task saved.
     pub fn keep_checkpoint(&mut self, at: TaskRef, checkpoint: &str) {
-        let place = self.checkpoint_place(at);
-        self.checkpoints.insert(place, checkpoint.to_owned());
+        let position = self.checkpoint_position(at);
+        self.checkpoints.insert(position, checkpoint.to_owned());
     }
 
     /// Where a task stands.
@@ -331,7 +331,7 @@
         self.spec.start_at.max(step.rules.start_at).max(backoff)
     }
 
-    /// What the dispatcher needs, when the task may have another run.
+    /// What the scheduler needs, when the task may have another run.
     pub fn startable_meta(&self, at: TaskRef) -> Option<TaskMeta> {
         if !self.is_startable(at) {
             return None;
--- a/crates/record/src/state/jobs.rs
+++ b/crates/state_machine/src/state/jobs.rs
@@ -1,23 +1,23 @@
 //! Taking jobs, and bringing them to their final state.
 
-use super::Record;
+use super::StateMachine;
 use super::job::{Job, Progress};
 use super::submission;
 use crate::mutation::Mutation;
-use crate::{Change, CommandReply, RecordRefusal};
+use crate::{Change, CommandRejection, CommandReply};
 use configuration::{ClusterConfiguration, QueueMode, QueueSettings, TenantSettings};
 use types::{
     JobKey, JobNumber, JobSpec, JobState, Milliseconds, OpenRun, QueueName, TaskRef, TenantId,
     WallTime,
 };
 
-/// When a caller refused for a full queue or tenant should come back.
+/// When a caller rejected for a full queue or tenant should come back.
 pub const FULL_RETRY_AFTER: Milliseconds = Milliseconds(1_000);
 
 /// Longest reason kept for a failed job, in bytes.
 const MAX_REASON_BYTES: usize = 1_024;
 
-impl Record {
+impl StateMachine {
     /// Takes a job, or tells again about one that is known. A resent job is
     /// acknowledged before any other check: it was taken under the rules of
     /// its time.
@@ -26,7 +26,7 @@
         spec: &JobSpec,
         at: WallTime,
         changes: &mut Vec<Change>,
-    ) -> Result<CommandReply, RecordRefusal> {
+    ) -> Result<CommandReply, CommandRejection> {
         let key = JobKey {
             tenant: spec.tenant.clone(),
             job: spec.job.clone(),
@@ -55,10 +55,10 @@
         number: JobNumber,
         key: JobKey,
         spec: &JobSpec,
-    ) -> Result<CommandReply, RecordRefusal> {
+    ) -> Result<CommandReply, CommandRejection> {
         let same = self.jobs.get(&number).is_some_and(|job| job.spec == *spec);
         if !same {
-            return Err(RecordRefusal::OtherContent { key });
+            return Err(CommandRejection::OtherContent { key });
         }
         Ok(CommandReply::Submitted {
             number,
@@ -67,16 +67,16 @@
     }
 
     /// The job to keep, sharing its names with the configuration.
-    fn check_submission(&self, spec: &JobSpec) -> Result<JobSpec, RecordRefusal> {
+    fn check_submission(&self, spec: &JobSpec) -> Result<JobSpec, CommandRejection> {
         let (tenant, contract) = find_tenant(&self.document, &spec.tenant)?;
         let (queue, settings) = find_queue(&self.document, &spec.queue)?;
         if settings.mode == QueueMode::Draining {
-            return Err(RecordRefusal::QueueDraining {
+            return Err(CommandRejection::QueueDraining {
                 queue: queue.clone(),
             });
         }
         if let Some(problem) = submission::find_problem(spec, &self.document) {
-            return Err(RecordRefusal::InvalidJob { problem });
+            return Err(CommandRejection::InvalidJob { problem });
         }
         check_limit(
             || format!("tenant {tenant}"),
@@ -141,7 +141,7 @@
         Change::TaskEnded { task, open_runs }
     }
 
-    /// Notes that a step is done: dependents may start, or the job is done.
+    /// Records that a step is done: dependents may start, or the job is done.
     pub(super) fn step_done(
         &mut self,
         number: JobNumber,
@@ -162,7 +162,7 @@
     }
 }
 
-/// True when the task may still have runs.
+/// Returns whether the task may still have runs.
 pub(super) fn is_unfinished(job: &Job, task: TaskRef) -> bool {
     job.task(task)
         .is_some_and(|(_, _, task)| task.progress == Progress::Unfinished)
@@ -180,8 +180,8 @@
 fn find_tenant<'a>(
     document: &'a ClusterConfiguration,
     name: &TenantId,
-) -> Result<(&'a TenantId, &'a TenantSettings), RecordRefusal> {
-    let unknown = || RecordRefusal::UnknownTenant {
+) -> Result<(&'a TenantId, &'a TenantSettings), CommandRejection> {
+    let unknown = || CommandRejection::UnknownTenant {
         tenant: name.clone(),
     };
     document.tenants.get_key_value(name).ok_or_else(unknown)
@@ -190,8 +190,8 @@
 fn find_queue<'a>(
     document: &'a ClusterConfiguration,
     name: &QueueName,
-) -> Result<(&'a QueueName, &'a QueueSettings), RecordRefusal> {
-    let unknown = || RecordRefusal::UnknownQueue {
+) -> Result<(&'a QueueName, &'a QueueSettings), CommandRejection> {
+    let unknown = || CommandRejection::UnknownQueue {
         queue: name.clone(),
     };
     document.queues.get_key_value(name).ok_or_else(unknown)
@@ -201,11 +201,11 @@
     what: impl FnOnce() -> String,
     unfinished: u64,
     limit: u64,
-) -> Result<(), RecordRefusal> {
+) -> Result<(), CommandRejection> {
     if unfinished < limit {
         return Ok(());
     }
-    Err(RecordRefusal::Full {
+    Err(CommandRejection::Full {
         what: what(),
         limit,
         retry_after: FULL_RETRY_AFTER,
--- a/crates/record/src/state/late.rs
+++ b/crates/state_machine/src/state/late_ends.rs
@@ -10,14 +10,14 @@
 //! that run ends without result. Only a gang that has started again goes by
 //! its new runs alone.
 
-use super::Record;
+use super::StateMachine;
 use super::jobs::is_unfinished;
 use super::settle::{count_late_failure, settle};
 use crate::Change;
 use types::{OpenRun, Outcome, RunClose, RunId, TaskRef, WallTime};
 
-impl Record {
-    /// True when the run was given up as lost and its end, should its runner
+impl StateMachine {
+    /// Returns whether the run was given up as lost and its end, should its runner
     /// speak again, is not in the record yet.
     pub fn awaits_late_end(&self, run: RunId) -> bool {
         self.lost_runs.contains_key(&run)
--- a/crates/record/src/state/queries.rs
+++ b/crates/state_machine/src/state/queries.rs
@@ -1,6 +1,6 @@
 //! What callers, operators and the leader ask.
 
-use super::Record;
+use super::StateMachine;
 use super::job::Job;
 use configuration::ClusterConfiguration;
 use std::ops::Bound;
@@ -12,7 +12,7 @@
 
 /// Where one task of a job stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TaskStanding {
+pub struct TaskStatus {
     /// The task.
     pub task: TaskRef,
     /// Its state.
@@ -25,7 +25,7 @@
     pub not_before: Option<WallTime>,
 }
 
-impl Record {
+impl StateMachine {
     /// Version and document in force.
     pub fn configuration(&self) -> (ConfigurationVersion, &ClusterConfiguration) {
         (self.version, &self.document)
@@ -182,7 +182,7 @@
         self.indexes.of_tenant.keys().find_map(of_name)
     }
 
-    /// True when the run was closed, and its job is not forgotten.
+    /// Returns whether the run was closed, and its job is not forgotten.
     pub fn is_closed(&self, run: RunId) -> bool {
         self.indexes.closed_runs.contains(&run)
     }
@@ -209,28 +209,28 @@
     }
 
     /// What all open runs of a tenant hold, those of ended jobs among them.
-    pub fn tenant_holdings(&self, tenant: &TenantId) -> Resources {
-        let held = self.indexes.holdings.get(tenant).copied();
-        held.unwrap_or_default().amount()
+    pub fn tenant_usage(&self, tenant: &TenantId) -> Resources {
+        let usage = self.indexes.usage.get(tenant).copied();
+        usage.unwrap_or_default().amount()
     }
 
     /// Seats of a licence that open runs take.
-    pub fn seats_taken(&self, licence: &LicenceName) -> u32 {
+    pub fn seats_used(&self, licence: &LicenceName) -> u32 {
         self.indexes.seats.get(licence).copied().unwrap_or(0)
     }
 
     /// Where each task of a job stands, in order of step and position.
-    pub fn task_states(&self, key: &JobKey) -> Option<Vec<TaskStanding>> {
+    pub fn task_states(&self, key: &JobKey) -> Option<Vec<TaskStatus>> {
         let number = self.job_number(key)?;
         let job = self.jobs.get(&number)?;
-        let standings = job.tasks(number).filter_map(|task| standing(job, task));
-        Some(standings.collect())
+        let statuses = job.tasks(number).filter_map(|task| task_status(job, task));
+        Some(statuses.collect())
     }
 }
 
-fn standing(job: &Job, at: TaskRef) -> Option<TaskStanding> {
+fn task_status(job: &Job, at: TaskRef) -> Option<TaskStatus> {
     let (step, _, task) = job.task(at)?;
-    Some(TaskStanding {
+    Some(TaskStatus {
         task: at,
         state: job.task_state(at)?,
         failed_runs: u32::from(task.failed_runs),
--- a/crates/record/src/state/retention.rs
+++ b/crates/state_machine/src/state/retention.rs
@@ -1,10 +1,10 @@
 //! Forgetting finished jobs.
 
-use super::Record;
+use super::StateMachine;
 use crate::CommandReply;
 use types::{JobNumber, WallTime};
 
-impl Record {
+impl StateMachine {
     /// Forgets final jobs that ended at or before a time, oldest first. A job
     /// with open runs stays until they are closed: its runs hold resources.
     pub(super) fn forget(&mut self, ended_before: WallTime, limit: u32) -> CommandReply {
--- a/crates/record/src/state/runs.rs
+++ b/crates/state_machine/src/state/runs.rs
@@ -1,16 +1,16 @@
 //! Opening and closing runs.
 
-use super::Record;
+use super::StateMachine;
 use super::job::{Job, Progress};
 use super::jobs::is_unfinished;
 use super::settle::settle;
 use crate::mutation::Mutation;
-use crate::{Change, ClosedRun, CommandReply, ReserveRefusal};
+use crate::{Change, ClosedRun, CommandReply, ReservationRejection};
 use configuration::QueueMode;
 use std::collections::BTreeSet;
 use types::{JobState, OpenRun, Outcome, Reservation, RunClose, RunId, TaskRef, WallTime};
 
-impl Record {
+impl StateMachine {
     /// Binds each task that may still start to its runner.
     pub(super) fn reserve(
         &mut self,
@@ -18,8 +18,8 @@
         at: WallTime,
         changes: &mut Vec<Change>,
     ) -> CommandReply {
-        let mut taken = Vec::new();
-        let mut refused = Vec::new();
+        let mut accepted = Vec::new();
+        let mut rejected = Vec::new();
         let same_gang = |a: &Reservation, b: &Reservation| {
             (a.task.job, a.task.step) == (b.task.job, b.task.step) && self.is_gang(a.task)
         };
@@ -29,23 +29,23 @@
                 Ok(runs) => {
                     for run in runs {
                         self.open_run_of(run.clone());
-                        taken.push(run.run);
+                        accepted.push(run.run);
                         changes.push(Change::RunOpened(run));
                     }
                 }
-                Err(refusal) => refused.extend(group.iter().map(|one| (one.run, refusal))),
+                Err(rejection) => rejected.extend(group.iter().map(|one| (one.run, rejection))),
             }
         }
-        CommandReply::Reserved { taken, refused }
+        CommandReply::Reserved { accepted, rejected }
     }
 
-    /// True when the task is a member of a gang.
+    /// Returns whether the task is a member of a gang.
     pub fn is_gang(&self, task: TaskRef) -> bool {
         let job = self.jobs.get(&task.job);
         job.is_some_and(|job| job.is_gang(task.step))
     }
 
-    /// True when the task is to run until its job is cancelled.
+    /// Returns whether the task is to run until its job is cancelled.
     pub fn is_endless(&self, task: TaskRef) -> bool {
         let job = self.jobs.get(&task.job);
         job.and_then(|job| job.task(task))
@@ -57,11 +57,11 @@
         &self,
         group: &[Reservation],
         at: WallTime,
-    ) -> Result<Vec<OpenRun>, ReserveRefusal> {
+    ) -> Result<Vec<OpenRun>, ReservationRejection> {
         let runs = group
             .iter()
             .map(|reservation| self.check_reservation(reservation, at))
-            .collect::<Result<Vec<OpenRun>, ReserveRefusal>>()?;
+            .collect::<Result<Vec<OpenRun>, ReservationRejection>>()?;
         if let Some(first) = runs.first()
             && self.is_gang(first.task)
         {
@@ -70,8 +70,8 @@
         Ok(runs)
     }
 
-    /// A gang starts whole, each member once, within its tenant's ceiling.
-    fn check_gang(&self, runs: &[OpenRun]) -> Result<(), ReserveRefusal> {
+    /// A gang starts whole, each member once, within its tenant's resource limit.
+    fn check_gang(&self, runs: &[OpenRun]) -> Result<(), ReservationRejection> {
         let Some(first) = runs.first() else {
             return Ok(());
         };
@@ -80,21 +80,21 @@
         let step = job.and_then(|job| job.spec.steps.get(usize::from(first.task.step)));
         let size = step.map_or(0, |step| step.tasks as usize);
         if members.len() != size || runs.len() != size {
-            return Err(ReserveRefusal::NotReady);
+            return Err(ReservationRejection::NotReady);
         }
-        let held = self.indexes.holdings.get(&first.tenant).copied();
-        let wanted = runs
-            .iter()
-            .fold(held.unwrap_or_default(), |sum, run| sum.plus(run.resources));
+        let usage = self.indexes.usage.get(&first.tenant).copied();
+        let wanted = runs.iter().fold(usage.unwrap_or_default(), |sum, run| {
+            sum.plus(run.resources)
+        });
         match self.document.tenants.get(&first.tenant) {
-            Some(contract) if wanted.fits_in(contract.ceiling) => {}
-            _ => return Err(ReserveRefusal::TenantAtCeiling),
+            Some(contract) if wanted.fits_in(contract.resource_limit) => {}
+            _ => return Err(ReservationRejection::TenantAtLimit),
         }
         self.check_seats(first, u32::try_from(size).unwrap_or(u32::MAX))
     }
 
     /// One runner holds no more runs of a step than the step allows.
-    fn check_spread(&self, run: &OpenRun, most: Option<u32>) -> Result<(), ReserveRefusal> {
+    fn check_spread(&self, run: &OpenRun, most: Option<u32>) -> Result<(), ReservationRejection> {
         let Some(most) = most else {
             return Ok(());
         };
@@ -106,21 +106,21 @@
             .count();
         match there < most as usize {
             true => Ok(()),
-            false => Err(ReserveRefusal::RunnerHoldsEnough),
+            false => Err(ReservationRejection::RunnerAtStepLimit),
         }
     }
 
     /// The count of seats is the record's own: every reservation passes here in
     /// the order of the log, so no two leaders can grant the last one.
-    fn check_seats(&self, run: &OpenRun, wanted: u32) -> Result<(), ReserveRefusal> {
+    fn check_seats(&self, run: &OpenRun, wanted: u32) -> Result<(), ReservationRejection> {
         let Some(licence) = &run.licence else {
             return Ok(());
         };
         let settings = self.document.licences.get(licence);
         let seats = settings.map_or(0, |settings| settings.seats);
-        match self.seats_taken(licence).saturating_add(wanted) <= seats {
+        match self.seats_used(licence).saturating_add(wanted) <= seats {
             true => Ok(()),
-            false => Err(ReserveRefusal::NoSeat),
+            false => Err(ReservationRejection::NoSeat),
         }
     }
 
@@ -129,22 +129,25 @@
         &self,
         reservation: &Reservation,
         at: WallTime,
-    ) -> Result<OpenRun, ReserveRefusal> {
+    ) -> Result<OpenRun, ReservationRejection> {
         if self.is_known_run(reservation.run) {
-            return Err(ReserveRefusal::KnownRun);
+            return Err(ReservationRejection::KnownRun);
         }
         let task = reservation.task;
-        let job = self.jobs.get(&task.job).ok_or(ReserveRefusal::NotReady)?;
+        let job = self
+            .jobs
+            .get(&task.job)
+            .ok_or(ReservationRejection::NotReady)?;
         let skips = self.mutation == Some(Mutation::SkipReservationCheck);
         if !skips && !job.is_startable(task) {
-            return Err(ReserveRefusal::NotReady);
+            return Err(ReservationRejection::NotReady);
         }
-        let (step, _, _) = job.task(task).ok_or(ReserveRefusal::NotReady)?;
+        let (step, _, _) = job.task(task).ok_or(ReservationRejection::NotReady)?;
         if !skips && self.draining_runners.contains(&reservation.runner) {
-            return Err(ReserveRefusal::RunnerDraining);
+            return Err(ReservationRejection::RunnerDraining);
         }
         let run = OpenRun {
-            place: reservation.place.clone(),
+            endpoint: reservation.endpoint.clone(),
             run: reservation.run,
             task,
             attempt: u32::from(job.next_attempt(task)),
@@ -161,7 +164,7 @@
         };
         if !skips {
             self.check_queue_starts(&run)?;
-            self.check_ceiling(&run)?;
+            self.check_resource_limit(&run)?;
             self.check_seats(&run, 1)?;
             self.check_spread(&run, step.rules.max_per_runner)?;
         }
@@ -176,23 +179,23 @@
 
     /// A draining queue takes no submits but finishes what it holds, so its
     /// tasks start like those of an active one.
-    fn check_queue_starts(&self, run: &OpenRun) -> Result<(), ReserveRefusal> {
+    fn check_queue_starts(&self, run: &OpenRun) -> Result<(), ReservationRejection> {
         let mode = self.document.queues.get(&run.queue).map(|queue| queue.mode);
         match mode {
             Some(QueueMode::Active | QueueMode::Draining) => Ok(()),
             Some(QueueMode::Shadow | QueueMode::Paused) | None => {
-                Err(ReserveRefusal::QueueNotActive)
+                Err(ReservationRejection::QueueNotActive)
             }
         }
     }
 
-    fn check_ceiling(&self, run: &OpenRun) -> Result<(), ReserveRefusal> {
-        let held = self.indexes.holdings.get(&run.tenant).copied();
-        let wanted = held.unwrap_or_default().plus(run.resources);
+    fn check_resource_limit(&self, run: &OpenRun) -> Result<(), ReservationRejection> {
+        let usage = self.indexes.usage.get(&run.tenant).copied();
+        let wanted = usage.unwrap_or_default().plus(run.resources);
         let contract = self.document.tenants.get(&run.tenant);
         match contract {
-            Some(contract) if wanted.fits_in(contract.ceiling) => Ok(()),
-            _ => Err(ReserveRefusal::TenantAtCeiling),
+            Some(contract) if wanted.fits_in(contract.resource_limit) => Ok(()),
+            _ => Err(ReservationRejection::TenantAtLimit),
         }
     }
 
--- a/crates/record/src/state/settle.rs
+++ b/crates/state_machine/src/state/settle.rs
@@ -5,7 +5,7 @@
 use configuration::Timings;
 use types::{Milliseconds, Outcome, RunClose, TaskRef, WallTime};
 
-/// Notes on an unfinished task how its run closed; true when the task failed
+/// Records on an unfinished task how its run closed; true when the task failed
 /// by it. The last allowed failure fails the task even while another copy is
 /// going: copies race for one result and share the allowance. One that was
 /// told late does so once no run of the task is open.
--- a/crates/record/src/state/snapshot.rs
+++ b/crates/state_machine/src/state/snapshot.rs
@@ -1,11 +1,11 @@
 //! The whole state as bytes. Only the state proper is written; counters and
 //! indexes are built anew, so that no bytes can make them disagree with it.
 
-use super::Record;
+use super::StateMachine;
+use super::applied_configurations::AppliedConfigurations;
 use super::job::{Job, Progress};
 use super::submission::{MAX_COPIES, MAX_STEPS, MAX_TASKS};
-use super::taken::TakenConfigurations;
-use crate::RecordError;
+use crate::StateMachineError;
 use configuration::ClusterConfiguration;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
@@ -24,7 +24,7 @@
 struct StoredRecord<'a> {
     version: ConfigurationVersion,
     document: Cow<'a, ClusterConfiguration>,
-    taken: Cow<'a, TakenConfigurations>,
+    applied_configurations: Cow<'a, AppliedConfigurations>,
     last_number: JobNumber,
     jobs: Vec<StoredJob<'a>>,
     open_runs: Vec<Cow<'a, OpenRun>>,
@@ -59,13 +59,13 @@
     failed_attempt: u16,
 }
 
-impl Record {
+impl StateMachine {
     /// All state as bytes with a format version.
-    pub fn snapshot(&self) -> Result<Vec<u8>, RecordError> {
+    pub fn snapshot(&self) -> Result<Vec<u8>, StateMachineError> {
         let stored = StoredRecord {
             version: self.version,
             document: Cow::Borrowed(&self.document),
-            taken: Cow::Borrowed(&self.taken),
+            applied_configurations: Cow::Borrowed(&self.applied_configurations),
             last_number: self.last_number,
             jobs: self
                 .jobs
@@ -78,65 +78,72 @@
             highest_forgotten_run: self.highest_forgotten_run,
         };
         let head = SNAPSHOT_VERSION.to_le_bytes().to_vec();
-        postcard::to_extend(&stored, head).map_err(RecordError::Snapshot)
+        postcard::to_extend(&stored, head).map_err(StateMachineError::Snapshot)
     }
 
     /// A record from a snapshot's bytes.
-    pub fn restore(bytes: &[u8]) -> Result<Self, RecordError> {
+    pub fn restore(bytes: &[u8]) -> Result<Self, StateMachineError> {
         let body = check_version(bytes)?;
         let (stored, rest) =
-            postcard::take_from_bytes::<StoredRecord>(body).map_err(RecordError::Snapshot)?;
+            postcard::take_from_bytes::<StoredRecord>(body).map_err(StateMachineError::Snapshot)?;
         if !rest.is_empty() {
-            return Err(RecordError::Inconsistent("bytes follow the snapshot"));
+            return Err(StateMachineError::Inconsistent("bytes follow the snapshot"));
         }
-        let mut record = Self {
+        let mut state_machine = Self {
             version: stored.version,
             document: stored.document.into_owned(),
-            taken: stored.taken.into_owned(),
+            applied_configurations: stored.applied_configurations.into_owned(),
             last_number: stored.last_number,
             lost_runs: stored.lost_runs.into_owned(),
             draining_runners: stored.draining_runners.into_owned(),
             highest_forgotten_run: stored.highest_forgotten_run,
             ..Self::default()
         };
-        if !record.taken.fits(record.version) {
-            return Err(RecordError::Inconsistent(
+        if !state_machine
+            .applied_configurations
+            .fits(state_machine.version)
+        {
+            return Err(StateMachineError::Inconsistent(
                 "the taken configurations do not fit the version",
             ));
         }
-        if record.last_number.0 == u64::MAX {
-            return Err(RecordError::Inconsistent("there are no more job numbers"));
+        if state_machine.last_number.0 == u64::MAX {
+            return Err(StateMachineError::Inconsistent(
+                "there are no more job numbers",
+            ));
         }
         for job in stored.jobs {
-            record.restore_job(job)?;
+            state_machine.restore_job(job)?;
         }
         for run in stored.open_runs {
-            record.restore_run(run.into_owned())?;
+            state_machine.restore_run(run.into_owned())?;
         }
-        record.check_lost_runs()?;
-        for (number, job) in &record.jobs {
-            record.indexes.insert_job(*number, job);
+        state_machine.check_lost_runs()?;
+        for (number, job) in &state_machine.jobs {
+            state_machine.indexes.insert_job(*number, job);
         }
-        Ok(record)
+        Ok(state_machine)
     }
 
-    fn check_lost_runs(&self) -> Result<(), RecordError> {
+    fn check_lost_runs(&self) -> Result<(), StateMachineError> {
         let closed = |run: &RunId, task: &TaskRef| {
             let job = self.jobs.get(&task.job);
             job.is_some_and(|job| job.closed_runs.contains(run) && job.task(*task).is_some())
         };
         match self.lost_runs.iter().all(|(run, task)| closed(run, task)) {
             true => Ok(()),
-            false => Err(RecordError::Inconsistent(
+            false => Err(StateMachineError::Inconsistent(
                 "a lost run is no closed run of its job",
             )),
         }
     }
 
-    fn restore_job(&mut self, stored: StoredJob) -> Result<(), RecordError> {
+    fn restore_job(&mut self, stored: StoredJob) -> Result<(), StateMachineError> {
         let number = stored.number;
         if number > self.last_number || self.jobs.contains_key(&number) {
-            return Err(RecordError::Inconsistent("a job has an impossible number"));
+            return Err(StateMachineError::Inconsistent(
+                "a job has an impossible number",
+            ));
         }
         let mut job = Job::new(
             self.share_names(stored.spec.into_owned())?,
@@ -149,7 +156,7 @@
         job.closed_runs = stored.closed_runs.into_owned();
         job.checkpoints = stored.checkpoints.into_owned();
         if job.state.is_final() != job.ended_at.is_some() {
-            return Err(RecordError::Inconsistent(
+            return Err(StateMachineError::Inconsistent(
                 "a job's end does not fit its state",
             ));
         }
@@ -165,10 +172,12 @@
 
     /// Bounds the job before anything is built from it, and shares its names
     /// with the configuration as submit does.
-    fn share_names(&self, mut spec: JobSpec) -> Result<JobSpec, RecordError> {
+    fn share_names(&self, mut spec: JobSpec) -> Result<JobSpec, StateMachineError> {
         let tasks: u64 = spec.steps.iter().map(|step| u64::from(step.tasks)).sum();
         if spec.steps.len() > MAX_STEPS || tasks > MAX_TASKS {
-            return Err(RecordError::Inconsistent("a job is larger than allowed"));
+            return Err(StateMachineError::Inconsistent(
+                "a job is larger than allowed",
+            ));
         }
         if let Some((tenant, _)) = self.document.tenants.get_key_value(&spec.tenant) {
             spec.tenant = tenant.clone();
@@ -179,8 +188,8 @@
         Ok(spec)
     }
 
-    fn restore_run(&mut self, run: OpenRun) -> Result<(), RecordError> {
-        let unknown_task = RecordError::Inconsistent("an open run has no task");
+    fn restore_run(&mut self, run: OpenRun) -> Result<(), StateMachineError> {
+        let unknown_task = StateMachineError::Inconsistent("an open run has no task");
         let Some(job) = self.jobs.get_mut(&run.task.job) else {
             return Err(unknown_task);
         };
@@ -189,7 +198,9 @@
         };
         let one_more_fits = u32::from(task.open_runs) < MAX_COPIES;
         if !one_more_fits || self.open_runs.contains_key(&run.run) {
-            return Err(RecordError::Inconsistent("a task has too many open runs"));
+            return Err(StateMachineError::Inconsistent(
+                "a task has too many open runs",
+            ));
         }
         job.change_task(run.task, |task| task.open_runs += 1);
         self.indexes.insert_run(&run);
@@ -198,13 +209,16 @@
     }
 }
 
-fn check_version(bytes: &[u8]) -> Result<&[u8], RecordError> {
-    let (head, body) = bytes
-        .split_first_chunk::<VERSION_BYTES>()
-        .ok_or(RecordError::Inconsistent("the snapshot has no version"))?;
+fn check_version(bytes: &[u8]) -> Result<&[u8], StateMachineError> {
+    let (head, body) =
+        bytes
+            .split_first_chunk::<VERSION_BYTES>()
+            .ok_or(StateMachineError::Inconsistent(
+                "the snapshot has no version",
+            ))?;
     let found = u32::from_le_bytes(*head);
     if found != SNAPSHOT_VERSION {
-        return Err(RecordError::Version {
+        return Err(StateMachineError::Version {
             found,
             supported: SNAPSHOT_VERSION,
         });
@@ -242,14 +256,18 @@
     })
 }
 
-fn restore_task(number: JobNumber, job: &mut Job, stored: &StoredTask) -> Result<(), RecordError> {
+fn restore_task(
+    number: JobNumber,
+    job: &mut Job,
+    stored: &StoredTask,
+) -> Result<(), StateMachineError> {
     let at = TaskRef {
         job: number,
         step: stored.step,
         task: stored.task,
     };
     if job.task(at).is_none() {
-        return Err(RecordError::Inconsistent("a job has an unknown task"));
+        return Err(StateMachineError::Inconsistent("a job has an unknown task"));
     }
     job.change_task(at, |task| {
         task.progress = stored.progress;
--- a/crates/record/src/state/submission.rs
+++ b/crates/state_machine/src/state/submission.rs
@@ -1,4 +1,4 @@
-//! Checks of a job at its submission: a job that can never succeed is refused
+//! Checks of a job at its submission: a job that can never succeed is rejected
 //! with the reason.
 
 use configuration::ClusterConfiguration;
@@ -28,7 +28,7 @@
     check_shape(spec)
         .and_then(|()| spec.steps.iter().try_for_each(check_step))
         .and_then(|()| check_order(&spec.steps))
-        .and_then(|()| check_room(spec, document))
+        .and_then(|()| check_capacity(spec, document))
         .err()
 }
 
@@ -129,12 +129,12 @@
     }
 }
 
-fn check_room(spec: &JobSpec, document: &ClusterConfiguration) -> Result<(), String> {
+fn check_capacity(spec: &JobSpec, document: &ClusterConfiguration) -> Result<(), String> {
     let queue = document.queues.get(&spec.queue);
     let pool = queue.and_then(|queue| document.pools.get(&queue.pool));
     let largest = pool.map_or(Resources::ZERO, |pool| pool.largest_runner);
     let tenant = document.tenants.get(&spec.tenant);
-    let ceiling = tenant.map_or(Resources::ZERO, |tenant| tenant.ceiling);
+    let resource_limit = tenant.map_or(Resources::ZERO, |tenant| tenant.resource_limit);
     for step in &spec.steps {
         let name = &step.name;
         if let Some(licence) = &step.rules.licence {
@@ -148,7 +148,7 @@
                 spec.queue
             )
         })?;
-        require(step.resources.fits_in(&ceiling), || {
+        require(step.resources.fits_in(&resource_limit), || {
             format!(
                 "a task of step {name} exceeds the ceiling of tenant {}",
                 spec.tenant
--- a/crates/record/src/state/holdings.rs
+++ b/crates/state_machine/src/state/usage.rs
@@ -5,14 +5,14 @@
 
 /// Sum over many runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(crate) struct Holdings {
+pub(crate) struct Usage {
     slots: u64,
     cpu_milli: u64,
     memory_mib: u64,
     gpus: u64,
 }
 
-impl From<Resources> for Holdings {
+impl From<Resources> for Usage {
     fn from(amount: Resources) -> Self {
         Self {
             slots: amount.slots.into(),
@@ -23,7 +23,7 @@
     }
 }
 
-impl Holdings {
+impl Usage {
     /// With one more run.
     pub fn plus(self, amount: Resources) -> Self {
         let other = Self::from(amount);
@@ -46,13 +46,13 @@
         }
     }
 
-    /// True when at most `ceiling` in every kind.
-    pub fn fits_in(self, ceiling: Resources) -> bool {
-        let ceiling = Self::from(ceiling);
-        self.slots <= ceiling.slots
-            && self.cpu_milli <= ceiling.cpu_milli
-            && self.memory_mib <= ceiling.memory_mib
-            && self.gpus <= ceiling.gpus
+    /// Returns whether at most `resource_limit` in every kind.
+    pub fn fits_in(self, resource_limit: Resources) -> bool {
+        let resource_limit = Self::from(resource_limit);
+        self.slots <= resource_limit.slots
+            && self.cpu_milli <= resource_limit.cpu_milli
+            && self.memory_mib <= resource_limit.memory_mib
+            && self.gpus <= resource_limit.gpus
     }
 
     /// As an amount, held at the largest value.
