--- a/crates/record/tests/configuration.rs
+++ b/crates/state_machine/tests/configuration.rs
@@ -6,12 +6,12 @@
     ClusterConfiguration, ConfigurationUpdate, LeftOutQueues, QueueSettings, RemovedItems,
     UpsertedItems,
 };
-use record::{Command, CommandReply, Record, RecordRefusal};
+use state_machine::{Command, CommandRejection, CommandReply, StateMachine};
 use support::*;
 use types::*;
 
 fn conflict(wanted: u64, current: u64) -> CommandReply {
-    CommandReply::Refused(RecordRefusal::VersionConflict {
+    CommandReply::Rejected(CommandRejection::VersionConflict {
         wanted: ConfigurationVersion(wanted),
         current: ConfigurationVersion(current),
     })
@@ -19,8 +19,8 @@
 
 fn problem_places(reply: CommandReply) -> Vec<String> {
     match reply {
-        CommandReply::Refused(RecordRefusal::InvalidConfiguration { problems }) => {
-            problems.into_iter().map(|problem| problem.place).collect()
+        CommandReply::Rejected(CommandRejection::InvalidConfiguration { problems }) => {
+            problems.into_iter().map(|problem| problem.path).collect()
         }
         other => panic!("{other:?}"),
     }
@@ -42,15 +42,15 @@
         driver.configure(u64::MAX, other.clone()),
         conflict(u64::MAX, 1)
     );
-    let taken = CommandReply::Configured {
+    let accepted = CommandReply::Configured {
         version: ConfigurationVersion(2),
         known: false,
     };
-    assert_eq!(driver.configure(2, other.clone()), taken);
+    assert_eq!(driver.configure(2, other.clone()), accepted);
     assert_eq!(driver.configure(1, document()), known, "a resent order");
     assert_eq!(driver.configure(1, other.clone()), conflict(1, 2));
     assert_eq!(
-        driver.record.configuration(),
+        driver.state_machine.configuration(),
         (ConfigurationVersion(2), &other)
     );
 }
@@ -70,9 +70,9 @@
     for version in 2..=LAST {
         driver.configure(version, numbered(version));
     }
-    let bytes = driver.record.snapshot().unwrap();
-    driver.record = Record::restore(&bytes).unwrap();
-    let before = driver.record.clone();
+    let bytes = driver.state_machine.snapshot().unwrap();
+    driver.state_machine = StateMachine::restore(&bytes).unwrap();
+    let before = driver.state_machine.clone();
     for version in 2..=LAST {
         let known = CommandReply::Configured {
             version: ConfigurationVersion(version),
@@ -86,7 +86,10 @@
         let other = numbered(version + 1);
         assert_eq!(driver.configure(version, other), conflict(version, LAST));
     }
-    assert_eq!(driver.record, before, "a resent order changes nothing");
+    assert_eq!(
+        driver.state_machine, before,
+        "a resent order changes nothing"
+    );
 }
 
 #[test]
@@ -96,7 +99,10 @@
     broken.pools.clear();
     let places = problem_places(driver.configure(2, broken));
     assert_eq!(places, ["queues.q.pool", "queues.r.pool"]);
-    assert_eq!(driver.record.configuration().0, ConfigurationVersion(1));
+    assert_eq!(
+        driver.state_machine.configuration().0,
+        ConfigurationVersion(1)
+    );
 }
 
 #[test]
@@ -119,11 +125,14 @@
         replaces: Some(ConfigurationVersion(version)),
         ..document()
     };
-    let refused = driver.configure(9, document());
-    assert!(matches!(refused, CommandReply::Refused(_)), "{refused:?}");
-    let taken = driver.configure(9, replacing(1));
+    let rejected = driver.configure(9, document());
+    assert!(
+        matches!(rejected, CommandReply::Rejected(_)),
+        "{rejected:?}"
+    );
+    let accepted = driver.configure(9, replacing(1));
     assert!(matches!(
-        taken,
+        accepted,
         CommandReply::Configured { known: false, .. }
     ));
     let again = driver.configure(9, replacing(1));
@@ -132,9 +141,9 @@
         CommandReply::Configured { known: true, .. }
     ));
     for (version, base) in [(12, 1), (9, 9), (8, 9)] {
-        let refused = driver.configure(version, replacing(base));
+        let rejected = driver.configure(version, replacing(base));
         assert!(
-            matches!(refused, CommandReply::Refused(_)),
+            matches!(rejected, CommandReply::Rejected(_)),
             "{version} on {base}"
         );
     }
@@ -147,9 +156,9 @@
     let mut without = document();
     without.queues.remove(&queue("q"));
     without.left_out = LeftOutQueues::Drain;
-    let taken = driver.configure(2, without.clone());
+    let accepted = driver.configure(2, without.clone());
     assert!(matches!(
-        taken,
+        accepted,
         CommandReply::Configured { known: false, .. }
     ));
     let again = driver.configure(2, without);
@@ -157,10 +166,10 @@
         again,
         CommandReply::Configured { known: true, .. }
     ));
-    let refused = driver.submit(job("k", vec![step("s", 1, &[])])).reply;
+    let rejected = driver.submit(job("k", vec![step("s", 1, &[])])).reply;
     assert!(matches!(
-        refused,
-        CommandReply::Refused(RecordRefusal::QueueDraining { .. })
+        rejected,
+        CommandReply::Rejected(CommandRejection::QueueDraining { .. })
     ));
     let run = driver.reserve(task(1, 0, 0)).unwrap();
     driver.close(run, DONE);
@@ -171,7 +180,7 @@
     driver.configure(3, without);
     assert!(
         !driver
-            .record
+            .state_machine
             .configuration()
             .1
             .queues
@@ -197,7 +206,7 @@
     }
 }
 
-fn taken(version: u64, known: bool) -> CommandReply {
+fn accepted(version: u64, known: bool) -> CommandReply {
     CommandReply::Configured {
         version: ConfigurationVersion(version),
         known,
@@ -210,31 +219,31 @@
         update: update.clone(),
         at: WallTime(0),
     };
-    driver.record.apply(&command).reply
+    driver.state_machine.apply(&command).reply
 }
 
 #[test]
 fn an_update_is_applied_to_the_version_it_names_and_known_again() {
     let mut driver = Driver::new();
     let first = adding("first", 1);
-    assert_eq!(apply(&mut driver, 5, &first), taken(5, false));
-    assert_eq!(apply(&mut driver, 5, &first), taken(5, true));
-    let (version, in_force) = driver.record.configuration();
+    assert_eq!(apply(&mut driver, 5, &first), accepted(5, false));
+    assert_eq!(apply(&mut driver, 5, &first), accepted(5, true));
+    let (version, in_force) = driver.state_machine.configuration();
     assert_eq!(version, ConfigurationVersion(5));
     assert_eq!(in_force.queues.len(), document().queues.len() + 1);
     assert_eq!(in_force.tenants, document().tenants);
 
     let second = adding("second", 5);
     assert_eq!(apply(&mut driver, 5, &second), conflict(5, 5), "not higher");
-    assert_eq!(apply(&mut driver, 9, &second), taken(9, false));
-    assert_eq!(apply(&mut driver, 5, &first), taken(5, true), "a resend");
+    assert_eq!(apply(&mut driver, 9, &second), accepted(9, false));
+    assert_eq!(apply(&mut driver, 5, &first), accepted(5, true), "a resend");
     assert_eq!(apply(&mut driver, 9, &first), conflict(9, 9));
     assert_eq!(apply(&mut driver, 10, &first), conflict(10, 9));
-    let bytes = driver.record.snapshot().unwrap();
-    driver.record = Record::restore(&bytes).unwrap();
-    assert_eq!(apply(&mut driver, 9, &second), taken(9, true));
+    let bytes = driver.state_machine.snapshot().unwrap();
+    driver.state_machine = StateMachine::restore(&bytes).unwrap();
+    assert_eq!(apply(&mut driver, 9, &second), accepted(9, true));
     assert_eq!(
-        driver.record.configuration().1.queues.len(),
+        driver.state_machine.configuration().1.queues.len(),
         document().queues.len() + 2
     );
 }
@@ -242,10 +251,13 @@
 #[test]
 fn of_two_updates_on_one_version_one_wins() {
     let mut driver = Driver::new();
-    assert_eq!(apply(&mut driver, 3, &adding("mine", 1)), taken(3, false));
+    assert_eq!(
+        apply(&mut driver, 3, &adding("mine", 1)),
+        accepted(3, false)
+    );
     assert_eq!(apply(&mut driver, 3, &adding("yours", 1)), conflict(3, 3));
     assert_eq!(apply(&mut driver, 4, &adding("yours", 1)), conflict(4, 3));
-    let queues = &driver.record.configuration().1.queues;
+    let queues = &driver.state_machine.configuration().1.queues;
     assert!(queues.contains_key(&queue("mine")) && !queues.contains_key(&queue("yours")));
 }
 
@@ -263,13 +275,16 @@
         places.iter().any(|place| place == "queues.new.pool"),
         "{places:?}"
     );
-    assert_eq!(driver.record.configuration().0, ConfigurationVersion(1));
-    assert_eq!(driver.record.configuration().1, &document());
+    assert_eq!(
+        driver.state_machine.configuration().0,
+        ConfigurationVersion(1)
+    );
+    assert_eq!(driver.state_machine.configuration().1, &document());
 
     let mut both = adding("new", 1);
     both.remove.queues.insert(queue("new"));
     assert_eq!(problem_places(apply(&mut driver, 2, &both)), ["queues.new"]);
-    assert_eq!(driver.record.configuration().1, &document());
+    assert_eq!(driver.state_machine.configuration().1, &document());
 }
 
 #[test]
@@ -278,9 +293,9 @@
     let mut update = adding("new", 1);
     update.sent = Some("an order in the operator's own words".to_owned());
     update.source = Some("the text it leads to".to_owned());
-    assert_eq!(apply(&mut driver, 2, &update), taken(2, false));
+    assert_eq!(apply(&mut driver, 2, &update), accepted(2, false));
     assert_eq!(
-        driver.record.configuration().1.source.as_deref(),
+        driver.state_machine.configuration().1.source.as_deref(),
         Some("the text it leads to")
     );
     let bare = ConfigurationUpdate {
@@ -289,15 +304,19 @@
         ..ConfigurationUpdate::default()
     };
     let version = ConfigurationVersion(2);
-    assert!(driver.record.has_taken(version, &bare));
-    assert!(!driver.record.has_taken(ConfigurationVersion(3), &bare));
+    assert!(driver.state_machine.has_applied(version, &bare));
+    assert!(
+        !driver
+            .state_machine
+            .has_applied(ConfigurationVersion(3), &bare)
+    );
     let other = ConfigurationUpdate {
         sent: Some("another order".to_owned()),
         ..bare.clone()
     };
-    assert!(!driver.record.has_taken(version, &other));
+    assert!(!driver.state_machine.has_applied(version, &other));
     let unsent = ConfigurationUpdate { sent: None, ..bare };
-    assert!(!driver.record.has_taken(version, &unsent));
+    assert!(!driver.state_machine.has_applied(version, &unsent));
 }
 
 #[test]
@@ -317,8 +336,8 @@
     assert_eq!(places, [format!("queues.{name}")]);
     let mut drains = document();
     drains.left_out = LeftOutQueues::Drain;
-    assert_eq!(driver.configure(2, drains), taken(2, false));
-    assert_eq!(apply(&mut driver, 3, &update(2)), taken(3, false));
-    let kept = &driver.record.configuration().1.queues[&name];
+    assert_eq!(driver.configure(2, drains), accepted(2, false));
+    assert_eq!(apply(&mut driver, 3, &update(2)), accepted(3, false));
+    let kept = &driver.state_machine.configuration().1.queues[&name];
     assert_eq!(kept.mode, configuration::QueueMode::Draining);
 }
--- a/crates/record/tests/gangs.rs
+++ b/crates/state_machine/tests/gangs.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use record::{Change, ClosedRun, Command, CommandReply, ReserveRefusal};
+use state_machine::{Change, ClosedRun, Command, CommandReply, ReservationRejection};
 use support::{DONE, Driver, failed, job, ready_in, run_id, runner, step, task};
 use types::{
     JobState, Reservation, RunClose, RunId, RunName, RunnerIncarnation, StepRules, StepSpec,
@@ -19,13 +19,13 @@
     }
 }
 
-fn reserve_all(driver: &mut Driver, tasks: &[u32]) -> Result<Vec<RunId>, ReserveRefusal> {
+fn reserve_all(driver: &mut Driver, tasks: &[u32]) -> Result<Vec<RunId>, ReservationRejection> {
     let reservations: Vec<Reservation> = tasks
         .iter()
         .map(|member| {
             driver.last_run += 1;
             Reservation {
-                place: None,
+                endpoint: None,
                 run: run_id(driver.last_run),
                 task: task(1, 0, *member),
                 runner: runner("runner"),
@@ -36,9 +36,9 @@
         .collect();
     let at = driver.at;
     let command = Command::Reserve { reservations, at };
-    match driver.record.apply(&command).reply {
-        CommandReply::Reserved { taken, refused } if refused.is_empty() => Ok(taken),
-        CommandReply::Reserved { refused, .. } => Err(refused[0].1),
+    match driver.state_machine.apply(&command).reply {
+        CommandReply::Reserved { accepted, rejected } if rejected.is_empty() => Ok(accepted),
+        CommandReply::Reserved { rejected, .. } => Err(rejected[0].1),
         other => panic!("{other:?}"),
     }
 }
@@ -63,10 +63,10 @@
     for part in [vec![0], vec![0, 1], vec![0, 1, 1]] {
         assert_eq!(
             reserve_all(&mut driver, &part),
-            Err(ReserveRefusal::NotReady)
+            Err(ReservationRejection::NotReady)
         );
     }
-    assert!(driver.record.open_runs().is_empty());
+    assert!(driver.state_machine.open_runs().is_empty());
     assert_eq!(reserve_all(&mut driver, &[0, 1, 2]).unwrap().len(), 3);
 }
 
@@ -76,9 +76,9 @@
     driver.submit(job("other", vec![step("s", 2, &[])]));
     driver.reserve(task(2, 0, 0)).unwrap();
     driver.reserve(task(2, 0, 1)).unwrap();
-    let refused = reserve_all(&mut driver, &[0, 1, 2]);
-    assert_eq!(refused, Err(ReserveRefusal::TenantAtCeiling));
-    assert_eq!(driver.record.open_runs().len(), 2);
+    let rejected = reserve_all(&mut driver, &[0, 1, 2]);
+    assert_eq!(rejected, Err(ReservationRejection::TenantAtLimit));
+    assert_eq!(driver.state_machine.open_runs().len(), 2);
 }
 
 #[test]
@@ -87,10 +87,13 @@
     for attempt in 1..=2 {
         let runs = reserve_all(&mut driver, &[0, 1]).unwrap();
         for run in &runs {
-            assert_eq!(driver.record.run_spec(*run).unwrap().attempt, attempt);
+            assert_eq!(
+                driver.state_machine.run_spec(*run).unwrap().attempt,
+                attempt
+            );
         }
         for run in runs {
-            driver.close(run, RunClose::Voided);
+            driver.close(run, RunClose::Revoked);
         }
     }
 }
@@ -121,7 +124,7 @@
     driver.close(runs[0], DONE);
     driver.close(runs[2], RunClose::Lost);
     assert_eq!(driver.view("j").state, JobState::Done);
-    assert!(driver.record.open_runs().is_empty());
+    assert!(driver.state_machine.open_runs().is_empty());
 }
 
 #[test]
@@ -134,16 +137,16 @@
     };
     let at = driver.at;
     let runs_closed = vec![closed, ClosedRun::new(runs[0], RunClose::Lost)];
-    driver.record.apply(&Command::CloseRuns {
+    driver.state_machine.apply(&Command::CloseRuns {
         runs: runs_closed,
         at,
     });
-    let bytes = driver.record.snapshot().unwrap();
-    driver.record = record::Record::restore(&bytes).unwrap();
+    let bytes = driver.state_machine.snapshot().unwrap();
+    driver.state_machine = state_machine::StateMachine::restore(&bytes).unwrap();
     driver.at = WallTime(at.0 + 10_000);
     let runs = reserve_all(&mut driver, &[0, 1]).unwrap();
     for run in runs {
-        let spec = driver.record.run_spec(run).unwrap();
+        let spec = driver.state_machine.run_spec(run).unwrap();
         assert_eq!(
             (spec.attempt, spec.checkpoint.as_deref()),
             (2, Some("half"))
@@ -161,10 +164,10 @@
     };
     let at = driver.at;
     let runs = vec![closed];
-    driver.record.apply(&Command::CloseRuns { runs, at });
+    driver.state_machine.apply(&Command::CloseRuns { runs, at });
     let again = driver.reserve(task(1, 0, 1)).unwrap();
     let other = driver.reserve(task(1, 0, 0)).unwrap();
-    let spec = |run| driver.record.run_spec(run).unwrap();
+    let spec = |run| driver.state_machine.run_spec(run).unwrap();
     assert_eq!(spec(again).checkpoint.as_deref(), Some("c"));
     assert_eq!((spec(again).attempt, spec(other).attempt), (2, 1));
     assert_eq!(spec(other).checkpoint, None);
@@ -189,7 +192,7 @@
     later.rules.start_at = Some(WallTime(5_000));
     let mut driver = Driver::new();
     driver.submit(job("j", vec![step("now", 1, &[]), later]));
-    let ready = driver.record.ready_tasks(None, 1);
+    let ready = driver.state_machine.ready_tasks(None, 1);
     let times: Vec<_> = ready.iter().map(|meta| meta.not_before).collect();
     assert_eq!(times, [None, Some(WallTime(5_000))]);
 }
@@ -199,10 +202,10 @@
     let mut driver = driver_with(step("s", 2, &[]));
     let run = driver.reserve(task(1, 0, 1)).unwrap();
     let name = driver
-        .record
-        .run_name(&driver.record.open_run(run).unwrap());
+        .state_machine
+        .run_name(&driver.state_machine.open_run(run).unwrap());
     let name = name.unwrap();
-    assert_eq!(driver.record.find_open_run(&name), Some(run));
+    assert_eq!(driver.state_machine.find_open_run(&name), Some(run));
     let later = RunName { attempt: 2, ..name };
-    assert_eq!(driver.record.find_open_run(&later), None);
+    assert_eq!(driver.state_machine.find_open_run(&later), None);
 }
--- a/crates/record/tests/golden/samples.rs
+++ b/crates/state_machine/tests/golden/samples.rs
@@ -170,7 +170,7 @@
 pub fn contract() -> TenantSettings {
     TenantSettings {
         share_percent: 35,
-        ceiling: resources(200),
+        resource_limit: resources(200),
         error_budget: ErrorBudget {
             late_after: Milliseconds(60_000),
             late_per_thousand: 15,
@@ -271,9 +271,9 @@
 /// Every way to close a run, with every outcome.
 pub fn closes() -> Vec<RunClose> {
     let others = [
-        RunClose::Voided,
+        RunClose::Revoked,
         RunClose::Lost,
-        RunClose::Refused,
+        RunClose::Rejected,
         RunClose::TimedOut,
     ];
     let ended = outcomes().into_iter().map(RunClose::Ended);
@@ -287,7 +287,7 @@
             task: task(9),
             runner: name("rowan"),
             incarnation: RunnerIncarnation(6),
-            place: Some(name("10.1.2.3:7000")),
+            endpoint: Some(name("10.1.2.3:7000")),
             self_stop: true,
         },
         Reservation {
@@ -295,7 +295,7 @@
             task: task(10),
             runner: name("sorb"),
             incarnation: RunnerIncarnation(7),
-            place: None,
+            endpoint: None,
             self_stop: false,
         },
     ]
--- a/crates/record/tests/golden_commands.rs
+++ b/crates/state_machine/tests/golden_commands.rs
@@ -8,7 +8,7 @@
     QUEUE_MODES, closes, document, job, key, key_roles, name, outcomes, plain_job, reservations,
     run, update,
 };
-use record::{CancelSelector, ClosedRun, Command};
+use state_machine::{CancelSelector, ClosedRun, Command};
 use types::{ConfigurationVersion, Outcome, RunClose, Urgency, WallTime};
 
 const RECORDED: &str = include_str!("golden/commands.txt");
@@ -164,9 +164,9 @@
     .assert_covered(&outcomes());
     variants!(RunClose {
         Ended,
-        Voided,
+        Revoked,
         Lost,
-        Refused,
+        Rejected,
         TimedOut
     })
     .assert_covered(&closes());
--- a/crates/record/tests/golden_snapshot.rs
+++ b/crates/state_machine/tests/golden_snapshot.rs
@@ -10,7 +10,9 @@
 };
 use golden::bytes::{assert_recorded_whole, from_hex, variants};
 use golden::samples::{contract, keys, name, timings};
-use record::{CancelSelector, ClosedRun, Command, CommandReply, Record, ReserveRefusal};
+use state_machine::{
+    CancelSelector, ClosedRun, Command, CommandReply, ReservationRejection, StateMachine,
+};
 use std::collections::BTreeMap;
 use support::{DONE, Driver, document, failed, job, key, queue, run_id, slots, step, task, tenant};
 use types::*;
@@ -46,7 +48,7 @@
     let mut document = document();
     for settings in document.tenants.values_mut() {
         *settings = contract();
-        settings.ceiling = slots(40);
+        settings.resource_limit = slots(40);
     }
     for queue in document.queues.values_mut() {
         queue.max_unfinished_jobs = 60;
@@ -90,10 +92,10 @@
 
 impl Story {
     fn apply(&mut self, command: Command) -> CommandReply {
-        let applied = self.driver.record.apply(&command);
+        let applied = self.driver.state_machine.apply(&command);
         self.driver.at = self.driver.at + STEP_OF_TIME;
         let reply = applied.reply;
-        assert!(!matches!(reply, CommandReply::Refused(_)), "{reply:?}");
+        assert!(!matches!(reply, CommandReply::Rejected(_)), "{reply:?}");
         reply
     }
 
@@ -116,7 +118,7 @@
                 task: *task,
                 runner: name(&format!("rowan-{number}")),
                 incarnation: RunnerIncarnation(number + 500),
-                place: number
+                endpoint: number
                     .is_multiple_of(2)
                     .then(|| name(&format!("10.0.0.{number}:7000"))),
                 self_stop: !number.is_multiple_of(3),
@@ -124,11 +126,11 @@
         }
         let at = self.driver.at;
         let reply = self.apply(Command::Reserve { reservations, at });
-        let CommandReply::Reserved { taken, refused } = reply else {
+        let CommandReply::Reserved { accepted, rejected } = reply else {
             panic!("{reply:?}");
         };
-        assert_eq!(refused, []);
-        taken
+        assert_eq!(rejected, []);
+        accepted
     }
 
     fn reserve(&mut self, task: TaskRef) -> RunId {
@@ -280,8 +282,8 @@
     fn close_in_every_way(&mut self) {
         self.submit(RETRIED, job("retried", vec![step("s", 1, &[])]));
         let closes = [
-            RunClose::Voided,
-            RunClose::Refused,
+            RunClose::Revoked,
+            RunClose::Rejected,
             RunClose::TimedOut,
             RunClose::Ended(Outcome::Stopped),
         ];
@@ -344,28 +346,28 @@
     story.driver
 }
 
-fn restored() -> Record {
-    Record::restore(&from_hex(RECORDED)).unwrap()
+fn restored() -> StateMachine {
+    StateMachine::restore(&from_hex(RECORDED)).unwrap()
 }
 
-fn states(record: &Record) -> Vec<(u64, JobState)> {
-    let jobs = record.jobs(None, None, None, usize::MAX).into_iter();
+fn states(state_machine: &StateMachine) -> Vec<(u64, JobState)> {
+    let jobs = state_machine.jobs(None, None, None, usize::MAX).into_iter();
     jobs.map(|(number, view)| (number.0, view.state)).collect()
 }
 
-fn standing(record: &Record, name: &str, task: usize) -> record::TaskStanding {
-    record.task_states(&key("a", name)).unwrap()[task].clone()
+fn standing(state_machine: &StateMachine, name: &str, task: usize) -> state_machine::TaskStatus {
+    state_machine.task_states(&key("a", name)).unwrap()[task].clone()
 }
 
 #[test]
 fn a_snapshot_has_its_recorded_bytes() {
-    assert_recorded_whole(RECORDED, &told().record.snapshot().unwrap());
+    assert_recorded_whole(RECORDED, &told().state_machine.snapshot().unwrap());
 }
 
 #[test]
 fn the_recorded_snapshot_is_restored_whole() {
     let restored = restored();
-    assert_eq!(restored, told().record);
+    assert_eq!(restored, told().state_machine);
     assert_eq!(restored.snapshot().unwrap(), from_hex(RECORDED));
 }
 
@@ -404,10 +406,10 @@
 
 #[test]
 fn the_restored_tasks_stand_as_they_stood() {
-    let record = restored();
+    let state_machine = restored();
     let names = ["waits", "goes", "stopped", "ended", "broken"];
-    let standings = names.map(|name| record.task_states(&key("a", name)).unwrap());
-    let states: Vec<TaskState> = standings.iter().flatten().map(|one| one.state).collect();
+    let statuses = names.map(|name| state_machine.task_states(&key("a", name)).unwrap());
+    let states: Vec<TaskState> = statuses.iter().flatten().map(|one| one.state).collect();
     variants!(TaskState {
         Blocked,
         Ready,
@@ -417,21 +419,21 @@
         Cancelled
     })
     .assert_covered(&states);
-    let failed_once = standing(&record, "goes", 0);
+    let failed_once = standing(&state_machine, "goes", 0);
     assert_eq!(failed_once.failed_runs, 1);
     assert!(failed_once.not_before.is_some());
-    assert_eq!(standing(&record, "goes", 1).open_runs, 2);
-    assert_eq!(standing(&record, "stopped", 0).open_runs, 1);
-    assert_eq!(standing(&record, "together", 0).failed_runs, 1);
-    assert_eq!(standing(&record, "late-failure", 0).failed_runs, 1);
-    assert_eq!(standing(&record, "late-end", 0).open_runs, 1);
-    assert_eq!(standing(&record, "retried", 0).failed_runs, 1);
+    assert_eq!(standing(&state_machine, "goes", 1).open_runs, 2);
+    assert_eq!(standing(&state_machine, "stopped", 0).open_runs, 1);
+    assert_eq!(standing(&state_machine, "together", 0).failed_runs, 1);
+    assert_eq!(standing(&state_machine, "late-failure", 0).failed_runs, 1);
+    assert_eq!(standing(&state_machine, "late-end", 0).open_runs, 1);
+    assert_eq!(standing(&state_machine, "retried", 0).failed_runs, 1);
 }
 
 #[test]
 fn the_restored_runs_hold_what_they_held() {
-    let record = restored();
-    let open = record.open_runs();
+    let state_machine = restored();
+    let open = state_machine.open_runs();
     let jobs: Vec<u64> = open.iter().map(|run| run.task.job.0).collect();
     let expected = [
         GOES,
@@ -446,53 +448,53 @@
         FOREVER,
     ];
     assert_eq!(jobs, expected);
-    assert_eq!(record.seats_taken(&licence()), 2);
-    assert_eq!(record.tenant_holdings(&tenant("a")), slots(10));
-    assert_eq!(record.unfinished_jobs(), 9);
-    assert_eq!(record.unfinished_of_queue(&queue("r")), 1);
-    assert_eq!(record.draining_runners(), [name("sorb-2")]);
+    assert_eq!(state_machine.seats_used(&licence()), 2);
+    assert_eq!(state_machine.tenant_usage(&tenant("a")), slots(10));
+    assert_eq!(state_machine.unfinished_jobs(), 9);
+    assert_eq!(state_machine.unfinished_of_queue(&queue("r")), 1);
+    assert_eq!(state_machine.draining_runners(), [name("sorb-2")]);
     let of_gang = open.iter().find(|run| run.task.job.0 == TOGETHER).unwrap();
     assert_eq!(of_gang.attempt, 2);
-    let start = record.run_spec(of_gang.run).unwrap();
+    let start = state_machine.run_spec(of_gang.run).unwrap();
     assert_eq!(start.checkpoint.as_deref(), Some("half way"));
-    let named = record.run_name(of_gang).unwrap();
-    assert_eq!(record.find_open_run(&named), Some(of_gang.run));
+    let named = state_machine.run_name(of_gang).unwrap();
+    assert_eq!(state_machine.find_open_run(&named), Some(of_gang.run));
 }
 
 #[test]
 fn the_restored_record_knows_what_it_took() {
-    let record = restored();
-    let (version, document) = record.configuration();
+    let state_machine = restored();
+    let (version, document) = state_machine.configuration();
     assert_eq!(version, ConfigurationVersion(7));
     assert_eq!(document.queues[&queue("r")].mode, QueueMode::Draining);
     assert_eq!(document.keys, keys("a"));
-    assert!(record.has_taken(ConfigurationVersion(3), &seats_update()));
+    assert!(state_machine.has_applied(ConfigurationVersion(3), &seats_update()));
     let known = CommandReply::Configured {
         version: ConfigurationVersion(2),
         known: true,
     };
     let mut driver = told();
-    driver.record = record;
+    driver.state_machine = state_machine;
     assert_eq!(driver.configure(2, roomy_document()), known);
 }
 
 #[test]
 fn the_restored_record_refuses_runs_of_forgotten_jobs() {
     let mut driver = told();
-    driver.record = restored();
+    driver.state_machine = restored();
     let again = driver.reserve_as(run_id(1), task(GIVEN_UP, 0, 0), "rowan");
-    assert_eq!(again, Err(ReserveRefusal::KnownRun));
+    assert_eq!(again, Err(ReservationRejection::KnownRun));
     let on_drained = driver.reserve_as(run_id(900), task(GIVEN_UP, 0, 0), "sorb-2");
-    assert_eq!(on_drained, Err(ReserveRefusal::RunnerDraining));
+    assert_eq!(on_drained, Err(ReservationRejection::RunnerDraining));
 }
 
 #[test]
 fn the_restored_record_takes_late_ends() {
     let mut driver = told();
-    driver.record = restored();
+    driver.state_machine = restored();
     let lost = (0..=driver.last_run)
         .map(run_id)
-        .filter(|run| driver.record.awaits_late_end(*run))
+        .filter(|run| driver.state_machine.awaits_late_end(*run))
         .collect::<Vec<_>>();
     assert_eq!(lost.len(), 1);
     driver.close(lost[0], DONE);
--- a/crates/record/tests/properties/check.rs
+++ b/crates/state_machine/tests/properties/check.rs
@@ -3,7 +3,7 @@
 use crate::step::{ALLOWED_FAILURES, QUEUES, TENANTS};
 use crate::support::*;
 use crate::world::World;
-use record::TaskStanding;
+use state_machine::TaskStatus;
 use types::*;
 
 impl World {
@@ -14,7 +14,7 @@
         let open: Vec<OpenRun> = self.open.values().cloned().collect();
         assert_eq!(self.first.open_runs(), open);
         for name in TENANTS.map(tenant) {
-            assert_eq!(self.first.tenant_holdings(&name), self.held(&name));
+            assert_eq!(self.first.tenant_usage(&name), self.usage(&name));
         }
         for run in &self.closed {
             assert!(self.first.open_run(*run).is_none());
@@ -56,8 +56,8 @@
         let ended = self.ended.get(&number).map(|(state, _)| *state);
         let state = view.state.is_final().then_some(view.state);
         assert_eq!(state, ended, "a final state stays");
-        let standings = self.first.task_states(key).unwrap();
-        for standing in &standings {
+        let statuses = self.first.task_states(key).unwrap();
+        for standing in &statuses {
             let is_done = standing.state == TaskState::Done;
             if self.done.contains(&standing.task) {
                 assert!(is_done, "done is final");
@@ -69,12 +69,12 @@
             let copies = self.copies.get(&standing.task).copied().unwrap_or(0);
             assert!(standing.open_runs <= copies);
         }
-        self.check_step_views(&view, &standings);
+        self.check_step_views(&view, &statuses);
     }
 
-    fn check_step_views(&self, view: &JobView, standings: &[TaskStanding]) {
+    fn check_step_views(&self, view: &JobView, statuses: &[TaskStatus]) {
         for (position, step) in view.steps.iter().enumerate() {
-            let tasks: Vec<_> = standings
+            let tasks: Vec<_> = statuses
                 .iter()
                 .filter(|standing| usize::from(standing.task.step) == position)
                 .collect();
--- a/crates/record/tests/properties/step.rs
+++ b/crates/state_machine/tests/properties/step.rs
@@ -10,7 +10,7 @@
 pub const QUEUES: [&str; 2] = ["q", "r"];
 pub const RUNNERS: [&str; 2] = ["one", "two"];
 
-/// One move against the records; picks are taken from what is there then.
+/// One move against the records; picks are accepted from what is there then.
 #[derive(Debug, Clone)]
 pub enum Step {
     Submit {
@@ -42,7 +42,7 @@
         close: RunClose,
     },
     Configure {
-        ceiling: u32,
+        resource_limit: u32,
         mode: QueueMode,
         drop_tenant: bool,
     },
@@ -66,9 +66,9 @@
         4 => Just(DONE),
         3 => Just(failed()),
         1 => Just(RunClose::TimedOut),
-        1 => Just(RunClose::Voided),
+        1 => Just(RunClose::Revoked),
         1 => Just(RunClose::Lost),
-        1 => Just(RunClose::Refused),
+        1 => Just(RunClose::Rejected),
         1 => Just(RunClose::Ended(Outcome::Stopped)),
     ]
 }
@@ -94,7 +94,7 @@
         10 => (index(), close()).prop_map(|(pick, close)| Step::Close { pick, close }),
         2 => (index(), close()).prop_map(|(pick, close)| Step::CloseAgain { pick, close }),
         1 => (1..5_u32, mode(), prop::bool::weighted(0.3)).prop_map(
-            |(ceiling, mode, drop_tenant)| Step::Configure { ceiling, mode, drop_tenant }),
+            |(resource_limit, mode, drop_tenant)| Step::Configure { resource_limit, mode, drop_tenant }),
         1 => (index(), index())
             .prop_map(|(pick, other)| Step::ConfigureAgain { pick, other }),
         1 => (0..2_usize, prop::bool::weighted(0.3))
--- a/crates/record/tests/properties/world.rs
+++ b/crates/state_machine/tests/properties/world.rs
@@ -3,9 +3,9 @@
 use crate::step::{QUEUES, RUNNERS, Step, TENANTS, spec};
 use crate::support::*;
 use configuration::{ClusterConfiguration, QueueMode};
-use record::{
-    Applied, CancelSelector, Change, ClosedRun, Command, CommandReply, Record, RecordRefusal,
-    ReserveRefusal,
+use state_machine::{
+    Applied, CancelSelector, Change, ClosedRun, Command, CommandRejection, CommandReply,
+    ReservationRejection, StateMachine,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use types::*;
@@ -13,8 +13,8 @@
 /// Two records fed the same commands, and a model kept from answers and
 /// changes alone.
 pub struct World {
-    pub first: Record,
-    pub second: Record,
+    pub first: StateMachine,
+    pub second: StateMachine,
     pub at: WallTime,
     pub last_run: u64,
     pub submitted: BTreeMap<JobKey, (JobSpec, JobNumber)>,
@@ -31,8 +31,8 @@
     pub fn new() -> Self {
         let driver = Driver::new();
         Self {
-            first: driver.record.clone(),
-            second: driver.record,
+            first: driver.state_machine.clone(),
+            second: driver.state_machine,
             at: driver.at,
             last_run: 0,
             submitted: BTreeMap::new(),
@@ -101,11 +101,11 @@
             self.ready.remove(&run.task);
         }
         let (_, document) = self.first.configuration();
-        let ceiling = document.tenants[&run.tenant].ceiling;
-        assert!(self.held(&run.tenant).fits_in(&ceiling));
+        let resource_limit = document.tenants[&run.tenant].resource_limit;
+        assert!(self.usage(&run.tenant).fits_in(&resource_limit));
     }
 
-    pub fn held(&self, tenant: &TenantId) -> Resources {
+    pub fn usage(&self, tenant: &TenantId) -> Resources {
         let runs = self.open.values().filter(|run| run.tenant == *tenant);
         runs.fold(Resources::ZERO, |sum, run| sum.plus(&run.resources))
     }
@@ -156,11 +156,11 @@
                 }
             }
             Step::Configure {
-                ceiling,
+                resource_limit,
                 mode,
                 drop_tenant,
             } => {
-                self.configure(*ceiling, *mode, *drop_tenant);
+                self.configure(*resource_limit, *mode, *drop_tenant);
             }
             Step::ConfigureAgain { pick, other } => self.configure_again(pick, other),
             Step::Drain {
@@ -179,7 +179,7 @@
             Step::Restore => {
                 let bytes = self.first.snapshot().unwrap();
                 assert_eq!(bytes, self.second.snapshot().unwrap());
-                self.second = Record::restore(&bytes).unwrap();
+                self.second = StateMachine::restore(&bytes).unwrap();
             }
         }
     }
@@ -215,20 +215,20 @@
                 assert_eq!(reply, CommandReply::Submitted { number, known });
             }
             (Some(_), reply) => {
-                let refusal = RecordRefusal::OtherContent { key };
-                assert_eq!(reply, CommandReply::Refused(refusal));
+                let rejection = CommandRejection::OtherContent { key };
+                assert_eq!(reply, CommandReply::Rejected(rejection));
             }
             (None, CommandReply::Submitted { number, known }) => {
                 assert!(!known);
                 self.submitted.insert(key, (spec, number));
             }
-            (None, reply) => assert!(matches!(reply, CommandReply::Refused(_))),
+            (None, reply) => assert!(matches!(reply, CommandReply::Rejected(_))),
         }
     }
 
     fn reserve(&mut self, run: RunId, task: TaskRef, on: &str) -> CommandReply {
         let reservation = Reservation {
-            place: None,
+            endpoint: None,
             run,
             task,
             runner: runner(on),
@@ -239,7 +239,9 @@
         let at = self.at;
         let reply = self.apply(Command::Reserve { reservations, at }).reply;
         if self.first.draining_runners().contains(&runner(on)) {
-            assert!(matches!(&reply, CommandReply::Reserved { taken, .. } if taken.is_empty()));
+            assert!(
+                matches!(&reply, CommandReply::Reserved { accepted, .. } if accepted.is_empty())
+            );
         }
         reply
     }
@@ -258,11 +260,11 @@
             return;
         }
         let run = *pick.get(&used);
-        let refused = CommandReply::Reserved {
-            taken: vec![],
-            refused: vec![(run, ReserveRefusal::KnownRun)],
+        let rejected = CommandReply::Reserved {
+            accepted: vec![],
+            rejected: vec![(run, ReservationRejection::KnownRun)],
         };
-        assert_eq!(self.reserve(run, task, RUNNERS[0]), refused);
+        assert_eq!(self.reserve(run, task, RUNNERS[0]), rejected);
     }
 
     fn close(&mut self, run: RunId, close: &RunClose) {
@@ -275,11 +277,11 @@
         self.apply(Command::CloseRuns { runs, at });
     }
 
-    fn configure(&mut self, ceiling: u32, mode: QueueMode, drop_tenant: bool) {
+    fn configure(&mut self, resource_limit: u32, mode: QueueMode, drop_tenant: bool) {
         let (version, _) = self.first.configuration();
         let mut document = document();
         for contract in document.tenants.values_mut() {
-            contract.ceiling = slots(ceiling);
+            contract.resource_limit = slots(resource_limit);
         }
         document.queues.get_mut(&queue("q")).unwrap().mode = mode;
         let dropped = tenant("b");
@@ -292,13 +294,13 @@
             document: document.clone(),
             at: self.at,
         });
-        assert_eq!(busy, matches!(reply.reply, CommandReply::Refused(_)));
+        assert_eq!(busy, matches!(reply.reply, CommandReply::Rejected(_)));
         if !busy {
             self.configured.insert(version.next(), document);
         }
     }
 
-    /// Sends a document under a version taken before: its own, or another's.
+    /// Sends a document under a version accepted before: its own, or another's.
     fn configure_again(&mut self, pick: &proptest::sample::Index, other: &proptest::sample::Index) {
         let versions: Vec<ConfigurationVersion> = self.configured.keys().copied().collect();
         let version = *pick.get(&versions);
@@ -318,10 +320,10 @@
                 version,
                 known: true,
             },
-            false => CommandReply::Refused(RecordRefusal::VersionConflict { wanted, current }),
+            false => CommandReply::Rejected(CommandRejection::VersionConflict { wanted, current }),
         };
         assert_eq!(reply.reply, expected);
-        assert_eq!(self.first, before, "an order is taken once");
+        assert_eq!(self.first, before, "an order is accepted once");
     }
 
     fn forget(&mut self, age: u64, limit: u32) {
--- a/crates/record/tests/runs.rs
+++ b/crates/state_machine/tests/runs.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use configuration::QueueMode;
-use record::{CancelSelector, Change, Command, CommandReply, ReserveRefusal};
+use state_machine::{CancelSelector, Change, Command, CommandReply, ReservationRejection};
 use support::*;
 use types::*;
 
@@ -21,7 +21,10 @@
         step("right", 1, &[]),
     ]);
     assert_eq!(driver.ready(), [task(1, 1, 0), task(1, 2, 0)]);
-    assert_eq!(driver.reserve(task(1, 0, 0)), Err(ReserveRefusal::NotReady));
+    assert_eq!(
+        driver.reserve(task(1, 0, 0)),
+        Err(ReservationRejection::NotReady)
+    );
     driver.at = WallTime(1_500);
     let left = driver.reserve(task(1, 1, 0)).unwrap();
     assert_eq!(driver.view("j").state, JobState::Running);
@@ -35,7 +38,7 @@
     assert!(changes.iter().any(|change| matches!(change,
         Change::JobEnded { state: JobState::Done, waited: w, .. } if *w == waited)));
     assert_eq!(driver.view("j").state, JobState::Done);
-    assert_eq!(driver.record.unfinished_jobs(), 0);
+    assert_eq!(driver.state_machine.unfinished_jobs(), 0);
 }
 
 #[test]
@@ -43,37 +46,52 @@
     let mut driver = with_job(vec![step("s", 3, &[])]);
     let first = driver.reserve(task(1, 0, 0)).unwrap();
     let again = driver.reserve_as(first, task(1, 0, 1), "runner");
-    assert_eq!(again, Err(ReserveRefusal::KnownRun));
-    assert_eq!(driver.reserve(task(1, 0, 0)), Err(ReserveRefusal::NotReady));
-    assert_eq!(driver.reserve(task(9, 0, 0)), Err(ReserveRefusal::NotReady));
-    driver.record.apply(&Command::SetRunnerDraining {
+    assert_eq!(again, Err(ReservationRejection::KnownRun));
+    assert_eq!(
+        driver.reserve(task(1, 0, 0)),
+        Err(ReservationRejection::NotReady)
+    );
+    assert_eq!(
+        driver.reserve(task(9, 0, 0)),
+        Err(ReservationRejection::NotReady)
+    );
+    driver.state_machine.apply(&Command::SetRunnerDraining {
         runner: runner("leaving"),
         draining: true,
         at: driver.at,
     });
     let on_leaving = driver.reserve_as(run_id(70), task(1, 0, 1), "leaving");
-    assert_eq!(on_leaving, Err(ReserveRefusal::RunnerDraining));
+    assert_eq!(on_leaving, Err(ReservationRejection::RunnerDraining));
     for (version, mode) in [(2, QueueMode::Paused), (3, QueueMode::Shadow)] {
         let mut changed = document();
         changed.queues.get_mut(&queue("q")).unwrap().mode = mode;
         driver.configure(version, changed);
-        let refused = driver.reserve(task(1, 0, 1));
-        assert_eq!(refused, Err(ReserveRefusal::QueueNotActive));
+        let rejected = driver.reserve(task(1, 0, 1));
+        assert_eq!(rejected, Err(ReservationRejection::QueueNotActive));
     }
     let mut lowered = document();
-    lowered.tenants.get_mut(&tenant("a")).unwrap().ceiling = slots(1);
+    lowered
+        .tenants
+        .get_mut(&tenant("a"))
+        .unwrap()
+        .resource_limit = slots(1);
     driver.configure(4, lowered);
-    let refused = driver.reserve(task(1, 0, 1));
-    assert_eq!(refused, Err(ReserveRefusal::TenantAtCeiling));
-    assert_eq!(driver.record.tenant_holdings(&tenant("a")), slots(1));
-    driver.close(first, RunClose::Voided);
+    let rejected = driver.reserve(task(1, 0, 1));
+    assert_eq!(rejected, Err(ReservationRejection::TenantAtLimit));
+    assert_eq!(driver.state_machine.tenant_usage(&tenant("a")), slots(1));
+    driver.close(first, RunClose::Revoked);
     assert!(driver.reserve(task(1, 0, 1)).is_ok());
 }
 
 #[test]
 fn a_run_that_did_not_fail_is_tried_again_at_once() {
     let stopped = RunClose::Ended(Outcome::Stopped);
-    for close in [RunClose::Voided, RunClose::Lost, RunClose::Refused, stopped] {
+    for close in [
+        RunClose::Revoked,
+        RunClose::Lost,
+        RunClose::Rejected,
+        stopped,
+    ] {
         let mut driver = with_job(vec![step("s", 1, &[])]);
         for _ in 0..4 {
             let run = driver.reserve(task(1, 0, 0)).unwrap();
@@ -92,11 +110,11 @@
     let runs = tasks.map(|task| driver.reserve(task).unwrap());
     for run in runs {
         driver.close(run, RunClose::Lost);
-        assert!(driver.record.awaits_late_end(run));
+        assert!(driver.state_machine.awaits_late_end(run));
     }
     let changes = driver.close(runs[0], RunClose::Ended(Outcome::Done));
     assert_eq!(ended_in(&changes), [(tasks[0], vec![])]);
-    assert!(!driver.record.awaits_late_end(runs[0]));
+    assert!(!driver.state_machine.awaits_late_end(runs[0]));
     driver.close(runs[1], failed());
     assert_eq!(driver.view("j").steps[0].failed_runs, 1);
     // Told twice, it changes nothing more.
@@ -121,12 +139,15 @@
     let (mut driver, lost, second) = with_lost_run(1);
     let changes = driver.close(lost, DONE);
     assert_eq!(ended_in(&changes), [(task(1, 0, 0), vec![second])]);
-    assert!(!driver.record.awaits_late_end(lost));
+    assert!(!driver.state_machine.awaits_late_end(lost));
     assert_eq!(driver.view("j").state, JobState::Done);
 
     driver.close(second, failed());
     assert_eq!(driver.view("j").state, JobState::Done);
-    assert_eq!(driver.reserve(task(1, 0, 0)), Err(ReserveRefusal::NotReady));
+    assert_eq!(
+        driver.reserve(task(1, 0, 0)),
+        Err(ReservationRejection::NotReady)
+    );
 }
 
 #[test]
@@ -207,7 +228,7 @@
     driver.at = WallTime(6_000);
     let run = driver.reserve(task(1, 0, 0)).unwrap();
     driver.close(run, failed());
-    let meta = driver.record.ready_tasks(None, 1).remove(0);
+    let meta = driver.state_machine.ready_tasks(None, 1).remove(0);
     assert_eq!(meta.not_before, Some(WallTime(6_200)));
 }
 
@@ -219,7 +240,10 @@
     let first = driver.reserve(task(1, 0, 0)).unwrap();
     assert_eq!(driver.ready(), [task(1, 0, 0)], "a copy may start");
     let second = driver.reserve(task(1, 0, 0)).unwrap();
-    assert_eq!(driver.reserve(task(1, 0, 0)), Err(ReserveRefusal::NotReady));
+    assert_eq!(
+        driver.reserve(task(1, 0, 0)),
+        Err(ReservationRejection::NotReady)
+    );
     let changes = driver.close(second, DONE);
     assert_eq!(ended_in(&changes), [(task(1, 0, 0), vec![first])]);
     assert_eq!(ready_in(&changes), [task(1, 1, 0)]);
@@ -285,7 +309,7 @@
             ..spec
         });
     }
-    let count = |applied: record::Applied| match applied.reply {
+    let count = |applied: state_machine::Applied| match applied.reply {
         CommandReply::Cancelled { cancelled, .. } => cancelled,
         other => panic!("{other:?}"),
     };
@@ -296,7 +320,7 @@
     assert_eq!(count(driver.cancel(select("b", None))), 0);
     assert_eq!(count(driver.cancel(select("a", Some("q")))), 2);
     assert_eq!(count(driver.cancel(select("a", None))), 1);
-    assert_eq!(driver.record.unfinished_of_tenant(&tenant("a")), 0);
+    assert_eq!(driver.state_machine.unfinished_of_tenant(&tenant("a")), 0);
 }
 
 #[test]
@@ -305,13 +329,13 @@
     driver.submit(job("k", vec![step("s", 1, &[])]));
     let run = driver.reserve(task(1, 0, 0)).unwrap();
     driver.close(run, DONE);
-    assert!(driver.record.is_closed(run));
+    assert!(driver.state_machine.is_closed(run));
     driver.forget(0);
-    assert!(driver.record.is_closed(run));
+    assert!(driver.state_machine.is_closed(run));
     driver.forget(1);
-    assert!(!driver.record.is_closed(run));
+    assert!(!driver.state_machine.is_closed(run));
     let again = driver.reserve_as(run, task(2, 0, 0), "runner");
-    assert_eq!(again, Err(ReserveRefusal::KnownRun));
+    assert_eq!(again, Err(ReservationRejection::KnownRun));
     assert!(driver.reserve(task(2, 0, 0)).is_ok());
 }
 
@@ -319,11 +343,14 @@
 fn an_open_run_tells_what_its_runner_needs() {
     let mut driver = with_job(vec![step("s", 1, &[])]);
     let run = driver.reserve(task(1, 0, 0)).unwrap();
-    let spec = driver.record.run_spec(run).unwrap();
+    let spec = driver.state_machine.run_spec(run).unwrap();
     assert_eq!((spec.job, spec.payload.as_str()), (key("a", "j"), "work"));
-    assert_eq!(driver.record.open_run(run).unwrap().task, task(1, 0, 0));
+    assert_eq!(
+        driver.state_machine.open_run(run).unwrap().task,
+        task(1, 0, 0)
+    );
     driver.close(run, DONE);
-    assert!(driver.record.run_spec(run).is_none());
+    assert!(driver.state_machine.run_spec(run).is_none());
 }
 
 #[test]
@@ -333,8 +360,8 @@
     let mut driver = Driver::new();
     driver.submit(job("j", vec![spread]));
     let first = driver.reserve_as(run_id(1), task(1, 0, 0), "r1").unwrap();
-    let refused = driver.reserve_as(run_id(2), task(1, 0, 1), "r1");
-    assert_eq!(refused, Err(ReserveRefusal::RunnerHoldsEnough));
+    let rejected = driver.reserve_as(run_id(2), task(1, 0, 1), "r1");
+    assert_eq!(rejected, Err(ReservationRejection::RunnerAtStepLimit));
     driver.reserve_as(run_id(3), task(1, 0, 1), "r2").unwrap();
     driver.close(first, DONE);
     driver.reserve_as(run_id(4), task(1, 0, 2), "r1").unwrap();
--- a/crates/record/tests/seats.rs
+++ b/crates/state_machine/tests/seats.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use configuration::{ClusterConfiguration, LicenceSettings};
-use record::{CommandReply, Record, ReserveRefusal};
+use state_machine::{CommandReply, ReservationRejection, StateMachine};
 use support::*;
 use types::{JobState, LicenceName, Outcome, RunClose, StepSpec};
 
@@ -37,8 +37,11 @@
     let mut driver = driver(2);
     driver.reserve(task(1, 0, 0)).unwrap();
     driver.reserve(task(1, 0, 1)).unwrap();
-    assert_eq!(driver.reserve(task(1, 0, 2)), Err(ReserveRefusal::NoSeat));
-    assert_eq!(driver.record.seats_taken(&licence()), 2);
+    assert_eq!(
+        driver.reserve(task(1, 0, 2)),
+        Err(ReservationRejection::NoSeat)
+    );
+    assert_eq!(driver.state_machine.seats_used(&licence()), 2);
 }
 
 #[test]
@@ -46,15 +49,18 @@
     for close in [
         DONE,
         failed(),
-        RunClose::Voided,
+        RunClose::Revoked,
         RunClose::Lost,
-        RunClose::Refused,
+        RunClose::Rejected,
     ] {
         let mut driver = driver(1);
         let run = driver.reserve(task(1, 0, 0)).unwrap();
-        assert_eq!(driver.reserve(task(1, 0, 1)), Err(ReserveRefusal::NoSeat));
+        assert_eq!(
+            driver.reserve(task(1, 0, 1)),
+            Err(ReservationRejection::NoSeat)
+        );
         driver.close(run, close);
-        assert_eq!(driver.record.seats_taken(&licence()), 0);
+        assert_eq!(driver.state_machine.seats_used(&licence()), 0);
         driver.reserve(task(1, 0, 1)).unwrap();
     }
 }
@@ -64,8 +70,11 @@
     let mut driver = driver(1);
     driver.submit(job("k", vec![licensed("s", 1)]));
     let run = driver.reserve(task(1, 0, 0)).unwrap();
-    driver.cancel(record::CancelSelector::Jobs(vec![key("a", "j")]));
-    assert_eq!(driver.reserve(task(2, 0, 0)), Err(ReserveRefusal::NoSeat));
+    driver.cancel(state_machine::CancelSelector::Jobs(vec![key("a", "j")]));
+    assert_eq!(
+        driver.reserve(task(2, 0, 0)),
+        Err(ReservationRejection::NoSeat)
+    );
     driver.close(run, RunClose::Ended(Outcome::Stopped));
     driver.reserve(task(2, 0, 0)).unwrap();
 }
@@ -79,7 +88,10 @@
     driver.configure(3, with_seats(1));
     driver.close(runs[0], DONE);
     driver.close(runs[1], DONE);
-    assert_eq!(driver.reserve(task(1, 0, 3)), Err(ReserveRefusal::NoSeat));
+    assert_eq!(
+        driver.reserve(task(1, 0, 3)),
+        Err(ReservationRejection::NoSeat)
+    );
     driver.close(runs[2], DONE);
     driver.reserve(task(1, 0, 3)).unwrap();
 }
@@ -93,7 +105,7 @@
     driver.submit(job("j", vec![gang]));
     let reservations: Vec<_> = (0..3)
         .map(|member| types::Reservation {
-            place: None,
+            endpoint: None,
             run: run_id(u64::from(member) + 1),
             task: task(1, 0, member),
             runner: runner("runner"),
@@ -102,17 +114,18 @@
         })
         .collect();
     let at = driver.at;
-    let command = record::Command::Reserve { reservations, at };
-    let CommandReply::Reserved { taken, refused } = driver.record.apply(&command).reply else {
+    let command = state_machine::Command::Reserve { reservations, at };
+    let CommandReply::Reserved { accepted, rejected } = driver.state_machine.apply(&command).reply
+    else {
         panic!("no answer to a reservation");
     };
-    assert!(taken.is_empty());
+    assert!(accepted.is_empty());
     assert!(
-        refused
+        rejected
             .iter()
-            .all(|(_, why)| *why == ReserveRefusal::NoSeat)
+            .all(|(_, why)| *why == ReservationRejection::NoSeat)
     );
-    assert_eq!(driver.record.seats_taken(&licence()), 0);
+    assert_eq!(driver.state_machine.seats_used(&licence()), 0);
 }
 
 #[test]
@@ -120,17 +133,20 @@
     let mut driver = driver(2);
     driver.reserve(task(1, 0, 0)).unwrap();
     driver.reserve(task(1, 0, 1)).unwrap();
-    let bytes = driver.record.snapshot().unwrap();
-    driver.record = Record::restore(&bytes).unwrap();
-    assert_eq!(driver.record.seats_taken(&licence()), 2);
-    assert_eq!(driver.reserve(task(1, 0, 2)), Err(ReserveRefusal::NoSeat));
+    let bytes = driver.state_machine.snapshot().unwrap();
+    driver.state_machine = StateMachine::restore(&bytes).unwrap();
+    assert_eq!(driver.state_machine.seats_used(&licence()), 2);
+    assert_eq!(
+        driver.reserve(task(1, 0, 2)),
+        Err(ReservationRejection::NoSeat)
+    );
 }
 
 #[test]
 fn a_job_that_names_an_unknown_licence_is_refused() {
     let mut driver = Driver::new();
     let reply = driver.submit(job("j", vec![licensed("s", 1)])).reply;
-    assert!(matches!(reply, CommandReply::Refused(_)), "{reply:?}");
+    assert!(matches!(reply, CommandReply::Rejected(_)), "{reply:?}");
 }
 
 #[test]
@@ -141,7 +157,7 @@
         let next = driver.ready()[0];
         let run = driver.reserve(next).unwrap();
         for other in driver.ready() {
-            assert_eq!(driver.reserve(other), Err(ReserveRefusal::NoSeat));
+            assert_eq!(driver.reserve(other), Err(ReservationRejection::NoSeat));
         }
         driver.close(run, DONE);
         done += 1;
--- a/crates/record/tests/snapshot.rs
+++ b/crates/state_machine/tests/snapshot.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use record::{CancelSelector, Command, Record, RecordError};
+use state_machine::{CancelSelector, Command, StateMachine, StateMachineError};
 use support::*;
 use types::*;
 
@@ -26,7 +26,7 @@
     driver.close(run, DONE);
     driver.reserve(task(3, 0, 0)).unwrap();
     driver.cancel(CancelSelector::Jobs(vec![key("a", "cancelled")]));
-    driver.record.apply(&Command::SetRunnerDraining {
+    driver.state_machine.apply(&Command::SetRunnerDraining {
         runner: runner("leaving"),
         draining: true,
         at: driver.at,
@@ -37,35 +37,35 @@
 #[test]
 fn a_snapshot_restores_the_same_record() {
     let driver = full_record();
-    let bytes = driver.record.snapshot().unwrap();
-    let restored = Record::restore(&bytes).unwrap();
-    assert_eq!(restored, driver.record);
+    let bytes = driver.state_machine.snapshot().unwrap();
+    let restored = StateMachine::restore(&bytes).unwrap();
+    assert_eq!(restored, driver.state_machine);
     assert_eq!(restored.snapshot().unwrap(), bytes);
     assert_eq!(restored.draining_runners(), [runner("leaving")]);
-    let empty = Record::new().snapshot().unwrap();
-    assert_eq!(Record::restore(&empty).unwrap(), Record::new());
+    let empty = StateMachine::new().snapshot().unwrap();
+    assert_eq!(StateMachine::restore(&empty).unwrap(), StateMachine::new());
 }
 
 #[test]
 fn other_versions_and_damaged_bytes_are_refused() {
-    let bytes = full_record().record.snapshot().unwrap();
+    let bytes = full_record().state_machine.snapshot().unwrap();
     let mut newer = bytes.clone();
     newer[0] += 1;
     assert!(matches!(
-        Record::restore(&newer),
-        Err(RecordError::Version { found: 5, .. })
+        StateMachine::restore(&newer),
+        Err(StateMachineError::Version { found: 5, .. })
     ));
     let mut older = bytes.clone();
     older[0] -= 1;
     assert!(matches!(
-        Record::restore(&older),
-        Err(RecordError::Version { found: 3, .. })
+        StateMachine::restore(&older),
+        Err(StateMachineError::Version { found: 3, .. })
     ));
     let mut longer = bytes.clone();
     longer.push(0);
-    assert!(Record::restore(&longer).is_err());
+    assert!(StateMachine::restore(&longer).is_err());
     for length in 0..bytes.len() {
-        assert!(Record::restore(&bytes[..length]).is_err(), "{length}");
+        assert!(StateMachine::restore(&bytes[..length]).is_err(), "{length}");
     }
 }
 
@@ -93,10 +93,10 @@
 }
 
 /// Exercises a record that strange bytes gave: nothing in it may panic.
-fn use_record(mut record: Record) {
-    record.snapshot().unwrap();
-    let open = record.open_runs();
-    let runs = open.iter().map(|open| record::ClosedRun {
+fn use_record(mut state_machine: StateMachine) {
+    state_machine.snapshot().unwrap();
+    let open = state_machine.open_runs();
+    let runs = open.iter().map(|open| state_machine::ClosedRun {
         checkpoint: None,
         run: open.run,
         close: DONE,
@@ -105,19 +105,19 @@
         runs: runs.collect(),
         at: WallTime(1),
     };
-    record.apply(&close);
-    record.ready_tasks(None, usize::MAX);
+    state_machine.apply(&close);
+    state_machine.ready_tasks(None, usize::MAX);
     let selector = CancelSelector::Tenant {
         tenant: tenant("a"),
         queue: None,
     };
     let at = WallTime(u64::MAX);
-    record.apply(&Command::Cancel { selector, at });
-    record.apply(&Command::Submit {
+    state_machine.apply(&Command::Cancel { selector, at });
+    state_machine.apply(&Command::Submit {
         spec: job("new", vec![step("s", 1, &[])]),
         at,
     });
-    record.apply(&Command::Forget {
+    state_machine.apply(&Command::Forget {
         ended_before: at,
         limit: u32::MAX,
     });
@@ -125,7 +125,7 @@
 
 #[test]
 fn hostile_snapshots_never_panic() {
-    let bytes = full_record().record.snapshot().unwrap();
+    let bytes = full_record().state_machine.snapshot().unwrap();
     let headed = hostile(bytes).prop_map(|mut bytes| {
         let version = 2_u32.to_le_bytes();
         let head = bytes.len().min(version.len());
@@ -133,8 +133,8 @@
         bytes
     });
     let check = |bytes: Vec<u8>| {
-        if let Ok(record) = Record::restore(&bytes) {
-            use_record(record);
+        if let Ok(state_machine) = StateMachine::restore(&bytes) {
+            use_record(state_machine);
         }
         Ok(())
     };
@@ -152,8 +152,8 @@
     let check = |bytes: Vec<u8>| {
         if let Ok(command) = Command::decode(&bytes) {
             let mut driver = Driver::new();
-            driver.record.apply(&command);
-            driver.record.snapshot().unwrap();
+            driver.state_machine.apply(&command);
+            driver.state_machine.snapshot().unwrap();
         }
         Ok(())
     };
--- a/crates/record/tests/submit.rs
+++ b/crates/state_machine/tests/submit.rs
@@ -1,9 +1,9 @@
-//! Submits: idempotence, refusals and limits.
+//! Submits: idempotence, rejections and limits.
 
 mod support;
 
 use configuration::QueueMode;
-use record::{CancelSelector, CommandReply, RecordRefusal};
+use state_machine::{CancelSelector, CommandRejection, CommandReply};
 use support::*;
 use types::*;
 
@@ -25,9 +25,9 @@
     assert_eq!(number(&resent.reply), Some((1, true)));
     assert!(resent.changes.is_empty());
     let other = driver.submit(job("j", vec![step("s", 3, &[])]));
-    let refusal = RecordRefusal::OtherContent { key: key("a", "j") };
-    assert_eq!(other.reply, CommandReply::Refused(refusal));
-    assert_eq!(driver.record.unfinished_jobs(), 1);
+    let rejection = CommandRejection::OtherContent { key: key("a", "j") };
+    assert_eq!(other.reply, CommandReply::Rejected(rejection));
+    assert_eq!(driver.state_machine.unfinished_jobs(), 1);
 }
 
 #[test]
@@ -51,9 +51,9 @@
     draining.queues.get_mut(&queue("q")).unwrap().mode = QueueMode::Draining;
     driver.configure(2, draining);
     assert_eq!(number(&driver.submit(spec).reply), Some((1, true)));
-    let refusal = RecordRefusal::QueueDraining { queue: queue("q") };
+    let rejection = CommandRejection::QueueDraining { queue: queue("q") };
     let reply = driver.submit(job("k", vec![step("s", 1, &[])])).reply;
-    assert_eq!(reply, CommandReply::Refused(refusal));
+    assert_eq!(reply, CommandReply::Rejected(rejection));
     assert!(driver.reserve(task(1, 0, 0)).is_ok(), "what is there ends");
 }
 
@@ -62,16 +62,16 @@
     let mut driver = Driver::new();
     let mut spec = job("j", vec![step("s", 1, &[])]);
     spec.queue = queue("none");
-    let refusal = RecordRefusal::UnknownQueue {
+    let rejection = CommandRejection::UnknownQueue {
         queue: queue("none"),
     };
     let reply = driver.submit(spec.clone()).reply;
-    assert_eq!(reply, CommandReply::Refused(refusal));
+    assert_eq!(reply, CommandReply::Rejected(rejection));
     spec.tenant = tenant("none");
-    let refusal = RecordRefusal::UnknownTenant {
+    let rejection = CommandRejection::UnknownTenant {
         tenant: tenant("none"),
     };
-    assert_eq!(driver.submit(spec).reply, CommandReply::Refused(refusal));
+    assert_eq!(driver.submit(spec).reply, CommandReply::Rejected(rejection));
 }
 
 type Break = fn(&mut JobSpec);
@@ -120,7 +120,7 @@
         let mut spec = job("j", vec![step("s", 1, &[]), step("t", 1, &["s"])]);
         rule(&mut spec);
         match driver.submit(spec).reply {
-            CommandReply::Refused(RecordRefusal::InvalidJob { problem }) => {
+            CommandReply::Rejected(CommandRejection::InvalidJob { problem }) => {
                 assert!(problem.contains(text), "{problem:?} lacks {text:?}");
             }
             other => panic!("{text}: {other:?}"),
@@ -140,7 +140,7 @@
         assert!(number(&driver.submit(spec(name)).reply).is_some());
     }
     let full = |reply: CommandReply| match reply {
-        CommandReply::Refused(RecordRefusal::Full {
+        CommandReply::Rejected(CommandRejection::Full {
             what, retry_after, ..
         }) => {
             assert!(retry_after.0 > 0);
@@ -151,7 +151,7 @@
     assert_eq!(full(driver.submit(spec("5")).reply), "tenant a");
     assert!(number(&driver.submit(of_b("1")).reply).is_some());
     assert_eq!(full(driver.submit(of_b("2")).reply), "queue q");
-    assert_eq!(driver.record.unfinished_of_queue(&queue("q")), 5);
+    assert_eq!(driver.state_machine.unfinished_of_queue(&queue("q")), 5);
     driver.cancel(CancelSelector::Jobs(vec![key("a", "1")]));
     assert!(number(&driver.submit(of_b("2")).reply).is_some());
 }
--- a/crates/record/tests/support/mod.rs
+++ b/crates/state_machine/tests/support/mod.rs
@@ -4,8 +4,9 @@
 use configuration::{
     ClusterConfiguration, ErrorBudget, PoolSettings, QueueMode, QueueSettings, TenantSettings,
 };
-use record::{
-    Applied, CancelSelector, Change, ClosedRun, Command, CommandReply, Record, ReserveRefusal,
+use state_machine::{
+    Applied, CancelSelector, Change, ClosedRun, Command, CommandReply, ReservationRejection,
+    StateMachine,
 };
 use types::*;
 
@@ -41,10 +42,10 @@
     }
 }
 
-fn contract(ceiling: u32) -> TenantSettings {
+fn contract(resource_limit: u32) -> TenantSettings {
     TenantSettings {
         share_percent: 50,
-        ceiling: slots(ceiling),
+        resource_limit: slots(resource_limit),
         error_budget: ErrorBudget {
             late_after: Milliseconds(1_000),
             late_per_thousand: 1,
@@ -56,7 +57,7 @@
     }
 }
 
-/// Tenants `a` (ceiling 4 slots) and `b` (2), queues `q` and `r`.
+/// Tenants `a` (resource limit 4 slots) and `b` (2), queues `q` and `r`.
 pub fn document() -> ClusterConfiguration {
     let mut document = ClusterConfiguration::default();
     let pool = PoolName::new("p").unwrap();
@@ -129,7 +130,7 @@
 
 /// A record and the clock of its leader.
 pub struct Driver {
-    pub record: Record,
+    pub state_machine: StateMachine,
     pub at: WallTime,
     pub last_run: u64,
 }
@@ -137,7 +138,7 @@
 impl Driver {
     pub fn new() -> Self {
         let mut driver = Self {
-            record: Record::new(),
+            state_machine: StateMachine::new(),
             at: WallTime(1_000),
             last_run: 0,
         };
@@ -155,17 +156,17 @@
             document,
             at: self.at,
         };
-        self.record.apply(&command).reply
+        self.state_machine.apply(&command).reply
     }
 
     pub fn submit(&mut self, spec: JobSpec) -> Applied {
         let at = self.at;
-        self.record.apply(&Command::Submit { spec, at })
+        self.state_machine.apply(&Command::Submit { spec, at })
     }
 
     pub fn cancel(&mut self, selector: CancelSelector) -> Applied {
         let at = self.at;
-        self.record.apply(&Command::Cancel { selector, at })
+        self.state_machine.apply(&Command::Cancel { selector, at })
     }
 
     pub fn reserve_as(
@@ -173,9 +174,9 @@
         run: RunId,
         task: TaskRef,
         on: &str,
-    ) -> Result<RunId, ReserveRefusal> {
+    ) -> Result<RunId, ReservationRejection> {
         let reservation = Reservation {
-            place: None,
+            endpoint: None,
             run,
             task,
             runner: runner(on),
@@ -186,14 +187,14 @@
             reservations: vec![reservation],
             at: self.at,
         };
-        match self.record.apply(&command).reply {
-            CommandReply::Reserved { refused, .. } if !refused.is_empty() => Err(refused[0].1),
+        match self.state_machine.apply(&command).reply {
+            CommandReply::Reserved { rejected, .. } if !rejected.is_empty() => Err(rejected[0].1),
             CommandReply::Reserved { .. } => Ok(run),
             other => panic!("{other:?}"),
         }
     }
 
-    pub fn reserve(&mut self, task: TaskRef) -> Result<RunId, ReserveRefusal> {
+    pub fn reserve(&mut self, task: TaskRef) -> Result<RunId, ReservationRejection> {
         self.last_run += 1;
         self.reserve_as(run_id(self.last_run), task, "runner")
     }
@@ -207,7 +208,7 @@
             }],
             at: self.at,
         };
-        self.record.apply(&command).changes
+        self.state_machine.apply(&command).changes
     }
 
     pub fn forget(&mut self, limit: u32) {
@@ -215,20 +216,20 @@
             ended_before: self.at,
             limit,
         };
-        self.record.apply(&command);
+        self.state_machine.apply(&command);
     }
 
     pub fn view(&self, name: &str) -> JobView {
-        self.record.job(&key("a", name)).unwrap()
+        self.state_machine.job(&key("a", name)).unwrap()
     }
 
     pub fn states(&self, name: &str) -> Vec<TaskState> {
-        let standings = self.record.task_states(&key("a", name)).unwrap();
-        standings.iter().map(|standing| standing.state).collect()
+        let statuses = self.state_machine.task_states(&key("a", name)).unwrap();
+        statuses.iter().map(|standing| standing.state).collect()
     }
 
     pub fn ready(&self) -> Vec<TaskRef> {
-        let metas = self.record.ready_tasks(None, usize::MAX);
+        let metas = self.state_machine.ready_tasks(None, usize::MAX);
         metas.iter().map(|meta| meta.task).collect()
     }
 }
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -5,7 +5,7 @@
 /// What can go wrong with the files of one data folder.
 #[derive(Debug, Error)]
 pub enum StorageError {
-    /// The operating system refused.
+    /// The operating system rejected.
     #[error("{action} {file}: {source}")]
     Disk {
         /// What was tried.
@@ -16,14 +16,14 @@
         source: std::io::Error,
     },
     /// Damage that is not a torn tail: data that was synced is gone.
-    #[error("{file} is damaged at byte {offset}: {problem}; refusing to start from it")]
+    #[error("{file} is damaged at byte {offset}: {reason}; refusing to start from it")]
     Damaged {
         /// The file.
         file: String,
         /// Where the damage begins.
         offset: u64,
         /// What was found.
-        problem: String,
+        reason: String,
     },
     /// A log or snapshot without an identity: it cannot be told whose votes
     /// and entries they are. The identity is saved before either is written.
@@ -44,10 +44,10 @@
     },
     /// A batch that does not join the log, or is too large for one record.
     /// Nothing was written.
-    #[error("the batch cannot be written: {problem}")]
+    #[error("the batch cannot be written: {reason}")]
     InvalidBatch {
         /// Why.
-        problem: &'static str,
+        reason: &'static str,
     },
     /// An earlier write or sync failed, so that nothing is known of what the
     /// disk holds; only opening it again tells.
@@ -56,11 +56,11 @@
 }
 
 impl StorageError {
-    pub(crate) fn damaged(file: &str, offset: usize, problem: impl Into<String>) -> Self {
+    pub(crate) fn damaged(file: &str, offset: usize, reason: impl Into<String>) -> Self {
         Self::Damaged {
             file: file.to_owned(),
             offset: offset as u64,
-            problem: problem.into(),
+            reason: reason.into(),
         }
     }
 
--- a/crates/storage/src/frame.rs
+++ b/crates/storage/src/frame.rs
@@ -41,7 +41,7 @@
 
 /// What is wrong with a header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum HeaderProblem {
+pub(crate) enum HeaderError {
     /// Short or not verified: never written whole, or damaged.
     Broken,
     /// Verified, but of another version.
@@ -70,18 +70,18 @@
 }
 
 /// Verifies the header of a file.
-pub(crate) fn check_header(bytes: &[u8], kind: FileKind, number: u64) -> Result<(), HeaderProblem> {
-    let covered = bytes.get(..HEADER_BYTES - 4).ok_or(HeaderProblem::Broken)?;
-    let checksum = read_u32(bytes, HEADER_BYTES - 4).ok_or(HeaderProblem::Broken)?;
+pub(crate) fn check_header(bytes: &[u8], kind: FileKind, number: u64) -> Result<(), HeaderError> {
+    let covered = bytes.get(..HEADER_BYTES - 4).ok_or(HeaderError::Broken)?;
+    let checksum = read_u32(bytes, HEADER_BYTES - 4).ok_or(HeaderError::Broken)?;
     if crc32fast::hash(covered) != checksum {
-        return Err(HeaderProblem::Broken);
+        return Err(HeaderError::Broken);
     }
-    let version = read_u32(bytes, 8).ok_or(HeaderProblem::Broken)?;
+    let version = read_u32(bytes, 8).ok_or(HeaderError::Broken)?;
     if version != FORMAT_VERSION {
-        return Err(HeaderProblem::Version(version));
+        return Err(HeaderError::Version(version));
     }
     if bytes.get(..HEADER_BYTES) != Some(&encode_header(kind, number)) {
-        return Err(HeaderProblem::Foreign);
+        return Err(HeaderError::Foreign);
     }
     Ok(())
 }
@@ -147,26 +147,26 @@
     kind: FileKind,
     number: u64,
 ) -> Result<&'a [u8], StorageError> {
-    check_header(bytes, kind, number).map_err(|problem| header_error(file, problem))?;
+    check_header(bytes, kind, number).map_err(|reason| header_error(file, reason))?;
     let record = read_record(bytes, number, HEADER_BYTES)
-        .map_err(|problem| StorageError::damaged(file, HEADER_BYTES, problem))?;
+        .map_err(|reason| StorageError::damaged(file, HEADER_BYTES, reason))?;
     if record.end != bytes.len() {
-        let problem = "there are bytes behind the record";
-        return Err(StorageError::damaged(file, record.end, problem));
+        let reason = "there are bytes behind the record";
+        return Err(StorageError::damaged(file, record.end, reason));
     }
     Ok(record.payload)
 }
 
 /// The error for a header that had to be whole.
-pub(crate) fn header_error(file: &str, problem: HeaderProblem) -> StorageError {
-    match problem {
-        HeaderProblem::Version(found) => StorageError::Version {
+pub(crate) fn header_error(file: &str, reason: HeaderError) -> StorageError {
+    match reason {
+        HeaderError::Version(found) => StorageError::Version {
             file: file.to_owned(),
             found,
             supported: FORMAT_VERSION,
         },
-        HeaderProblem::Broken => StorageError::damaged(file, 0, "the header is not whole"),
-        HeaderProblem::Foreign => {
+        HeaderError::Broken => StorageError::damaged(file, 0, "the header is not whole"),
+        HeaderError::Foreign => {
             StorageError::damaged(file, 0, "the header belongs to another file")
         }
     }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -3,13 +3,13 @@
 //! Files live flat under one data folder and count only once they are synced.
 //! The log is append-only segments of records, each with length, checksum and
 //! format version; a snapshot is written beside the old one and renamed. A
-//! torn tail is cut at open, damage in the middle is refused.
+//! torn tail is cut at open, damage in the middle is rejected.
 //!
 //! What a reader of a damaged disk can rely on: every batch that
-//! [`Store::write`] acknowledged is there, or the open is refused, with one
+//! [`Store::write`] acknowledged is there, or the open is rejected, with one
 //! exception. Damage to the very last record of the log, or a log cut short,
 //! cannot be told from a write that power loss tore; the open then reports
-//! [`Opened::cut_bytes`] (zero if the cut falls between two records).
+//! [`Opened::truncated_bytes`] (zero if the cut falls between two records).
 
 pub mod disk;
 pub mod error;
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -49,19 +49,19 @@
 
 /// Where a live entry stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct EntryPlace {
+pub(crate) struct EntryLocation {
     pub term: Term,
     pub segment: u64,
 }
 
 /// Hard state, snapshot and places of the live entries behind it. Later
-/// entries never stand in earlier segments, since an overwrite voids all that
+/// entries never stand in earlier segments, since an overwrite revocations all that
 /// follow it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(crate) struct LogState {
     pub hard_state: HardState,
     pub snapshot: Option<SnapshotMark>,
-    pub places: VecDeque<EntryPlace>,
+    pub locations: VecDeque<EntryLocation>,
 }
 
 impl LogState {
@@ -72,7 +72,7 @@
 
     /// Last index of the log.
     pub fn last_index(&self) -> u64 {
-        self.base() + self.places.len() as u64
+        self.base() + self.locations.len() as u64
     }
 
     /// Whether a snapshot is newer than, or a rewrite of, the one in force.
@@ -84,11 +84,11 @@
     /// snapshot's last index with its term, else the whole log goes.
     pub fn install(&mut self, mark: SnapshotMark) {
         let covered = mark.index.0.saturating_sub(self.base());
-        if self.holds(mark.index, mark.term) {
-            let covered = (covered as usize).min(self.places.len());
-            self.places.drain(..covered);
+        if self.contains(mark.index, mark.term) {
+            let covered = (covered as usize).min(self.locations.len());
+            self.locations.drain(..covered);
         } else {
-            self.places.clear();
+            self.locations.clear();
         }
         self.snapshot = Some(mark);
     }
@@ -100,41 +100,43 @@
         };
         let (base, last) = match snapshot.map(|snapshot| &snapshot.meta) {
             None => (self.base(), self.last_index()),
-            Some(meta) if self.holds(meta.index, meta.term) => (meta.index.0, self.last_index()),
+            Some(meta) if self.contains(meta.index, meta.term) => (meta.index.0, self.last_index()),
             Some(meta) => (meta.index.0, meta.index.0),
         };
         first > base && first <= last + 1 && are_consecutive(entries, first)
     }
 
-    /// Notes entries written to a segment; those from the first one on go.
+    /// Records entries written to a segment; those from the first one on go.
     /// They must join the log.
     pub fn append(&mut self, entries: &[Entry], segment: u64) {
         let Some(first) = entries.first() else {
             return;
         };
-        let kept = first.index.0.saturating_sub(self.base() + 1);
-        self.places.truncate(kept as usize);
-        let places = entries.iter().map(|entry| EntryPlace {
+        let retained = first.index.0.saturating_sub(self.base() + 1);
+        self.locations.truncate(retained as usize);
+        let locations = entries.iter().map(|entry| EntryLocation {
             term: entry.term,
             segment,
         });
-        self.places.extend(places);
+        self.locations.extend(locations);
     }
 
     /// Oldest segment with live entries; `newest` when there are none.
     pub fn first_segment(&self, newest: u64) -> u64 {
-        self.places.front().map_or(newest, |place| place.segment)
+        self.locations
+            .front()
+            .map_or(newest, |location| location.segment)
     }
 
-    fn holds(&self, index: LogIndex, term: Term) -> bool {
+    fn contains(&self, index: LogIndex, term: Term) -> bool {
         if self.snapshot.is_some_and(|mark| mark.index == index) {
             return self.snapshot.is_some_and(|mark| mark.term == term);
         }
         let Some(position) = index.0.checked_sub(self.base() + 1) else {
             return false;
         };
-        let place = self.places.get(position as usize);
-        place.is_some_and(|place| place.term == term)
+        let location = self.locations.get(position as usize);
+        location.is_some_and(|location| location.term == term)
     }
 }
 
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -169,7 +169,7 @@
         self.fail_from.is_none_or(|first| change < first)
     }
 
-    fn begin_whole(&mut self) -> io::Result<()> {
+    fn begin_file_write(&mut self) -> io::Result<()> {
         if self.begin() {
             Ok(())
         } else {
@@ -188,11 +188,11 @@
             return (wanted, Ok(()));
         };
         let used: usize = self.files.values().map(|file| file.bytes.len()).sum();
-        let room = (capacity as usize).saturating_sub(used - freed);
-        if wanted <= room {
+        let free = (capacity as usize).saturating_sub(used - freed);
+        if wanted <= free {
             return (wanted, Ok(()));
         }
-        (room, Err(io::ErrorKind::StorageFull.into()))
+        (free, Err(io::ErrorKind::StorageFull.into()))
     }
 }
 
@@ -233,10 +233,10 @@
         }
         let unsynced = self.bytes.len() - self.synced;
         if unsynced > 0 {
-            let kept = self.synced + rng.random_range(0..=unsynced);
+            let retained = self.synced + rng.random_range(0..=unsynced);
             let synced = self.synced;
             let bytes = Arc::make_mut(&mut self.bytes);
-            bytes.truncate(kept);
+            bytes.truncate(retained);
             if rng.random_ratio(1, SPOIL_ONE_IN) {
                 spoil_end(bytes, synced, rng);
             }
@@ -308,7 +308,7 @@
     }
 
     fn truncate(&mut self, file: &str, length: u64) -> io::Result<()> {
-        self.begin_whole()?;
+        self.begin_file_write()?;
         let file = self.file_mut(file)?;
         let mut bytes = file.bytes.as_ref().clone();
         bytes.truncate(length as usize);
@@ -317,13 +317,13 @@
     }
 
     fn sync_file(&mut self, file: &str) -> io::Result<()> {
-        self.begin_whole()?;
+        self.begin_file_write()?;
         self.file_mut(file)?.sync();
         Ok(())
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        self.begin_whole()?;
+        self.begin_file_write()?;
         self.synced_names = self.names.clone();
         self.unsynced_names.clear();
         self.drop_nameless();
@@ -331,7 +331,7 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.begin_whole()?;
+        self.begin_file_write()?;
         let file = self.names.remove(from).ok_or_else(not_found)?;
         self.names.insert(to.to_owned(), file);
         self.unsynced_names.push(NameChange::Rename {
@@ -343,7 +343,7 @@
     }
 
     fn remove(&mut self, file: &str) -> io::Result<()> {
-        self.begin_whole()?;
+        self.begin_file_write()?;
         self.names.remove(file).ok_or_else(not_found)?;
         self.unsynced_names.push(NameChange::Remove {
             name: file.to_owned(),
--- a/crates/storage/src/real.rs
+++ b/crates/storage/src/real.rs
@@ -8,7 +8,7 @@
 /// File whose lock keeps a second process out of the folder.
 const LOCK_FILE: &str = "lock";
 
-/// A folder of the operating system. It is locked while this value lives, so
+/// A folder of the operating system. It is locked while this value incarnations, so
 /// that two daemons never write the same folder.
 #[derive(Debug)]
 pub struct RealDisk {
@@ -56,14 +56,14 @@
     }
 
     fn appending(&mut self, file: &str) -> io::Result<&mut File> {
-        let kept = match self.appending.take() {
+        let retained = match self.appending.take() {
             Some((name, handle)) if name == file => handle,
             _ => OpenOptions::new()
                 .create(true)
                 .append(true)
                 .open(self.path(file))?,
         };
-        let (_, handle) = self.appending.insert((file.to_owned(), kept));
+        let (_, handle) = self.appending.insert((file.to_owned(), retained));
         Ok(handle)
     }
 }
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -1,8 +1,8 @@
 //! Reading a whole data folder. Nothing on the disk is changed here, so a
-//! folder that is refused stays as it was found.
+//! folder that is rejected stays as it was found.
 
 use crate::frame::{FileKind, decode_single};
-use crate::log::{Checkpoint, EntryPlace, LogState, SnapshotMark};
+use crate::log::{Checkpoint, EntryLocation, LogState, SnapshotMark};
 use crate::name::{FileName, IDENTITY_FILE, parse_name, segment_file, snapshot_file};
 use crate::segment::{Segment, read_segment};
 use crate::{Disk, Identity, StorageError};
@@ -26,7 +26,7 @@
     /// Files to remove: temporary ones, segments and snapshots not in force.
     pub leftovers: Vec<String>,
     /// Bytes of torn tail.
-    pub cut_bytes: u64,
+    pub truncated_bytes: u64,
 }
 
 /// The newest segment.
@@ -64,7 +64,7 @@
     check_lengths(&segments)?;
     replay(segments, &mut recovery)?;
     require_identity(&recovery)?;
-    note_leftovers(names, checkpoint, &mut recovery);
+    record_leftovers(names, checkpoint, &mut recovery);
     Ok(recovery)
 }
 
@@ -119,7 +119,7 @@
         keep_last(&segment, bytes, recovery);
         return Ok(Some((segment, checkpoint)));
     }
-    recovery.cut_bytes = bytes.len() as u64;
+    recovery.truncated_bytes = bytes.len() as u64;
     recovery.leftovers.push(segment_file(number));
     let previous = number.wrapping_sub(1);
     if !names.segments.contains(&previous) {
@@ -127,7 +127,7 @@
         return Ok(None);
     }
     let bytes = read(disk, &segment_file(previous))?;
-    let segment = read_segment(previous, &bytes)?.require_whole()?;
+    let segment = read_segment(previous, &bytes)?.require_complete()?;
     let Some(checkpoint) = first_checkpoint(&segment) else {
         let file = segment_file(previous);
         return Err(StorageError::damaged(&file, 0, "there is no record"));
@@ -137,8 +137,8 @@
 }
 
 fn keep_last(segment: &Segment, mut bytes: Vec<u8>, recovery: &mut Recovery) {
-    recovery.cut_bytes += (bytes.len() - segment.whole_bytes) as u64;
-    bytes.truncate(segment.whole_bytes);
+    recovery.truncated_bytes += (bytes.len() - segment.verified_bytes) as u64;
+    bytes.truncate(segment.verified_bytes);
     recovery.last = Some(LastSegment {
         number: segment.number,
         bytes,
@@ -151,12 +151,12 @@
 
 /// A folder without a whole segment is new only if it holds nothing else: the
 /// first segment is synced before anything is written.
-fn require_new(names: &Names, segment: u64, problem: &str) -> Result<(), StorageError> {
+fn require_new(names: &Names, segment: u64, reason: &str) -> Result<(), StorageError> {
     let alone = names.segments.len() <= 1 && names.snapshots.is_empty() && !names.identity;
     if alone && segment == FIRST_SEGMENT {
         return Ok(());
     }
-    Err(StorageError::damaged(&segment_file(segment), 0, problem))
+    Err(StorageError::damaged(&segment_file(segment), 0, reason))
 }
 
 /// Without an identity the folder may hold no more than the first segment of a
@@ -184,7 +184,7 @@
             return Err(StorageError::damaged(&file, 0, "the segment is missing"));
         }
         let bytes = read(disk, &file)?;
-        segments.push(read_segment(number, &bytes)?.require_whole()?);
+        segments.push(read_segment(number, &bytes)?.require_complete()?);
     }
     Ok(segments)
 }
@@ -194,10 +194,10 @@
     let pairs = segments.iter().zip(segments.iter().skip(1));
     for (segment, next) in pairs {
         let expected = first_checkpoint(next).map(|checkpoint| checkpoint.previous_bytes);
-        if expected != Some(segment.whole_bytes as u64) {
+        if expected != Some(segment.verified_bytes as u64) {
             let file = segment_file(segment.number);
-            let problem = "the segment is not as long as the next one says";
-            return Err(StorageError::damaged(&file, segment.whole_bytes, problem));
+            let reason = "the segment is not as long as the next one says";
+            return Err(StorageError::damaged(&file, segment.verified_bytes, reason));
         }
     }
     Ok(())
@@ -222,8 +222,8 @@
     let snapshot: Snapshot = postcard::from_bytes(payload)
         .map_err(|error| StorageError::damaged(&file, 0, error.to_string()))?;
     if snapshot.meta.index != mark.index || snapshot.meta.term != mark.term {
-        let problem = "the snapshot is not the one that the log names";
-        return Err(StorageError::damaged(&file, 0, problem));
+        let reason = "the snapshot is not the one that the log names";
+        return Err(StorageError::damaged(&file, 0, reason));
     }
     Ok(Some(snapshot))
 }
@@ -254,8 +254,8 @@
         let term = entry.term;
         recovery
             .state
-            .places
-            .push_back(EntryPlace { term, segment });
+            .locations
+            .push_back(EntryLocation { term, segment });
         recovery.recovered.entries.push(entry);
     }
     Ok(())
@@ -264,11 +264,11 @@
 /// Adds an entry, voiding those from its index on; false if it leaves a hole.
 fn join(live: &mut VecDeque<(Entry, u64)>, entry: Entry, segment: u64) -> bool {
     if let Some((first, _)) = live.front() {
-        let kept = entry.index.0.saturating_sub(first.index.0);
-        if kept > live.len() as u64 {
+        let retained = entry.index.0.saturating_sub(first.index.0);
+        if retained > live.len() as u64 {
             return false;
         }
-        live.truncate(kept as usize);
+        live.truncate(retained as usize);
     }
     live.push_back((entry, segment));
     true
@@ -281,14 +281,14 @@
     }
     match live.front() {
         Some((entry, segment)) if entry.index.0 != base + 1 => {
-            let problem = format!("entries from {} to {} are missing", base + 1, entry.index);
-            Err(StorageError::damaged(&segment_file(*segment), 0, problem))
+            let reason = format!("entries from {} to {} are missing", base + 1, entry.index);
+            Err(StorageError::damaged(&segment_file(*segment), 0, reason))
         }
         _ => Ok(()),
     }
 }
 
-fn note_leftovers(names: Names, checkpoint: Checkpoint, recovery: &mut Recovery) {
+fn record_leftovers(names: Names, checkpoint: Checkpoint, recovery: &mut Recovery) {
     let segments = names.segments.range(..checkpoint.first_segment);
     recovery
         .leftovers
--- a/crates/storage/src/segment.rs
+++ b/crates/storage/src/segment.rs
@@ -13,8 +13,7 @@
 
 use crate::StorageError;
 use crate::frame::{
-    FileKind, HEADER_BYTES, HeaderProblem, check_header, find_record_after, header_error,
-    read_record,
+    FileKind, HEADER_BYTES, HeaderError, check_header, find_record_after, header_error, read_record,
 };
 use crate::log::Record;
 use crate::name::segment_file;
@@ -25,67 +24,67 @@
     pub number: u64,
     pub records: Vec<Record>,
     /// Bytes that verified, from the start.
-    pub whole_bytes: usize,
+    pub verified_bytes: usize,
     /// What is wrong with the bytes behind them, if there are any.
     pub torn: Option<&'static str>,
 }
 
 impl Segment {
     /// The segment, if it has a checkpoint and is whole to its last byte.
-    pub fn require_whole(self) -> Result<Self, StorageError> {
-        let problem = match self.torn {
-            Some(problem) => problem,
+    pub fn require_complete(self) -> Result<Self, StorageError> {
+        let reason = match self.torn {
+            Some(reason) => reason,
             None if self.records.is_empty() => "there is no record",
             None => return Ok(self),
         };
         let file = segment_file(self.number);
-        Err(StorageError::damaged(&file, self.whole_bytes, problem))
+        Err(StorageError::damaged(&file, self.verified_bytes, reason))
     }
 }
 
 /// Reads a segment. A tail that may be torn is reported in
-/// [`Segment::torn`]; what cannot be a torn tail is refused.
+/// [`Segment::torn`]; what cannot be a torn tail is rejected.
 pub(crate) fn read_segment(number: u64, bytes: &[u8]) -> Result<Segment, StorageError> {
     let file = segment_file(number);
     let mut segment = Segment {
         number,
         records: Vec::new(),
-        whole_bytes: 0,
+        verified_bytes: 0,
         torn: None,
     };
     match check_header(bytes, FileKind::Log, number) {
-        Ok(()) => segment.whole_bytes = HEADER_BYTES,
-        Err(HeaderProblem::Broken) => segment.torn = Some("the header is not whole"),
-        Err(problem) => return Err(header_error(&file, problem)),
+        Ok(()) => segment.verified_bytes = HEADER_BYTES,
+        Err(HeaderError::Broken) => segment.torn = Some("the header is not whole"),
+        Err(reason) => return Err(header_error(&file, reason)),
     }
-    while segment.torn.is_none() && segment.whole_bytes < bytes.len() {
-        match read_record(bytes, number, segment.whole_bytes) {
+    while segment.torn.is_none() && segment.verified_bytes < bytes.len() {
+        match read_record(bytes, number, segment.verified_bytes) {
             Ok(record) => {
-                let decoded = decode(&file, segment.whole_bytes, record.payload)?;
+                let decoded = decode(&file, segment.verified_bytes, record.payload)?;
                 segment.records.push(decoded);
-                segment.whole_bytes = record.end;
+                segment.verified_bytes = record.end;
             }
-            Err(problem) => segment.torn = Some(problem),
+            Err(reason) => segment.torn = Some(reason),
         }
     }
-    refuse_damage(&file, &segment, bytes)?;
+    reject_damage(&file, &segment, bytes)?;
     Ok(segment)
 }
 
-fn refuse_damage(file: &str, segment: &Segment, bytes: &[u8]) -> Result<(), StorageError> {
+fn reject_damage(file: &str, segment: &Segment, bytes: &[u8]) -> Result<(), StorageError> {
     let first = segment.records.first();
     if first.is_some_and(|record| record.checkpoint.is_none()) {
-        let problem = "the first record is no checkpoint";
-        return Err(StorageError::damaged(file, HEADER_BYTES, problem));
+        let reason = "the first record is no checkpoint";
+        return Err(StorageError::damaged(file, HEADER_BYTES, reason));
     }
-    let Some(problem) = segment.torn else {
+    let Some(reason) = segment.torn else {
         return Ok(());
     };
-    match find_record_after(bytes, segment.number, segment.whole_bytes) {
+    match find_record_after(bytes, segment.number, segment.verified_bytes) {
         None => Ok(()),
         Some(next) => {
-            let problem = format!("{problem}, yet a whole record follows at byte {next}");
-            Err(StorageError::damaged(file, segment.whole_bytes, problem))
+            let reason = format!("{reason}, yet a whole record follows at byte {next}");
+            Err(StorageError::damaged(file, segment.verified_bytes, reason))
         }
     }
 }
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -22,7 +22,7 @@
 const MAX_PAYLOAD_BYTES: usize = 1 << 30;
 
 const TOO_LARGE: StorageError = StorageError::InvalidBatch {
-    problem: "it is too large for one record",
+    reason: "it is too large for one record",
 };
 
 /// Who this disk belongs to. Made at the first start, with the cluster and
@@ -47,7 +47,7 @@
     /// not hold that index with that term, the whole log goes. One older than
     /// the snapshot in force is passed over.
     pub snapshot: Option<Snapshot>,
-    /// Entries; those already written from the first one's index on are void.
+    /// Entries; those already written from the first one's index on are revocation.
     pub entries: Vec<Entry>,
 }
 
@@ -77,7 +77,7 @@
     /// State to hand to [`consensus::Node::new`].
     pub recovered: Recovered,
     /// Bytes of torn tail that were cut.
-    pub cut_bytes: u64,
+    pub truncated_bytes: u64,
 }
 
 /// The files of one coordinator.
@@ -97,7 +97,7 @@
 }
 
 impl<D: Disk> Store<D> {
-    /// Reads all files, cuts a torn tail, refuses damage elsewhere.
+    /// Reads all files, cuts a torn tail, rejects damage elsewhere.
     ///
     /// The newest segment is written anew and synced before this returns:
     /// after a failed sync the system may show bytes that the disk never got.
@@ -130,7 +130,7 @@
             store,
             identity: recovery.identity,
             recovered: recovery.recovered,
-            cut_bytes: recovery.cut_bytes,
+            truncated_bytes: recovery.truncated_bytes,
         })
     }
 
@@ -147,7 +147,7 @@
 
     /// Writes a batch; on return it is synced. After an error of the disk the
     /// batch may or may not be found at the next open, and all calls are
-    /// refused until then.
+    /// rejected until then.
     pub fn write(&mut self, batch: &Batch) -> Result<(), StorageError> {
         self.require_sound()?;
         let snapshot = batch.snapshot.as_ref().filter(|new| self.state.takes(new));
@@ -181,11 +181,11 @@
         self.disk
     }
 
-    /// Refuses a batch before anything is written.
+    /// Rejects a batch before anything is written.
     fn check(&self, snapshot: Option<&Snapshot>, entries: &[Entry]) -> Result<(), StorageError> {
         if !self.state.joins(snapshot, entries) {
             return Err(StorageError::InvalidBatch {
-                problem: "its entries do not follow the log",
+                reason: "its entries do not follow the log",
             });
         }
         let entry_bytes: usize = entries.iter().map(command_bytes).sum();
@@ -350,6 +350,6 @@
 
 fn encode(value: &impl Serialize) -> Result<Vec<u8>, StorageError> {
     postcard::to_stdvec(value).map_err(|_| StorageError::InvalidBatch {
-        problem: "it cannot be encoded",
+        reason: "it cannot be encoded",
     })
 }
--- a/crates/storage/tests/damage.rs
+++ b/crates/storage/tests/damage.rs
@@ -1,5 +1,5 @@
 //! Every cut and every flipped byte of a log: opened with a correct prefix,
-//! or refused with the file's name. What was synced before the last record is
+//! or rejected with the file's name. What was synced before the last record is
 //! never silently lost.
 #![allow(clippy::unwrap_used)]
 
@@ -35,7 +35,7 @@
     segments.max().unwrap()
 }
 
-fn assert_refused(result: Result<storage::Opened<MemoryDisk>, StorageError>, file: &str) {
+fn assert_rejected(result: Result<storage::Opened<MemoryDisk>, StorageError>, file: &str) {
     match result.map(|opened| opened.recovered) {
         Err(StorageError::Damaged { file: named, .. }) => assert_eq!(named, file),
         Err(StorageError::Version { file: named, .. }) => assert_eq!(named, file),
@@ -71,12 +71,12 @@
         let whole = ends.iter().filter(|end| **end <= length).count();
         if whole == 0 {
             // The first checkpoint was synced before the identity was saved.
-            assert_refused(result, &file);
+            assert_rejected(result, &file);
             continue;
         }
         let opened = result.unwrap();
         assert_eq!(opened.recovered, states[whole - 1], "cut at {length}");
-        assert_eq!(opened.cut_bytes as usize, length - ends[whole - 1]);
+        assert_eq!(opened.truncated_bytes as usize, length - ends[whole - 1]);
     }
 }
 
@@ -96,12 +96,15 @@
                 .unwrap();
             let result = Store::open_with(flipped, ONE_SEGMENT);
             if position < last_start {
-                assert_refused(result, &file);
+                assert_rejected(result, &file);
                 continue;
             }
             let opened = result.unwrap();
             assert_eq!(opened.recovered, states[states.len() - 2]);
-            assert_eq!(opened.cut_bytes as usize, ends.last().unwrap() - last_start);
+            assert_eq!(
+                opened.truncated_bytes as usize,
+                ends.last().unwrap() - last_start
+            );
         }
     }
 }
@@ -125,7 +128,7 @@
                 let mut cut = disk.clone();
                 cut.damage(&file, |bytes| bytes.truncate(position)).unwrap();
                 if file != last {
-                    assert_refused(Store::open_with(cut, SMALL_SEGMENTS), &file);
+                    assert_rejected(Store::open_with(cut, SMALL_SEGMENTS), &file);
                     continue;
                 }
                 if let Ok(opened) = Store::open_with(cut, SMALL_SEGMENTS) {
@@ -142,7 +145,7 @@
         Ok(opened) => {
             assert_eq!(file, last);
             assert_eq!(opened.recovered, states[states.len() - 2]);
-            assert!(opened.cut_bytes > 0);
+            assert!(opened.truncated_bytes > 0);
         }
         // A spoiled start of the last segment may lead back to a snapshot that
         // is no longer there.
@@ -164,7 +167,7 @@
         let mut missing = disk.clone();
         missing.remove(&file).unwrap();
         missing.sync_folder().unwrap();
-        assert_refused(Store::open_with(missing, SMALL_SEGMENTS), &file);
+        assert_rejected(Store::open_with(missing, SMALL_SEGMENTS), &file);
     }
 }
 
@@ -196,9 +199,9 @@
     let changes = disk.changes();
     let (mut before, mut after) = (disk.clone(), disk);
     before.fail_from(changes);
-    assert_refused(Store::open_with(before, ONE_SEGMENT), &file);
+    assert_rejected(Store::open_with(before, ONE_SEGMENT), &file);
     after.damage(&file, |bytes| bytes[30] ^= 1).unwrap();
-    assert_eq!(open(after).cut_bytes, 0);
+    assert_eq!(open(after).truncated_bytes, 0);
 }
 
 #[test]
--- a/crates/storage/tests/golden_folder.rs
+++ b/crates/storage/tests/golden_folder.rs
@@ -183,7 +183,7 @@
 fn the_recorded_folder_is_read_whole() {
     let opened = open_copy("read");
     assert_eq!(opened.identity, Some(identity()));
-    assert_eq!(opened.cut_bytes, 0);
+    assert_eq!(opened.truncated_bytes, 0);
     let recovered = opened.recovered;
     assert_eq!(recovered.hard_state, vote(4, Some(NodeId(7_002)), 13));
     assert_eq!(recovered.snapshot, Some(snapshot()));
--- a/crates/storage/tests/interrupt.rs
+++ b/crates/storage/tests/interrupt.rs
@@ -110,7 +110,7 @@
             assert_eq!(open(crashed).recovered, expected);
         }
     }
-    assert_eq!(open(disk).cut_bytes, 9);
+    assert_eq!(open(disk).truncated_bytes, 9);
 }
 
 #[test]
@@ -176,8 +176,8 @@
     store.write(&entries(1..=5, 1)).unwrap();
     store.write(&install(3, 1)).unwrap();
     for wrong in [entries(7..=7, 1), entries(3..=4, 1), entries(0..=0, 1)] {
-        let refused = store.write(&wrong);
-        assert!(matches!(refused, Err(StorageError::InvalidBatch { .. })));
+        let rejected = store.write(&wrong);
+        assert!(matches!(rejected, Err(StorageError::InvalidBatch { .. })));
     }
     let mut gap = entries(6..=7, 1);
     gap.entries[1].index = LogIndex(8);
--- a/crates/peer/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -14,7 +14,7 @@
 }
 
 fn monotonic() -> Duration {
-    // Where the kernel refuses the boot clock, time since the first call does
+    // Where the kernel rejects the boot clock, time since the first call does
     // for everything but a freeze.
     static START: OnceLock<Instant> = OnceLock::new();
     read(ClockId::CLOCK_BOOTTIME).unwrap_or_else(|| START.get_or_init(Instant::now).elapsed())
--- a/crates/peer/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -10,16 +10,16 @@
 pub mod message;
 pub mod relay;
 pub mod request;
-pub mod transport;
+pub mod tcp;
 
 pub use message::{
-    AgentReport, Bootstrap, Envelope, Hello, Members, NamedRun, OrderResult, PeerMessage,
+    AgentReport, Bootstrap, Envelope, KeepAlive, Members, NamedRun, OrderResult, PeerMessage,
     RunnerUpdate, SessionLease,
 };
 pub use relay::Relay;
 pub use request::{
     DecisionEntry, DecisionEvent, JobFilter, LicenceView, MemberView, Operation, OperationReply,
-    QueueView, Refusal, RefusalCode, Reply, Request, RequestId, TenantView,
+    QueueView, Rejection, RejectionCode, Reply, Request, RequestId, TenantView,
 };
-pub use transport::inbox::{Arrival, Inbox, Lane};
-pub use transport::{ClusterKey, PROTOCOL_VERSION, Transport, TransportError, TransportOptions};
+pub use tcp::inbox::{Arrival, Inbox, Lane};
+pub use tcp::{ClusterKey, PROTOCOL_VERSION, Transport, TransportError, TransportOptions};
--- a/crates/peer/src/message.rs
+++ b/crates/transport/src/message.rs
@@ -39,10 +39,10 @@
         message: consensus::Message,
     },
     /// Opens and renews a session with the leader.
-    Hello(Hello),
-    /// The leader's answer to a hello.
+    KeepAlive(KeepAlive),
+    /// The leader's answer to a keep-alive.
     Lease(SessionLease),
-    /// Answer to a hello or request by a coordinator that does not lead.
+    /// Answer to a keep-alive or request by a coordinator that does not lead.
     NotLeader {
         /// The leader it knows.
         leader: Option<Address>,
@@ -88,7 +88,7 @@
             Self::Members(_) => "members",
             Self::Bootstrap(_) => "bootstrap",
             Self::Raft { .. } => "raft",
-            Self::Hello(_) => "hello",
+            Self::KeepAlive(_) => "hello",
             Self::Lease(_) => "lease",
             Self::NotLeader { .. } => "not_leader",
             Self::Configuration { .. } => "configuration",
@@ -142,8 +142,8 @@
 /// coordinators that are no members yet send it every session interval. Members
 /// send it too, to report the configuration they have applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hello {
-    /// Rises with every hello of one process; echoed in the lease.
+pub struct KeepAlive {
+    /// Rises with every keep-alive of one process; echoed in the lease.
     pub sequence: u64,
     /// Version of the sender's configuration replica, or of its record.
     pub configuration: ConfigurationVersion,
@@ -155,7 +155,7 @@
     pub cluster: Option<ClusterId>,
 }
 
-/// The leader's answer to a hello, given only under its own lease.
+/// The leader's answer to a keep-alive, given only under its own lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionLease {
     /// The leader's term.
@@ -164,7 +164,7 @@
     pub leader: Address,
     /// The cluster.
     pub cluster: ClusterId,
-    /// Echo of the hello: the lease counts from when that was sent.
+    /// Echo of the keep-alive: the lease counts from when that was sent.
     pub sequence: u64,
     /// Length of the lease.
     pub lease: Milliseconds,
@@ -190,7 +190,7 @@
     pub term: Term,
     /// The runner.
     pub runner: RunnerId,
-    /// The life meant.
+    /// The incarnation meant.
     pub incarnation: RunnerIncarnation,
     /// Heartbeat received; the run lease counts from when it was sent.
     pub confirmed: HeartbeatSequence,
--- a/crates/peer/src/request.rs
+++ b/crates/transport/src/request.rs
@@ -1,9 +1,9 @@
 //! Requests of callers and operators, as gateways pass them to the leader.
 
-use configuration::{ClusterConfiguration, ConfigurationProblem, ConfigurationUpdate, QueueMode};
-use dispatch::{Decision, RunnerView};
-use record::CancelSelector;
+use configuration::{ClusterConfiguration, ConfigurationError, ConfigurationUpdate, QueueMode};
+use scheduler::{Decision, RunnerView};
 use serde::{Deserialize, Serialize};
+use state_machine::CancelSelector;
 use types::{
     Address, ConfigurationVersion, JobKey, JobNumber, JobSpec, JobState, JobView, LicenceName,
     Milliseconds, PoolName, QueueName, Resources, RunClose, RunId, RunnerId, TaskRef, TenantId,
@@ -121,7 +121,7 @@
     /// Number of the request.
     pub id: RequestId,
     /// The answer.
-    pub result: Result<OperationReply, Refusal>,
+    pub result: Result<OperationReply, Rejection>,
 }
 
 /// Answers to what was asked.
@@ -223,16 +223,16 @@
     /// Tasks that may start.
     pub ready_tasks: u64,
     /// What its open runs hold.
-    pub holds: Resources,
-    /// Its ceiling.
-    pub ceiling: Resources,
+    pub usage: Resources,
+    /// Its resource limit.
+    pub resource_limit: Resources,
     /// Jobs ended since the leader's election.
     pub ended_jobs: u64,
     /// Of those, late by the contract.
     pub late_jobs: u64,
     /// Of those, failed.
     pub failed_jobs: u64,
-    /// True when a budget is used up.
+    /// Whether a budget is used up.
     pub budget_exceeded: bool,
 }
 
@@ -244,7 +244,7 @@
     /// Seats in the whole cluster.
     pub seats: u32,
     /// Of those, taken by open runs, by the record's own count.
-    pub taken: u32,
+    pub used: u32,
     /// Tasks that wait for room or a seat.
     pub waiting: u64,
 }
@@ -255,9 +255,9 @@
     /// Where it is.
     pub address: Address,
     /// Coordinators: `leader`, `voter` or `learner`; others: `session`.
-    pub standing: String,
+    pub status: String,
     /// Time since it was last heard by the leader.
-    pub silence: Milliseconds,
+    pub since_last_contact: Milliseconds,
     /// Configuration version it last reported to this leader: of a coordinator
     /// the one it has applied. None while it has not reported.
     pub configuration: Option<ConfigurationVersion>,
@@ -281,7 +281,7 @@
 /// What a line of the decision log tells.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DecisionEvent {
-    /// The dispatcher decided.
+    /// The scheduler decided.
     Dispatch(Decision),
     /// The record took the reservation; its order leaves.
     Ordered {
@@ -318,21 +318,21 @@
 
 /// A final answer that nothing was done.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct Rejection {
     /// What kind.
-    pub code: RefusalCode,
+    pub code: RejectionCode,
     /// One sentence for people.
     pub message: String,
     /// When to come back, where that can help.
     pub retry_after: Option<Milliseconds>,
-    /// Every problem of a refused configuration.
-    pub problems: Vec<ConfigurationProblem>,
+    /// Every problem of a rejected configuration.
+    pub problems: Vec<ConfigurationError>,
 }
 
-/// Kinds of refusal.
+/// Kinds of rejection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RefusalCode {
+pub enum RejectionCode {
     /// The request makes no sense.
     Invalid,
     /// No key, or one that is not known or revoked.
--- a/crates/peer/src/transport/connection.rs
+++ b/crates/transport/src/tcp/connection.rs
@@ -27,14 +27,14 @@
 /// The listening end gives up later, when the dialling end must be gone.
 pub(super) const ABANDONED_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// Connects from the listener's IP within `patience`, and proves both ends.
+/// Connects from the listener's IP within `timeout`, and proves both ends.
 pub(super) async fn dial(
     context: &Context,
     to: SocketAddr,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<(TcpStream, Proven), HandshakeError> {
     let connecting = connect(context.options.listen, to);
-    let mut stream = within(patience, connecting).await??;
+    let mut stream = within(timeout, connecting).await??;
     let shaking = handshake::dialled(&mut stream, &context.key, &context.own);
     let proven = within(HANDSHAKE_TIMEOUT, shaking).await??;
     Ok((stream, proven))
--- a/crates/peer/src/transport/inbox.rs
+++ b/crates/transport/src/tcp/inbox.rs
@@ -4,7 +4,7 @@
 //! alive, or the sessions of all that wait for it end, all come back at once,
 //! and it is further behind than before. So what keeps leases and sessions alive never
 //! waits behind the work, and neither waits behind requests, which can be sent
-//! again or refused.
+//! again or rejected.
 
 use crate::{Envelope, PeerMessage};
 use std::time::Instant;
@@ -43,7 +43,7 @@
             | PeerMessage::Members(_)
             | PeerMessage::Bootstrap(_)
             | PeerMessage::Raft { .. }
-            | PeerMessage::Hello(_)
+            | PeerMessage::KeepAlive(_)
             | PeerMessage::Lease(_)
             | PeerMessage::NotLeader { .. }
             | PeerMessage::Configuration { .. } => Self::Liveness,
--- a/crates/peer/src/transport/incoming.rs
+++ b/crates/transport/src/tcp/incoming.rs
@@ -23,7 +23,7 @@
 /// a power loss, and when a leader changes, a whole fleet dials at once; what is
 /// closed dials again and costs more than its proof.
 const MAX_UNPROVEN: usize = 1_024;
-/// Pause after the system refused to accept, such as for want of descriptors.
+/// Pause after the system rejected to accept, such as for want of descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
 /// What all connections that are taken share.
@@ -52,13 +52,13 @@
         let (stream, from) = match accepted {
             Ok(accepted) => accepted,
             Err(error) => {
-                tracing::warn!(%error, "cannot accept a connection");
+                tracing::warn!(%error, "accepting a connection failed");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
         let Ok(permit) = unproven.clone().try_acquire_owned() else {
-            tracing::warn!(%from, "closed: too many connections are unproven");
+            tracing::warn!(peer = %from, "closed connection: too many unauthenticated connections");
             continue;
         };
         let serving = serve(stream, from, listening.clone(), permit);
@@ -81,7 +81,7 @@
     let context = &listening.context;
     let proven = match accept(context, &mut stream).await {
         Ok(proven) => proven,
-        Err(error) => return log_refusal(from, &error),
+        Err(error) => return log_rejection(from, &error),
     };
     drop(permit);
     let Proven {
@@ -89,30 +89,34 @@
         client_frames,
         server_frames,
     } = proven;
-    listening.destinations.heard_from(peer.socket);
+    listening.destinations.record_contact(peer.socket);
     let (reader, writer) = stream.into_split();
     let max_bytes = context.options.max_frame_bytes;
-    let taken = AtomicU64::new(0);
+    let accepted = AtomicU64::new(0);
     let mut incoming = Incoming {
         peer: &peer,
         arriving: &listening.arriving,
-        taken: &taken,
+        accepted: &accepted,
     };
     let reader = tokio::io::BufReader::new(reader);
     let reason = tokio::select! {
         reason = incoming.take_frames(reader, client_frames, max_bytes) => reason,
-        reason = acknowledge(writer, server_frames, &taken) => reason,
+        reason = acknowledge(writer, server_frames, &accepted) => reason,
     };
     match reason {
-        FrameError::Closed(error) => tracing::debug!(%from, node = %peer.node, %error, "closed"),
-        error => tracing::warn!(%from, node = %peer.node, %error, "closed"),
+        FrameError::Closed(error) => {
+            tracing::debug!(peer = %from, node = %peer.node, %error, "connection closed")
+        }
+        error => tracing::warn!(peer = %from, node = %peer.node, %error, "connection closed"),
     }
 }
 
-fn log_refusal(from: SocketAddr, error: &HandshakeError) {
+fn log_rejection(from: SocketAddr, error: &HandshakeError) {
     match error {
-        HandshakeError::Closed(_) => tracing::debug!(%from, %error, "handshake broken off"),
-        _ => tracing::warn!(%from, %error, "connection refused"),
+        HandshakeError::Closed(_) => {
+            tracing::debug!(peer = %from, %error, "connection closed during handshake")
+        }
+        _ => tracing::warn!(peer = %from, %error, "handshake failed"),
     }
 }
 
@@ -120,7 +124,7 @@
 struct Incoming<'a> {
     peer: &'a Address,
     arriving: &'a Arriving,
-    taken: &'a AtomicU64,
+    accepted: &'a AtomicU64,
 }
 
 impl Incoming<'_> {
@@ -139,7 +143,7 @@
                 Err(error) => return error.into(),
             };
             self.hand_on(&body).await;
-            self.taken.fetch_add(1, Ordering::Relaxed);
+            self.accepted.fetch_add(1, Ordering::Relaxed);
         }
     }
 
@@ -149,7 +153,7 @@
         let body = match postcard::from_bytes(body) {
             Ok(body) => body,
             Err(error) => {
-                tracing::warn!(node = %self.peer.node, %error, "a message makes no sense");
+                tracing::warn!(node = %self.peer.node, %error, "dropped undecodable message");
                 return;
             }
         };
@@ -167,12 +171,12 @@
 async fn acknowledge(
     mut writer: OwnedWriteHalf,
     mut frames: Channel,
-    taken: &AtomicU64,
+    accepted: &AtomicU64,
 ) -> FrameError {
     let mut acknowledged = 0;
     loop {
         tokio::time::sleep(ACKNOWLEDGE_INTERVAL).await;
-        let count = taken.load(Ordering::Relaxed);
+        let count = accepted.load(Ordering::Relaxed);
         if count == acknowledged {
             continue;
         }
--- a/crates/peer/src/transport/mod.rs
+++ b/crates/transport/src/tcp/mod.rs
@@ -80,9 +80,9 @@
         own: Address,
     ) -> Result<(Self, Inbox), TransportError> {
         let listen = options.listen;
-        let refused = |source| TransportError::Listen { listen, source };
-        let listener = TcpListener::bind(listen).await.map_err(refused)?;
-        let bound = listener.local_addr().map_err(refused)?;
+        let rejected = |source| TransportError::Listen { listen, source };
+        let listener = TcpListener::bind(listen).await.map_err(rejected)?;
+        let bound = listener.local_addr().map_err(rejected)?;
         let mut own = own;
         if own.socket.port() == 0 {
             own.socket.set_port(bound.port());
--- a/crates/peer/src/transport/outgoing.rs
+++ b/crates/transport/src/tcp/outgoing.rs
@@ -50,11 +50,11 @@
         self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that the daemon at a socket has just connected here: it is up, and
+    /// Records that the daemon at a socket has just connected here: it is up, and
     /// the link is whole.
-    pub fn heard_from(&self, socket: SocketAddr) {
+    pub fn record_contact(&self, socket: SocketAddr) {
         if let Some(queue) = self.lock().get(&socket) {
-            queue.note_reachable();
+            queue.record_reachable();
         }
     }
 
@@ -140,7 +140,7 @@
                 continue;
             };
             let ended = self.carry(stream, proven).await;
-            tracing::debug!(to = %self.to, reason = %ended, "connection ended");
+            tracing::debug!(peer = %self.to, reason = %ended, "connection closed");
             if !matches!(ended, Ended::Idle) {
                 sleep(jittered(MIN_BACKOFF)).await;
             }
@@ -150,15 +150,17 @@
     /// Dials until it works, or until nothing waits any more.
     async fn connect(&self) -> Option<(TcpStream, Proven)> {
         let mut backoff = MIN_BACKOFF;
-        let mut patience = FIRST_CONNECT_TIMEOUT;
+        let mut timeout = FIRST_CONNECT_TIMEOUT;
         let mut failures = 0u64;
         while !self.queue.is_empty() {
-            match self.dial_or_hear(patience).await {
+            match self.dial_or_hear(timeout).await {
                 Ok(connection) => return Some(connection),
                 Err(error) if failures == 0 => {
-                    tracing::warn!(to = %self.to, %error, "cannot reach a peer, trying on");
+                    tracing::warn!(peer = %self.to, %error, "peer unreachable, retrying");
+                }
+                Err(error) => {
+                    tracing::debug!(peer = %self.to, %error, failures, "connection attempt failed")
                 }
-                Err(error) => tracing::debug!(to = %self.to, %error, failures, "not reached"),
             }
             failures += 1;
             tokio::select! {
@@ -166,20 +168,17 @@
                 () = self.queue.reachable() => {}
             }
             backoff = (backoff * 2).min(MAX_BACKOFF);
-            patience = (patience * 2).min(LAST_CONNECT_TIMEOUT);
+            timeout = (timeout * 2).min(LAST_CONNECT_TIMEOUT);
         }
         None
     }
 
     /// Dials, and dials anew when the other end is heard of meanwhile: what
     /// was sent to it before it was up is lost.
-    async fn dial_or_hear(
-        &self,
-        patience: Duration,
-    ) -> Result<(TcpStream, Proven), HandshakeError> {
+    async fn dial_or_hear(&self, timeout: Duration) -> Result<(TcpStream, Proven), HandshakeError> {
         tokio::select! {
-            dialled = dial(&self.context, self.to, patience) => dialled,
-            () = self.queue.reachable() => dial(&self.context, self.to, patience).await,
+            dialled = dial(&self.context, self.to, timeout) => dialled,
+            () = self.queue.reachable() => dial(&self.context, self.to, timeout).await,
         }
     }
 
@@ -260,12 +259,12 @@
         let body = match postcard::to_stdvec(message) {
             Ok(body) if body.len() <= max => body,
             Ok(body) => {
-                tracing::warn!(%to, length = body.len(), max, "dropped a message: too long");
+                tracing::warn!(peer = %to, bytes = body.len(), max, "dropped message: longer than a frame");
                 count_dropped(1);
                 return false;
             }
             Err(error) => {
-                tracing::warn!(%to, %error, "dropped a message: it cannot be encoded");
+                tracing::warn!(peer = %to, %error, "dropped message: encoding failed");
                 count_dropped(1);
                 return false;
             }
@@ -292,7 +291,7 @@
     }
 }
 
-/// Notes acknowledgements until the connection ends.
+/// Records acknowledgements until the connection ends.
 async fn read_acknowledgements(
     mut reader: OwnedReadHalf,
     mut frames: Channel,
--- a/crates/peer/src/transport/queue.rs
+++ b/crates/transport/src/tcp/queue.rs
@@ -49,7 +49,7 @@
         self.added.notify_one();
     }
 
-    /// True when nothing is left that may still be sent.
+    /// Returns whether nothing is left that may still be sent.
     pub fn is_empty(&self) -> bool {
         let mut waiting = self.lock();
         drop_stale(&mut waiting);
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Notes that the destination has just been heard of.
-    pub fn note_reachable(&self) {
+    /// Records that the destination has just been heard of.
+    pub fn record_reachable(&self) {
         self.reachable.notify_one();
     }
 
--- a/crates/peer/tests/common/mod.rs
+++ b/crates/transport/tests/common/mod.rs
@@ -2,13 +2,13 @@
 #![allow(dead_code, clippy::unwrap_used)]
 
 use consensus::{Message, SnapshotMeta};
-use peer::{Bootstrap, ClusterKey, Envelope, PeerMessage, Transport, TransportOptions};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
+use transport::{Bootstrap, ClusterKey, Envelope, PeerMessage, Transport, TransportOptions};
 use types::{Address, ClusterId, NodeId, Role, Term, ZoneName};
 
 /// Ends a test that hangs; no verdict depends on it otherwise.
@@ -19,7 +19,7 @@
 
 pub struct Daemon {
     pub transport: Transport,
-    pub inbox: peer::Inbox,
+    pub inbox: transport::Inbox,
 }
 
 impl Daemon {
--- a/crates/peer/tests/golden/answers.rs
+++ b/crates/transport/tests/golden/answers.rs
@@ -5,13 +5,13 @@
 use super::samples::{
     QUEUE_MODES, address, closes, document, key, name, reservations, resources, run, task,
 };
-use configuration::{ConfigurationProblem, LeftOutQueues};
-use dispatch::{Decision, DecisionKind, NotPlacedReason, RunnerView};
-use peer::{
+use configuration::{ConfigurationError, LeftOutQueues};
+use scheduler::{Decision, DecisionKind, NotPlacedReason, RunnerView};
+use std::collections::BTreeMap;
+use transport::{
     DecisionEntry, DecisionEvent, LicenceView, MemberView, OperationReply, PeerMessage, QueueView,
-    Refusal, RefusalCode, Reply, RequestId, TenantView,
+    Rejection, RejectionCode, Reply, RequestId, TenantView,
 };
-use std::collections::BTreeMap;
 use types::*;
 
 const AT: WallTime = WallTime(1_700_000_000_444);
@@ -24,15 +24,15 @@
     JobState::Cancelled,
 ];
 
-pub const REFUSAL_CODES: [RefusalCode; 8] = [
-    RefusalCode::Invalid,
-    RefusalCode::Unauthenticated,
-    RefusalCode::Forbidden,
-    RefusalCode::NotFound,
-    RefusalCode::Conflict,
-    RefusalCode::Overloaded,
-    RefusalCode::Unavailable,
-    RefusalCode::TimedOut,
+pub const REFUSAL_CODES: [RejectionCode; 8] = [
+    RejectionCode::Invalid,
+    RejectionCode::Unauthenticated,
+    RejectionCode::Forbidden,
+    RejectionCode::NotFound,
+    RejectionCode::Conflict,
+    RejectionCode::Overloaded,
+    RejectionCode::Unavailable,
+    RejectionCode::TimedOut,
 ];
 
 fn job_view(state: JobState) -> JobView {
@@ -64,11 +64,11 @@
         rack: name("beech"),
         labels: BTreeMap::from([("wood".to_owned(), "soft".to_owned())]),
         capacity: resources(17),
-        room: resources(13),
+        free: resources(13),
         open_runs: 136,
         draining,
         on_probation: !draining,
-        silence: Milliseconds(137),
+        since_last_contact: Milliseconds(137),
     }
 }
 
@@ -88,8 +88,8 @@
         tenant: name("acorn"),
         unfinished_jobs: 141,
         ready_tasks: 142,
-        holds: resources(18),
-        ceiling: resources(19),
+        usage: resources(18),
+        resource_limit: resources(19),
         ended_jobs: 143,
         late_jobs: 144,
         failed_jobs: 145,
@@ -101,7 +101,7 @@
     LicenceView {
         licence: name("cedar"),
         seats: 146,
-        taken: 147,
+        used: 147,
         waiting: 148,
     }
 }
@@ -111,15 +111,15 @@
     vec![
         MemberView {
             address: address(905, Role::Coordinator),
-            standing: "voter".to_owned(),
-            silence: Milliseconds(149),
+            status: "voter".to_owned(),
+            since_last_contact: Milliseconds(149),
             configuration: Some(ConfigurationVersion(150)),
             links: Some(slow),
         },
         MemberView {
             address: address(906, Role::Gateway),
-            standing: "session".to_owned(),
-            silence: Milliseconds(151),
+            status: "session".to_owned(),
+            since_last_contact: Milliseconds(151),
             configuration: None,
             links: None,
         },
@@ -128,15 +128,15 @@
 
 pub fn not_placed_reasons() -> Vec<NotPlacedReason> {
     vec![
-        NotPlacedReason::TenantAtCeiling,
-        NotPlacedReason::CeilingKeptForUrgent,
+        NotPlacedReason::TenantAtLimit,
+        NotPlacedReason::LimitReservedForUrgent,
         NotPlacedReason::NoSeat,
         NotPlacedReason::TenantAboveShare,
         NotPlacedReason::RunnersAway,
-        NotPlacedReason::NoRoom,
+        NotPlacedReason::NoCapacity,
         NotPlacedReason::NoRunnerWithLabels,
         NotPlacedReason::RunnerOnProbation,
-        NotPlacedReason::HeldForLargerTask {
+        NotPlacedReason::ReservedForLargerTask {
             runner: name("rowan"),
         },
         NotPlacedReason::BeforeItsTime { not_before: AT },
@@ -328,20 +328,20 @@
     groups.into_iter().flatten().collect()
 }
 
-fn refusal(code: RefusalCode) -> Refusal {
-    Refusal {
+fn rejection(code: RejectionCode) -> Rejection {
+    Rejection {
         code,
         message: "not now".to_owned(),
         retry_after: Some(Milliseconds(1_250)),
-        problems: vec![ConfigurationProblem {
-            place: "maple.leaf".to_owned(),
-            problem: "is missing".to_owned(),
+        problems: vec![ConfigurationError {
+            path: "maple.leaf".to_owned(),
+            message: "is missing".to_owned(),
         }],
     }
 }
 
-/// A refusal under each code.
-fn refusals() -> Vec<Sample<Refusal>> {
+/// A rejection under each code.
+fn rejections() -> Vec<Sample<Rejection>> {
     let names = [
         "refusal.invalid",
         "refusal.unauthenticated",
@@ -352,8 +352,8 @@
         "refusal.unavailable",
         "refusal.timed-out",
     ];
-    let refusals = names.into_iter().zip(REFUSAL_CODES.map(refusal));
-    refusals
+    let rejections = names.into_iter().zip(REFUSAL_CODES.map(rejection));
+    rejections
         .map(|(name, value)| Sample { name, value })
         .collect()
 }
@@ -369,9 +369,9 @@
         name: sample.name,
         value: reply(Ok(sample.value)),
     });
-    let refused = refusals().into_iter().map(|sample| Sample {
+    let rejected = rejections().into_iter().map(|sample| Sample {
         name: sample.name,
         value: reply(Err(sample.value)),
     });
-    answered.chain(refused).collect()
+    answered.chain(rejected).collect()
 }
--- a/crates/peer/tests/golden/messages.rs
+++ b/crates/transport/tests/golden/messages.rs
@@ -4,7 +4,7 @@
 use super::samples::{address, addresses, document, name, socket};
 use super::{answers, operations, orders, raft};
 use configuration::LeftOutQueues;
-use peer::{Bootstrap, Envelope, Hello, Members, PeerMessage, Relay, SessionLease};
+use transport::{Bootstrap, Envelope, KeepAlive, Members, PeerMessage, Relay, SessionLease};
 use types::{ClusterId, ConfigurationVersion, Milliseconds, Role, Term};
 
 pub fn bootstraps() -> [Bootstrap; 3] {
@@ -68,7 +68,7 @@
 }
 
 fn sessions() -> Vec<Sample<PeerMessage>> {
-    let hello = Hello {
+    let keep_alive = KeepAlive {
         sequence: 210,
         configuration: ConfigurationVersion(211),
         runners: vec![name("rowan"), name("sorb")],
@@ -96,7 +96,7 @@
     vec![
         Sample {
             name: "hello",
-            value: PeerMessage::Hello(hello),
+            value: PeerMessage::KeepAlive(keep_alive),
         },
         Sample {
             name: "lease",
--- a/crates/peer/tests/golden/operations.rs
+++ b/crates/transport/tests/golden/operations.rs
@@ -3,8 +3,8 @@
 use super::bytes::Sample;
 use super::samples::{document, job, key, name, update};
 use configuration::LeftOutQueues;
-use peer::{JobFilter, Operation, PeerMessage, Request, RequestId};
-use record::CancelSelector;
+use state_machine::CancelSelector;
+use transport::{JobFilter, Operation, PeerMessage, Request, RequestId};
 use types::{ConfigurationVersion, JobNumber, JobState, Milliseconds, Urgency};
 
 pub fn selectors() -> [CancelSelector; 2] {
--- a/crates/peer/tests/golden/orders.rs
+++ b/crates/transport/tests/golden/orders.rs
@@ -2,18 +2,18 @@
 
 use super::bytes::Sample;
 use super::samples::{key, name, outcomes, resources, run};
-use peer::{AgentReport, NamedRun, OrderResult, PeerMessage, RunnerUpdate};
 use std::collections::BTreeMap;
+use transport::{AgentReport, NamedRun, OrderResult, PeerMessage, RunnerUpdate};
 use types::*;
 
-pub const REFUSAL_REASONS: [RefusalReason; 7] = [
-    RefusalReason::StaleTerm,
-    RefusalReason::OtherIncarnation,
-    RefusalReason::StaleBasis,
-    RefusalReason::KnownRun,
-    RefusalReason::NoRoom,
-    RefusalReason::Draining,
-    RefusalReason::Unhealthy,
+pub const REFUSAL_REASONS: [RejectionReason; 7] = [
+    RejectionReason::StaleTerm,
+    RejectionReason::OtherIncarnation,
+    RejectionReason::StaleHeartbeat,
+    RejectionReason::KnownRun,
+    RejectionReason::NoCapacity,
+    RejectionReason::Draining,
+    RejectionReason::Unhealthy,
 ];
 
 fn run_name(attempt: u32) -> RunName {
@@ -42,13 +42,13 @@
 pub fn kinds() -> [OrderKind; 3] {
     let start = OrderKind::Start {
         run: run_spec(),
-        basis: HeartbeatSequence(65),
+        based_on: HeartbeatSequence(65),
         lease: Milliseconds(18_001),
     };
     [
         start,
         OrderKind::Stop { run: run(66) },
-        OrderKind::Void { run: run(67) },
+        OrderKind::Revoke { run: run(67) },
     ]
 }
 
@@ -63,17 +63,17 @@
     }
 }
 
-/// Every answer, and a refusal for every reason.
+/// Every answer, and a rejection for every reason.
 pub fn answers() -> Vec<OrderAnswer> {
     let mut answers = vec![
         OrderAnswer::Started,
         OrderAnswer::Stopping,
-        OrderAnswer::Voided,
-        OrderAnswer::Held,
+        OrderAnswer::Revoked,
+        OrderAnswer::Active,
         OrderAnswer::Ended,
         OrderAnswer::Unknown,
     ];
-    answers.extend(REFUSAL_REASONS.map(OrderAnswer::Refused));
+    answers.extend(REFUSAL_REASONS.map(OrderAnswer::Rejected));
     answers
 }
 
@@ -119,7 +119,7 @@
         runner: name("rowan"),
         incarnation: RunnerIncarnation(98),
         sequence: HeartbeatSequence(99),
-        place: Some(name("10.1.2.3:7000")),
+        endpoint: Some(name("10.1.2.3:7000")),
         pool: name("maple"),
         rack: name("beech"),
         labels: BTreeMap::from([("wood".to_owned(), "soft".to_owned())]),
@@ -127,7 +127,7 @@
         free: resources(12),
         draining,
         self_stop: !draining,
-        held: vec![HeldRun {
+        active: vec![ActiveRun {
             run: run(100),
             age: Milliseconds(101),
             progress: Some(42),
--- a/crates/peer/tests/golden/raft.rs
+++ b/crates/transport/tests/golden/raft.rs
@@ -3,9 +3,9 @@
 use super::bytes::Sample;
 use super::samples::socket;
 use consensus::{Entry, LinkHealth, Membership, Message, Payload, SnapshotMeta};
-use peer::PeerMessage;
 use std::collections::BTreeMap;
 use std::sync::Arc;
+use transport::PeerMessage;
 use types::{ClusterId, LogIndex, NodeId, Term};
 
 pub fn membership() -> Membership {
@@ -41,7 +41,7 @@
         good_links: 3,
         bad_links: 2,
         slow_disk: true,
-        gave_way: false,
+        recently_transferred: false,
     }
 }
 
@@ -50,7 +50,7 @@
         good_links: 1,
         bad_links: 4,
         slow_disk: false,
-        gave_way: true,
+        recently_transferred: true,
     }
 }
 
--- a/crates/peer/tests/golden_handshake.rs
+++ b/crates/transport/tests/golden_handshake.rs
@@ -13,11 +13,11 @@
 use golden::bytes::{Codec, Sample, assert_recorded, from_hex};
 use golden::samples::address;
 use hmac::{Hmac, Mac};
-use peer::{ClusterKey, Inbox, PROTOCOL_VERSION, Transport, TransportOptions};
 use sha2::Sha256;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
+use transport::{ClusterKey, Inbox, PROTOCOL_VERSION, Transport, TransportOptions};
 use types::Role;
 
 const RECORDED: &str = include_str!("golden/handshake.txt");
--- a/crates/peer/tests/golden_messages.rs
+++ b/crates/transport/tests/golden_messages.rs
@@ -4,16 +4,17 @@
 
 use configuration::{KeyRole, QueueMode};
 use consensus::{Message, Payload};
-use dispatch::{DecisionKind, NotPlacedReason};
 use golden::bytes::{Codec, Sample, assert_recorded, variants};
 use golden::{answers, messages, operations, orders, raft, samples};
-use peer::{
-    Bootstrap, DecisionEvent, Operation, OperationReply, PROTOCOL_VERSION, PeerMessage, RefusalCode,
-};
-use record::CancelSelector;
+use scheduler::{DecisionKind, NotPlacedReason};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use types::{JobState, OrderAnswer, OrderKind, Outcome, RefusalReason, Role, RunClose};
+use state_machine::CancelSelector;
+use transport::{
+    Bootstrap, DecisionEvent, Operation, OperationReply, PROTOCOL_VERSION, PeerMessage,
+    RejectionCode,
+};
+use types::{JobState, OrderAnswer, OrderKind, Outcome, RejectionReason, Role, RunClose};
 
 /// The version that the bytes were recorded under.
 const RECORDED_VERSION: u32 = 3;
@@ -51,7 +52,7 @@
         Members,
         Bootstrap,
         Raft,
-        Hello,
+        KeepAlive,
         Lease,
         NotLeader,
         Configuration,
@@ -158,7 +159,7 @@
         Decisions,
     })
     .assert_covered(values(&answers::replies()));
-    variants!(RefusalCode {
+    variants!(RejectionCode {
         Invalid,
         Unauthenticated,
         Forbidden,
@@ -197,15 +198,15 @@
     .assert_covered(&answers::decision_events());
     variants!(DecisionKind { Placed, NotPlaced }).assert_covered(&answers::decision_kinds());
     variants!(NotPlacedReason {
-        TenantAtCeiling,
-        CeilingKeptForUrgent,
+        TenantAtLimit,
+        LimitReservedForUrgent,
         NoSeat,
         TenantAboveShare,
         RunnersAway,
-        NoRoom,
+        NoCapacity,
         NoRunnerWithLabels,
         RunnerOnProbation,
-        HeldForLargerTask,
+        ReservedForLargerTask,
         BeforeItsTime,
         WaitingForStep,
         QueuePaused,
@@ -216,9 +217,9 @@
     .assert_covered(&answers::not_placed_reasons());
     variants!(RunClose {
         Ended,
-        Voided,
+        Revoked,
         Lost,
-        Refused,
+        Rejected,
         TimedOut
     })
     .assert_covered(&samples::closes());
@@ -226,23 +227,28 @@
 
 #[test]
 fn the_samples_hold_every_order_and_its_answers() {
-    variants!(OrderKind { Start, Stop, Void }).assert_covered(&orders::kinds());
+    variants!(OrderKind {
+        Start,
+        Stop,
+        Revoke
+    })
+    .assert_covered(&orders::kinds());
     variants!(OrderAnswer {
         Started,
         Stopping,
-        Voided,
-        Held,
+        Revoked,
+        Active,
         Ended,
-        Refused,
+        Rejected,
         Unknown,
     })
     .assert_covered(&orders::answers());
-    variants!(RefusalReason {
+    variants!(RejectionReason {
         StaleTerm,
         OtherIncarnation,
-        StaleBasis,
+        StaleHeartbeat,
         KnownRun,
-        NoRoom,
+        NoCapacity,
         Draining,
         Unhealthy,
     })
--- a/crates/peer/tests/lanes.rs
+++ b/crates/transport/tests/lanes.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{Daemon, KEY, guarded, numbered};
-use peer::{Lane, Operation, PeerMessage, Request, RequestId};
 use std::time::Duration;
+use transport::{Lane, Operation, PeerMessage, Request, RequestId};
 use types::Milliseconds;
 
 /// More requests than find a place.
@@ -60,7 +60,7 @@
         socket: "127.0.0.1:1".parse().unwrap(),
     };
     let relay = |body: PeerMessage| {
-        PeerMessage::Relay(peer::Relay {
+        PeerMessage::Relay(transport::Relay {
             origin: own.clone(),
             destination: own.socket,
             body: Box::new(body),
--- a/crates/peer/tests/relay.rs
+++ b/crates/transport/tests/relay.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{Daemon, KEY, numbered};
-use peer::{PeerMessage, Relay};
+use transport::{PeerMessage, Relay};
 use types::{Address, NodeId, Role, ZoneName};
 
 /// More levels than a thread's stack could hold.
--- a/crates/peer/tests/strangers.rs
+++ b/crates/transport/tests/strangers.rs
@@ -1,22 +1,22 @@
-//! What comes without the cluster key, changed, or a second time is refused,
+//! What comes without the cluster key, changed, or a second time is rejected,
 //! and never ends the daemon.
 #![allow(clippy::unwrap_used)]
 
 mod common;
 
 use common::{Daemon, KEY, Proxy, Spoil, guarded, numbered};
-use peer::{PROTOCOL_VERSION, PeerMessage};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
+use transport::{PROTOCOL_VERSION, PeerMessage};
 use types::NodeId;
 
 const RESEND_INTERVAL: Duration = Duration::from_millis(100);
 const PROOF_BYTES: usize = 32;
-/// Magic, version and length of a hello.
+/// Magic, version and length of a keep-alive.
 const HELLO_HEADER_BYTES: usize = 10;
 
 /// Writes bytes and reads until the other end closes.
@@ -36,7 +36,7 @@
     assert_eq!(envelope.from.node, NodeId(77));
 }
 
-/// Length of the hello that a recording begins with.
+/// Length of the keep-alive that a recording begins with.
 fn hello_bytes(recorded: &[u8]) -> usize {
     let length = u16::from_le_bytes(recorded[8..HELLO_HEADER_BYTES].try_into().unwrap());
     HELLO_HEADER_BYTES + usize::from(length)
@@ -113,9 +113,15 @@
     sender.transport.shutdown().await;
     let recorded = proxy.ended().await.bytes;
     // Not the frame's length: a longer one would only be waited for.
-    let hello = hello_bytes(&recorded);
-    let frame = hello + PROOF_BYTES;
-    let places = [4, HELLO_HEADER_BYTES, hello, frame + 4, recorded.len() - 1];
+    let keep_alive = hello_bytes(&recorded);
+    let frame = keep_alive + PROOF_BYTES;
+    let places = [
+        4,
+        HELLO_HEADER_BYTES,
+        keep_alive,
+        frame + 4,
+        recorded.len() - 1,
+    ];
     for (attempt, place) in (0..).zip(places) {
         let sender = Daemon::start(10 + attempt, KEY).await;
         let mut proxy = Proxy::start(daemon.socket()).await;
@@ -173,9 +179,9 @@
 #[tokio::test]
 async fn another_protocol_version_is_told_ours() {
     let mut daemon = Daemon::start(1, KEY).await;
-    let mut hello = b"CYPD".to_vec();
-    hello.extend_from_slice(&(PROTOCOL_VERSION + 1).to_le_bytes());
-    let answer = exchange(daemon.socket(), &hello).await;
+    let mut keep_alive = b"CYPD".to_vec();
+    keep_alive.extend_from_slice(&(PROTOCOL_VERSION + 1).to_le_bytes());
+    let answer = exchange(daemon.socket(), &keep_alive).await;
     assert_eq!(answer[..4], *b"CYPD");
     assert_eq!(answer[4..8], PROTOCOL_VERSION.to_le_bytes());
     assert_undisturbed(&mut daemon).await;
--- a/crates/peer/tests/transport.rs
+++ b/crates/transport/tests/transport.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::{Daemon, KEY, MAX_FRAME_BYTES, Proxy, guarded, numbered, sized};
-use peer::clock;
 use std::time::Duration;
 use tokio::net::TcpStream;
+use transport::clock;
 use types::{Milliseconds, NodeId, WallTime};
 
 #[tokio::test]
--- a/crates/types/src/address.rs
+++ b/crates/types/src/address.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Keeps the record; its leader runs the dispatcher.
+    /// Keeps the record; its leader runs the scheduler.
     Coordinator,
     /// Serves callers and operators.
     Gateway,
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -99,9 +99,9 @@
     RunnerId
 );
 name_type!(
-    /// Where a runner stands, such as the socket it takes calls at: one life of
+    /// Where a runner stands, such as the socket it takes calls at: one incarnation of
     /// one runner at a time.
-    PlaceName
+    EndpointName
 );
 name_type!(
     /// A licence of which so many seats may be taken at once.
@@ -178,7 +178,7 @@
     HeartbeatSequence
 );
 number_type!(
-    /// One life of a runner process; it grows with every restart.
+    /// One incarnation of a runner process; it grows with every restart.
     RunnerIncarnation
 );
 
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -16,13 +16,13 @@
 pub use address::{Address, Role};
 pub use error::InvalidName;
 pub use id::{
-    ClusterId, ConfigurationVersion, HeartbeatSequence, JobId, JobKey, JobNumber, KeyId,
-    LicenceName, LogIndex, NodeId, OrderSequence, PlaceName, PoolName, QueueName, RackName, RunId,
+    ClusterId, ConfigurationVersion, EndpointName, HeartbeatSequence, JobId, JobKey, JobNumber,
+    KeyId, LicenceName, LogIndex, NodeId, OrderSequence, PoolName, QueueName, RackName, RunId,
     RunnerId, RunnerIncarnation, StepName, TaskRef, TenantId, Term, ZoneName,
 };
 pub use job::{JobSpec, JobState, JobView, StepRules, StepSpec, StepView, TaskState, Urgency};
 pub use resources::{Labels, Resources};
-pub use run::{EndedRun, HeldRun, Outcome, RunClose, RunName, RunSpec, UnnamedRun};
-pub use runner::{OrderAnswer, OrderKind, RefusalReason, RunnerOrder, RunnerReport};
+pub use run::{ActiveRun, EndedRun, Outcome, RunClose, RunName, RunSpec, UnnamedRun};
+pub use runner::{OrderAnswer, OrderKind, RejectionReason, RunnerOrder, RunnerReport};
 pub use task::{NumberedJob, OpenRun, Reservation, TaskMeta};
 pub use time::{Milliseconds, Monotonic, Now, WallTime};
--- a/crates/types/src/resources.rs
+++ b/crates/types/src/resources.rs
@@ -29,7 +29,7 @@
         gpus: 0,
     };
 
-    /// More of everything than any machine has; a tenant without a ceiling.
+    /// More of everything than any machine has; a tenant without a resource limit.
     pub const UNLIMITED: Self = Self {
         slots: u32::MAX,
         cpu_milli: u32::MAX,
@@ -37,7 +37,7 @@
         gpus: u32::MAX,
     };
 
-    /// True when this amount is at most `room` in every kind.
+    /// Returns whether this amount is at most `room` in every kind.
     pub fn fits_in(&self, room: &Self) -> bool {
         self.slots <= room.slots
             && self.cpu_milli <= room.cpu_milli
@@ -97,7 +97,7 @@
     }
 
     /// The larger amount of each kind.
-    pub fn most(&self, other: &Self) -> Self {
+    pub fn component_max(&self, other: &Self) -> Self {
         Self {
             slots: self.slots.max(other.slots),
             cpu_milli: self.cpu_milli.max(other.cpu_milli),
@@ -107,7 +107,7 @@
     }
 
     /// The smaller amount of each kind.
-    pub fn least(&self, other: &Self) -> Self {
+    pub fn component_min(&self, other: &Self) -> Self {
         Self {
             slots: self.slots.min(other.slots),
             cpu_milli: self.cpu_milli.min(other.cpu_milli),
--- a/crates/types/src/run.rs
+++ b/crates/types/src/run.rs
@@ -42,7 +42,7 @@
 
 /// A run that a runner holds now.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldRun {
+pub struct ActiveRun {
     /// The run.
     pub run: RunId,
     /// How long it has been going.
@@ -53,7 +53,7 @@
     pub checkpoint: Option<String>,
 }
 
-impl HeldRun {
+impl ActiveRun {
     /// A run of which the runner tells nothing but its age.
     pub fn new(run: RunId, age: Milliseconds) -> Self {
         Self {
@@ -122,17 +122,19 @@
     /// The runner reported this outcome.
     Ended(Outcome),
     /// The runner confirmed that it never started and never will.
-    Voided,
+    #[serde(rename = "voided")]
+    Revoked,
     /// Its lease and margin ran out in silence; not a failure of the task.
     Lost,
-    /// The runner refused it; not a failure of the task.
-    Refused,
+    /// The runner rejected it; not a failure of the task.
+    #[serde(rename = "refused")]
+    Rejected,
     /// It ran past its time limit and was fenced; counts as a failure.
     TimedOut,
 }
 
 impl RunClose {
-    /// True when this close uses up one of the task's allowed failures.
+    /// Returns whether this close uses up one of the task's allowed failures.
     pub fn is_failure(&self) -> bool {
         matches!(self, Self::Ended(Outcome::Failed(_)) | Self::TimedOut)
     }
--- a/crates/types/src/runner.rs
+++ b/crates/types/src/runner.rs
@@ -1,14 +1,15 @@
 //! What a runner reports and which orders it takes.
 //!
-//! Fencing at the runner. It refuses an order whose term is below the highest
+//! Fencing at the runner. It rejects an order whose term is below the highest
 //! it has seen, whose incarnation is not its own, or (for a start) whose
-//! `basis` heartbeat it sent longer ago than the run lease. Since the leader
+//! `based_on` heartbeat it sent longer ago than the run lease. Since the leader
 //! waits lease plus margin after the last heartbeat it received, no start can
 //! land after the leader has given the run up.
 
 use crate::{
-    EndedRun, HeartbeatSequence, HeldRun, Labels, Milliseconds, OrderSequence, PlaceName, PoolName,
-    RackName, Resources, RunId, RunName, RunSpec, RunnerId, RunnerIncarnation, Term, UnnamedRun,
+    ActiveRun, EndedRun, EndpointName, HeartbeatSequence, Labels, Milliseconds, OrderSequence,
+    PoolName, RackName, Resources, RunId, RunName, RunSpec, RunnerId, RunnerIncarnation, Term,
+    UnnamedRun,
 };
 use serde::{Deserialize, Serialize};
 
@@ -17,13 +18,13 @@
 pub struct RunnerReport {
     /// The runner.
     pub runner: RunnerId,
-    /// Its current life.
+    /// Its current incarnation.
     pub incarnation: RunnerIncarnation,
-    /// Place among the heartbeats of this life.
+    /// Place among the heartbeats of this incarnation.
     pub sequence: HeartbeatSequence,
     /// Where it stands, if that is known: when another runner answers there,
-    /// this one's life is over and nothing of it goes on.
-    pub place: Option<PlaceName>,
+    /// this one's incarnation is over and nothing of it goes on.
+    pub endpoint: Option<EndpointName>,
     /// Pool it serves.
     pub pool: PoolName,
     /// Its rack.
@@ -34,12 +35,12 @@
     pub capacity: Resources,
     /// What is free now.
     pub free: Resources,
-    /// True when it is about to leave: nothing new may start on it.
+    /// Whether it is about to leave: nothing new may start on it.
     pub draining: bool,
-    /// True when it stops its own runs at lease end.
+    /// Whether it stops its own runs at lease end.
     pub self_stop: bool,
     /// Every run it holds.
-    pub held: Vec<HeldRun>,
+    pub active: Vec<ActiveRun>,
     /// Ended runs the record has not confirmed yet.
     pub ended: Vec<EndedRun>,
     /// Runs held or ended whose identifiers the agent does not know.
@@ -55,7 +56,7 @@
     pub sequence: OrderSequence,
     /// The runner it is for.
     pub runner: RunnerId,
-    /// The life of the runner it is for.
+    /// The incarnation of the runner it is for.
     pub incarnation: RunnerIncarnation,
     /// The run as callers and runners name it: an agent that was started anew
     /// does not know its identifier.
@@ -67,13 +68,13 @@
 /// What an order asks for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderKind {
-    /// Start this run, unless it is known, voided or the basis is too old.
+    /// Start this run, unless it is known, revoked or the basis is too old.
     Start {
         /// The run.
         run: RunSpec,
         /// The heartbeat whose room led to this order.
-        basis: HeartbeatSequence,
-        /// Run lease: the start is refused, and the run stopped, this long
+        based_on: HeartbeatSequence,
+        /// Run lease: the start is rejected, and the run stopped, this long
         /// after the runner sent the heartbeat that was last confirmed.
         lease: Milliseconds,
     },
@@ -83,7 +84,7 @@
         run: RunId,
     },
     /// Never start this run from now on; answer how it stands.
-    Void {
+    Revoke {
         /// The run.
         run: RunId,
     },
@@ -94,25 +95,27 @@
     pub fn run(&self) -> RunId {
         match self {
             Self::Start { run, .. } => run.run,
-            Self::Stop { run } | Self::Void { run } => *run,
+            Self::Stop { run } | Self::Revoke { run } => *run,
         }
     }
 }
 
-/// Why a runner, or the agent before it, refused an order.
+/// Why a runner, or the agent before it, rejected an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RefusalReason {
+pub enum RejectionReason {
     /// A higher term has been seen.
     StaleTerm,
-    /// The order is for another life of the runner.
+    /// The order is for another incarnation of the runner.
     OtherIncarnation,
     /// The basis heartbeat is too old or unknown.
-    StaleBasis,
-    /// The run was voided before, or has already been started or ended.
+    #[serde(rename = "stale_basis")]
+    StaleHeartbeat,
+    /// The run was revoked before, or has already been started or ended.
     KnownRun,
     /// The runner has no room.
-    NoRoom,
+    #[serde(rename = "no_room")]
+    NoCapacity,
     /// The runner is draining.
     Draining,
     /// The runner says that it is not well; it has done nothing.
@@ -126,16 +129,16 @@
     Started,
     /// The run is stopping, its end will be reported.
     Stopping,
-    /// The run was never started here and never will be (answer to a void, or
+    /// The run was never started here and never will be (answer to a revocation, or
     /// to a stop of an unknown run).
-    Voided,
-    /// Answer to a void or stop: the run is held, and goes on until stopped.
-    Held,
+    Revoked,
+    /// Answer to a revocation or stop: the run is held, and goes on until stopped.
+    Active,
     /// The run has ended; its entry stands in the ended list.
     Ended,
     /// Nothing was done, for this reason.
-    Refused(RefusalReason),
+    Rejected(RejectionReason),
     /// No answer came: the run may or may not have started. Never from the
-    /// runner itself; the agent says it, and the leader must void the run.
+    /// runner itself; the agent says it, and the leader must revocation the run.
     Unknown,
 }
--- a/crates/types/src/task.rs
+++ b/crates/types/src/task.rs
@@ -1,8 +1,8 @@
-//! What the record tells the dispatcher about tasks and runs.
+//! What the record tells the scheduler about tasks and runs.
 
 use crate::{
-    JobNumber, Labels, LicenceName, Milliseconds, PlaceName, QueueName, Resources, RunId, RunnerId,
-    RunnerIncarnation, StepRules, TaskRef, TenantId, Urgency, WallTime,
+    EndpointName, JobNumber, Labels, LicenceName, Milliseconds, QueueName, Resources, RunId,
+    RunnerId, RunnerIncarnation, StepRules, TaskRef, TenantId, Urgency, WallTime,
 };
 use serde::{Deserialize, Serialize};
 
@@ -41,16 +41,16 @@
     pub task: TaskRef,
     /// Number of the run among those of its task, from 1.
     pub attempt: u32,
-    /// Whose ceiling it counts against.
+    /// Whose resource limit it counts against.
     pub tenant: TenantId,
     /// Its queue.
     pub queue: QueueName,
     /// The runner it is bound to.
     pub runner: RunnerId,
-    /// The life of the runner it is bound to.
+    /// The incarnation of the runner it is bound to.
     pub incarnation: RunnerIncarnation,
     /// Where that runner stands, if that is known.
-    pub place: Option<PlaceName>,
+    pub endpoint: Option<EndpointName>,
     /// What it holds.
     pub resources: Resources,
     /// Its time limit.
@@ -66,7 +66,7 @@
     pub self_stop: bool,
 }
 
-/// A choice of the dispatcher, to be committed before its order may leave.
+/// A choice of the scheduler, to be committed before its order may leave.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reservation {
     /// The new run.
@@ -75,10 +75,10 @@
     pub task: TaskRef,
     /// The runner chosen.
     pub runner: RunnerId,
-    /// The life of the runner whose room was seen.
+    /// The incarnation of the runner whose room was seen.
     pub incarnation: RunnerIncarnation,
     /// Where that runner stands, if that is known.
-    pub place: Option<PlaceName>,
+    pub endpoint: Option<EndpointName>,
     /// Whether that runner stops its own runs at the end of the run lease.
     pub self_stop: bool,
 }
