--- a/crates/admin/src/recorder.rs
+++ b/crates/admin/src/recorder.rs
@@ -19,6 +19,10 @@
 
 /// Installs the recorder once in this process; later calls change nothing.
 /// Values recorded before the first call are lost.
+///
+/// # Errors
+///
+/// Fails if another recorder is installed or the buckets are not accepted.
 pub fn install_metrics() -> Result<(), MetricsError> {
     let _only_one = INSTALLATION.lock().unwrap_or_else(PoisonError::into_inner);
     if RECORDER.get().is_some() {
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -59,6 +59,10 @@
 
 /// Listens and serves until `stop` turns true or its sender is gone; open
 /// connections then get two seconds to end.
+///
+/// # Errors
+///
+/// Fails if the socket cannot be bound or the listener fails.
 pub async fn serve(
     listen: SocketAddr,
     router: Router,
@@ -69,6 +73,10 @@
 }
 
 /// Binds the socket, with an error that names it.
+///
+/// # Errors
+///
+/// Fails if the socket cannot be bound.
 pub async fn bind(listen: SocketAddr) -> Result<TcpListener, ServeError> {
     TcpListener::bind(listen)
         .await
@@ -76,6 +84,10 @@
 }
 
 /// As [`serve`], on a socket that is bound already.
+///
+/// # Errors
+///
+/// Fails if the listener fails.
 pub async fn serve_on(
     listener: TcpListener,
     router: Router,
--- a/crates/api/src/body.rs
+++ b/crates/api/src/body.rs
@@ -45,6 +45,10 @@
 }
 
 /// Reads a JSON body; nothing may follow it.
+///
+/// # Errors
+///
+/// Names the field that is missing, unknown or of the wrong type.
 pub fn parse_json<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, BodyError> {
     let mut deserializer = serde_json::Deserializer::from_slice(bytes);
     let value =
@@ -56,6 +60,10 @@
 }
 
 /// Reads a TOML document into the same bodies.
+///
+/// # Errors
+///
+/// Names the field that is missing, unknown or of the wrong type.
 pub fn parse_toml<T: DeserializeOwned>(text: &str) -> Result<T, BodyError> {
     let deserializer =
         toml::Deserializer::parse(text).map_err(|error| BodyError::new("body", error))?;
--- a/crates/api/src/cancel.rs
+++ b/crates/api/src/cancel.rs
@@ -50,6 +50,10 @@
 
 impl CancelBody {
     /// The selector, when exactly one of the two ways is used.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the body names jobs beside a tenant or queue, or neither jobs nor a tenant.
     pub fn into_selector(self) -> Result<CancelSelector, BodyError> {
         match (self.jobs, self.tenant, self.queue) {
             (Some(jobs), None, None) => Ok(CancelSelector::Jobs(
--- a/crates/api/src/configuration.rs
+++ b/crates/api/src/configuration.rs
@@ -88,6 +88,10 @@
 impl ConfigurationBody {
     /// The document, once its keys are found whole. Whether it makes sense is
     /// [`configuration::validate()`]'s to say.
+    ///
+    /// # Errors
+    ///
+    /// Names the first key that is incomplete.
     pub fn into_document(self) -> Result<ClusterConfiguration, BodyError> {
         let numbered = self.keys.into_iter().enumerate();
         let keys = numbered
--- a/crates/api/src/configuration/update.rs
+++ b/crates/api/src/configuration/update.rs
@@ -60,6 +60,10 @@
 impl ConfigurationUpdateBody {
     /// The update, once its keys are found whole. Whether it makes sense is
     /// the update's own to say.
+    ///
+    /// # Errors
+    ///
+    /// Names the first item that cannot be converted.
     pub fn into_update(self) -> Result<ConfigurationUpdate, BodyError> {
         let numbered = self.upsert.keys.into_iter().enumerate();
         let keys = numbered
--- a/crates/api/src/decision.rs
+++ b/crates/api/src/decision.rs
@@ -30,6 +30,10 @@
 
 impl DecisionsQuery {
     /// The limit, once it is found fair.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the limit lies outside its bounds.
     pub fn checked_limit(&self) -> Result<u32, BodyError> {
         let limit = self.limit.unwrap_or(MAX_DECISIONS);
         if limit == 0 || limit > MAX_DECISIONS {
--- a/crates/api/src/key.rs
+++ b/crates/api/src/key.rs
@@ -53,6 +53,10 @@
 
 impl KeyBody {
     /// The key, once its parts fit together. `place` is its path in the body.
+    ///
+    /// # Errors
+    ///
+    /// Names the field that does not fit the key's role, salt or digest.
     pub fn into_key(self, place: &str) -> Result<Key, BodyError> {
         let role = match (self.role, self.tenant) {
             (RoleBody::Caller, Some(tenant)) => KeyRole::Caller(tenant),
@@ -94,7 +98,7 @@
             .iter()
             .try_fold(0, |sum, digit| {
                 let value = char::from(*digit).to_digit(16)?;
-                Some(sum * 16 + value as u8)
+                Some(sum * 16 + u8::try_from(value).ok()?)
             })
             .ok_or_else(fault)?;
     }
--- a/crates/api/src/runner.rs
+++ b/crates/api/src/runner.rs
@@ -59,6 +59,10 @@
 }
 
 /// Reads a body.
+///
+/// # Errors
+///
+/// Fails if the body is not the JSON expected.
 pub fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, RunnerBodyError> {
     Ok(serde_json::from_slice(body)?)
 }
--- a/crates/api/src/runner/heartbeat.rs
+++ b/crates/api/src/runner/heartbeat.rs
@@ -135,6 +135,10 @@
     }
 
     /// The report of `runner`, and where it takes orders.
+    ///
+    /// # Errors
+    ///
+    /// Names the field that is out of bounds or holds no valid name.
     pub fn into_report(
         self,
         runner: RunnerId,
--- a/crates/api/src/runner/orders_url.rs
+++ b/crates/api/src/runner/orders_url.rs
@@ -37,6 +37,10 @@
 
 impl OrdersUrl {
     /// Checks a URL.
+    ///
+    /// # Errors
+    ///
+    /// Says which part of the URL cannot be used.
     pub fn new(text: &str) -> Result<Self, OrdersUrlError> {
         if text.len() > MAX_URL_BYTES {
             return Err(OrdersUrlError::TooLong);
--- a/crates/api/src/view.rs
+++ b/crates/api/src/view.rs
@@ -108,6 +108,10 @@
 
 impl ListQuery {
     /// The filter, once the limit is found fair.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the limit lies outside its bounds.
     pub fn into_filter(self) -> Result<JobFilter, BodyError> {
         let limit = self.limit.unwrap_or(DEFAULT_PAGE);
         if limit == 0 || limit > MAX_PAGE {
--- a/crates/checker/src/check/configuration.rs
+++ b/crates/checker/src/check/configuration.rs
@@ -110,12 +110,12 @@
         _limits: &Limits,
         findings: &mut Findings,
     ) {
-        let (version, digest) = match &observation.event {
-            Event::ConfigurationAcknowledged { version, digest }
-            | Event::ConfigurationRead {
-                version, digest, ..
-            } => (version, digest),
-            _ => return,
+        let (Event::ConfigurationAcknowledged { version, digest }
+        | Event::ConfigurationRead {
+            version, digest, ..
+        }) = &observation.event
+        else {
+            return;
         };
         let winner = self
             .digests
--- a/crates/checker/src/check/facts.rs
+++ b/crates/checker/src/check/facts.rs
@@ -163,9 +163,10 @@
     fn has_used_up(&self, step: &ExpectedStep, failures: impl Fn(&TaskFacts) -> u32) -> bool {
         let tasks = self.tasks.iter().filter(|(key, _)| key.0 == step.name);
         let failures = tasks.map(|(_, task)| failures(task));
-        let max = match step.gang {
-            true => failures.sum(),
-            false => failures.max().unwrap_or(0),
+        let max = if step.gang {
+            failures.sum()
+        } else {
+            failures.max().unwrap_or(0)
         };
         max > step.allowed_failures
     }
--- a/crates/checker/src/check/repeat.rs
+++ b/crates/checker/src/check/repeat.rs
@@ -1,5 +1,6 @@
 //! A run starts once, a task runs once at a time and never after it is done.
 
+use super::facts::RunFacts;
 use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
 use super::started::Started;
@@ -95,7 +96,7 @@
             .collect();
         for run in late {
             self.woken.remove(&run);
-            if observed.run(run).is_some_and(|facts| facts.is_open()) {
+            if observed.run(run).is_some_and(RunFacts::is_open) {
                 let detail = format!("run {run} went on after its runner woke beside another run");
                 findings.add(ViolationKind::OverlappingRuns, now, detail);
             }
--- a/crates/checker/src/history.rs
+++ b/crates/checker/src/history.rs
@@ -35,6 +35,10 @@
 }
 
 /// Reads one event from each line; empty lines are passed over.
+///
+/// # Errors
+///
+/// Names the first line that cannot be read or parsed.
 pub fn read_history(reader: impl BufRead) -> Result<Vec<Observation>, HistoryError> {
     let mut history: Vec<Observation> = Vec::new();
     for (position, text) in reader.lines().enumerate() {
@@ -54,6 +58,10 @@
 }
 
 /// Writes one event to each line.
+///
+/// # Errors
+///
+/// Fails if the writer fails.
 pub fn write_history(mut writer: impl Write, history: &[Observation]) -> Result<(), HistoryError> {
     for observation in history {
         let text = serde_json::to_string(observation)
--- a/crates/configuration/src/validate.rs
+++ b/crates/configuration/src/validate.rs
@@ -54,14 +54,17 @@
     }
 
     /// A task always needs a slot, so room without slots can hold nothing.
-    fn check_slots(&mut self, room: &Resources, path: String) {
-        self.check_positive(u64::from(room.slots), format!("{path}.slots"));
+    fn check_slots(&mut self, capacity: &Resources, path: &str) {
+        self.check_positive(u64::from(capacity.slots), format!("{path}.slots"));
     }
 }
 
 fn check_pools(document: &ClusterConfiguration, problems: &mut Problems) {
     for (name, pool) in &document.pools {
-        problems.check_slots(&pool.largest_runner, format!("pools.{name}.largest_runner"));
+        problems.check_slots(
+            &pool.largest_runner,
+            &format!("pools.{name}.largest_runner"),
+        );
     }
 }
 
@@ -93,7 +96,7 @@
         format!("{path}.share_percent"),
         format!("must be 1 to {MAX_SHARE_PERCENT}"),
     );
-    problems.check_slots(&tenant.resource_limit, format!("{path}.ceiling"));
+    problems.check_slots(&tenant.resource_limit, &format!("{path}.ceiling"));
     let limits = [
         ("submits_per_second", u64::from(tenant.submits_per_second)),
         ("submit_burst", u64::from(tenant.submit_burst)),
--- a/crates/configuration/tests/validate.rs
+++ b/crates/configuration/tests/validate.rs
@@ -84,56 +84,56 @@
 fn each_broken_rule_is_found_at_its_place() {
     let rules: Vec<(&str, Break)> = vec![
         ("pools.large.largest_runner.slots", |d| {
-            d.pools.values_mut().next().unwrap().largest_runner.slots = 0
+            d.pools.values_mut().next().unwrap().largest_runner.slots = 0;
         }),
         ("queues.q.pool", |d| {
-            the_queue(d).pool = PoolName::new("none").unwrap()
+            the_queue(d).pool = PoolName::new("none").unwrap();
         }),
         ("queues.q.max_unfinished_jobs", |d| {
-            the_queue(d).max_unfinished_jobs = 0
+            the_queue(d).max_unfinished_jobs = 0;
         }),
         ("tenants.t.share_percent", |d| {
-            the_tenant(d).share_percent = 0
+            the_tenant(d).share_percent = 0;
         }),
         ("tenants.t.ceiling.slots", |d| {
-            the_tenant(d).resource_limit.slots = 0
+            the_tenant(d).resource_limit.slots = 0;
         }),
         ("tenants.t.submits_per_second", |d| {
-            the_tenant(d).submits_per_second = 0
+            the_tenant(d).submits_per_second = 0;
         }),
         ("tenants.t.submit_burst", |d| the_tenant(d).submit_burst = 0),
         ("tenants.t.max_unfinished_jobs", |d| {
-            the_tenant(d).max_unfinished_jobs = 0
+            the_tenant(d).max_unfinished_jobs = 0;
         }),
         ("tenants.t.error_budget.late_after", |d| {
-            the_tenant(d).error_budget.late_after = Milliseconds(0)
+            the_tenant(d).error_budget.late_after = Milliseconds(0);
         }),
         ("tenants.t.error_budget.late_per_thousand", |d| {
-            the_tenant(d).error_budget.late_per_thousand = 1_001
+            the_tenant(d).error_budget.late_per_thousand = 1_001;
         }),
         ("tenants.t.error_budget.failed_per_thousand", |d| {
-            the_tenant(d).error_budget.failed_per_thousand = 1_001
+            the_tenant(d).error_budget.failed_per_thousand = 1_001;
         }),
         ("keys.2.id", |d| d.keys.push(key("ops.1", KeyRole::Runner))),
         ("keys.2.role", |d| {
             let nobody = TenantId::new("nobody").unwrap();
-            d.keys.push(key("n", KeyRole::Caller(nobody)))
+            d.keys.push(key("n", KeyRole::Caller(nobody)));
         }),
         ("keys", |d| d.keys = vec![key("r", KeyRole::Runner)]),
         ("timings.run_lease", |d| {
-            d.timings.run_lease = Milliseconds(0)
+            d.timings.run_lease = Milliseconds(0);
         }),
         ("timings.run_lease_margin", |d| {
-            d.timings.run_lease_margin = Milliseconds(0)
+            d.timings.run_lease_margin = Milliseconds(0);
         }),
         ("timings.retry_backoff", |d| {
-            d.timings.retry_backoff = Milliseconds(0)
+            d.timings.retry_backoff = Milliseconds(0);
         }),
         ("timings.max_retry_backoff", |d| {
-            d.timings.max_retry_backoff = Milliseconds(1)
+            d.timings.max_retry_backoff = Milliseconds(1);
         }),
         ("timings.retention", |d| {
-            d.timings.retention = Milliseconds(59_999)
+            d.timings.retention = Milliseconds(59_999);
         }),
     ];
     let mut all = document();
--- a/crates/cypressdrum/src/check.rs
+++ b/crates/cypressdrum/src/check.rs
@@ -29,6 +29,10 @@
 }
 
 /// Reads a history of JSON lines.
+///
+/// # Errors
+///
+/// Fails if the file cannot be opened, or names its first bad line.
 pub fn read_file(path: &Path) -> Result<Vec<Observation>, CheckError> {
     let file = File::open(path).map_err(|source| CheckError::Open {
         path: path.to_owned(),
@@ -51,9 +55,10 @@
     };
     let report = checker::check(&history, &Limits::default());
     print!("{}", describe(&report));
-    match report.violations.is_empty() {
-        true => Exit::Done,
-        false => Exit::PromiseBroken,
+    if report.violations.is_empty() {
+        Exit::Done
+    } else {
+        Exit::PromiseBroken
     }
 }
 
@@ -74,9 +79,10 @@
         );
         text.push_str(&line);
     }
-    text.push_str(match report.violations.is_empty() {
-        true => "no promise is broken\n",
-        false => "",
+    text.push_str(if report.violations.is_empty() {
+        "no promise is broken\n"
+    } else {
+        ""
     });
     text
 }
--- a/crates/cypressdrum/src/client/configuration.rs
+++ b/crates/cypressdrum/src/client/configuration.rs
@@ -16,6 +16,10 @@
 use std::path::Path;
 
 /// Runs one of the commands.
+///
+/// # Errors
+///
+/// Fails if a file cannot be read, no gateway answers, or the answer is a rejection.
 pub async fn run(context: &Context, command: ConfigCommand) -> Result<Exit, ClientError> {
     match command {
         ConfigCommand::Get => get(context).await,
@@ -86,9 +90,10 @@
             emit(&lines.collect::<String>())?;
         }
     }
-    Ok(match found.is_empty() {
-        true => Exit::Done,
-        false => Exit::Rejected,
+    Ok(if found.is_empty() {
+        Exit::Done
+    } else {
+        Exit::Rejected
     })
 }
 
--- a/crates/cypressdrum/src/client/decisions.rs
+++ b/crates/cypressdrum/src/client/decisions.rs
@@ -8,6 +8,10 @@
 use api::route;
 
 /// Prints decisions, a line each.
+///
+/// # Errors
+///
+/// Fails if no gateway answers, the answer is a rejection, or the stream breaks off.
 pub async fn run(context: &Context, arguments: DecisionsArguments) -> Result<Exit, ClientError> {
     let mut query = vec![
         ("after", arguments.after.to_string()),
@@ -68,9 +72,10 @@
 
     /// The last line, if it has no line end.
     pub fn finish(self) -> Option<String> {
-        match self.partial.is_empty() {
-            true => None,
-            false => Some(String::from_utf8_lossy(&self.partial).into_owned()),
+        if self.partial.is_empty() {
+            None
+        } else {
+            Some(String::from_utf8_lossy(&self.partial).into_owned())
         }
     }
 }
--- a/crates/cypressdrum/src/client/http.rs
+++ b/crates/cypressdrum/src/client/http.rs
@@ -36,6 +36,10 @@
 
 impl GatewayClient {
     /// Checks URLs and token; connects with the first request.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a URL is malformed, the key file cannot be read or the client cannot be built.
     pub fn connect(connection: &Connection) -> Result<Self, ClientError> {
         let gateways = connection.gateway.iter().map(|url| parse_url(url));
         Ok(Self {
@@ -47,6 +51,10 @@
     }
 
     /// `GET` with a query.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no gateway answers in time, or with the gateway's rejection.
     pub async fn get<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -62,6 +70,10 @@
     }
 
     /// `POST` or `PUT` with a body.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no gateway answers in time, or with the gateway's rejection.
     pub async fn send<B: Serialize, T: DeserializeOwned>(
         &self,
         method: Method,
@@ -78,6 +90,10 @@
     }
 
     /// `GET` whose answer is read piece by piece, without a limit of time.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no gateway answers in time, or with the gateway's rejection.
     pub async fn stream(
         &self,
         path: &str,
--- a/crates/cypressdrum/src/client/jobs.rs
+++ b/crates/cypressdrum/src/client/jobs.rs
@@ -19,6 +19,10 @@
 const STANDARD_INPUT: &str = "-";
 
 /// Reads a file, or standard input for `-`.
+///
+/// # Errors
+///
+/// Fails if the file or standard input cannot be read.
 pub fn read_input(path: &Path) -> Result<Vec<u8>, ClientError> {
     let mut bytes = Vec::new();
     let read = match path.to_str() {
@@ -35,6 +39,10 @@
 }
 
 /// Submits each job of the input in order, and stops at the first rejection.
+///
+/// # Errors
+///
+/// Fails if the file cannot be read, no gateway answers, or the job is rejected.
 pub async fn submit(context: &Context, arguments: SubmitArguments) -> Result<Exit, ClientError> {
     let bytes = read_input(&arguments.file)?;
     let jobs = serde_json::Deserializer::from_slice(&bytes).into_iter::<JobBody>();
@@ -53,6 +61,10 @@
 }
 
 /// Shows a job.
+///
+/// # Errors
+///
+/// Fails if no gateway answers, or with the gateway's rejection.
 pub async fn status(context: &Context, arguments: JobArguments) -> Result<Exit, ClientError> {
     let path = job_path(route::JOB, arguments);
     let job: JobViewBody = context.gateways.get(&path, Vec::new()).await?;
@@ -61,6 +73,10 @@
 }
 
 /// Tells why a job's tasks are where they are.
+///
+/// # Errors
+///
+/// Fails if no gateway answers, or with the gateway's rejection.
 pub async fn explain(context: &Context, arguments: JobArguments) -> Result<Exit, ClientError> {
     let path = job_path(route::JOB_EXPLAIN, arguments);
     let lines: ExplainedBody = context.gateways.get(&path, Vec::new()).await?;
@@ -69,6 +85,10 @@
 }
 
 /// Lists jobs.
+///
+/// # Errors
+///
+/// Fails if no gateway answers, or with the gateway's rejection.
 pub async fn list(context: &Context, arguments: ListArguments) -> Result<Exit, ClientError> {
     let mut query = Vec::new();
     query.extend(
@@ -85,6 +105,10 @@
 }
 
 /// Cancels jobs; rejected when one of them is unknown.
+///
+/// # Errors
+///
+/// Fails if no gateway answers, or with the gateway's rejection.
 pub async fn cancel(context: &Context, arguments: CancelArguments) -> Result<Exit, ClientError> {
     let body = cancel_body(arguments);
     let answer: CancelledBody = context
@@ -92,9 +116,10 @@
         .send(Method::POST, route::CANCELS, Some(&body))
         .await?;
     print(context.format, &answer)?;
-    Ok(match answer.unknown.is_empty() {
-        true => Exit::Done,
-        false => Exit::Rejected,
+    Ok(if answer.unknown.is_empty() {
+        Exit::Done
+    } else {
+        Exit::Rejected
     })
 }
 
--- a/crates/cypressdrum/src/client/operator.rs
+++ b/crates/cypressdrum/src/client/operator.rs
@@ -15,26 +15,46 @@
 use types::RunnerId;
 
 /// Lists queues.
+///
+/// # Errors
+///
+/// Fails if no gateway answers, or with the gateway's rejection.
 pub async fn queues(context: &Context) -> Result<Exit, ClientError> {
     show::<QueuesBody>(context, route::QUEUES).await
 }
 
 /// Lists licences.
+///
+/// # Errors
+///
+/// Fails if no gateway answers, or with the gateway's rejection.
 pub async fn licences(context: &Context) -> Result<Exit, ClientError> {
     show::<LicencesBody>(context, route::LICENCES).await
 }
 
 /// Lists tenants.
+///
+/// # Errors
+///
+/// Fails if no gateway answers, or with the gateway's rejection.
 pub async fn tenants(context: &Context) -> Result<Exit, ClientError> {
     show::<TenantsBody>(context, route::TENANTS).await
 }
 
 /// Lists members.
+///
+/// # Errors
+///
+/// Fails if no gateway answers, or with the gateway's rejection.
 pub async fn members(context: &Context) -> Result<Exit, ClientError> {
     show::<MembersBody>(context, route::MEMBERS).await
 }
 
 /// Lists runners, or changes how one is used.
+///
+/// # Errors
+///
+/// Fails if no gateway answers, or with the gateway's rejection.
 pub async fn runner(context: &Context, command: RunnerCommand) -> Result<Exit, ClientError> {
     match command {
         RunnerCommand::List => show::<RunnersBody>(context, route::RUNNERS).await,
--- a/crates/cypressdrum/src/client/show.rs
+++ b/crates/cypressdrum/src/client/show.rs
@@ -24,11 +24,7 @@
 }
 
 fn yes_no(value: bool) -> String {
-    match value {
-        true => "yes",
-        false => "no",
-    }
-    .to_owned()
+    if value { "yes" } else { "no" }.to_owned()
 }
 
 fn amounts(amounts: [(&str, Option<u32>); 4]) -> String {
@@ -37,9 +33,10 @@
         Some(format!("{name}={amount}"))
     });
     let shown: Vec<_> = shown.collect();
-    match shown.is_empty() {
-        true => NONE.to_owned(),
-        false => shown.join(","),
+    if shown.is_empty() {
+        NONE.to_owned()
+    } else {
+        shown.join(",")
     }
 }
 
@@ -67,10 +64,7 @@
 
 impl Show for SubmittedBody {
     fn table(&self) -> String {
-        let how = match self.known {
-            true => "known already",
-            false => "taken",
-        };
+        let how = if self.known { "known already" } else { "taken" };
         format!("job {} {how}\n", self.number)
     }
 }
@@ -289,9 +283,10 @@
 
 impl Show for ConfiguredBody {
     fn table(&self) -> String {
-        let how = match self.known {
-            true => "was taken already",
-            false => "is taken",
+        let how = if self.known {
+            "was taken already"
+        } else {
+            "is taken"
         };
         format!("version {} {how}\n", self.version)
     }
@@ -313,9 +308,10 @@
                 version_of(member.version),
             ]);
         }
-        let where_to = match self.everywhere {
-            true => "everywhere",
-            false => "not everywhere yet",
+        let where_to = if self.everywhere {
+            "everywhere"
+        } else {
+            "not everywhere yet"
         };
         format!("version {} {where_to}\n{}", self.newest, table.render())
     }
--- a/crates/cypressdrum/src/daemon/flags.rs
+++ b/crates/cypressdrum/src/daemon/flags.rs
@@ -14,6 +14,10 @@
     type Settings: RunRole;
 
     /// File and flags together.
+    ///
+    /// # Errors
+    ///
+    /// Names the flag whose value cannot be read.
     fn source(&self) -> Result<Source, OverrideError>;
 
     /// Whether only to check the settings.
--- a/crates/cypressdrum/src/daemon/logging.rs
+++ b/crates/cypressdrum/src/daemon/logging.rs
@@ -30,6 +30,10 @@
 
 impl LogHandle {
     /// Takes another level.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the log filter is gone.
     pub fn set_level(&self, level: LogLevel) -> Result<(), LoggingError> {
         self.filter.reload(targets(level))?;
         Ok(())
@@ -37,6 +41,10 @@
 }
 
 /// Starts logging for the whole process.
+///
+/// # Errors
+///
+/// Fails if a logger is installed already.
 pub fn start(log: LogSettings) -> Result<LogHandle, LoggingError> {
     let (filter, handle) = reload::Layer::new(targets(log.level));
     let lines = fmt::layer().with_writer(std::io::stderr);
--- a/crates/cypressdrum/src/daemon/supervise.rs
+++ b/crates/cypressdrum/src/daemon/supervise.rs
@@ -114,10 +114,7 @@
 
     async fn drain(&mut self, mut stop_signals: StopSignals) -> Exit {
         let grace = Duration::from_millis(self.settings.node().grace_ms);
-        tracing::info!(
-            grace_ms = grace.as_millis() as u64,
-            "graceful shutdown started"
-        );
+        tracing::info!(grace_ms = grace.as_millis(), "graceful shutdown started");
         self.stop.send_replace(true);
         tokio::select! {
             ended = &mut self.role => log_end(ended),
--- a/crates/cypressdrum/src/key.rs
+++ b/crates/cypressdrum/src/key.rs
@@ -65,6 +65,10 @@
 }
 
 /// Makes a key with a random secret.
+///
+/// # Errors
+///
+/// Fails if a caller's key lacks its tenant, or another role's key has one.
 pub fn new_key(id: KeyId, role: Role, tenant: Option<TenantId>) -> Result<NewKey, KeyError> {
     let role = match (role, tenant) {
         (Role::Caller, Some(tenant)) => KeyRole::Caller(tenant),
--- a/crates/cypressdrum/src/output.rs
+++ b/crates/cypressdrum/src/output.rs
@@ -24,6 +24,10 @@
 }
 
 /// Prints in the wanted shape.
+///
+/// # Errors
+///
+/// Fails if standard output cannot be written.
 pub fn print<T: Show>(format: OutputFormat, value: &T) -> io::Result<()> {
     match format {
         OutputFormat::Table => emit(&value.table()),
@@ -33,6 +37,10 @@
 
 /// Writes to standard output. A reader that went away is an error, where
 /// `print!` would panic.
+///
+/// # Errors
+///
+/// Fails if standard output cannot be written.
 pub fn emit(text: &str) -> io::Result<()> {
     let mut output = io::stdout().lock();
     output.write_all(text.as_bytes())?;
--- a/crates/cypressdrum/tests/gateways.rs
+++ b/crates/cypressdrum/tests/gateways.rs
@@ -120,7 +120,9 @@
 #[test]
 fn jobs_are_submitted_one_after_the_other_with_token_and_deadline() {
     let take = |headers: HeaderMap, body: String| async move {
-        let bearer = headers.get("authorization").map(|value| value.as_bytes());
+        let bearer = headers
+            .get("authorization")
+            .map(axum::http::HeaderValue::as_bytes);
         assert_eq!(bearer, Some(b"Bearer editors.secret".as_slice()));
         assert!(headers.contains_key(api::route::DEADLINE_HEADER));
         assert!(body.contains("sheet-"));
--- a/crates/cypressdrum/tests/page_readers.rs
+++ b/crates/cypressdrum/tests/page_readers.rs
@@ -18,7 +18,11 @@
 #[test]
 fn code_spans_are_found_over_lines_and_not_in_fences() {
     let page = page("Text `a\nb` and ``c`d``, \\\n`e`\n\n```sh\n`fenced`\n```\n- `f`\n");
-    let spans: Vec<String> = page.blocks.iter().flat_map(|b| b.code_spans()).collect();
+    let spans: Vec<String> = page
+        .blocks
+        .iter()
+        .flat_map(support::markdown::Block::code_spans)
+        .collect();
     assert_eq!(spans, ["a b", "c`d", "e", "f"]);
 }
 
--- a/crates/emulator/src/caller.rs
+++ b/crates/emulator/src/caller.rs
@@ -122,13 +122,11 @@
         match (answer, phase) {
             (CallerAnswer::Rejected, _) => self.forget(job),
             (CallerAnswer::State(state), _) if state.is_final() => self.forget(job),
-            (CallerAnswer::Acknowledged, Phase::Submitting)
-            | (CallerAnswer::State(_), Phase::Submitting) => {
+            (CallerAnswer::Acknowledged | CallerAnswer::State(_), Phase::Submitting) => {
                 self.plan(job.clone(), Phase::Polling(FIRST_POLL), now + FIRST_POLL);
             }
             (CallerAnswer::Acknowledged, Phase::Polling(_)) => {}
-            (CallerAnswer::State(_), Phase::Polling(wait))
-            | (CallerAnswer::Unknown, Phase::Polling(wait)) => {
+            (CallerAnswer::State(_) | CallerAnswer::Unknown, Phase::Polling(wait)) => {
                 let longer = Milliseconds(wait.0 * 3 / 2).min(MAX_POLL);
                 self.plan(job.clone(), Phase::Polling(longer), now + longer);
             }
--- a/crates/emulator/src/shell.rs
+++ b/crates/emulator/src/shell.rs
@@ -57,6 +57,10 @@
     /// `http://127.0.0.1:7400`, with `key` as its bearer token. The receiver
     /// gets everything that happens inside the runner, for the history; it
     /// ends with the runner.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the socket for orders cannot be bound.
     pub async fn start(
         options: RunnerOptions,
         agent_url: &str,
--- a/crates/lab/src/callers.rs
+++ b/crates/lab/src/callers.rs
@@ -60,6 +60,10 @@
 
 impl Callers {
     /// Starts callers that send until [`Callers::stop_sending`].
+    ///
+    /// # Errors
+    ///
+    /// Fails if an HTTP client cannot be built.
     pub fn start(
         plans: Vec<CallerPlan>,
         gateways: &[String],
@@ -172,6 +176,11 @@
     }
 
     /// Time to the next job of a Poisson process.
+    #[expect(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "a gap is positive and far below the range"
+    )]
     fn draw_gap(&mut self) -> types::Milliseconds {
         let uniform: f64 = self.random.random_range(f64::EPSILON..1.0);
         let seconds = -uniform.ln() / self.jobs_per_second;
--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -61,6 +61,10 @@
 
 impl HollowWorkers {
     /// Starts this many, a few at a time.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a socket or an agent cannot be started.
     pub async fn start(plan: &HollowPlan, count: usize) -> Result<Self, LabError> {
         let addresses = Addresses::default();
         let mut workers = Self::default();
--- a/crates/lab/src/capacity/load.rs
+++ b/crates/lab/src/capacity/load.rs
@@ -68,6 +68,10 @@
 
 impl Load {
     /// Callers of these gateways; they send nothing yet.
+    ///
+    /// # Errors
+    ///
+    /// Fails if an HTTP client cannot be built.
     pub fn new(size: Size, gateways: Vec<String>) -> Result<Self, LabError> {
         let shared = Shared {
             size,
@@ -133,6 +137,11 @@
         }
     }
 
+    #[expect(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "elapsed time times a rate is positive and far below the range"
+    )]
     async fn send_jobs(self, stream: Stream) {
         let started = Instant::now();
         let mut polls = interval(POLL_INTERVAL);
@@ -171,9 +180,10 @@
             Err(_) => false,
         };
         let counts = self.counts();
-        let count = match acknowledged {
-            true => &counts.acknowledged,
-            false => &counts.unacknowledged,
+        let count = if acknowledged {
+            &counts.acknowledged
+        } else {
+            &counts.unacknowledged
         };
         count.fetch_add(1, Ordering::Relaxed);
         acknowledged
--- a/crates/lab/src/capacity/plan.rs
+++ b/crates/lab/src/capacity/plan.rs
@@ -82,11 +82,19 @@
     }
 
     /// Name of a tenant.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the name made of the index is not valid.
     pub fn tenant(&self, place: usize) -> Result<TenantId, InvalidName> {
         TenantId::new(format!("team-{}", place % self.tenants.max(1)))
     }
 
     /// The document of a version; each differs in the retention.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a name of the document is not valid.
     pub fn document(&self, version: u64) -> Result<ClusterConfiguration, InvalidName> {
         let pool = PoolName::new(POOL)?;
         let queue = QueueSettings {
--- a/crates/lab/src/capacity/trial.rs
+++ b/crates/lab/src/capacity/trial.rs
@@ -55,6 +55,10 @@
 }
 
 /// Runs one trial from an empty disk.
+///
+/// # Errors
+///
+/// Fails if the fleet cannot be started, set up or measured.
 pub async fn run(size: Size, arguments: &CapacityArguments) -> Result<Measured, LabError> {
     let mut trial = Trial::start(size, arguments).await?;
     let load = Load::new(trial.size.clone(), trial.fleet.gateway_urls())?;
--- a/crates/lab/src/capacity/usage.rs
+++ b/crates/lab/src/capacity/usage.rs
@@ -29,6 +29,10 @@
 
 impl Usage {
     /// Reads it now.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the process is gone or its accounts cannot be read.
     pub fn read(process: u32) -> Result<Self, LabError> {
         let stat = read(process, "stat")?;
         let status = read(process, "status")?;
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -38,6 +38,10 @@
 
 impl Fleet {
     /// Lays out folders, addresses and settings; starts nothing yet.
+    ///
+    /// # Errors
+    ///
+    /// Fails if sockets, keys or settings files cannot be made.
     pub fn build(plan: &FleetPlan, program: Program, folder: &Path) -> Result<Self, LabError> {
         std::fs::create_dir_all(folder).map_err(LabError::file(folder))?;
         let key = folder.join("cluster.key");
@@ -60,6 +64,10 @@
 
     /// Lays out one more daemon of a role, at an address of its own and with
     /// an empty data folder; it is not started yet.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no socket is free or the settings cannot be written.
     pub fn add(&mut self, role: Role) -> Result<MemberId, LabError> {
         let count = self.of_role(role).count();
         let ordinal = u8::try_from(count + 1).unwrap_or(u8::MAX);
@@ -98,6 +106,10 @@
     }
 
     /// A client of all gateways.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the fleet has no gateway or the client cannot be built.
     pub fn client(&self) -> Result<GatewayClient, LabError> {
         let connection = Connection {
             gateway: self.gateway_urls(),
@@ -109,18 +121,30 @@
     }
 
     /// Starts every daemon that is not running.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a daemon cannot be started.
     pub fn start_all(&mut self) -> Result<(), LabError> {
         let ids: Vec<_> = self.members.iter().map(|member| member.id).collect();
         ids.into_iter().try_for_each(|id| self.start(id))
     }
 
     /// Starts one daemon, with whatever its data folder holds.
+    ///
+    /// # Errors
+    ///
+    /// Fails if there is no such member or its program cannot be started.
     pub fn start(&mut self, id: MemberId) -> Result<(), LabError> {
         let program = self.program.clone();
         self.start_with(id, &program)
     }
 
     /// The same with a program other than the fleet's, for this one start.
+    ///
+    /// # Errors
+    ///
+    /// Fails if there is no such member or the program cannot be started.
     pub fn start_with(&mut self, id: MemberId, program: &Program) -> Result<(), LabError> {
         let member = self.member_mut(id)?;
         if member.process.is_some() {
@@ -132,6 +156,10 @@
     }
 
     /// Ends one daemon at once, as a power cut of its process would.
+    ///
+    /// # Errors
+    ///
+    /// Fails if there is no such member or the signal cannot be sent.
     pub fn kill(&mut self, id: MemberId) -> Result<(), LabError> {
         let member = self.member_mut(id)?;
         match member.process.take() {
@@ -144,6 +172,10 @@
     }
 
     /// Asks one daemon to drain and end, and waits until it has.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the signal cannot be sent or the daemon does not end in time.
     pub async fn terminate(&mut self, id: MemberId, longest: Duration) -> Result<(), LabError> {
         self.signal(id, Signal::SIGTERM)?;
         let started = Instant::now();
@@ -162,16 +194,28 @@
     }
 
     /// Stops one daemon's clock, as a frozen machine would.
+    ///
+    /// # Errors
+    ///
+    /// Fails if there is no such member or the signal cannot be sent.
     pub fn freeze(&self, id: MemberId) -> Result<(), LabError> {
         self.signal(id, Signal::SIGSTOP)
     }
 
     /// Wakes a frozen daemon.
+    ///
+    /// # Errors
+    ///
+    /// Fails if there is no such member or the signal cannot be sent.
     pub fn wake(&self, id: MemberId) -> Result<(), LabError> {
         self.signal(id, Signal::SIGCONT)
     }
 
     /// Empties the data folder of a daemon that is not running.
+    ///
+    /// # Errors
+    ///
+    /// Fails if there is no such member or its folder cannot be removed.
     pub fn wipe(&self, id: MemberId) -> Result<(), LabError> {
         let member = self.member(id)?;
         if member.data.exists() {
@@ -181,6 +225,10 @@
     }
 
     /// Waits until the daemon says that it is ready.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the daemon ends or is not ready in time.
     pub async fn wait_ready(&mut self, id: MemberId, longest: Duration) -> Result<(), LabError> {
         let url = self.member(id)?.ready_url();
         let started = Instant::now();
@@ -197,6 +245,10 @@
     }
 
     /// Waits until all daemons say that they are ready.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a daemon ends or is not ready in time.
     pub async fn wait_all_ready(&mut self, longest: Duration) -> Result<(), LabError> {
         let started = Instant::now();
         let ids: Vec<_> = self.members.iter().map(|member| member.id).collect();
@@ -215,6 +267,10 @@
     }
 
     /// An error when a daemon that should run has ended by itself.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the daemon has ended.
     pub fn check_alive(&mut self, id: MemberId) -> Result<(), LabError> {
         let member = self.member_mut(id)?;
         let Some(process) = &mut member.process else {
--- a/crates/lab/src/fleet/status.rs
+++ b/crates/lab/src/fleet/status.rs
@@ -16,6 +16,10 @@
 
 impl Fleet {
     /// The coordinator that leads now, as the gateways are told.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the gateway's answer cannot be read.
     pub async fn leader(&self) -> Result<Option<MemberId>, LabError> {
         let members = self.standings().await?;
         let leader = members.iter().find(|member| member.status == LEADER);
@@ -23,6 +27,10 @@
     }
 
     /// Waits until a coordinator leads.
+    ///
+    /// # Errors
+    ///
+    /// Fails if there is no leader in time.
     pub async fn wait_leader(&self, timeout: Duration) -> Result<MemberId, LabError> {
         let started = Instant::now();
         loop {
@@ -37,6 +45,10 @@
     }
 
     /// Waits until a running coordinator votes without leading.
+    ///
+    /// # Errors
+    ///
+    /// Fails if there is no follower in time.
     pub async fn wait_follower(&self, timeout: Duration) -> Result<MemberId, LabError> {
         let started = Instant::now();
         loop {
@@ -52,6 +64,10 @@
     }
 
     /// Identity under which this coordinator votes; a lost disk ends it.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the gateway's answer cannot be read.
     pub async fn voting_identity(&self, id: MemberId) -> Result<Option<String>, LabError> {
         let members = self.standings_or_none().await?;
         let mut voters = members.iter().filter(|member| may_vote(member));
@@ -61,6 +77,10 @@
 
     /// Waits until a full group of voters has this coordinator and no longer
     /// the identity that is gone.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the voter is not replaced in time.
     pub async fn wait_replaced(
         &self,
         departed: &str,
@@ -83,6 +103,10 @@
 
     /// Waits until the leader has received something from this daemon later than
     /// `since`: what it received from the process before does not count.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the leader has not received anything of the member in time.
     pub async fn wait_seen(
         &self,
         id: MemberId,
@@ -130,8 +154,9 @@
 }
 
 fn give_up_after(started: Instant, timeout: Duration, what: &str) -> Result<(), LabError> {
-    match started.elapsed() > timeout {
-        true => Err(timed_out(what, timeout)),
-        false => Ok(()),
+    if started.elapsed() > timeout {
+        Err(timed_out(what, timeout))
+    } else {
+        Ok(())
     }
 }
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -54,6 +54,10 @@
     }
 
     /// Writes all events to a file, one JSON line each.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the file cannot be written.
     pub fn write(&self, path: &Path) -> Result<(), LabError> {
         let file = std::fs::File::create(path).map_err(LabError::file(path))?;
         checker::write_history(BufWriter::new(file), &self.observations())?;
--- a/crates/lab/src/losses.rs
+++ b/crates/lab/src/losses.rs
@@ -55,9 +55,10 @@
 pub fn run(arguments: LossesArguments) -> Exit {
     match losses(&arguments) {
         Ok(all) => {
-            let text = match arguments.json {
-                true => cypressdrum::output::json_line(&all),
-                false => render(&all),
+            let text = if arguments.json {
+                cypressdrum::output::json_line(&all)
+            } else {
+                render(&all)
             };
             print!("{text}");
             Exit::Done
@@ -70,13 +71,17 @@
 }
 
 /// Lost credit under each policy, seed by seed. Equal arguments give equal sums.
+///
+/// # Errors
+///
+/// Fails if a settings file or a plan cannot be read.
 pub fn losses(arguments: &LossesArguments) -> Result<Vec<Losses>, LabError> {
     let day = read_day(arguments)?;
     let policies = read_policies(&arguments.policy)?;
     let mut all = Vec::new();
     for policy in policies {
         let mut seeds = Vec::new();
-        for seed in (arguments.first_seed..).take(arguments.seeds as usize) {
+        for seed in arguments.first_seed..arguments.first_seed.saturating_add(arguments.seeds) {
             let mut plan = day.clone();
             plan.seed = seed;
             plan.policy = policy.placement;
--- a/crates/lab/src/ports.rs
+++ b/crates/lab/src/ports.rs
@@ -36,6 +36,10 @@
 }
 
 /// Several different free ports on this address.
+///
+/// # Errors
+///
+/// Fails if the system has no free port.
 pub fn free_sockets<const COUNT: usize>(address: IpAddr) -> Result<[SocketAddr; COUNT], LabError> {
     let bind = || TcpListener::bind((address, 0)).map_err(LabError::Address);
     let mut listeners = Vec::with_capacity(COUNT);
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -29,6 +29,10 @@
     /// A built `cypressdrum` program; the path may be relative. Its daemons end with
     /// the trial, but not when the lab itself is killed by SIGKILL: that program
     /// does not watch its standard input.
+    ///
+    /// # Errors
+    ///
+    /// Fails if there is no such program.
     pub fn cypressdrum(path: &Path) -> Result<Self, LabError> {
         let path = path.canonicalize().map_err(LabError::file(path))?;
         Ok(Self {
@@ -38,6 +42,10 @@
     }
 
     /// The executable that is running now.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the path of the running program is unknown.
     pub fn current() -> Result<Self, LabError> {
         let path = std::env::current_exe().map_err(LabError::file("the lab's executable"))?;
         Ok(Self::lab(path))
@@ -53,6 +61,10 @@
 
 impl Process {
     /// Starts the program; its logs are added to a file.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the log cannot be opened or the program cannot be started.
     pub fn start(program: &Program, arguments: &[String], log: &Path) -> Result<Self, LabError> {
         let log_file = File::options()
             .create(true)
@@ -81,6 +93,10 @@
     }
 
     /// Sends a signal.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the process cannot be signalled.
     pub fn signal(&self, signal: Signal) -> Result<(), LabError> {
         let process = self.child.id();
         // Linux process ids are far below the largest i32.
--- a/crates/lab/src/rolling_change.rs
+++ b/crates/lab/src/rolling_change.rs
@@ -113,6 +113,10 @@
 
 /// Replaces every daemon of the fleet by the same one of another program:
 /// coordinators, then gateways, then agents.
+///
+/// # Errors
+///
+/// Fails if a daemon cannot be replaced in time.
 pub async fn change_all(trial: &mut Trial, to: &Program, pace: Pace) -> Result<(), LabError> {
     let started = Instant::now();
     println!("all daemons change to {}", to.path.display());
--- a/crates/lab/src/runners.rs
+++ b/crates/lab/src/runners.rs
@@ -76,6 +76,10 @@
 
 impl Runners {
     /// Starts the runners; all that happens in them goes into the history.
+    ///
+    /// # Errors
+    ///
+    /// Fails if an emulated runner cannot bind its socket.
     pub async fn start(plans: Vec<RunnerPlan>, history: &History) -> Result<Self, LabError> {
         let mut runners = Self::default();
         for plan in plans {
--- a/crates/lab/src/setup.rs
+++ b/crates/lab/src/setup.rs
@@ -30,6 +30,10 @@
 
 impl TrialFolder {
     /// Makes the folder among the system's temporary ones.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the folder cannot be created.
     pub fn create(keep: bool) -> Result<Self, LabError> {
         let name = format!(
             "cypressdrum-lab-{}-{:08x}",
@@ -40,6 +44,10 @@
     }
 
     /// Makes the folder at a given place.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the folder cannot be created.
     pub fn create_at(path: PathBuf, keep: bool) -> Result<Self, LabError> {
         std::fs::create_dir_all(&path).map_err(LabError::file(&path))?;
         Ok(Self { path, keep })
@@ -61,6 +69,10 @@
 }
 
 /// Puts the first configuration through any gateway, again until it is taken.
+///
+/// # Errors
+///
+/// Fails if the configuration is not accepted in time.
 pub async fn put_configuration(
     fleet: &Fleet,
     history: &History,
@@ -126,6 +138,10 @@
 }
 
 /// Waits until the leader knows this many runners.
+///
+/// # Errors
+///
+/// Fails if the runners are not known to the leader in time.
 pub async fn wait_for_runners(
     fleet: &Fleet,
     count: usize,
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -85,12 +85,20 @@
 impl Trial {
     /// Starts a fleet of today's size with the lab's own daemons, and begins to
     /// send jobs.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the fleet cannot be started and set up in time.
     pub async fn start(arguments: TrialArguments) -> Result<Self, LabError> {
         let plan = TrialPlan::today(Program::current()?);
         Self::start_plan(plan, arguments).await
     }
 
     /// Starts the plan's daemons and runners, and begins to send jobs.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the fleet cannot be started and set up in time.
     pub async fn start_plan(plan: TrialPlan, arguments: TrialArguments) -> Result<Self, LabError> {
         let folder = TrialFolder::create(arguments.keep)?;
         let mut fleet = Fleet::build(&plan.fleet, plan.program, folder.path())?;
@@ -154,6 +162,10 @@
     }
 
     /// Kills the coordinator that leads, and gives which it was.
+    ///
+    /// # Errors
+    ///
+    /// Fails if there is no leader in time or it cannot be killed.
     pub async fn kill_leader(&mut self) -> Result<MemberId, LabError> {
         let leader = self.fleet.wait_leader(READY_TIME).await?;
         self.fleet.kill(leader)?;
@@ -163,6 +175,10 @@
     }
 
     /// Sends no more jobs, waits until all have ended, and judges the history.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the jobs do not end in time or the history cannot be written.
     pub async fn finish(self) -> Result<Exit, LabError> {
         self.callers.stop_sending();
         self.wait_for_jobs().await;
@@ -216,9 +232,10 @@
     println!("\n{}", summary.render());
     let shown = report.violations.iter().take(MAX_VIOLATIONS_SHOWN);
     shown.for_each(print_violation);
-    match report.violations.is_empty() {
-        true => Exit::Done,
-        false => Exit::PromiseBroken,
+    if report.violations.is_empty() {
+        Exit::Done
+    } else {
+        Exit::PromiseBroken
     }
 }
 
--- a/crates/replay/src/cluster.rs
+++ b/crates/replay/src/cluster.rs
@@ -39,6 +39,10 @@
 
 impl Cluster {
     /// A core that leads and has waited for runners, at this wall time.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a name made for the cluster is not valid.
     pub fn new(seed: u64, wall: WallTime) -> Result<Self, InvalidName> {
         let address = address(OWN_NODE, Role::Coordinator, OWN_IP)?;
         let voters = BTreeMap::from([(address.node, address.socket)]);
@@ -137,6 +141,10 @@
 }
 
 /// Where a played process stands.
+///
+/// # Errors
+///
+/// Fails if the zone's name is not valid.
 pub fn address(node: NodeId, role: Role, ip: Ipv4Addr) -> Result<Address, InvalidName> {
     Ok(Address {
         node,
--- a/crates/replay/src/input.rs
+++ b/crates/replay/src/input.rs
@@ -121,6 +121,10 @@
 
 impl InputLine {
     /// Reads a line.
+    ///
+    /// # Errors
+    ///
+    /// Names the field of the line that cannot be read.
     pub fn parse(bytes: &[u8]) -> Result<Self, LineError> {
         let raw: RawLine = api::parse_json(bytes).map_err(name_truncated)?;
         let at = WallTime(raw.at_ms);
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -30,6 +30,10 @@
 
 /// Replays the input line by line: what a line leads to is written and flushed
 /// before the next is read, so that a program may drive it as a stream.
+///
+/// # Errors
+///
+/// Names the line that cannot be applied, or fails if reading or writing fails.
 pub fn run(
     mut input: impl BufRead,
     mut output: impl Write,
--- a/crates/replay/src/runners.rs
+++ b/crates/replay/src/runners.rs
@@ -34,6 +34,10 @@
 
 impl Runners {
     /// Takes a heartbeat; gives the agent it goes by, new or known.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the name made for the runner's agent is not valid.
     pub fn record_heartbeat(&mut self, report: &RunnerReport) -> Result<Address, InvalidName> {
         let active = report.active.iter().map(|run| run.run).collect();
         let ended = report.ended.iter().map(|run| run.run).collect();
--- a/crates/replay/src/session.rs
+++ b/crates/replay/src/session.rs
@@ -59,6 +59,10 @@
 
     /// Lets time pass up to the line, and applies it. After an error nothing
     /// of the line is applied.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the line does not fit those before it.
     pub fn apply(
         &mut self,
         input: InputLine,
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -38,6 +38,10 @@
 
     /// Takes `KEY=VALUE`; the value is TOML where it parses as such (numbers,
     /// lists, quoted text), and plain text otherwise.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the text is not `KEY=VALUE`.
     pub fn parse(flag: &str, text: &str) -> Result<Self, OverrideError> {
         let malformed = || OverrideError {
             text: text.to_owned(),
@@ -141,6 +145,10 @@
 }
 
 /// Reads and checks the settings of one role.
+///
+/// # Errors
+///
+/// Lists every key whose value is missing, unknown or wrong.
 pub fn load<S: RoleSettings>(source: &Source) -> Result<S, SettingsError> {
     let mut reader = Reader::new(source.figment()?, source.name());
     let settings = S::read(&mut reader);
--- a/crates/settings/tests/loading.rs
+++ b/crates/settings/tests/loading.rs
@@ -239,10 +239,9 @@
 /// Takes the comment mark off every commented key.
 fn uncommented(text: &str) -> String {
     let is_key = |line: &str| line.starts_with("# ") && line.contains(" = ");
-    let lines = text.lines().map(|line| match is_key(line) {
-        true => &line[2..],
-        false => line,
-    });
+    let lines = text
+        .lines()
+        .map(|line| if is_key(line) { &line[2..] } else { line });
     lines.collect::<Vec<_>>().join("\n")
 }
 
--- a/crates/simulation/src/busy.rs
+++ b/crates/simulation/src/busy.rs
@@ -75,10 +75,7 @@
         if !single {
             waiting.sort_by_key(|(_, envelope)| Lane::of(&envelope.body));
         }
-        let max = match single {
-            true => 1,
-            false => STEP_INPUTS,
-        };
+        let max = if single { 1 } else { STEP_INPUTS };
         let batch = waiting.drain(..max.min(waiting.len()));
         let mut max_wait = self.max_liveness_wait;
         let inputs = batch
@@ -89,9 +86,10 @@
                     max_wait = max_wait.max(waited);
                 }
                 let overdue = lane == Lane::Requests && waited > MAX_REQUEST_WAIT;
-                match overdue && !single {
-                    true => Input::Overdue(envelope),
-                    false => Input::Message(envelope),
+                if overdue && !single {
+                    Input::Overdue(envelope)
+                } else {
+                    Input::Message(envelope)
                 }
             })
             .collect();
--- a/crates/simulation/src/caller.rs
+++ b/crates/simulation/src/caller.rs
@@ -32,6 +32,11 @@
 
 impl CallerHost {
     /// Mean time between two new jobs.
+    #[expect(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "the quotient is positive and at most 100 s"
+    )]
     pub fn mean_gap(&self) -> Micros {
         let percent = f64::from(self.load_percent * self.times.max(1));
         let per_second = self.workload.jobs_per_second() * percent / 100.0;
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -28,7 +28,7 @@
         self.observe("fault", Seen::Fault { what });
         match fault {
             Fault::Kill { machine, down_ms } => {
-                self.kill_for(&machine, down_ms, DiskState::Retained)
+                self.kill_for(&machine, down_ms, DiskState::Retained);
             }
             Fault::LoseDisk { machine, down_ms } => {
                 self.kill_for(&machine, down_ms, DiskState::Empty);
@@ -44,9 +44,10 @@
                 down_ms,
                 loses_disk,
             } => {
-                let fault = match loses_disk {
-                    true => Fault::LoseDisk { machine, down_ms },
-                    false => Fault::Kill { machine, down_ms },
+                let fault = if loses_disk {
+                    Fault::LoseDisk { machine, down_ms }
+                } else {
+                    Fault::Kill { machine, down_ms }
                 };
                 let until = self.now + MAX_REPAIR_MS * 1_000;
                 self.await_repair(fault, after_ms * 1_000, until);
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -35,6 +35,10 @@
 const REPLICA_VALID: Milliseconds = Milliseconds(1_800);
 
 /// Builds a world from a plan; daemons start over the first second.
+///
+/// # Errors
+///
+/// Fails if a name of the plan is not valid.
 pub fn build(plan: &Plan) -> Result<World, InvalidName> {
     let mut world = World::new(ChaCha8Rng::seed_from_u64(plan.seed));
     world.mutation = plan.mutation;
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -364,6 +364,10 @@
     }
 
     /// Reads a plan and checks the names of its machines.
+    ///
+    /// # Errors
+    ///
+    /// Names the place of the plan that cannot be read.
     pub fn parse(text: &str) -> Result<Self, PlanError> {
         let plan: Self = toml::from_str(text)?;
         plan.check_machines()?;
@@ -371,6 +375,10 @@
     }
 
     /// The plan as a person can write it.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the plan cannot be encoded.
     pub fn to_text(&self) -> Result<String, PlanError> {
         Ok(toml::to_string(self)?)
     }
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -150,6 +150,10 @@
     }
 
     /// Starts it; an unreadable disk is told in the error.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the data on the simulated disk cannot be opened.
     pub fn start(
         &mut self,
         now: Now,
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -51,6 +51,10 @@
 }
 
 /// Runs a plan.
+///
+/// # Errors
+///
+/// Fails if a name of the plan is not valid.
 pub fn run(plan: &Plan) -> Result<Outcome, types::InvalidName> {
     let mut world = build(plan)?;
     if reach_service(&mut world) {
--- a/crates/simulation/src/world_runner.rs
+++ b/crates/simulation/src/world_runner.rs
@@ -6,7 +6,7 @@
 use crate::process::{Input, ProcessIndex};
 use crate::world::World;
 use checker::Event as Seen;
-use emulator::runner::{Behaviour, RunnerEvent, RunnerInstruction};
+use emulator::runner::{Behaviour, Runner, RunnerEvent, RunnerInstruction};
 use rand::Rng;
 use types::{Milliseconds, OrderKind, Outcome, RunnerOrder};
 
@@ -21,7 +21,7 @@
         match event {
             Event::RunnerTick(runner, incarnation) => self.runner_timer(runner, incarnation),
             Event::RunnerHeartbeat(runner, incarnation) => {
-                self.heartbeat_timer(runner, incarnation)
+                self.heartbeat_timer(runner, incarnation);
             }
             Event::HeartbeatArrives(runner, incarnation, report) => {
                 self.heartbeat_arrives(runner, incarnation, report);
@@ -137,7 +137,7 @@
 
     fn set_runner_timer(&mut self, runner: usize) {
         let host = &self.runners[runner];
-        let Some(wakeup) = host.runner.as_ref().and_then(|inner| inner.next_wakeup()) else {
+        let Some(wakeup) = host.runner.as_ref().and_then(Runner::next_wakeup) else {
             return;
         };
         let machine = host.machine;
--- a/crates/simulation/tests/core_cuts.rs
+++ b/crates/simulation/tests/core_cuts.rs
@@ -23,7 +23,7 @@
 
 fn assert_kept(faults: impl Fn(usize) -> Vec<(u64, Fault)>) {
     for seed in SEEDS {
-        let first = seed as usize % 5;
+        let first = usize::try_from(seed % 5).unwrap();
         let result = run_plan(&day(seed, faults(first)));
         let violations = &result.report.violations;
         assert!(result.is_good(), "seed {seed}: {violations:#?}");
--- a/crates/simulation/tests/final_losses.rs
+++ b/crates/simulation/tests/final_losses.rs
@@ -16,7 +16,7 @@
     plan.calm_ms = 60_000;
     plan.fleet.load_percent = 20;
     plan.fleet.coordinators = coordinators;
-    let first = seed as usize;
+    let first = usize::try_from(seed).unwrap();
     let machines = (0..disks).map(|n| format!("coordinator-{}", (first + n) % coordinators));
     let loss = Fault::LoseAtAcknowledgement {
         of,
--- a/crates/simulation/tests/plans.rs
+++ b/crates/simulation/tests/plans.rs
@@ -10,7 +10,7 @@
 fn a_plan_is_the_same_after_its_text() {
     for seed in 0..200 {
         let mut plan = plan_from_seed(seed, &PlannerOptions::default());
-        plan.mutation = Mutation::ALL.get(seed as usize).copied();
+        plan.mutation = Mutation::ALL.get(usize::try_from(seed).unwrap()).copied();
         let text = plan.to_text().unwrap();
         assert_eq!(Plan::parse(&text).unwrap(), plan, "{text}");
     }
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -35,6 +35,11 @@
 
         impl $name {
             /// Checks the text and makes a name of it.
+            ///
+            /// # Errors
+            ///
+            /// Fails if the text is empty, too long, or holds another character than ASCII
+            /// letters, digits, `.`, `_`, `:` and `-`.
             pub fn new(text: impl AsRef<str>) -> Result<Self, InvalidName> {
                 check_name(text.as_ref())?;
                 Ok(Self(Arc::from(text.as_ref())))
--- a/crates/types/src/resources.rs
+++ b/crates/types/src/resources.rs
@@ -77,7 +77,10 @@
 
     /// This part of it, in percent; slots and accelerators are not divided.
     pub fn part(&self, percent: u32) -> Self {
-        let part = |amount: u32| (u64::from(amount) * u64::from(percent.min(100)) / 100) as u32;
+        let part = |amount: u32| {
+            let share = u64::from(amount) * u64::from(percent.min(100)) / 100;
+            u32::try_from(share).unwrap_or(u32::MAX)
+        };
         Self {
             slots: 0,
             cpu_milli: part(self.cpu_milli),
