--- a/crates/checker/src/check/end.rs
+++ b/crates/checker/src/check/end.rs
@@ -46,7 +46,7 @@
     at: Milliseconds,
 ) -> Option<&'static str> {
     match state {
-        JobState::Failed if !facts.may_have_failed(observed, at) => {
+        JobState::Failed if !facts.may_have_failed(|run| observed.run(run), at) => {
             Some("no task had used up its allowed failures")
         }
         JobState::Cancelled if !facts.cancel_sent => Some("no cancel had been sent"),
--- a/crates/checker/src/check/facts.rs
+++ b/crates/checker/src/check/facts.rs
@@ -1,6 +1,5 @@
 //! What the history has shown of one job, task or run.
 
-use super::observed::ObservedCluster;
 use crate::ExpectedStep;
 use std::collections::{BTreeMap, BTreeSet};
 use types::{JobKey, JobState, Milliseconds, Resources, RunId, RunnerId, StepName};
@@ -116,14 +115,19 @@
         Some(steps.all(|step| self.done_in(&step.name) >= step.tasks))
     }
 
-    /// Returns whether a task may have used up its allowed failures by `at`.
-    pub(super) fn may_have_failed(&self, observed: &ObservedCluster, at: Milliseconds) -> bool {
+    /// Returns whether a task may have used up its allowed failures by `at`; `run_of`
+    /// finds what was observed of a run.
+    pub(super) fn may_have_failed<'a>(
+        &self,
+        run_of: impl Fn(RunId) -> Option<&'a RunFacts>,
+        at: Milliseconds,
+    ) -> bool {
         let Some(mut steps) = self.certain_steps().map(<[_]>::iter) else {
             return true;
         };
         steps.any(|step| {
             self.has_used_up(step, |task| {
-                let open = task.open.iter().filter_map(|run| observed.run(*run));
+                let open = task.open.iter().filter_map(|run| run_of(*run));
                 let overdue = open.filter(|run| is_overdue(run.started_at, at, step.time_limit));
                 task.max_failures() + count(overdue.count())
             })
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The runners and the configuration that the two mixes are made for.
 
-use crate::workload::Mix;
+use crate::mix::{DOCUMENTS_POOL, MEDIA_POOL, Mix};
 use configuration::{
     ClusterConfiguration, ErrorBudget, LeftOutQueues, LicenceSettings, PoolSettings, QueueMode,
     QueueSettings, TenantSettings, Timings,
@@ -9,10 +9,6 @@
 use std::str::FromStr;
 use types::{InvalidName, Labels, Milliseconds, PoolName, RackName, Resources};
 
-/// Pool of the stills mix.
-pub const MEDIA_POOL: &str = "stills";
-/// Pool of the documents mix.
-pub const DOCUMENTS_POOL: &str = "documents";
 /// Label that runners with accelerators carry.
 pub const ACCELERATOR_LABEL: &str = "gpu";
 /// Value of [`ACCELERATOR_LABEL`].
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -3,6 +3,7 @@
 
 pub mod caller;
 pub mod fleet;
+pub mod mix;
 pub mod runner;
 pub mod shell;
 pub mod workload;
--- a/crates/emulator/src/workload.rs
+++ b/crates/emulator/src/workload.rs
@@ -1,47 +1,25 @@
 //! Job mixes of the two deployments, drawn from a seed, and the fleet and
 //! configuration they are made for.
 
-use crate::fleet::{
-    ACCELERATED_LICENCE, ACCELERATOR_LABEL, ACCELERATOR_VALUE, DOCUMENTS_POOL, MEDIA_POOL,
-    checked_name,
-};
+use crate::fleet::{ACCELERATED_LICENCE, ACCELERATOR_LABEL, ACCELERATOR_VALUE, checked_name};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::ops::RangeInclusive;
 use types::{JobSpec, Labels, LicenceName, Milliseconds, Resources, StepRules, StepSpec, Urgency};
 
 pub use crate::fleet::{RunnerTemplate, example_configuration, pool_runners};
+pub use crate::mix::Mix;
 
 /// Longest a run of the mixes may take before it is stopped.
 const TIME_LIMIT: Milliseconds = Milliseconds(30_000);
 /// Failed runs each task may have.
 const ALLOWED_FAILURES: u32 = 3;
 
-/// Which mix to draw from.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mix {
-    /// Contact sheets, catalogue strips, upscale and colour passes, and mostly
-    /// hover frames: about 43 jobs a second over three tenants.
-    Media,
-    /// Completeness checks, price comparisons, document scans, and mostly
-    /// status lookups: about 52 jobs a second over three tenants.
-    Documents,
-}
-
-impl Mix {
-    /// The pool its queues are bound to.
-    pub fn pool(self) -> &'static str {
-        match self {
-            Self::Media => MEDIA_POOL,
-            Self::Documents => DOCUMENTS_POOL,
-        }
-    }
-
-    fn kinds(self) -> &'static [JobKind] {
-        match self {
-            Self::Media => MEDIA_JOBS,
-            Self::Documents => DOCUMENTS,
-        }
+/// The kinds of job that a mix draws from.
+fn kinds_of(mix: Mix) -> &'static [JobKind] {
+    match mix {
+        Mix::Media => MEDIA_JOBS,
+        Mix::Documents => DOCUMENTS,
     }
 }
 
@@ -203,7 +181,7 @@
 
     /// Jobs a second at the ordinary load.
     pub fn jobs_per_second(&self) -> f64 {
-        let kinds = self.mix.kinds().iter();
+        let kinds = kinds_of(self.mix).iter();
         kinds.map(|kind| kind.jobs_per_second).sum()
     }
 
@@ -224,7 +202,7 @@
     }
 
     fn draw_kind(&mut self) -> &'static JobKind {
-        let kinds = self.mix.kinds();
+        let kinds = kinds_of(self.mix);
         let mut drawn = self.random.random_range(0.0..self.jobs_per_second());
         for kind in kinds {
             if drawn < kind.jobs_per_second {
--- a/crates/simulation/src/caller.rs
+++ b/crates/simulation/src/caller.rs
@@ -1,7 +1,7 @@
 //! Caller hosts: emulated callers that send over gateways, ask for states, and
 //! cancel when the plan says so.
 
-use crate::network::Micros;
+use crate::ids::Micros;
 use emulator::caller::Caller;
 use emulator::workload::Workload;
 use std::collections::BTreeMap;
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/cluster.rs
@@ -1,13 +1,17 @@
-//! The world: machines, processes, network, and the queue of events.
+//! The cluster: machines, processes, network, and the queue of events.
 
 use crate::Mutation;
 use crate::caller::{CallerHost, Waiting};
-use crate::event::{DiskState, Event, Incarnation, Scheduled};
-use crate::machine::{Machine, MachineIndex};
-use crate::network::{Micros, Network};
+use crate::event::{Event, Scheduled};
+use crate::ids::MachineIndex;
+use crate::ids::Micros;
+use crate::ids::ProcessIndex;
+use crate::ids::{DiskState, Incarnation};
+use crate::machine::Machine;
+use crate::network::Network;
 use crate::operator::OperatorHost;
 use crate::plan::{Fault, Processing};
-use crate::process::{Effect, Input, Process, ProcessIndex, Write};
+use crate::process::{Effect, Input, Process, Write};
 use crate::runner::RunnerHost;
 use checker::Observation;
 use gateway::TicketId;
@@ -28,7 +32,7 @@
 const UNSYNCED_MICROS: Micros = 2_000_000;
 
 /// All state of one run.
-pub struct World {
+pub struct SimulatedCluster {
     /// Virtual time.
     pub now: Micros,
     /// Every draw of the run.
@@ -85,8 +89,8 @@
     pub entry: DecisionEntry,
 }
 
-impl World {
-    /// An empty world.
+impl SimulatedCluster {
+    /// An empty cluster.
     pub fn new(random: ChaCha8Rng) -> Self {
         Self {
             now: 0,
--- a/crates/simulation/src/world_http.rs
+++ b/crates/simulation/src/cluster_http.rs
@@ -1,12 +1,13 @@
-//! The world's HTTP requests to gateways, and the callers who send most of them.
+//! The cluster's HTTP requests to gateways, and the callers who send most of them.
 
 use crate::caller::{CALLER_TIMEOUT_MS, Waiting};
+use crate::cluster::SimulatedCluster;
 use crate::event::Event;
-use crate::network::Micros;
+use crate::ids::Micros;
+use crate::ids::ProcessIndex;
 use crate::operator::LEAST_SLOTS;
 use crate::plan::Acknowledgement;
-use crate::process::{Input, ProcessIndex};
-use crate::world::World;
+use crate::process::Input;
 use checker::event::ExpectedStep;
 use checker::{Event as Seen, ReadState};
 use emulator::caller::{CallerAction, CallerAnswer};
@@ -28,7 +29,7 @@
 /// An HTTP answer.
 pub type Answer = Result<OperationReply, Rejection>;
 
-impl World {
+impl SimulatedCluster {
     /// Handles an event of callers, operators and their requests.
     pub(crate) fn handle_http_event(&mut self, event: Event) {
         match event {
--- a/crates/simulation/src/world_operator.rs
+++ b/crates/simulation/src/cluster_operator.rs
@@ -1,13 +1,13 @@
-//! The world's operators: the orders they send, what they conclude from the
+//! The cluster's operators: the orders they send, what they conclude from the
 //! answers, and what a reader of the configuration sees meanwhile.
 
 use crate::caller::Waiting;
+use crate::cluster::SimulatedCluster;
+use crate::cluster_http::{Answer, rejection_code};
 use crate::event::Event;
-use crate::network::Micros;
+use crate::ids::Micros;
 use crate::operator::{OPERATOR_INTERVAL_MS, OPERATOR_TIMEOUT_MS, digest};
 use crate::plan::Acknowledgement;
-use crate::world::World;
-use crate::world_http::{Answer, rejection_code};
 use checker::Event as Seen;
 use transport::{Operation, OperationReply, Rejection, RejectionCode};
 use types::Milliseconds;
@@ -15,7 +15,7 @@
 /// Time between two reads of the configuration at every gateway.
 const READ_MICROS: Micros = 400_000;
 
-impl World {
+impl SimulatedCluster {
     /// Looks whether there is something to send, and looks again later.
     pub(crate) fn operator_acts(&mut self, operator: usize) {
         self.schedule_in(OPERATOR_INTERVAL_MS * 1_000, Event::OperatorTimer(operator));
--- a/crates/simulation/src/world_runner.rs
+++ b/crates/simulation/src/cluster_runner.rs
@@ -1,10 +1,13 @@
-//! The world's runners: heartbeats, orders and answers between a runner and
+//! The cluster's runners: heartbeats, orders and answers between a runner and
 //! the agent beside it.
 
-use crate::event::{Event, Incarnation};
-use crate::network::{Micros, per_thousand};
-use crate::process::{Input, ProcessIndex};
-use crate::world::World;
+use crate::cluster::SimulatedCluster;
+use crate::event::Event;
+use crate::ids::Incarnation;
+use crate::ids::Micros;
+use crate::ids::ProcessIndex;
+use crate::network::per_thousand;
+use crate::process::Input;
 use checker::Event as Seen;
 use emulator::runner::{Behaviour, Runner, RunnerEvent, RunnerInstruction};
 use rand::Rng;
@@ -15,7 +18,7 @@
 /// Delay between a runner and the agent beside it.
 const LOCAL_MICROS: (Micros, Micros) = (50, 300);
 
-impl World {
+impl SimulatedCluster {
     /// Handles an event at a runner or between it and its agent.
     pub(crate) fn handle_runner_event(&mut self, event: Event) {
         match event {
--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -1,9 +1,7 @@
-//! Events of the world's queue.
+//! Events of the cluster's queue.
 
-use crate::machine::MachineIndex;
-use crate::network::Micros;
+use crate::ids::{DiskState, Incarnation, MachineIndex, Micros, ProcessIndex};
 use crate::plan::Fault;
-use crate::process::ProcessIndex;
 use agent::HeartbeatAnswer;
 use gateway::TicketId;
 use std::cmp::Ordering;
@@ -102,19 +100,6 @@
     }
 }
 
-/// One incarnation of a daemon or runner; events of an earlier incarnation are revocation.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub struct Incarnation(pub u32);
-
-/// What a daemon finds on its disk when it is started.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DiskState {
-    /// What was there.
-    Retained,
-    /// Nothing.
-    Empty,
-}
-
 /// An event with its moment; the queue gives them in order of time, and
 /// events of one moment in the order they were scheduled.
 #[derive(Debug)]
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -1,13 +1,15 @@
 //! Carrying out the faults of a plan, and healing them.
 
-use crate::event::{DiskState, Event};
-use crate::machine::MachineIndex;
-use crate::network::{LossyLinks, Micros, NetworkConditions};
-use crate::plan::{Acknowledgement, Behaviour, Fault};
-use crate::process::{Core, Input, Process, ProcessIndex};
-use crate::run::MAX_REPAIR_MS;
+use crate::cluster::SimulatedCluster;
+use crate::event::Event;
+use crate::ids::DiskState;
+use crate::ids::MachineIndex;
+use crate::ids::Micros;
+use crate::ids::ProcessIndex;
+use crate::network::{LossyLinks, NetworkConditions};
+use crate::plan::{Acknowledgement, Behaviour, Fault, MAX_REPAIR_MS};
+use crate::process::{Core, Input, Process};
 use crate::runner::OrderFaults;
-use crate::world::World;
 use checker::Event as Seen;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use types::{Role, RunnerId};
@@ -21,7 +23,7 @@
 /// Port of all peer listeners.
 pub const PEER_PORT: u16 = 7_000;
 
-impl World {
+impl SimulatedCluster {
     /// Carries out a planned fault.
     pub(crate) fn apply_fault(&mut self, fault: Fault) {
         let what = format!("{fault:?}");
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -2,14 +2,17 @@
 
 use crate::Mutation;
 use crate::caller::CallerHost;
-use crate::event::{DiskState, Event, Incarnation};
+use crate::cluster::SimulatedCluster;
+use crate::event::Event;
 use crate::fault::socket_of;
-use crate::machine::{Machine, MachineIndex};
+use crate::ids::MachineIndex;
+use crate::ids::ProcessIndex;
+use crate::ids::{DiskState, Incarnation};
+use crate::machine::Machine;
 use crate::operator::OperatorHost;
 use crate::plan::{FleetSize, Plan};
-use crate::process::{DiskSlot, Process, ProcessIndex, Settings};
+use crate::process::{DiskSlot, Process, Settings};
 use crate::runner::{OrderFaults, RunnerHost};
-use crate::world::World;
 use agent::AgentOptions;
 use coordinator::CoordinatorOptions;
 use emulator::caller::Caller;
@@ -34,33 +37,33 @@
 /// A configuration replica counts for this long.
 const REPLICA_VALID: Milliseconds = Milliseconds(1_800);
 
-/// Builds a world from a plan; daemons start over the first second.
+/// Builds a cluster from a plan; daemons start over the first second.
 ///
 /// # Errors
 ///
 /// Fails if a name of the plan is not valid.
-pub fn build(plan: &Plan) -> Result<World, InvalidName> {
-    let mut world = World::new(ChaCha8Rng::seed_from_u64(plan.seed));
-    world.mutation = plan.mutation;
-    world.processing = plan.processing;
-    add_machines(&mut world, &plan.fleet)?;
+pub fn build(plan: &Plan) -> Result<SimulatedCluster, InvalidName> {
+    let mut cluster = SimulatedCluster::new(ChaCha8Rng::seed_from_u64(plan.seed));
+    cluster.mutation = plan.mutation;
+    cluster.processing = plan.processing;
+    add_machines(&mut cluster, &plan.fleet)?;
     let seeds = seed_sockets(&plan.fleet);
-    for position in 0..world.machines.len() {
-        let settings = settings_for(&world, position, plan, &seeds);
-        add_process(&mut world, position, settings);
+    for position in 0..cluster.machines.len() {
+        let settings = settings_for(&cluster, position, plan, &seeds);
+        add_process(&mut cluster, position, settings);
     }
-    add_runners(&mut world, plan)?;
-    add_callers(&mut world, plan);
-    add_operators(&mut world);
-    world.schedule(500_000, Event::ReadConfigurations);
-    Ok(world)
+    add_runners(&mut cluster, plan)?;
+    add_callers(&mut cluster, plan);
+    add_operators(&mut cluster);
+    cluster.schedule(500_000, Event::ReadConfigurations);
+    Ok(cluster)
 }
 
-fn add_machines(world: &mut World, fleet: &FleetSize) -> Result<(), InvalidName> {
+fn add_machines(cluster: &mut SimulatedCluster, fleet: &FleetSize) -> Result<(), InvalidName> {
     for (position, name) in fleet.machine_names().into_iter().enumerate() {
         let zone = ZoneName::new(format!("zone-{}", position % ZONES))?;
-        let monotonic_start_ms = world.random.random_range(1_000..1_000_000);
-        world.machines.push(Machine {
+        let monotonic_start_ms = cluster.random.random_range(1_000..1_000_000);
+        cluster.machines.push(Machine {
             name,
             zone,
             monotonic_start_ms,
@@ -93,12 +96,17 @@
     }
 }
 
-fn settings_for(world: &World, position: usize, plan: &Plan, seeds: &[SocketAddr]) -> Settings {
+fn settings_for(
+    cluster: &SimulatedCluster,
+    position: usize,
+    plan: &Plan,
+    seeds: &[SocketAddr],
+) -> Settings {
     let fleet = &plan.fleet;
     let address = Address {
         node: NodeId(0),
         role: role_of(position, fleet),
-        zone: world.machines[position].zone.clone(),
+        zone: cluster.machines[position].zone.clone(),
         socket: socket_of(position),
     };
     match address.role {
@@ -148,18 +156,18 @@
     }
 }
 
-fn add_process(world: &mut World, position: usize, settings: Settings) {
+fn add_process(cluster: &mut SimulatedCluster, position: usize, settings: Settings) {
     let address = match &settings {
         Settings::Coordinator(options) => options.address.clone(),
         Settings::Gateway(options) => options.address.clone(),
         Settings::Agent(options) => options.address.clone(),
     };
-    let index = ProcessIndex(world.processes.len());
-    world.sockets.insert(address.socket, index);
+    let index = ProcessIndex(cluster.processes.len());
+    cluster.sockets.insert(address.socket, index);
     if address.role == Role::Gateway {
-        world.gateways.push(index);
+        cluster.gateways.push(index);
     }
-    world.processes.push(Process {
+    cluster.processes.push(Process {
         machine: MachineIndex(position),
         address,
         settings,
@@ -171,13 +179,13 @@
         timer: None,
         retired: false,
         last_identity: None,
-        mutation: world.mutation,
+        mutation: cluster.mutation,
     });
-    let at = world.random.random_range(0..1_000_000);
-    world.schedule(at, Event::Start(index, DiskState::Empty));
+    let at = cluster.random.random_range(0..1_000_000);
+    cluster.schedule(at, Event::Start(index, DiskState::Empty));
 }
 
-fn add_runners(world: &mut World, plan: &Plan) -> Result<(), InvalidName> {
+fn add_runners(cluster: &mut SimulatedCluster, plan: &Plan) -> Result<(), InvalidName> {
     let fleet = &plan.fleet;
     let first_side = fleet.coordinators + fleet.gateways;
     let media = pool_runners(Mix::Media)
@@ -191,7 +199,7 @@
     let templates: Vec<RunnerTemplate> = media.chain(documents).collect();
     for (number, template) in templates.into_iter().enumerate() {
         let position = first_side + number;
-        world.runners.push(RunnerHost {
+        cluster.runners.push(RunnerHost {
             machine: MachineIndex(position),
             agent: ProcessIndex(position),
             options: RunnerOptions {
@@ -210,15 +218,15 @@
             timer: None,
             order_faults: OrderFaults::default(),
         });
-        world.schedule_in(1_000_000, Event::StartRunner(number));
+        cluster.schedule_in(1_000_000, Event::StartRunner(number));
     }
     Ok(())
 }
 
-fn add_callers(world: &mut World, plan: &Plan) {
+fn add_callers(cluster: &mut SimulatedCluster, plan: &Plan) {
     for (number, mix) in [Mix::Media, Mix::Documents].into_iter().enumerate() {
-        let seed = world.random.random();
-        world.callers.push(CallerHost {
+        let seed = cluster.random.random();
+        cluster.callers.push(CallerHost {
             name: format!("caller-{number}"),
             caller: Caller::new(seed),
             workload: Workload::new(mix, &format!("c{number}"), seed),
@@ -231,9 +239,9 @@
     }
 }
 
-fn add_operators(world: &mut World) {
+fn add_operators(cluster: &mut SimulatedCluster) {
     for number in 0..2_u32 {
-        world.operators.push(OperatorHost {
+        cluster.operators.push(OperatorHost {
             name: format!("operator-{number}"),
             known: ConfigurationVersion(0),
             document: example_configuration(),
@@ -246,6 +254,6 @@
             gateway: number as usize,
         });
         let at = 1_000_000;
-        world.schedule(at, Event::OperatorTimer(number as usize));
+        cluster.schedule(at, Event::OperatorTimer(number as usize));
     }
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -9,9 +9,15 @@
 mod busy;
 pub mod caller;
 pub mod campaign;
+pub mod cluster;
+mod cluster_busy;
+mod cluster_http;
+mod cluster_operator;
+mod cluster_runner;
 pub mod event;
 pub mod fault;
 pub mod fleet;
+pub mod ids;
 pub mod machine;
 pub mod mutation;
 pub mod network;
@@ -22,12 +28,9 @@
 pub mod run;
 pub mod runner;
 pub mod shrink;
-pub mod world;
-mod world_http;
-mod world_operator;
-mod world_runner;
 
 pub use campaign::{Campaign, SeedResult, Summary, run_campaign, run_plan};
+pub use cluster::TimedDecision;
 pub use mutation::Mutation;
 pub use plan::{
     Acknowledgement, Behaviour, Fault, FleetSize, Plan, PlanError, PlannedFault, Processing,
@@ -35,4 +38,3 @@
 pub use planner::{PlannerOptions, plan_from_seed};
 pub use run::{Outcome, run};
 pub use shrink::shrink;
-pub use world::TimedDecision;
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -1,13 +1,9 @@
 //! Machines: clocks, zones, freezes.
 
 use crate::event::Event;
-use crate::network::Micros;
+use crate::ids::Micros;
 use types::{Monotonic, Now, WallTime, ZoneName};
 
-/// Position of a machine in the world.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct MachineIndex(pub usize);
-
 /// Wall time at the start of every run.
 pub const WALL_START_MS: u64 = 1_700_000_000_000;
 
--- a/crates/simulation/src/mutation.rs
+++ b/crates/simulation/src/mutation.rs
@@ -1,7 +1,7 @@
 //! Mechanisms that can be turned off, to show that the checker then notices.
 //!
 //! Most mutations are built into the cores, which own them; this module names
-//! them in one list and adds those of the world itself: its disks and its
+//! them in one list and adds those of the cluster itself: its disks and its
 //! starts of processes.
 
 use agent::AgentMutation;
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,13 +1,10 @@
 //! The virtual network: who reaches whom, when, and how often.
 
-use crate::machine::MachineIndex;
+use crate::ids::{MachineIndex, Micros};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// Virtual time in microseconds since the start of the run.
-pub type Micros = u64;
-
 /// Delay within a zone.
 const NEAR_MICROS: (Micros, Micros) = (150, 400);
 /// Delay between zones, about 1 ms.
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -4,6 +4,9 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
+/// A second loss waits this long for a repair.
+pub const MAX_REPAIR_MS: u64 = 15_000;
+
 /// A whole run: seed, sizes, times and faults.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/crates/simulation/src/planner.rs
+++ b/crates/simulation/src/planner.rs
@@ -40,7 +40,7 @@
 ///
 /// Faults that take a coordinator's disk for good (`lose_disk`, `replace`) are
 /// drawn apart by enough time for a repair, and never together with the power
-/// loss of all: the users' world loses one core machine at a time.
+/// loss of all: the users' cluster loses one core machine at a time.
 pub fn plan_from_seed(seed: u64, options: &PlannerOptions) -> Plan {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ PLANNER_STREAM);
     let count = random.random_range(1..=options.max_faults.max(1));
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -3,9 +3,7 @@
 
 use crate::Mutation;
 use crate::busy::Busy;
-use crate::event::{DiskState, Incarnation};
-use crate::machine::MachineIndex;
-use crate::network::Micros;
+use crate::ids::{DiskState, Incarnation, MachineIndex, Micros};
 use agent::{Agent, AgentOptions};
 use coordinator::{Coordinator, CoordinatorOptions};
 use gateway::{Caller, Gateway, GatewayOptions, TicketId};
@@ -17,10 +15,6 @@
 use transport::{DecisionEntry, Envelope, Operation, OperationReply, PeerMessage, Rejection};
 use types::{Address, Milliseconds, Monotonic, Now, OrderAnswer, Role, RunnerOrder, RunnerReport};
 
-/// Position of a daemon in the world.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ProcessIndex(pub usize);
-
 /// A role's core.
 pub enum Core {
     /// A coordinator.
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -1,10 +1,10 @@
 //! One run of a plan, from an empty fleet to the checker's report.
 
+use crate::cluster::{SimulatedCluster, TimedDecision};
 use crate::event::Event;
 use crate::fleet::build;
-use crate::network::Micros;
-use crate::plan::{Fault, Plan};
-use crate::world::{TimedDecision, World};
+use crate::ids::Micros;
+use crate::plan::{Fault, MAX_REPAIR_MS, Plan};
 use checker::{Limits, Observation, Report, Violation, ViolationKind, check};
 use serde::Serialize;
 use sha2::{Digest, Sha256};
@@ -14,8 +14,6 @@
 const FIRST_SERVICE_MICROS: Micros = 60_000_000;
 /// Time the run goes on after the last job ended.
 const AFTERGLOW_MICROS: Micros = 3_000_000;
-/// A second loss waits this long for a repair.
-pub const MAX_REPAIR_MS: u64 = 15_000;
 /// Time between two looks whether the run is over.
 const CHECK_MICROS: Micros = 250_000;
 
@@ -56,32 +54,32 @@
 ///
 /// Fails if a name of the plan is not valid.
 pub fn run(plan: &Plan) -> Result<Outcome, types::InvalidName> {
-    let mut world = build(plan)?;
-    if reach_service(&mut world) {
-        let start = world.now;
-        let heal_at = schedule_plan(&mut world, plan, start);
-        while world.step(heal_at) {}
-        finish_work(&mut world, plan);
+    let mut cluster = build(plan)?;
+    if reach_service(&mut cluster) {
+        let start = cluster.now;
+        let heal_at = schedule_plan(&mut cluster, plan, start);
+        while cluster.step(heal_at) {}
+        finish_work(&mut cluster, plan);
     } else {
-        world
+        cluster
             .broken
             .push("the fleet never came into service".to_owned());
     }
-    world.observe("run", checker::Event::Finished);
-    Ok(conclude(world))
+    cluster.observe("run", checker::Event::Finished);
+    Ok(conclude(cluster))
 }
 
 /// Steps until the first configuration stands everywhere.
-fn reach_service(world: &mut World) -> bool {
-    while world.now < FIRST_SERVICE_MICROS {
-        let until = world.now + CHECK_MICROS;
-        while world.step(until) {}
-        if world.operators[0].known.0 > 0 {
-            let settle = world.now + 1_000_000;
-            while world.step(settle) {}
-            let known = world.operators[0].known;
-            let document = world.operators[0].document.clone();
-            for operator in &mut world.operators {
+fn reach_service(cluster: &mut SimulatedCluster) -> bool {
+    while cluster.now < FIRST_SERVICE_MICROS {
+        let until = cluster.now + CHECK_MICROS;
+        while cluster.step(until) {}
+        if cluster.operators[0].known.0 > 0 {
+            let settle = cluster.now + 1_000_000;
+            while cluster.step(settle) {}
+            let known = cluster.operators[0].known;
+            let document = cluster.operators[0].document.clone();
+            for operator in &mut cluster.operators {
                 operator.known = known;
                 operator.document = document.clone();
             }
@@ -92,18 +90,18 @@
 }
 
 /// Schedules load and faults; gives the moment at which all is healed.
-fn schedule_plan(world: &mut World, plan: &Plan, start: Micros) -> Micros {
-    world.load_until = start + plan.load_ms * 1_000;
-    for caller in 0..world.callers.len() {
-        world.schedule_in(0, Event::Arrival(caller));
+fn schedule_plan(cluster: &mut SimulatedCluster, plan: &Plan, start: Micros) -> Micros {
+    cluster.load_until = start + plan.load_ms * 1_000;
+    for caller in 0..cluster.callers.len() {
+        cluster.schedule_in(0, Event::Arrival(caller));
     }
-    let mut heal_at = world.load_until;
+    let mut heal_at = cluster.load_until;
     for planned in &plan.faults {
         let at = start + planned.at_ms * 1_000;
-        world.schedule(at, Event::Fault(planned.fault.clone()));
+        cluster.schedule(at, Event::Fault(planned.fault.clone()));
         heal_at = heal_at.max(at + lasts_ms(&planned.fault) * 1_000);
     }
-    world.schedule(heal_at, Event::Heal);
+    cluster.schedule(heal_at, Event::Heal);
     heal_at
 }
 
@@ -140,36 +138,39 @@
 }
 
 /// Lets all work end, in at most the plan's calm time.
-fn finish_work(world: &mut World, plan: &Plan) {
-    let give_up = world.now + plan.calm_ms * 1_000;
-    while world.now < give_up {
-        let until = world.now + CHECK_MICROS;
-        while world.step(until) {}
-        let open: usize = world
+fn finish_work(cluster: &mut SimulatedCluster, plan: &Plan) {
+    let give_up = cluster.now + plan.calm_ms * 1_000;
+    while cluster.now < give_up {
+        let until = cluster.now + CHECK_MICROS;
+        while cluster.step(until) {}
+        let open: usize = cluster
             .callers
             .iter()
             .map(|host| host.caller.unfinished())
             .sum();
-        let orders = world.operators.iter().any(|host| host.open_order.is_some());
+        let orders = cluster
+            .operators
+            .iter()
+            .any(|host| host.open_order.is_some());
         if open == 0 && !orders {
             break;
         }
     }
-    let until = world.now + AFTERGLOW_MICROS;
-    while world.step(until) {}
+    let until = cluster.now + AFTERGLOW_MICROS;
+    while cluster.step(until) {}
 }
 
-fn conclude(world: World) -> Outcome {
-    let mut report = check(&world.history, &Limits::default());
-    for problem in &world.broken {
+fn conclude(cluster: SimulatedCluster) -> Outcome {
+    let mut report = check(&cluster.history, &Limits::default());
+    for problem in &cluster.broken {
         report.violations.push(Violation {
             kind: ViolationKind::ServiceNotBack,
-            at: Milliseconds(world.now / 1_000),
+            at: Milliseconds(cluster.now / 1_000),
             detail: problem.clone(),
         });
     }
     let mut hasher = Sha256::new();
-    for observation in &world.history {
+    for observation in &cluster.history {
         hasher.update(format!("{observation:?}").as_bytes());
     }
     let digest = hasher
@@ -177,15 +178,15 @@
         .iter()
         .map(|byte| format!("{byte:02x}"))
         .collect();
-    let max_liveness_wait = world.max_liveness_wait();
+    let max_liveness_wait = cluster.max_liveness_wait();
     Outcome {
         report,
         digest,
-        events: world.handled,
-        broken: world.broken,
-        virtual_time: Milliseconds(world.now / 1_000),
+        events: cluster.handled,
+        broken: cluster.broken,
+        virtual_time: Milliseconds(cluster.now / 1_000),
         max_liveness_wait,
-        decisions: world.decisions,
-        history: world.history,
+        decisions: cluster.decisions,
+        history: cluster.history,
     }
 }
--- a/crates/simulation/src/runner.rs
+++ b/crates/simulation/src/runner.rs
@@ -1,9 +1,9 @@
 //! Runner hosts: emulated runners on side machines.
 
-use crate::event::Incarnation;
-use crate::machine::MachineIndex;
-use crate::network::Micros;
-use crate::process::ProcessIndex;
+use crate::ids::Incarnation;
+use crate::ids::MachineIndex;
+use crate::ids::Micros;
+use crate::ids::ProcessIndex;
 use emulator::runner::{Behaviour, Runner, RunnerOptions};
 use types::{RunnerId, RunnerIncarnation};
 
