--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -53,7 +53,7 @@
     /// Configurations a minute; 4 are 5,760 a day.
     #[arg(long, default_value_t = 4)]
     pub configurations_per_minute: u64,
-    /// Real agents, each with an emulated runner over HTTP.
+    /// Real agents, each with a stand-in runner over HTTP.
     #[arg(long, default_value_t = 1)]
     pub real_agents: u8,
     /// Length of the window.
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -251,7 +251,7 @@
     }
 
     /// Returns whether a timer's moment has come. An event of a timer that was set
-    /// anew for another moment is revocation.
+    /// anew for another moment is dropped.
     pub(crate) fn is_due(&self, timer: Option<Micros>) -> bool {
         timer.is_some_and(|at| at <= self.now)
     }
