--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -16,7 +16,7 @@
 
 /// Path that answers as long as the process runs.
 pub const LIVEZ: &str = "/livez";
-/// Path that tells whether the process should get traffic.
+/// Path that answers whether the process should get traffic.
 pub const READYZ: &str = "/readyz";
 /// Path of the metrics.
 pub const METRICS: &str = "/metrics";
--- a/crates/api/src/decision.rs
+++ b/crates/api/src/decision.rs
@@ -133,21 +133,21 @@
     /// The tenant's runs hold its resource limit.
     #[serde(rename = "tenant_at_ceiling")]
     TenantAtLimit,
-    /// What is left below its resource limit is kept for its more urgent queues.
+    /// What is left below its resource limit is reserved for its more urgent queues.
     #[serde(rename = "ceiling_kept_for_urgent")]
     LimitReservedForUrgent,
     /// No seat of its licence is free.
     NoSeat,
     /// The tenant is above its share.
     TenantAboveShare,
-    /// The runners that could take it leave or are silent.
+    /// The runners that could take it are draining or unresponsive.
     RunnersAway,
-    /// No runner has room.
+    /// No runner has enough free capacity.
     #[serde(rename = "no_room")]
     NoCapacity,
-    /// No runner with room carries the labels.
+    /// No runner with enough free capacity carries the labels.
     NoRunnerWithLabels,
-    /// The only room is on a runner on probation.
+    /// The only free capacity is on a runner on probation.
     RunnerOnProbation,
     /// A runner is kept free for a larger task.
     #[serde(rename = "held_for_larger_task")]
@@ -201,7 +201,7 @@
     /// It never started and never will.
     #[serde(rename = "voided")]
     Revoked,
-    /// Its lease ran out in silence; no failure.
+    /// Its run lease expired without a report; no failure.
     Lost,
     /// The runner rejected it; no failure.
     #[serde(rename = "refused")]
--- a/crates/api/src/job.rs
+++ b/crates/api/src/job.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Where a job stands; the last three are final.
+/// State of a job; the last three are final.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
--- a/crates/api/src/operator.rs
+++ b/crates/api/src/operator.rs
@@ -183,7 +183,7 @@
     /// Of those, taken by open runs.
     #[serde(rename = "taken")]
     pub used: u32,
-    /// Tasks that wait for room or a seat.
+    /// Tasks that wait for capacity or a seat.
     pub waiting: u64,
 }
 
@@ -219,7 +219,7 @@
     /// `leader`, `voter`, `learner` or `session`.
     #[serde(rename = "standing")]
     pub status: String,
-    /// Time since it was last heard by the leader.
+    /// Time since the leader last received anything from it.
     #[serde(rename = "silence_ms")]
     pub since_last_contact_ms: u64,
     /// Configuration version it last reported to the leader; `null` while it
--- a/crates/api/src/route.rs
+++ b/crates/api/src/route.rs
@@ -6,7 +6,7 @@
 pub const JOB: &str = "/v1/tenants/{tenant}/jobs/{job}";
 /// `POST` cancels a job.
 pub const JOB_CANCEL: &str = "/v1/tenants/{tenant}/jobs/{job}/cancel";
-/// `GET` tells why a job is not running.
+/// `GET` answers why a job is not running.
 pub const JOB_EXPLAIN: &str = "/v1/tenants/{tenant}/jobs/{job}/explain";
 /// `POST` cancels many jobs.
 pub const CANCELS: &str = "/v1/cancels";
--- a/crates/api/src/runner.rs
+++ b/crates/api/src/runner.rs
@@ -32,7 +32,7 @@
     /// A name breaks the rules for names.
     #[error("{field}: {message}")]
     Name {
-        /// Where it stands.
+        /// Name of the field.
         field: &'static str,
         /// What is wrong.
         message: InvalidName,
@@ -43,7 +43,7 @@
     /// A number or list is outside its bounds.
     #[error("{field}: {message}")]
     Bounds {
-        /// Where it stands.
+        /// Name of the field.
         field: &'static str,
         /// What is wrong.
         message: &'static str,
--- a/crates/api/src/runner/heartbeat.rs
+++ b/crates/api/src/runner/heartbeat.rs
@@ -24,8 +24,8 @@
     pub pool: String,
     /// Its rack.
     pub rack: String,
-    /// Where it stands, such as the socket it takes orders at. When another
-    /// runner is heard there, this one's runs count as over.
+    /// Its endpoint, such as the socket it takes orders at. When another
+    /// runner reports the same endpoint, this one's runs count as over.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "place")]
     pub endpoint: Option<EndpointName>,
--- a/crates/api/src/runner/order.rs
+++ b/crates/api/src/runner/order.rs
@@ -37,7 +37,7 @@
     Start,
     /// Stop the run if it is held.
     Stop,
-    /// Never start the run from now on; answer how it stands.
+    /// Never start the run from now on; answer with its state.
     #[serde(rename = "void")]
     Revoke,
 }
@@ -66,7 +66,7 @@
     pub time_limit_ms: u64,
     /// The step's text.
     pub payload: String,
-    /// The heartbeat whose room led to this order.
+    /// The heartbeat whose free resources led to this order.
     #[serde(rename = "basis")]
     pub based_on: u64,
     /// Refuse the start this long after heartbeat `based_on` was sent, in
@@ -99,7 +99,7 @@
     /// The run is held and goes on.
     #[serde(rename = "held")]
     Active,
-    /// The run has ended; it stands in the heartbeats.
+    /// The run has ended; heartbeats list it.
     Ended,
     /// Nothing was done.
     #[serde(rename = "refused")]
@@ -119,7 +119,7 @@
     StaleHeartbeat,
     /// The run was revoked, started or ended before.
     KnownRun,
-    /// There is no room.
+    /// There is not enough free capacity.
     #[serde(rename = "no_room")]
     NoCapacity,
     /// The runner is draining.
--- a/crates/api/src/view.rs
+++ b/crates/api/src/view.rs
@@ -29,7 +29,7 @@
     pub job: JobId,
     /// Its queue.
     pub queue: QueueName,
-    /// Where it stands.
+    /// Its state.
     pub state: JobState,
     /// Why it failed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/checker/src/check.rs
+++ b/crates/checker/src/check.rs
@@ -132,7 +132,7 @@
     /// Runs started.
     pub started_runs: u64,
     /// Of those, runs of a task that had ended done on a runner that fell
-    /// silent past its run lease, or died, before it could report it.
+    /// unresponsive past its run lease, or died, before it could report it.
     pub repeated_unreported: u64,
     /// Of those, runs past the allowed failures, after a failure that was
     /// unreported in the same way.
--- a/crates/checker/src/check/observed.rs
+++ b/crates/checker/src/check/observed.rs
@@ -47,7 +47,7 @@
         self.runs.get(&run)
     }
 
-    /// Returns whether a runner's machine stands still.
+    /// Returns whether a runner's machine is frozen.
     pub(super) fn is_frozen(&self, runner: &RunnerId) -> bool {
         self.frozen.contains(runner)
     }
@@ -62,8 +62,8 @@
     }
 
     /// Returns whether the end of a run may never have reached anyone by `at`: its
-    /// runner was not told that the record has it, and has either lost its
-    /// memory with its process, or been silent past its run lease and not had
+    /// runner was not notified that the record has it, and has either lost its
+    /// memory with its process, or been unresponsive past its run lease and not had
     /// the time without a fault that a report takes.
     pub(super) fn may_be_unreported(&self, run: RunId, at: Milliseconds) -> bool {
         let Some(facts) = self.runs.get(&run).filter(|run| !run.end_recorded) else {
--- a/crates/checker/src/check/repeat.rs
+++ b/crates/checker/src/check/repeat.rs
@@ -48,7 +48,7 @@
 
 /// No more runs of a task at once than its copies.
 ///
-/// The runs of a machine that stands still do nothing and do not count. When
+/// The runs of a frozen machine do nothing and do not count. When
 /// it wakes, those that another run has taken over must end at once.
 #[derive(Debug, Default)]
 pub(super) struct OverlappingRuns {
@@ -139,8 +139,8 @@
 
 /// No start of a task that ended done.
 ///
-/// A done end that nobody can have heard of does not count: its runner fell
-/// silent before it could report it, and its run lease (or its process) ended
+/// A done end that nobody can have received does not count: its runner became
+/// unresponsive before it could report it, and its run lease (or its process) ended
 /// before the new start. That is the price of not waiting for ever for a dead
 /// machine; such starts are counted in the report.
 #[derive(Debug)]
--- a/crates/checker/src/check/retry.rs
+++ b/crates/checker/src/check/retry.rs
@@ -8,7 +8,7 @@
 
 /// No start of a task whose failed runs are more than allowed.
 ///
-/// As with done ends, a failure that nobody can have heard of does not count;
+/// As with done ends, a failure that nobody can have received does not count;
 /// starts that only this allows are counted in the report.
 #[derive(Debug)]
 pub(super) struct RetriedPastAllowed;
--- a/crates/checker/src/check/seats.rs
+++ b/crates/checker/src/check/seats.rs
@@ -1,8 +1,8 @@
 //! No more runs take a seat of a licence than it has, over all runners.
 //!
 //! A run takes its seat from its start to its end on the runner. One on a
-//! machine that stands still does nothing, and must end when it wakes, once its
-//! lease is over; so it does not count while it stands.
+//! machine that is frozen does nothing, and must end when it wakes, once its
+//! lease is over; so it does not count until then.
 
 use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
--- a/crates/checker/src/check/started.rs
+++ b/crates/checker/src/check/started.rs
@@ -65,7 +65,7 @@
         is_late || self.copies(observed) == 1
     }
 
-    /// Failed runs of its task whose failure somebody can have heard of.
+    /// Failed runs of its task whose failure somebody can have received.
     pub fn reported_failures<'w>(&self, observed: &'w ObservedCluster) -> Vec<&'w RunFacts> {
         let failed = self
             .facts(observed)
--- a/crates/checker/src/event.rs
+++ b/crates/checker/src/event.rs
@@ -106,7 +106,7 @@
         #[serde(default)]
         lease_until: Option<Milliseconds>,
     },
-    /// A runner was told that the record has the end of a run.
+    /// A runner was notified that the record has the end of a run.
     EndRecorded {
         /// The runner.
         runner: RunnerId,
@@ -252,7 +252,7 @@
     pub licence: Option<LicenceName>,
 }
 
-/// What a caller was told of a job.
+/// The state of a job that a caller read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReadState {
--- a/crates/configuration/src/validate.rs
+++ b/crates/configuration/src/validate.rs
@@ -53,7 +53,7 @@
         self.check(value > 0, path, "must be at least 1");
     }
 
-    /// A task always needs a slot, so room without slots can hold nothing.
+    /// A task always needs a slot, so capacity without slots runs nothing.
     fn check_slots(&mut self, capacity: &Resources, path: &str) {
         self.check_positive(u64::from(capacity.slots), format!("{path}.slots"));
     }
--- a/crates/cypressdrum/src/client/difference.rs
+++ b/crates/cypressdrum/src/client/difference.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// Items with an `id` are told by it, others by their position.
+/// Items with an `id` are matched by it, others by their position.
 fn item_name(position: usize, item: &Value) -> String {
     match item.get("id").and_then(Value::as_str) {
         Some(id) => format!("[{id}]"),
--- a/crates/cypressdrum/src/client/http.rs
+++ b/crates/cypressdrum/src/client/http.rs
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What the answer gets on top of the deadline the gateway is told.
+/// Time that an answer may take beyond the deadline sent to the gateway.
 const ANSWER_MARGIN: Duration = Duration::from_millis(500);
 
 /// A body of no bytes.
--- a/crates/emulator/src/caller.rs
+++ b/crates/emulator/src/caller.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use types::{JobKey, JobState, Milliseconds, Monotonic};
 
-/// Shortest silence after which a request is sent again.
+/// Minimum time without an answer after which a request is sent again.
 const RESEND_AFTER: Milliseconds = Milliseconds(1_000);
 /// Most that a draw adds to [`RESEND_AFTER`].
 const RESEND_JITTER_MS: u64 = 1_000;
@@ -27,7 +27,7 @@
     Ask(JobKey),
 }
 
-/// What the caller was told.
+/// The answer that the caller received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallerAnswer {
     /// The submit is acknowledged.
@@ -90,7 +90,7 @@
         self.plan(job, Phase::Submitting, now);
     }
 
-    /// What to send now. Each request is due again after a silence, so an
+    /// What to send now. Each request is due again after a time-out, so an
     /// answer that never comes needs no call of [`Caller::answered`].
     pub fn actions(&mut self, now: Monotonic) -> Vec<CallerAction> {
         let mut actions = Vec::new();
--- a/crates/emulator/src/runner.rs
+++ b/crates/emulator/src/runner.rs
@@ -1,5 +1,5 @@
 //! An emulated runner: it keeps tombstones, leases and ended runs as the
-//! runner's side of the protocol asks, and can be told to misbehave.
+//! runner's side of the protocol asks, and can be configured to misbehave.
 
 pub mod heartbeats;
 pub mod options;
@@ -42,7 +42,7 @@
     AcceptedStale(RunnerOrder),
 }
 
-/// What a heartbeat's answer tells a runner.
+/// The answer to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RunnerInstruction {
     /// Highest term the agent has seen.
@@ -63,7 +63,7 @@
 /// where wanted, `fail: true`, or `fail_task` with the position of one task
 /// that fails.
 ///
-/// Every entry point looks at the run lease first, so that a runner that was
+/// Every entry point checks the run lease first, so that a runner that was
 /// frozen ends what it held before it takes or says anything.
 #[derive(Debug)]
 pub struct Runner {
@@ -159,7 +159,7 @@
     }
 
     /// Takes an order. Rejections are looked for in this order: other incarnation,
-    /// lower term, and for a start: known run, draining, no room, stale basis.
+    /// lower term, and for a start: known run, draining, no capacity, stale heartbeat.
     pub fn order(
         &mut self,
         now: Monotonic,
@@ -228,7 +228,7 @@
     ) -> OrderAnswer {
         if let Some(reason) = self.reason_against(now, run, based_on, lease) {
             // The leader closes a rejected run. The same order delivered again
-            // must not start it after all, when room has come back.
+            // must not start it after all, when capacity is free again.
             if reason != RejectionReason::KnownRun {
                 self.bury(run.run);
             }
--- a/crates/emulator/src/runner/options.rs
+++ b/crates/emulator/src/runner/options.rs
@@ -41,7 +41,7 @@
     /// Does its work.
     #[default]
     Healthy,
-    /// Fails this many runs in a thousand, and looks healthy.
+    /// Fails this many runs in a thousand, while its health check is good.
     Failing {
         /// Failed runs in a thousand.
         per_thousand: u32,
--- a/crates/emulator/src/runner/work.rs
+++ b/crates/emulator/src/runner/work.rs
@@ -38,7 +38,7 @@
 pub struct Work {
     started_at: Monotonic,
     resources: Resources,
-    /// When and how it ends by itself; none if it stands still.
+    /// When and how it ends by itself; none if it is stalled.
     end: Option<(Monotonic, Outcome)>,
 }
 
--- a/crates/emulator/src/shell.rs
+++ b/crates/emulator/src/shell.rs
@@ -39,7 +39,7 @@
     Client(#[from] reqwest::Error),
 }
 
-/// What a running server is told.
+/// Commands to a running server.
 #[derive(Debug)]
 enum Command {
     Drain,
@@ -126,7 +126,7 @@
         self.command(Command::Behave(behaviour)).await;
     }
 
-    /// Ends it without a goodbye. What it held dies with it and stands in the
+    /// Ends it without a goodbye. Its runs die with it and are reported in the
     /// history as stopped. No order is taken after this returns.
     pub async fn kill(self) {
         self.command(Command::Kill).await;
--- a/crates/replay/src/cluster.rs
+++ b/crates/replay/src/cluster.rs
@@ -140,7 +140,7 @@
     }
 }
 
-/// Where a played process stands.
+/// Address of a played process.
 ///
 /// # Errors
 ///
--- a/crates/replay/src/input.rs
+++ b/crates/replay/src/input.rs
@@ -78,7 +78,7 @@
     changes: ConfigurationUpdateBody,
 }
 
-/// A line as it stands.
+/// A line as it is in the input.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawLine {
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -6,7 +6,7 @@
 use std::io::{self, BufRead, Read, Write};
 use thiserror::Error;
 
-/// Longest line: a body of the interface and what stands round it.
+/// Maximum length of a line: a body of the interface and its envelope.
 const MAX_LINE_BYTES: u64 = 5 * 1024 * 1024;
 
 /// Why a replay ended early.
--- a/crates/replay/src/runners.rs
+++ b/crates/replay/src/runners.rs
@@ -24,7 +24,7 @@
     ended: BTreeSet<RunId>,
 }
 
-/// All runners heard so far, by name.
+/// All runners that have sent a heartbeat, by name.
 #[derive(Debug, Default)]
 pub struct Runners {
     runners: BTreeMap<RunnerId, Runner>,
--- a/crates/settings/src/coordinator.rs
+++ b/crates/settings/src/coordinator.rs
@@ -75,7 +75,7 @@
 /// Table `timings` of a coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CoordinatorTimings {
-    /// Shortest silence before an election; drawn between this and twice it.
+    /// Minimum time without a leader's message before an election; drawn between this and twice it.
     /// Default 1000.
     pub election_timeout_ms: u64,
     /// Time between the leader's heartbeats. Default 150.
@@ -85,7 +85,7 @@
     pub leader_lease_ms: u64,
     /// Length of the sessions of gateways and agents. Default 2000.
     pub session_lease_ms: u64,
-    /// A voter silent for this long is replaced by a learner that is ready.
+    /// A voter that has been unresponsive for this long is replaced by a learner that is ready.
     /// Default 1500.
     pub replace_voter_after_ms: u64,
     /// Longest wait of a fresh leader for the runners' lists. Default 2000.
@@ -218,7 +218,7 @@
 /// Table `scheduler`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SchedulerSettings {
-    /// Tasks of one tenant looked at past one that does not fit. Default 16.
+    /// Tasks of one tenant that are examined past one that does not fit. Default 16.
     pub scan_depth: usize,
     /// A task that has waited this long without fitting gets a runner kept
     /// free. Default 5000.
@@ -228,7 +228,7 @@
     pub probation_failures: u32,
     /// Length of probation. Default 10000.
     pub probation_ms: u64,
-    /// A runner silent for this long gets nothing new. Default 1500.
+    /// A runner that has been unresponsive for this long gets no new runs. Default 1500.
     pub unresponsive_after_ms: u64,
     /// A task waits this long for its rack, or for another runner than the one
     /// it failed on. Default 300.
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{location}: {message}")]
 pub struct InvalidSetting {
-    /// Where it stands: the file or flag, and the key, if it has one.
+    /// The file or flag it comes from, and the key, if it has one.
     pub location: String,
     /// What is wrong, in one sentence.
     pub message: String,
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -104,7 +104,7 @@
     RunnerId
 );
 name_type!(
-    /// Where a runner stands, such as the socket it takes calls at: one incarnation of
+    /// Endpoint of a runner, such as the socket it takes calls at: one incarnation of
     /// one runner at a time.
     EndpointName
 );
@@ -113,7 +113,7 @@
     LicenceName
 );
 name_type!(
-    /// The rack a runner stands in.
+    /// Rack of a runner.
     RackName
 );
 name_type!(
--- a/crates/types/src/job.rs
+++ b/crates/types/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs, steps and tasks: what callers submit and what they are told back.
+//! Jobs, steps and tasks: what callers submit, and the states they read back.
 
 use crate::{
     JobId, Labels, LicenceName, Milliseconds, QueueName, RackName, Resources, StepName, TenantId,
@@ -71,7 +71,7 @@
     /// No task of the step starts before this time, judged by the leader's
     /// clock; beside the time of the whole job.
     pub start_at: Option<WallTime>,
-    /// The rack where its tasks run best. Others serve when that has no room.
+    /// The rack where its tasks run best; others will do when it has no free capacity.
     pub preferred_rack: Option<RackName>,
     /// Most runs of the step that one runner holds at once; none is no limit.
     pub max_per_runner: Option<u32>,
@@ -90,7 +90,7 @@
     pub licence: Option<LicenceName>,
 }
 
-/// Where a job stands.
+/// State of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
@@ -113,13 +113,13 @@
     }
 }
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
     /// A step before it is not done.
     Blocked,
-    /// May start when its time has come and a runner has room.
+    /// May start when its time has come and a runner has free capacity.
     Ready,
     /// Has at least one open run.
     Running,
@@ -157,7 +157,7 @@
     pub job: JobId,
     /// Its queue.
     pub queue: QueueName,
-    /// Where it stands.
+    /// Its state.
     pub state: JobState,
     /// Why it failed, for people.
     pub reason: Option<String>,
--- a/crates/types/src/resources.rs
+++ b/crates/types/src/resources.rs
@@ -37,7 +37,7 @@
         gpus: u32::MAX,
     };
 
-    /// Returns whether this amount is at most `room` in every kind.
+    /// Returns whether this amount is at most `room` in every kind of resource.
     pub fn fits_in(&self, room: &Self) -> bool {
         self.slots <= room.slots
             && self.cpu_milli <= room.cpu_milli
--- a/crates/types/src/run.rs
+++ b/crates/types/src/run.rs
@@ -54,7 +54,7 @@
 }
 
 impl ActiveRun {
-    /// A run of which the runner tells nothing but its age.
+    /// A run of which the runner reports nothing but its age.
     pub fn new(run: RunId, age: Milliseconds) -> Self {
         Self {
             run,
@@ -124,7 +124,7 @@
     /// The runner confirmed that it never started and never will.
     #[serde(rename = "voided")]
     Revoked,
-    /// Its lease and margin ran out in silence; not a failure of the task.
+    /// Its run lease and margin expired without a report; not a failure of the task.
     Lost,
     /// The runner rejected it; not a failure of the task.
     #[serde(rename = "refused")]
--- a/crates/types/src/runner.rs
+++ b/crates/types/src/runner.rs
@@ -22,7 +22,7 @@
     pub incarnation: RunnerIncarnation,
     /// Place among the heartbeats of this incarnation.
     pub sequence: HeartbeatSequence,
-    /// Where it stands, if that is known: when another runner answers there,
+    /// Its endpoint, if that is known: when another runner answers there,
     /// this one's incarnation is over and nothing of it goes on.
     pub endpoint: Option<EndpointName>,
     /// Pool it serves.
@@ -72,7 +72,7 @@
     Start {
         /// The run.
         run: RunSpec,
-        /// The heartbeat whose room led to this order.
+        /// The heartbeat whose free resources led to this order.
         based_on: HeartbeatSequence,
         /// Run lease: the start is rejected, and the run stopped, this long
         /// after the runner sent the heartbeat that was last confirmed.
@@ -83,7 +83,7 @@
         /// The run.
         run: RunId,
     },
-    /// Never start this run from now on; answer how it stands.
+    /// Never start this run from now on; answer with its state.
     Revoke {
         /// The run.
         run: RunId,
@@ -113,7 +113,7 @@
     StaleHeartbeat,
     /// The run was revoked before, or has already been started or ended.
     KnownRun,
-    /// The runner has no room.
+    /// The runner has not enough free capacity.
     #[serde(rename = "no_room")]
     NoCapacity,
     /// The runner is draining.
@@ -134,7 +134,7 @@
     Revoked,
     /// Answer to a revocation or stop: the run is held, and goes on until stopped.
     Active,
-    /// The run has ended; its entry stands in the ended list.
+    /// The run has ended; its entry is in the ended list.
     Ended,
     /// Nothing was done, for this reason.
     Rejected(RejectionReason),
--- a/crates/types/src/task.rs
+++ b/crates/types/src/task.rs
@@ -1,4 +1,4 @@
-//! What the record tells the scheduler about tasks and runs.
+//! What the scheduler knows of tasks and runs, as the state machine reports it.
 
 use crate::{
     EndpointName, JobNumber, Labels, LicenceName, Milliseconds, QueueName, Resources, RunId,
@@ -49,7 +49,7 @@
     pub runner: RunnerId,
     /// The incarnation of the runner it is bound to.
     pub incarnation: RunnerIncarnation,
-    /// Where that runner stands, if that is known.
+    /// Endpoint of that runner, if that is known.
     pub endpoint: Option<EndpointName>,
     /// What it holds.
     pub resources: Resources,
@@ -62,7 +62,7 @@
     /// When the record took the reservation.
     pub reserved_at: WallTime,
     /// Whether its runner stops it at the end of the run lease, as it said
-    /// when it was chosen. If not, the run stays bound however silent it is.
+    /// when it was chosen. If not, the run stays bound however long the runner is unresponsive.
     pub self_stop: bool,
 }
 
@@ -75,9 +75,9 @@
     pub task: TaskRef,
     /// The runner chosen.
     pub runner: RunnerId,
-    /// The incarnation of the runner whose room was seen.
+    /// The incarnation of the runner that reported the free resources.
     pub incarnation: RunnerIncarnation,
-    /// Where that runner stands, if that is known.
+    /// Endpoint of that runner, if that is known.
     pub endpoint: Option<EndpointName>,
     /// Whether that runner stops its own runs at the end of the run lease.
     pub self_stop: bool,
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,6 +1,6 @@
 //! Times as values: nothing below the daemons' shells reads a clock.
 //!
-//! Leases and silence are measured on [`Monotonic`], which must count through
+//! Leases and time-outs are measured on [`Monotonic`], which must count through
 //! a freeze of the machine (`CLOCK_BOOTTIME` in the daemons). [`WallTime`] is
 //! used only for a job's own start time and for what people read.
 
@@ -81,7 +81,7 @@
 /// Both clocks, read once by the shell before it calls a core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Now {
-    /// For leases, deadlines and silence.
+    /// For leases, deadlines and time-outs.
     pub monotonic: Monotonic,
     /// For start times of jobs and for people.
     pub wall: WallTime,
