--- a/crates/cypressdrum/src/client/arguments.rs
+++ b/crates/cypressdrum/src/client/arguments.rs
@@ -247,9 +247,8 @@
     pub limit: Option<u32>,
 }
 
-fn parse_state(text: &str) -> Result<JobState, String> {
-    let state = serde_json::from_value(serde_json::Value::from(text));
-    state.map_err(|error| error.to_string())
+fn parse_state(text: &str) -> Result<JobState, serde_json::Error> {
+    serde_json::from_value(serde_json::Value::from(text))
 }
 
 /// Which jobs to cancel.
--- a/crates/emulator/src/runner/tombstones.rs
+++ b/crates/emulator/src/runner/tombstones.rs
@@ -6,7 +6,7 @@
 /// Tombstones of runs that were revoked, rejected, or ended and recorded.
 ///
 /// How long one is kept: a leader makes the one start order of a run from a
-/// heartbeat it has received (the basis), before it can revocation or close the
+/// heartbeat it has received (the basis), before it can revoke or close the
 /// run. So the basis of any start still on its way is at most the newest
 /// heartbeat sent when the tombstone was set. Once the runner has forgotten
 /// that heartbeat and all before it, every such start is rejected for its
--- a/crates/emulator/src/shell/driver.rs
+++ b/crates/emulator/src/shell/driver.rs
@@ -3,7 +3,7 @@
 use super::Command;
 use super::heartbeat::AgentClient;
 use super::lease::LeaseClock;
-use super::orders::Ordered;
+use super::orders::ReceivedOrder;
 use crate::runner::{Runner, RunnerEvent, RunnerInstruction, RunnerOptions};
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -51,7 +51,7 @@
     pub async fn run(
         mut self,
         mut commands: mpsc::Receiver<Command>,
-        mut orders: mpsc::Receiver<Ordered>,
+        mut orders: mpsc::Receiver<ReceivedOrder>,
     ) {
         loop {
             self.advance();
@@ -62,11 +62,11 @@
                     Command::Behave(behaviour) => self.runner.behave(behaviour),
                     Command::Kill => return self.die(),
                 },
-                Some((order, answer)) = orders.recv() => {
-                    let (given, events) = self.runner.order(now(), &order);
+                Some(received) = orders.recv() => {
+                    let (given, events) = self.runner.order(now(), &received.order);
                     self.handle_events(events);
                     // An agent that went away gets no answer.
-                    let _ = answer.send(given);
+                    let _ = received.answer.send(given);
                 }
                 Some(answered) = self.sending.join_next() => {
                     if let Ok(Some(instruction)) = answered {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Looks at leases and work first, then sends a heartbeat if one is due.
+    /// Checks leases and work first, then sends a heartbeat if one is due.
     fn advance(&mut self) {
         let events = self.runner.tick(now());
         self.handle_events(events);
--- a/crates/emulator/src/shell/orders.rs
+++ b/crates/emulator/src/shell/orders.rs
@@ -1,6 +1,6 @@
 //! The runner's HTTP listener for orders.
 
-use api::runner::{OrderAnswerBody, OrderBody};
+use api::runner::{OrderAnswerBody, OrderBody, RunnerBodyError};
 use axum::body::Bytes;
 use axum::extract::{DefaultBodyLimit, State};
 use axum::http::StatusCode;
@@ -17,16 +17,22 @@
 /// Orders that may wait for the runner.
 const MAX_WAITING: usize = 256;
 
-/// An order with the way back for its answer.
-pub type Ordered = (RunnerOrder, oneshot::Sender<OrderAnswer>);
+/// An order that arrived, and where its answer goes.
+#[derive(Debug)]
+pub struct ReceivedOrder {
+    /// The order.
+    pub order: RunnerOrder,
+    /// Takes the answer.
+    pub answer: oneshot::Sender<OrderAnswer>,
+}
 
 /// Both ends of the way from the listener to the runner.
-pub fn channel() -> (mpsc::Sender<Ordered>, mpsc::Receiver<Ordered>) {
+pub fn channel() -> (mpsc::Sender<ReceivedOrder>, mpsc::Receiver<ReceivedOrder>) {
     mpsc::channel(MAX_WAITING)
 }
 
 /// Serves until it is dropped.
-pub async fn serve(listener: TcpListener, orders: mpsc::Sender<Ordered>) {
+pub async fn serve(listener: TcpListener, orders: mpsc::Sender<ReceivedOrder>) {
     let router = Router::new()
         .route(PATH, post(take_order))
         .layer(DefaultBodyLimit::max(MAX_BODY_BYTES))
@@ -36,19 +42,21 @@
 }
 
 async fn take_order(
-    State(orders): State<mpsc::Sender<Ordered>>,
+    State(orders): State<mpsc::Sender<ReceivedOrder>>,
     body: Bytes,
 ) -> Result<Json<OrderAnswerBody>, (StatusCode, String)> {
-    let order = read_order(&body).map_err(|problem| (StatusCode::BAD_REQUEST, problem))?;
+    let rejected = |error: RunnerBodyError| (StatusCode::BAD_REQUEST, error.to_string());
+    let order = read_order(&body).map_err(rejected)?;
     let (answer, answered) = oneshot::channel();
     let stopped = || (StatusCode::SERVICE_UNAVAILABLE, "stopped".to_owned());
-    orders.send((order, answer)).await.map_err(|_| stopped())?;
+    let received = ReceivedOrder { order, answer };
+    orders.send(received).await.map_err(|_| stopped())?;
     let answer = answered.await.map_err(|_| stopped())?;
     let body = OrderAnswerBody::from_answer(&answer).ok_or_else(stopped)?;
     Ok(Json(body))
 }
 
-fn read_order(body: &[u8]) -> Result<RunnerOrder, String> {
-    let body: OrderBody = api::runner::read(body).map_err(|problem| problem.to_string())?;
-    RunnerOrder::try_from(body).map_err(|problem| problem.to_string())
+fn read_order(body: &[u8]) -> Result<RunnerOrder, RunnerBodyError> {
+    let body: OrderBody = api::runner::read(body)?;
+    RunnerOrder::try_from(body)
 }
--- a/crates/types/src/runner.rs
+++ b/crates/types/src/runner.rs
@@ -139,6 +139,6 @@
     /// Nothing was done, for this reason.
     Rejected(RejectionReason),
     /// No answer came: the run may or may not have started. Never from the
-    /// runner itself; the agent says it, and the leader must revocation the run.
+    /// runner itself; the agent says it, and the leader must revoke the run.
     Unknown,
 }
