--- /dev/null
+++ b/crates/consensus/src/leadership.rs
@@ -0,0 +1,314 @@
+//! State that a leader keeps for its term: the progress of each other member,
+//! the rounds of heartbeats, and a transfer in progress.
+
+use crate::link_health::{LinkHealth, LinkMonitor};
+use crate::progress::{Progress, SendContext};
+use crate::rounds::Rounds;
+use crate::transfer::{Transfer, TransferReason};
+use crate::{Membership, Options, Outgoing};
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+use types::{LogIndex, Milliseconds, Monotonic, NodeId};
+
+/// Heartbeat intervals for which a leader's links must stay degraded before it
+/// transfers leadership.
+const DEGRADED_HEARTBEATS: u64 = 6;
+/// Heartbeat intervals that a leader leads before it may transfer leadership
+/// because its links are degraded: its window of replies has to fill.
+const MIN_LEADERSHIP_HEARTBEATS: u64 = 20;
+/// The same for a leader that was elected by a transfer.
+const MIN_LEADERSHIP_AFTER_TRANSFER_HEARTBEATS: u64 = 80;
+/// Entries that the target of a transfer may lack when the transfer begins:
+/// they follow while proposals wait.
+const MAX_TARGET_LAG: u64 = 512;
+
+/// State of a leader in its term.
+#[derive(Debug)]
+pub(crate) struct Leadership {
+    progress: BTreeMap<NodeId, Progress>,
+    rounds: Rounds,
+    next_heartbeat: Monotonic,
+    /// Index of the first entry of its own term.
+    first_index: LogIndex,
+    transfer: Option<Transfer>,
+    elected_at: Monotonic,
+    elected_by_transfer: bool,
+    /// Since when the leader's links have been degraded.
+    degraded_since: Option<Monotonic>,
+}
+
+impl Leadership {
+    /// A leader elected at `now` that appended the first entry of its term at
+    /// `first_index`.
+    pub fn new(first_index: LogIndex, now: Monotonic, elected_by_transfer: bool) -> Self {
+        Self {
+            progress: BTreeMap::new(),
+            rounds: Rounds::new(),
+            next_heartbeat: now,
+            first_index,
+            transfer: None,
+            elected_at: now,
+            elected_by_transfer,
+            degraded_since: None,
+        }
+    }
+
+    /// Index of the first entry of the leader's term.
+    pub fn first_index(&self) -> LogIndex {
+        self.first_index
+    }
+
+    /// Progress of each other member.
+    pub fn members(&self) -> impl Iterator<Item = (NodeId, &Progress)> {
+        self.progress.iter().map(|(node, member)| (*node, member))
+    }
+
+    /// Progress of one other member, to change it.
+    pub fn member_mut(&mut self, node: NodeId) -> Option<&mut Progress> {
+        self.progress.get_mut(&node)
+    }
+
+    /// Removes former members and adds new ones.
+    pub fn update_members(&mut self, others: &[NodeId], last_index: LogIndex, now: Monotonic) {
+        self.progress.retain(|node, _| others.contains(node));
+        for node in others {
+            self.progress
+                .entry(*node)
+                .or_insert_with(|| Progress::new(last_index, now));
+        }
+    }
+
+    /// Returns whether the next round of heartbeats is due.
+    pub fn heartbeat_is_due(&self, now: Monotonic) -> bool {
+        now >= self.next_heartbeat
+    }
+
+    /// When the leader has something to do without input.
+    pub fn next_wakeup(&self) -> Monotonic {
+        match &self.transfer {
+            Some(transfer) => self.next_heartbeat.min(transfer.deadline()),
+            None => self.next_heartbeat,
+        }
+    }
+
+    /// Begins a round of heartbeats.
+    pub fn begin_round(&mut self, now: Monotonic, options: &Options) {
+        self.rounds.begin(now, options.election_timeout);
+        self.next_heartbeat = now + options.heartbeat_interval;
+    }
+
+    /// Number of the current round.
+    pub fn current_round(&self) -> u64 {
+        self.rounds.current()
+    }
+
+    /// Has `send` queue messages to each other member.
+    pub fn send_to_members(
+        &mut self,
+        context: &SendContext<'_>,
+        messages: &mut Vec<Outgoing>,
+        send: impl Fn(&mut Progress, &SendContext<'_>, NodeId, &mut Vec<Outgoing>),
+    ) {
+        for (node, progress) in &mut self.progress {
+            send(progress, context, *node, messages);
+        }
+    }
+
+    /// The start of the newest round that a quorum answered. The leader
+    /// counts as answering at `now`.
+    pub fn quorum_answered_at(
+        &self,
+        own_id: NodeId,
+        membership: &Membership,
+        now: Monotonic,
+    ) -> Option<Monotonic> {
+        let answered_at = |voter: &NodeId| {
+            if *voter == own_id {
+                return Some(now);
+            }
+            self.progress.get(voter)?.answered_round_begun_at()
+        };
+        let mut times: Vec<Option<Monotonic>> = membership.voters.keys().map(answered_at).collect();
+        times.sort_unstable();
+        times
+            .into_iter()
+            .rev()
+            .nth(membership.quorum() - 1)
+            .flatten()
+    }
+
+    /// Returns whether a quorum, the leader included, replied less than
+    /// `timeout` ago.
+    pub fn has_quorum_contact(
+        &self,
+        own_id: NodeId,
+        membership: &Membership,
+        now: Monotonic,
+        timeout: Milliseconds,
+    ) -> bool {
+        let replied_recently = |voter: &&NodeId| {
+            let since_contact = if **voter == own_id {
+                Milliseconds(0)
+            } else if let Some(progress) = self.progress.get(voter) {
+                now.since(progress.last_contact())
+            } else {
+                return false;
+            };
+            since_contact < timeout
+        };
+        let voters = membership.voters.keys();
+        voters.filter(replied_recently).count() >= membership.quorum()
+    }
+
+    /// The highest index that a quorum has synced; the leader's own log is
+    /// synced up to `own_synced`.
+    pub fn quorum_matched(
+        &self,
+        own_id: NodeId,
+        membership: &Membership,
+        own_synced: LogIndex,
+    ) -> Option<LogIndex> {
+        let matched = |voter: &NodeId| {
+            if *voter == own_id {
+                return own_synced;
+            }
+            let progress = self.progress.get(voter);
+            progress.map_or(LogIndex(0), Progress::matched)
+        };
+        let mut indexes: Vec<LogIndex> = membership.voters.keys().map(matched).collect();
+        indexes.sort_unstable();
+        indexes.into_iter().rev().nth(membership.quorum() - 1)
+    }
+
+    /// Records the reply of a member to a round, and whether it came late.
+    /// With `date_from_reply` (a mutation of tests) the reply's arrival counts
+    /// as the start of the round.
+    pub fn record_reply(
+        &mut self,
+        from: NodeId,
+        round: u64,
+        date_from_reply: bool,
+        now: Monotonic,
+        monitor: &LinkMonitor,
+        options: &Options,
+    ) {
+        let begun_at = self.rounds.begun_at(round);
+        let lease_start = if date_from_reply { Some(now) } else { begun_at };
+        let Some(progress) = self.progress.get_mut(&from) else {
+            return;
+        };
+        progress.record_contact(now, lease_start);
+        if let Some(begun_at) = begun_at {
+            let is_late = monitor.is_late_round_trip(now.since(begun_at), options);
+            progress.record_round_reply(round, is_late, now, options);
+        }
+    }
+
+    /// Health of the leader's links to the voters.
+    pub fn link_health(&self, membership: &Membership, monitor: &LinkMonitor) -> LinkHealth {
+        let members = self.progress.iter();
+        let voters = members.filter(|(node, _)| membership.voters.contains_key(node));
+        monitor.leader_health(voters.map(|(node, progress)| (node, progress.round_replies())))
+    }
+
+    /// Records whether the links are degraded. Returns whether they have been
+    /// for long enough to transfer leadership.
+    pub fn update_degraded(
+        &mut self,
+        is_degraded: bool,
+        now: Monotonic,
+        options: &Options,
+    ) -> bool {
+        if !is_degraded {
+            self.degraded_since = None;
+            return false;
+        }
+        let since = *self.degraded_since.get_or_insert(now);
+        let min_leadership = if self.elected_by_transfer {
+            MIN_LEADERSHIP_AFTER_TRANSFER_HEARTBEATS
+        } else {
+            MIN_LEADERSHIP_HEARTBEATS
+        };
+        now.since(since) >= options.heartbeats(DEGRADED_HEARTBEATS)
+            && now.since(self.elected_at) >= options.heartbeats(min_leadership)
+    }
+
+    /// The voter with the longest matching log; among equals the one that
+    /// replied last. With `max_silence` only voters that replied more recently
+    /// count.
+    pub fn most_advanced_voter(
+        &self,
+        membership: &Membership,
+        now: Monotonic,
+        max_silence: Option<Milliseconds>,
+    ) -> Option<NodeId> {
+        let is_responsive = |progress: &Progress| {
+            max_silence.is_none_or(|limit| now.since(progress.last_contact()) < limit)
+        };
+        self.members()
+            .filter(|(node, _)| membership.voters.contains_key(node))
+            .filter(|(_, progress)| is_responsive(progress))
+            .max_by_key(|(_, progress)| (progress.matched(), progress.last_contact()))
+            .map(|(node, _)| node)
+    }
+
+    /// The voter that is fit to lead, has a nearly complete log and the fewest
+    /// bad links; among equals the one that replied last, since its link works
+    /// at present.
+    pub fn healthiest_voter(
+        &self,
+        membership: &Membership,
+        monitor: &LinkMonitor,
+        last_index: LogIndex,
+        now: Monotonic,
+        options: &Options,
+    ) -> Option<NodeId> {
+        let peers = monitor.fit_peers(membership.quorum(), options.election_timeout, now);
+        peers
+            .filter(|(node, _)| membership.voters.contains_key(node))
+            .filter_map(|(node, bad_links)| {
+                let progress = self.progress.get(&node)?;
+                let reach = progress.matched().0.saturating_add(MAX_TARGET_LAG);
+                (reach >= last_index.0).then_some((node, bad_links, progress.last_contact()))
+            })
+            .min_by_key(|(_, bad_links, last_contact)| (*bad_links, Reverse(*last_contact)))
+            .map(|(node, ..)| node)
+    }
+
+    /// Returns whether a transfer is in progress.
+    pub fn is_transferring(&self) -> bool {
+        self.transfer.is_some()
+    }
+
+    /// The transfer in progress.
+    pub fn transfer(&self) -> Option<&Transfer> {
+        self.transfer.as_ref()
+    }
+
+    /// Returns whether the lease of this term is given up to a transfer.
+    pub fn has_given_up_lease(&self) -> bool {
+        self.transfer
+            .as_ref()
+            .is_some_and(Transfer::timeout_now_sent)
+    }
+
+    /// Begins a transfer.
+    pub fn begin_transfer(&mut self, transfer: Transfer) {
+        self.transfer = Some(transfer);
+    }
+
+    /// Ends the transfer; proposals are accepted again.
+    pub fn cancel_transfer(&mut self) {
+        self.transfer = None;
+    }
+
+    /// If the target of the transfer has the whole log, gives up the lease and
+    /// returns the target, which must now receive `TimeoutNow`.
+    pub fn take_ready_target(&mut self, last_index: LogIndex) -> Option<(NodeId, TransferReason)> {
+        let transfer = self.transfer.as_mut()?;
+        let progress = self.progress.get(&transfer.target())?;
+        transfer
+            .mark_sent_if_caught_up(progress.matched(), last_index)
+            .then_some((transfer.target(), transfer.reason()))
+    }
+}
--- a/crates/consensus/src/link_health.rs
+++ b/crates/consensus/src/link_health.rs
@@ -1,388 +1,394 @@
-//! How well placed a voter is to lead, and the leader that transfers leadership.
+//! Health of the links between voters, as measured by this node.
 //!
-//! A leader that is up, but degraded, is worse than a dead one: its links
-//! lose packets or its machine is slow, its lease lapses and comes back, and
-//! nobody replaces it, since each time a quorum answers again. So every voter
-//! measures how late others answer it:
+//! A leader whose links lose packets, or whose machine is slow, is worse than
+//! a crashed one: its lease expires and is renewed again and again, and no
+//! voter replaces it, since a quorum replies each time. So every voter
+//! measures how many replies of the others come late:
 //!
-//! * the leader by the rounds of its heartbeats, which are sent anyway;
-//! * a follower by probes to the other followers. Its link to the leader tells
-//!   nothing of itself, and is left out. Each probe carries what it measured, so
-//!   the leader hears it as well.
+//! * the leader by its rounds of heartbeats, which it sends anyway;
+//! * a follower by probes to the other followers. It leaves out its link to
+//!   the leader, which says nothing about itself. Each probe carries the
+//!   sender's [`LinkHealth`], so the leader receives it as well.
 //!
-//! The leader judges itself by what it has in common with most others: if one
-//! link is bad, the other end may be; if more than half of its links are bad, it
-//! is. It hands over (see [`crate::transfer`]) if that lasts, and if a follower
-//! that is up to date has good links to a quorum without it. It stays where all
-//! are bad. Who transferred leadership is not chosen again for a while, and a leader that took
-//! over this way keeps its place for a while, so leadership does not wander.
+//! If one link of the leader is bad, the cause may be the other end. If more
+//! than half of its links are bad, the leader counts as degraded. It transfers
+//! leadership if that lasts and if a voter with a complete enough log has good
+//! links to a quorum without the leader; if the links of all voters are bad,
+//! it remains. A voter that transferred leadership is no target for a while,
+//! and a leader elected by such a transfer remains for a while, so leadership
+//! does not oscillate.
 //!
-//! Nothing here is part of the safety argument: a wrong measure costs a transfer.
+//! Safety does not depend on these measurements: a wrong one costs a transfer.
 
-use crate::node::Role;
-use crate::{Message, Node};
+use crate::Options;
 use std::collections::{BTreeMap, VecDeque};
 use types::{Milliseconds, Monotonic, NodeId};
 
-/// An answer is late after this part of the lease: a lease that needs four such
-/// answers in a row is about to lapse.
-const LATE_DIVISOR: u64 = 4;
 /// Heartbeat intervals between two probes.
-const PROBE_HEARTBEATS: u64 = 2;
-/// Heartbeat intervals in the leader's window of answers.
+const PROBE_INTERVAL_HEARTBEATS: u64 = 2;
+/// Heartbeat intervals in the leader's window of replies.
 const ROUND_WINDOW_HEARTBEATS: u64 = 20;
-/// Probe intervals in a follower's window of answers: probes are few, and a link
-/// that loses one packet in forty must show.
-const PROBE_WINDOW: u64 = 40;
-/// Late answers to rounds that make a link bad, and their part of all, in percent.
-const LATE_ROUNDS: usize = 3;
-const LATE_ROUNDS_PERCENT: usize = 15;
-/// A round and its answer wait for the loop of the leader four times at most: for
-/// the round to be queued and to be written, for the answer to be read and taken.
+/// Probe intervals in a follower's window of replies: probes are few, and a
+/// link that loses one packet in forty must show.
+const PROBE_WINDOW_INTERVALS: u64 = 40;
+/// Late replies to rounds from which on a link may count as bad.
+const MIN_LATE_ROUNDS: usize = 3;
+/// Share of late replies to rounds from which on a link may count as bad, in
+/// percent.
+const MIN_LATE_ROUNDS_PERCENT: usize = 15;
+/// A round and its reply wait for the leader's event loop four times at most:
+/// the round to be queued and to be written, the reply to be read and handled.
 const LAG_FACTOR: u64 = 4;
-/// Late answers to probes that make a link bad.
-const LATE_PROBES: usize = 2;
-/// Answers without which nothing is known of a link.
-const FEWEST_ANSWERS: usize = 5;
-/// Heartbeat intervals for which a disk counts as slow after a late sync: longer
-/// than the leader's window of answers.
+/// Late replies to probes from which on a link counts as bad.
+const MIN_LATE_PROBES: usize = 2;
+/// Replies below which a link has no known health.
+const MIN_REPLIES: usize = 5;
+/// Heartbeat intervals for which a disk counts as slow after a late sync:
+/// longer than the leader's window of replies.
 const SLOW_DISK_HEARTBEATS: u64 = 40;
-/// A leader is degraded for so many heartbeat intervals before it transfers leadership.
-const DEGRADED_HEARTBEATS: u64 = 6;
-/// Heartbeat intervals that a leader leads before it judges itself: its window has
-/// to fill.
-const SETTLE_HEARTBEATS: u64 = 20;
-/// The same for a leader that took over from one that transferred leadership.
-const SETTLE_AFTER_TRANSFER_HEARTBEATS: u64 = 80;
-/// Heartbeat intervals for which a leader that transferred leadership is not chosen again.
-const REST_HEARTBEATS: u64 = 600;
-/// Entries that a successor may lack when the transfer begins: they follow while
-/// proposals wait.
-const SUCCESSOR_LAG: u64 = 512;
-
-/// What a voter measured of its links to other voters than the leader.
+/// Heartbeat intervals for which a voter that transferred leadership is not a
+/// target of a transfer.
+const TRANSFER_COOLDOWN_HEARTBEATS: u64 = 600;
+/// A voter is fit to lead while at most one link in so many is bad.
+const FIT_BAD_LINKS_DIVISOR: u8 = 3;
+
+/// Health of a voter's links to the other voters except the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize)]
 pub struct LinkHealth {
-    /// Links whose answers come in time.
+    /// Links whose replies arrive in time.
     pub good_links: u8,
-    /// Links whose answers come late.
+    /// Links whose replies arrive late.
     pub bad_links: u8,
-    /// Whether its disk is slow, or was a moment ago: its answers to the leader
-    /// come late for that, and not for the link.
+    /// Whether the voter's disk is slow, or was a short time ago: its replies
+    /// to the leader are late because of the disk and not of the link.
     pub slow_disk: bool,
-    /// Whether it transferred leadership a while ago.
+    /// Whether the voter transferred leadership a short time ago.
     pub recently_transferred: bool,
 }
 
 impl LinkHealth {
-    /// Returns whether the voter could lead without the present leader: it reaches a
-    /// quorum of `quorum` voters, and a third of its links at most is bad.
+    /// Returns whether more links are bad than good.
+    pub(crate) fn is_degraded(&self) -> bool {
+        self.bad_links > self.good_links
+    }
+
+    /// Returns whether the voter could lead without the present leader: it
+    /// reaches `quorum` voters, itself included, and at most a third of its
+    /// links are bad.
     fn could_lead(&self, quorum: usize) -> bool {
         let links = self.good_links.saturating_add(self.bad_links);
-        let reaches = usize::from(self.good_links) + 1 >= quorum;
-        let is_fit = !self.slow_disk && !self.recently_transferred;
-        reaches && is_fit && self.bad_links.saturating_mul(3) <= links
+        let reaches_quorum = usize::from(self.good_links) + 1 >= quorum;
+        let is_available = !self.slow_disk && !self.recently_transferred;
+        let has_few_bad_links = self.bad_links.saturating_mul(FIT_BAD_LINKS_DIVISOR) <= links;
+        reaches_quorum && is_available && has_few_bad_links
+    }
+
+    /// Returns whether other voters should start an election before this one.
+    pub(crate) fn is_unfit_to_lead(&self) -> bool {
+        self.slow_disk || self.recently_transferred || self.is_degraded()
     }
 
-    /// Returns whether others should stand for election before this voter.
-    pub(crate) fn is_poor(&self) -> bool {
-        self.slow_disk || self.recently_transferred || self.bad_links > self.good_links
+    fn count_bad_link(&mut self) {
+        self.bad_links = self.bad_links.saturating_add(1);
     }
+
+    fn count_good_link(&mut self) {
+        self.good_links = self.good_links.saturating_add(1);
+    }
+}
+
+/// Arrival of a reply, and whether it was late.
+#[derive(Debug, Clone, Copy)]
+struct Reply {
+    at: Monotonic,
+    is_late: bool,
 }
 
-/// Answers in a sliding window, each in time or late.
+/// Replies of one voter in a sliding window.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Answers {
-    answers: VecDeque<(Monotonic, bool)>,
-    late: usize,
+pub(crate) struct ReplyWindow {
+    replies: VecDeque<Reply>,
+    late_count: usize,
 }
 
-impl Answers {
-    /// Records an answer, and forgets those older than the window.
-    pub(crate) fn record(&mut self, now: Monotonic, late: bool, window: Milliseconds) {
-        self.answers.push_back((now, late));
-        self.late += usize::from(late);
-        self.forget(now, window);
+impl ReplyWindow {
+    /// Records a reply to a round of heartbeats.
+    pub fn record_round(&mut self, now: Monotonic, is_late: bool, options: &Options) {
+        self.record(now, is_late, options.heartbeats(ROUND_WINDOW_HEARTBEATS));
     }
 
-    fn forget(&mut self, now: Monotonic, window: Milliseconds) {
-        while let Some((at, late)) = self.answers.front().copied()
-            && now.since(at) > window
+    fn record_probe(&mut self, now: Monotonic, is_late: bool, options: &Options) {
+        let heartbeats = PROBE_INTERVAL_HEARTBEATS * PROBE_WINDOW_INTERVALS;
+        self.record(now, is_late, options.heartbeats(heartbeats));
+    }
+
+    fn record(&mut self, now: Monotonic, is_late: bool, window: Milliseconds) {
+        self.replies.push_back(Reply { at: now, is_late });
+        self.late_count += usize::from(is_late);
+        while let Some(reply) = self.replies.front().copied()
+            && now.since(reply.at) > window
         {
-            self.late -= usize::from(late);
-            self.answers.pop_front();
+            self.late_count -= usize::from(reply.is_late);
+            self.replies.pop_front();
         }
     }
 
-    fn is_known(&self) -> bool {
-        self.answers.len() >= FEWEST_ANSWERS
+    /// Returns whether the window has enough replies to judge the link.
+    fn is_conclusive(&self) -> bool {
+        self.replies.len() >= MIN_REPLIES
     }
 
-    /// Returns whether answers to rounds come too late too often.
-    fn rounds_are_late(&self) -> bool {
-        let share = self.late * 100 >= LATE_ROUNDS_PERCENT * self.answers.len();
-        self.is_known() && self.late >= LATE_ROUNDS && share
+    fn has_late_rounds(&self) -> bool {
+        let reaches_share = self.late_count * 100 >= MIN_LATE_ROUNDS_PERCENT * self.replies.len();
+        self.is_conclusive() && self.late_count >= MIN_LATE_ROUNDS && reaches_share
     }
 
-    fn probes_are_late(&self) -> bool {
-        self.late >= LATE_PROBES
+    fn has_late_probes(&self) -> bool {
+        self.late_count >= MIN_LATE_PROBES
     }
 }
 
-/// A follower's measure of its link to another voter.
+/// A probe without a reply.
+#[derive(Debug, Clone, Copy)]
+struct PendingProbe {
+    number: u64,
+    sent_at: Monotonic,
+}
+
+/// A follower's measurements of its link to another voter.
 #[derive(Debug, Clone, Default)]
 struct ProbedLink {
-    /// Probes without an answer, by number, with the time they left.
-    waiting: VecDeque<(u64, Monotonic)>,
-    answers: Answers,
+    pending: VecDeque<PendingProbe>,
+    replies: ReplyWindow,
+}
+
+impl ProbedLink {
+    fn record_sent(&mut self, number: u64, now: Monotonic) {
+        self.pending.push_back(PendingProbe {
+            number,
+            sent_at: now,
+        });
+        if self.pending.len() as u64 > PROBE_WINDOW_INTERVALS {
+            self.pending.pop_front();
+        }
+    }
+
+    fn record_reply(&mut self, number: u64, now: Monotonic, options: &Options) {
+        while let Some(probe) = self.pending.front().copied()
+            && probe.number <= number
+        {
+            self.pending.pop_front();
+            if probe.number == number {
+                let is_late = now.since(probe.sent_at) > options.late_threshold();
+                self.replies.record_probe(now, is_late, options);
+            }
+        }
+    }
+
+    fn is_bad(&self, now: Monotonic, options: &Options) -> bool {
+        let is_overdue = |probe: &PendingProbe| now.since(probe.sent_at) > options.late_threshold();
+        self.replies.has_late_probes() || self.pending.front().is_some_and(is_overdue)
+    }
+}
+
+/// Health reported by another voter, and when the report arrived.
+#[derive(Debug, Clone, Copy)]
+struct PeerReport {
+    health: LinkHealth,
+    received_at: Monotonic,
 }
 
-/// What a node knows of its own links and, as the leader, of what others measured'.
+/// Measurements of this node's links and disk, and the reports of its peers.
 #[derive(Debug, Default)]
-pub(crate) struct LinkMeasures {
+pub(crate) struct LinkMonitor {
     links: BTreeMap<NodeId, ProbedLink>,
     last_probe: u64,
-    pub(crate) next_probe: Monotonic,
-    /// When a sync last ended late.
-    late_sync_at: Option<Monotonic>,
-    /// When this node last transferred leadership.
+    next_probe: Monotonic,
+    last_late_sync: Option<Monotonic>,
     last_degraded_transfer: Option<Monotonic>,
-    /// Times it did.
-    pub(crate) degraded_transfers: u32,
-    /// How long this process has kept its messages waiting.
-    pub(crate) lag: Milliseconds,
-    /// What other voters said last, and when.
-    peer_reports: BTreeMap<NodeId, (LinkHealth, Monotonic)>,
+    degraded_transfers: u32,
+    lag: Milliseconds,
+    peer_reports: BTreeMap<NodeId, PeerReport>,
 }
 
-impl LinkMeasures {
-    /// What other voters said last.
-    pub(crate) fn peer_reports(&self) -> Vec<(NodeId, LinkHealth)> {
-        let peer_reports = self.peer_reports.iter();
-        peer_reports
-            .map(|(node, (health, _))| (*node, *health))
+impl LinkMonitor {
+    /// When the next probes are due.
+    pub fn next_probe(&self) -> Monotonic {
+        self.next_probe
+    }
+
+    /// Transfers of leadership because the links were degraded.
+    pub fn degraded_transfers(&self) -> u32 {
+        self.degraded_transfers
+    }
+
+    /// How long this process delays its own messages.
+    pub fn lag(&self) -> Milliseconds {
+        self.lag
+    }
+
+    /// Records how long this process delays its own messages.
+    pub fn record_lag(&mut self, lag: Milliseconds) {
+        self.lag = lag;
+    }
+
+    /// The last report of each peer.
+    pub fn peer_reports(&self) -> Vec<(NodeId, LinkHealth)> {
+        let reports = self.peer_reports.iter();
+        reports
+            .map(|(node, report)| (*node, report.health))
             .collect()
     }
-}
 
-impl Node {
-    fn late_after(&self) -> Milliseconds {
-        Milliseconds(self.options.leader_lease.0 / LATE_DIVISOR)
+    /// Records the health that a peer reported with a probe.
+    pub fn record_peer_report(&mut self, from: NodeId, health: LinkHealth, now: Monotonic) {
+        let report = PeerReport {
+            health,
+            received_at: now,
+        };
+        self.peer_reports.insert(from, report);
     }
 
-    fn heartbeats(&self, count: u64) -> Milliseconds {
-        Milliseconds(self.options.heartbeat_interval.0.saturating_mul(count))
+    /// Sets when the next probes are due.
+    pub fn schedule_next_probe(&mut self, now: Monotonic, options: &Options) {
+        self.next_probe = now + options.heartbeats(PROBE_INTERVAL_HEARTBEATS);
     }
 
-    /// Sends probes when they are due. A leader has its rounds.
-    pub(crate) fn probe_when_due(&mut self) {
-        if !self.options.transfer_when_degraded || self.clock < self.measures.next_probe {
-            return;
-        }
-        let interval = self.heartbeats(PROBE_HEARTBEATS);
-        self.measures.next_probe = self.clock + interval;
-        if !self.is_voter() || matches!(self.role, Role::Leader(_)) {
-            self.measures.links.clear();
-            return;
-        }
-        self.measures.last_probe += 1;
-        let number = self.measures.last_probe;
-        let health = self.own_link_health();
-        let others = self.other_voters();
-        self.measures.links.retain(|node, _| others.contains(node));
-        for to in others {
-            self.send(to, Message::Probe { number, health });
-            if Some(to) != self.leader {
-                let link = self.measures.links.entry(to).or_default();
-                link.waiting.push_back((number, self.clock));
-                if link.waiting.len() as u64 > PROBE_WINDOW {
-                    link.waiting.pop_front();
-                }
-            }
+    /// Forgets the probed links: this node leads, or has no vote.
+    pub fn clear_links(&mut self) {
+        self.links.clear();
+    }
+
+    /// Begins probes to `voters` and returns their number. Their replies are
+    /// measured except for the link to `leader`.
+    pub fn begin_probe(
+        &mut self,
+        voters: &[NodeId],
+        leader: Option<NodeId>,
+        now: Monotonic,
+    ) -> u64 {
+        self.last_probe += 1;
+        self.links.retain(|node, _| voters.contains(node));
+        for voter in voters.iter().filter(|voter| Some(**voter) != leader) {
+            let link = self.links.entry(*voter).or_default();
+            link.record_sent(self.last_probe, now);
         }
+        self.last_probe
     }
 
-    /// Takes a probe of another voter, or the answer to one.
-    pub(crate) fn step_probe(&mut self, from: NodeId, message: Message) {
-        match message {
-            Message::Probe { number, health } => {
-                self.measures
-                    .peer_reports
-                    .insert(from, (health, self.clock));
-                if !matches!(self.role, Role::Leader(_)) {
-                    self.send(from, Message::ProbeReply { number });
-                }
-            }
-            Message::ProbeReply { number } => self.record_probe(from, number),
-            _ => {}
+    /// Records the reply to a probe.
+    pub fn record_probe_reply(
+        &mut self,
+        from: NodeId,
+        number: u64,
+        now: Monotonic,
+        options: &Options,
+    ) {
+        if let Some(link) = self.links.get_mut(&from) {
+            link.record_reply(number, now, options);
         }
     }
 
-    fn record_probe(&mut self, from: NodeId, number: u64) {
-        let late_after = self.late_after();
-        let window = self.heartbeats(PROBE_HEARTBEATS * PROBE_WINDOW);
-        let now = self.clock;
-        let Some(link) = self.measures.links.get_mut(&from) else {
-            return;
-        };
-        while let Some((waiting, sent)) = link.waiting.front().copied()
-            && waiting <= number
-        {
-            link.waiting.pop_front();
-            if waiting == number {
-                let late = now.since(sent) > late_after;
-                link.answers.record(now, late, window);
-            }
+    /// Records how long a sync took.
+    pub fn record_sync(&mut self, elapsed: Milliseconds, now: Monotonic, options: &Options) {
+        if elapsed > options.late_threshold() {
+            self.last_late_sync = Some(now);
         }
     }
 
-    /// What this voter measured, without its link to the leader.
-    pub(crate) fn own_link_health(&self) -> LinkHealth {
-        let late_after = self.late_after();
+    /// Records that this node transfers leadership because its links are
+    /// degraded.
+    pub fn record_degraded_transfer(&mut self, now: Monotonic) {
+        self.last_degraded_transfer = Some(now);
+        self.degraded_transfers = self.degraded_transfers.saturating_add(1);
+    }
+
+    /// Health of a follower's links without the one to `leader`.
+    /// `oldest_sync` is when the oldest unfinished sync began.
+    pub fn follower_health(
+        &self,
+        leader: Option<NodeId>,
+        oldest_sync: Option<Monotonic>,
+        now: Monotonic,
+        options: &Options,
+    ) -> LinkHealth {
         let mut health = LinkHealth {
-            slow_disk: self.has_slow_disk(),
-            recently_transferred: self.is_resting(),
+            slow_disk: self.has_slow_disk(oldest_sync, now, options),
+            recently_transferred: self.has_recently_transferred(now, options),
             ..LinkHealth::default()
         };
-        for (node, link) in &self.measures.links {
-            let overdue = link.waiting.front();
-            let unresponsive =
-                overdue.is_some_and(|(_, sent)| self.clock.since(*sent) > late_after);
-            if Some(*node) == self.leader || !link.answers.is_known() {
-                continue;
-            }
-            match link.answers.probes_are_late() || unresponsive {
-                true => health.bad_links = health.bad_links.saturating_add(1),
-                false => health.good_links = health.good_links.saturating_add(1),
+        let links = self.links.iter();
+        let measured =
+            links.filter(|(node, link)| Some(**node) != leader && link.replies.is_conclusive());
+        for (_, link) in measured {
+            if link.is_bad(now, options) {
+                health.count_bad_link();
+            } else {
+                health.count_good_link();
             }
         }
         health
     }
 
-    fn is_resting(&self) -> bool {
-        let rest = self.heartbeats(REST_HEARTBEATS);
-        let last_transfer = self.measures.last_degraded_transfer;
-        last_transfer.is_some_and(|at| self.clock.since(at) < rest)
-    }
-
-    /// Records how long a sync took.
-    pub(crate) fn record_sync(&mut self, took: Milliseconds) {
-        if took > self.late_after() {
-            self.measures.late_sync_at = Some(self.clock);
-        }
+    fn has_recently_transferred(&self, now: Monotonic, options: &Options) -> bool {
+        let cooldown = options.heartbeats(TRANSFER_COOLDOWN_HEARTBEATS);
+        let last = self.last_degraded_transfer;
+        last.is_some_and(|at| now.since(at) < cooldown)
     }
 
-    fn has_slow_disk(&self) -> bool {
-        let lately = self.heartbeats(SLOW_DISK_HEARTBEATS);
-        let late_sync = self.measures.late_sync_at;
-        let was_late = late_sync.is_some_and(|at| self.clock.since(at) < lately);
-        let waits = self.batches.oldest_given_at();
-        was_late || waits.is_some_and(|at| self.clock.since(at) > self.late_after())
+    fn has_slow_disk(
+        &self,
+        oldest_sync: Option<Monotonic>,
+        now: Monotonic,
+        options: &Options,
+    ) -> bool {
+        let memory = options.heartbeats(SLOW_DISK_HEARTBEATS);
+        let was_late = self.last_late_sync.is_some_and(|at| now.since(at) < memory);
+        let is_late = oldest_sync.is_some_and(|at| now.since(at) > options.late_threshold());
+        was_late || is_late
     }
 
-    /// Leader: notes how long a follower took to answer a round.
-    pub(crate) fn record_round_trip(&mut self, from: NodeId, took: Milliseconds) {
-        let lag = self.measures.lag.0.saturating_mul(LAG_FACTOR);
-        let on_the_way = Milliseconds(took.0.saturating_sub(lag));
-        let late = on_the_way > self.late_after();
-        let window = self.heartbeats(ROUND_WINDOW_HEARTBEATS);
-        let now = self.clock;
-        if let Role::Leader(leadership) = &mut self.role
-            && let Some(progress) = leadership.progress.get_mut(&from)
-        {
-            progress.answers.record(now, late, window);
-        }
+    /// Returns whether a follower's reply to a round took too long on the
+    /// way, without the lag of this process.
+    pub fn is_late_round_trip(&self, elapsed: Milliseconds, options: &Options) -> bool {
+        let own_lag = self.lag.0.saturating_mul(LAG_FACTOR);
+        Milliseconds(elapsed.0.saturating_sub(own_lag)) > options.late_threshold()
     }
 
-    /// Leader: its links to other voters, as its rounds tell.
-    pub(crate) fn leader_link_health(&self) -> LinkHealth {
+    /// Health of the leader's links, given the replies of each voter to its
+    /// rounds. Voters that report a slow disk do not count.
+    pub fn leader_health<'a>(
+        &self,
+        voters: impl Iterator<Item = (&'a NodeId, &'a ReplyWindow)>,
+    ) -> LinkHealth {
         let mut health = LinkHealth::default();
-        let Role::Leader(leadership) = &self.role else {
-            return health;
-        };
-        let voters = &self.membership().voters;
-        let members = leadership.progress.iter();
-        for (node, progress) in members.filter(|(node, _)| voters.contains_key(node)) {
-            let report = self.measures.peer_reports.get(node);
-            if report.is_some_and(|(health, _)| health.slow_disk) {
+        for (node, replies) in voters {
+            let report = self.peer_reports.get(node);
+            if report.is_some_and(|report| report.health.slow_disk) {
                 continue;
             }
-            if progress.answers.rounds_are_late() {
-                health.bad_links = health.bad_links.saturating_add(1);
-            } else if progress.answers.is_known() {
-                health.good_links = health.good_links.saturating_add(1);
+            if replies.has_late_rounds() {
+                health.count_bad_link();
+            } else if replies.is_conclusive() {
+                health.count_good_link();
             }
         }
         health
     }
 
-    /// Leader, at each round: transfers leadership if it has been degraded for a while
-    /// and another voter is not.
-    pub(crate) fn give_way_if_badly_placed(&mut self) {
-        let health = self.leader_link_health();
-        let badly_placed = health.bad_links > health.good_links;
-        let (now, timeout) = (self.clock, self.heartbeats(DEGRADED_HEARTBEATS));
-        let first = self.heartbeats(SETTLE_HEARTBEATS);
-        let after_transfer = self.heartbeats(SETTLE_AFTER_TRANSFER_HEARTBEATS);
-        let transfer_when_degraded = self.options.transfer_when_degraded;
-        let Role::Leader(leadership) = &mut self.role else {
-            return;
-        };
-        if !badly_placed {
-            leadership.badly_placed_since = None;
-            return;
-        }
-        let since = *leadership.badly_placed_since.get_or_insert(now);
-        let settled_after = match leadership.by_transfer {
-            true => after_transfer,
-            false => first,
-        };
-        let is_due =
-            now.since(since) >= timeout && now.since(leadership.elected_at) >= settled_after;
-        if !transfer_when_degraded || !is_due || leadership.transfer.is_some() {
-            return;
-        }
-        let Some(target) = self.best_placed_voter() else {
-            return;
-        };
-        tracing::warn!(node = %self.id, term = %self.term, peer = %target,
-            bad_links = health.bad_links, good_links = health.good_links,
-            lag_ms = self.measures.lag.0,
-            "transferring leadership: links degraded");
-        self.transfer_to(target, true);
-    }
-
-    /// This node transferred leadership.
-    pub(crate) fn record_degraded_transfer(&mut self) {
-        self.measures.last_degraded_transfer = Some(self.clock);
-        self.measures.degraded_transfers = self.measures.degraded_transfers.saturating_add(1);
-    }
-
-    /// The voter that could lead and has the fewest bad links; among equals the
-    /// one that was heard last, since the link to it works at this moment.
-    fn best_placed_voter(&self) -> Option<NodeId> {
-        let Role::Leader(leadership) = &self.role else {
-            return None;
-        };
-        let membership = self.membership();
-        let quorum = membership.quorum();
-        let fresh = self.options.election_timeout;
-        let last_index = self.log.last_index().0;
-        let peer_reports = self.measures.peer_reports.iter();
-        peer_reports
-            .filter(|(node, (health, at))| {
-                let progress = leadership.progress.get(node);
-                membership.voters.contains_key(node)
-                    && health.could_lead(quorum)
-                    && self.clock.since(*at) < fresh
-                    && progress.is_some_and(|progress| {
-                        progress.matched.0.saturating_add(SUCCESSOR_LAG) >= last_index
-                    })
-            })
-            .min_by_key(|(node, (health, _))| {
-                let last_contact = leadership.progress.get(node).map(|p| p.last_contact);
-                (health.bad_links, std::cmp::Reverse(last_contact))
+    /// Peers whose report is younger than `max_age` and says that they could
+    /// lead with `quorum` voters, each with its number of bad links.
+    pub fn fit_peers(
+        &self,
+        quorum: usize,
+        max_age: Milliseconds,
+        now: Monotonic,
+    ) -> impl Iterator<Item = (NodeId, u8)> {
+        let reports = self.peer_reports.iter();
+        reports
+            .filter(move |(_, report)| {
+                report.health.could_lead(quorum) && now.since(report.received_at) < max_age
             })
-            .map(|(node, _)| *node)
+            .map(|(node, report)| (*node, report.health.bad_links))
     }
 }
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,5 +1,5 @@
-//! The log in memory: a base, the entries after it, and how far they reached
-//! the disk.
+//! The log in memory: a base, the entries after it, and the index up to which
+//! they are synced.
 
 use crate::{Entry, Payload};
 use std::collections::VecDeque;
@@ -24,13 +24,21 @@
     entry.payload.bytes().saturating_add(ENTRY_OVERHEAD_BYTES)
 }
 
+/// Term and index of an entry, in the order in which elections compare logs
+/// (thesis, 3.6.1).
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct LogPosition {
+    pub term: Term,
+    pub index: LogIndex,
+}
+
 /// The entries after a base that is known committed.
 #[derive(Debug)]
 pub(crate) struct Log {
     base_index: LogIndex,
     base_term: Term,
     entries: VecDeque<Entry>,
-    /// First index that was not yet given out to be written.
+    /// First index that was not yet handed out to be written.
     unwritten_from: LogIndex,
     /// Last index known synced on this node's own disk.
     synced: LogIndex,
@@ -57,18 +65,30 @@
         }
     }
 
+    /// Index after the base.
     pub fn first_index(&self) -> LogIndex {
         after(self.base_index)
     }
 
+    /// Index of the last entry, or of the base.
     pub fn last_index(&self) -> LogIndex {
         self.entries.back().map_or(self.base_index, |e| e.index)
     }
 
+    /// Term of the last entry, or of the base.
     pub fn last_term(&self) -> Term {
         self.entries.back().map_or(self.base_term, |e| e.term)
     }
 
+    /// Position of the last entry, or of the base.
+    pub fn end(&self) -> LogPosition {
+        LogPosition {
+            term: self.last_term(),
+            index: self.last_index(),
+        }
+    }
+
+    /// Last index known synced on this node's own disk.
     pub fn synced(&self) -> LogIndex {
         self.synced
     }
@@ -81,6 +101,7 @@
         self.get(index).map(|entry| entry.term)
     }
 
+    /// The entry at `index`, if it is in memory.
     pub fn get(&self, index: LogIndex) -> Option<&Entry> {
         self.entries.get(self.position(index)?)
     }
@@ -146,19 +167,19 @@
         self.synced = self.synced.min(before(index));
     }
 
-    /// Gives out the entries that were not yet given out to be written.
+    /// Takes the entries that were not yet handed out to be written.
     pub fn take_unwritten(&mut self) -> Vec<Entry> {
         let entries = self.range(self.unwritten_from, self.last_index());
         self.unwritten_from = after(self.last_index());
         entries
     }
 
-    /// Records that the log was synced when its end was `index` of `term`. If
-    /// that entry is gone a later batch overwrote it, and nothing is noted;
-    /// if it is there, so is all before it (log matching).
-    pub fn mark_synced(&mut self, index: LogIndex, term: Term) {
-        if self.term_at(index) == Some(term) {
-            self.synced = self.synced.max(index);
+    /// Records that the log is synced up to `end`. If that entry is gone, a
+    /// later batch overwrote it and nothing is recorded; if it is present, so
+    /// is all before it (Log Matching Property, thesis 3.5).
+    pub fn mark_synced(&mut self, end: LogPosition) {
+        if self.term_at(end.index) == Some(end.term) {
+            self.synced = self.synced.max(end.index);
         }
     }
 
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -5,27 +5,29 @@
 use std::sync::Arc;
 use types::{LogIndex, NodeId, Term};
 
-/// A message between two nodes of one group. `term` is the sender's, but for
-/// pre-votes, where it is the term the sender would stand in.
+/// A message between two nodes of one cluster. `term` is the sender's, except
+/// in a pre-vote, where it is the term of the election that the sender would
+/// start.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Would you vote for me? Raises no term.
+    /// Asks whether the receiver would grant a vote; changes no term (thesis,
+    /// 9.6).
     PreVote {
-        /// The term the sender would stand in.
+        /// The term of the election that the sender would start.
         term: Term,
         /// Last index of the sender's log.
         last_index: LogIndex,
         /// Term of that index.
         last_term: Term,
     },
-    /// Answer to a pre-vote.
+    /// Reply to a pre-vote.
     PreVoteReply {
-        /// The receiver's term if rejected, the asked-for term if granted.
+        /// The requested term if granted, otherwise the replying node's term.
         term: Term,
-        /// Whether it would vote.
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Vote for me.
+    /// Requests a vote (thesis, 3.4).
     Vote {
         /// The candidate's term.
         term: Term,
@@ -33,17 +35,18 @@
         last_index: LogIndex,
         /// Term of that index.
         last_term: Term,
-        /// Set by a leadership transfer: followers answer despite a live leader.
+        /// Set by a leadership transfer: voters grant their vote despite a live
+        /// leader.
         transfer: bool,
     },
-    /// Answer to a vote.
+    /// Reply to a vote request.
     VoteReply {
         /// The voter's term.
         term: Term,
-        /// Whether the vote was given, and synced.
+        /// Whether the vote is granted, and synced.
         granted: bool,
     },
-    /// Entries, or a heartbeat when empty.
+    /// Entries to append, or a heartbeat without entries (thesis, 3.5).
     Append {
         /// The leader's term.
         term: Term,
@@ -55,60 +58,63 @@
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: LogIndex,
-        /// Rises with each round of heartbeats; echoed, so that the leader can
-        /// date its lease from when it sent the round.
+        /// Number of the round of heartbeats. The reply echoes it, so that the
+        /// leader can date its lease from the start of the round.
         round: u64,
     },
-    /// Answer to an append.
+    /// Reply to an append.
     AppendReply {
         /// The follower's term.
         term: Term,
-        /// Whether the entries were taken and synced.
+        /// Whether the entries were appended and synced.
         success: bool,
-        /// On success the last index known equal; otherwise a hint where to try.
+        /// On success the last index known to match; otherwise a hint where the
+        /// logs may match.
         index: LogIndex,
         /// Echo of the round.
         round: u64,
     },
-    /// A piece of a snapshot.
+    /// A chunk of a snapshot (thesis, 5.3).
     SnapshotChunk {
         /// The leader's term.
         term: Term,
-        /// What the snapshot covers.
+        /// Metadata of the snapshot.
         meta: SnapshotMeta,
-        /// Offset of this piece in bytes.
+        /// Offset of this chunk, in bytes.
         offset: u64,
-        /// Length of the whole in bytes.
+        /// Length of the whole snapshot, in bytes.
         total: u64,
-        /// The piece.
+        /// Bytes of the chunk.
         data: Arc<[u8]>,
         /// As in [`Message::Append`].
         round: u64,
     },
-    /// Answer to a piece of a snapshot.
+    /// Reply to a chunk of a snapshot.
     SnapshotReply {
         /// The follower's term.
         term: Term,
-        /// Index of the snapshot meant.
+        /// Last index that the snapshot covers.
         index: LogIndex,
-        /// Next offset wanted; equal to the total when installed and synced.
+        /// Next offset wanted; the total once the snapshot is installed and
+        /// synced.
         next_offset: u64,
         /// Echo of the round.
         round: u64,
     },
-    /// Stand for election now: the leader hands over.
+    /// The leader transfers leadership: the receiver starts an election at once
+    /// (thesis, 3.10).
     TimeoutNow {
         /// The leader's term.
         term: Term,
     },
-    /// How long do you take to answer? Belongs to no term.
+    /// Measures the link between two voters; belongs to no term.
     Probe {
-        /// Its number, echoed.
+        /// Number of the probe, which the reply echoes.
         number: u64,
-        /// What the sender measured so far.
+        /// Health of the sender's links.
         health: LinkHealth,
     },
-    /// Answer to a probe.
+    /// Reply to a probe.
     ProbeReply {
         /// The probe's number.
         number: u64,
@@ -116,7 +122,7 @@
 }
 
 impl Message {
-    /// The term the message carries; 0 for probes, which belong to none.
+    /// The term of the message; 0 for probes, which belong to no term.
     pub fn term(&self) -> Term {
         match self {
             Self::Probe { .. } | Self::ProbeReply { .. } => Term(0),
--- a/crates/consensus/src/options.rs
+++ b/crates/consensus/src/options.rs
@@ -5,29 +5,32 @@
 /// Timings and limits of a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// Shortest silence before an election.
+    /// Shortest time without a message of a leader before a voter starts an
+    /// election.
     pub election_timeout: Milliseconds,
-    /// Up to this much is drawn and added to it, so that nodes stand one after
-    /// the other. More than a round trip and a sync.
+    /// Upper limit of the random time added to `election_timeout`, so that
+    /// voters rarely start elections at once. Should exceed a round trip and
+    /// a sync.
     pub election_spread: Milliseconds,
     /// Time between heartbeats.
     pub heartbeat_interval: Milliseconds,
-    /// The leader acts for this long after the start of the last round that a
-    /// quorum answered; must be less than `election_timeout`.
+    /// Length of the leader's lease, from the start of the last round of
+    /// heartbeats that a quorum answered; must be less than `election_timeout`.
     pub leader_lease: Milliseconds,
-    /// Voters probe one another, and a leader that is degraded transfers leadership to
-    /// one that is not.
+    /// Voters probe one another, and a leader whose links are degraded
+    /// transfers leadership to a voter with healthy links.
     pub transfer_when_degraded: bool,
-    /// Bytes of entries in one append.
+    /// Largest size of the entries in one append, in bytes; a larger single
+    /// entry is sent alone.
     pub max_append_bytes: usize,
-    /// Appends in flight to one follower.
+    /// Largest number of unanswered appends to one follower.
     pub max_appends_in_flight: usize,
-    /// Bytes in one piece of a snapshot.
+    /// Size of one chunk of a snapshot, in bytes.
     pub snapshot_chunk_bytes: usize,
     /// Entries kept in memory before a snapshot's index, so that a follower
-    /// that is a little slow is not forced to a snapshot at once.
+    /// that lags a little receives entries and not a snapshot.
     pub retained_entries: u64,
-    /// Switches one mechanism off, so that tests can show that it is needed.
+    /// Disables one mechanism, so that tests can show that it is needed.
     #[doc(hidden)]
     pub mutation: Option<Mutation>,
 }
@@ -49,26 +52,41 @@
     }
 }
 
+/// A reply is late after this fraction of the lease: four such replies in a
+/// row let the lease expire.
+const LATE_REPLY_DIVISOR: u64 = 4;
+
 impl Options {
-    pub(crate) fn has(&self, mutation: Mutation) -> bool {
+    /// Returns whether a test disabled this mechanism.
+    pub(crate) fn disables(&self, mutation: Mutation) -> bool {
         self.mutation == Some(mutation)
     }
+
+    /// Time after which a reply, or a sync, counts as late.
+    pub(crate) fn late_threshold(&self) -> Milliseconds {
+        Milliseconds(self.leader_lease.0 / LATE_REPLY_DIVISOR)
+    }
+
+    /// Duration of `count` heartbeat intervals.
+    pub(crate) fn heartbeats(&self, count: u64) -> Milliseconds {
+        Milliseconds(self.heartbeat_interval.0.saturating_mul(count))
+    }
 }
 
-/// A mechanism that tests switch off.
+/// A mechanism that tests disable.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
-    /// Voters grant votes although they hear a live leader.
+    /// Voters grant votes although they have a live leader.
     VoteDespiteLeader,
     /// A voter that restarted grants votes at once.
     VoteAfterRestart,
-    /// Nodes stand for election without asking first.
+    /// Nodes start an election without a pre-vote.
     SkipPreVote,
-    /// Replies to votes and appends leave before the sync.
+    /// Replies to votes and appends are sent before the sync.
     ReplyBeforeSync,
-    /// The lease is dated from when the answer came.
+    /// The lease is dated from the arrival of the reply.
     LeaseFromReply,
-    /// The leader keeps its lease after it handed over.
+    /// The leader keeps its lease after it sent `TimeoutNow`.
     LeaseDuringTransfer,
 }
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,33 +1,33 @@
-//! What a leader knows of one other member, and what it sends there next.
+//! Replication progress of one other member, and the next message to it.
 //!
-//! A member that does not answer is asked with empty messages until it does:
-//! entries and pieces sent to it would lie in its connection, and all arrive,
-//! each again and again, when the link heals.
+//! A member that does not reply receives empty messages until it does: entries
+//! and chunks would queue up in its connection, and all of their repetitions
+//! would arrive once the link recovers.
 
-use crate::link_health::Answers;
+use crate::link_health::ReplyWindow;
 use crate::log::{Log, after, before};
 use crate::snapshot::OutgoingSnapshot;
 use crate::{Entry, Message, Options, Outgoing, Snapshot};
 use std::collections::VecDeque;
 use types::{LogIndex, Milliseconds, Monotonic, NodeId, Term};
 
-/// Heartbeat intervals without progress after which appends in flight count
-/// as lost.
+/// Heartbeat intervals without progress after which appends in flight count as
+/// lost.
 const LOSS_HEARTBEATS: u64 = 2;
 
 /// How entries are sent to a member.
 #[derive(Debug)]
 pub(crate) enum Sending {
-    /// One append at a time, until it is known where the logs are equal.
+    /// One append at a time, until it is known up to where the logs match.
     Probe { waiting: bool },
-    /// Several appends in flight; with the last index of each.
+    /// Several appends in flight, with the last index of each.
     Replicate { in_flight: VecDeque<LogIndex> },
-    /// The entries it needs are gone: a snapshot goes first.
+    /// A snapshot, since the entries that the member needs are compacted.
     Snapshot(OutgoingSnapshot),
 }
 
-/// What a leader has at hand for sending.
-pub(crate) struct Source<'a> {
+/// State of the leader from which messages are built.
+pub(crate) struct SendContext<'a> {
     pub term: Term,
     pub commit: LogIndex,
     pub round: u64,
@@ -40,77 +40,129 @@
 /// A leader's view of one other member.
 #[derive(Debug)]
 pub(crate) struct Progress {
-    /// Last index known equal and synced there.
-    pub matched: LogIndex,
+    /// Last index known to match and to be synced there.
+    matched: LogIndex,
     /// Next index to send.
     next: LogIndex,
-    pub sending: Sending,
-    /// When it last answered in this term, or joined the list.
-    pub last_contact: Monotonic,
-    /// When the newest round it answered was begun.
-    pub answered_round: Option<Monotonic>,
+    sending: Sending,
+    /// When it last replied in this term, or became a member.
+    last_contact: Monotonic,
+    /// When the newest round that it answered began.
+    answered_round_begun_at: Option<Monotonic>,
     /// Number of the newest round it answered.
-    pub last_round: u64,
-    /// How late it answered rounds lately.
-    pub answers: Answers,
-    /// When `matched` last grew, or sending began anew.
+    last_round: u64,
+    /// Its recent replies to rounds.
+    round_replies: ReplyWindow,
+    /// When `matched` last increased, or sending began anew.
     advanced_at: Monotonic,
 }
 
 impl Progress {
+    /// Progress of a member that joined at `now`; sending begins at `next`.
     pub fn new(next: LogIndex, now: Monotonic) -> Self {
         Self {
             matched: LogIndex(0),
             next,
             sending: Sending::Probe { waiting: false },
             last_contact: now,
-            answered_round: None,
+            answered_round_begun_at: None,
             last_round: 0,
-            answers: Answers::default(),
+            round_replies: ReplyWindow::default(),
             advanced_at: now,
         }
     }
 
-    /// Sends as much as the window allows.
-    pub fn pump(&mut self, source: &Source<'_>, to: NodeId, out: &mut Vec<Outgoing>) {
+    /// Last index known to match and to be synced there.
+    pub fn matched(&self) -> LogIndex {
+        self.matched
+    }
+
+    /// When the member last replied in this term, or became a member.
+    pub fn last_contact(&self) -> Monotonic {
+        self.last_contact
+    }
+
+    /// When the newest round that the member answered began.
+    pub fn answered_round_begun_at(&self) -> Option<Monotonic> {
+        self.answered_round_begun_at
+    }
+
+    /// The member's recent replies to rounds.
+    pub fn round_replies(&self) -> &ReplyWindow {
+        &self.round_replies
+    }
+
+    /// Records a reply to a round that began at `round_begun_at`, if known.
+    pub fn record_contact(&mut self, now: Monotonic, round_begun_at: Option<Monotonic>) {
+        self.last_contact = now;
+        self.answered_round_begun_at = self.answered_round_begun_at.max(round_begun_at);
+    }
+
+    /// Records whether the first reply to a round was late. Later replies to
+    /// the same round answer entries sent since, and do not count.
+    pub fn record_round_reply(
+        &mut self,
+        round: u64,
+        is_late: bool,
+        now: Monotonic,
+        options: &Options,
+    ) {
+        if round > self.last_round {
+            self.last_round = round;
+            self.round_replies.record_round(now, is_late, options);
+        }
+    }
+
+    /// Sends as many messages as the window allows.
+    pub fn send_available(
+        &mut self,
+        context: &SendContext<'_>,
+        to: NodeId,
+        out: &mut Vec<Outgoing>,
+    ) {
         loop {
-            let window = source.options.max_appends_in_flight.max(1);
+            let window = context.options.max_appends_in_flight.max(1);
             let may_send = match &self.sending {
                 Sending::Probe { waiting } => !waiting,
                 Sending::Replicate { in_flight } => {
-                    in_flight.len() < window && self.next <= source.log.last_index()
+                    in_flight.len() < window && self.next <= context.log.last_index()
                 }
-                Sending::Snapshot(transfer) => !transfer.waiting(),
+                Sending::Snapshot(transfer) => !transfer.is_waiting(),
             };
             if !may_send {
                 return;
             }
             out.push(Outgoing {
                 to,
-                message: self.next_message(source),
+                message: self.next_message(context),
             });
         }
     }
 
-    /// The next append or piece of a snapshot; switches to a snapshot when
-    /// the entries are gone.
-    fn next_message(&mut self, source: &Source<'_>) -> Message {
+    /// The next append or chunk of a snapshot; switches to a snapshot if the
+    /// entries are compacted.
+    fn next_message(&mut self, context: &SendContext<'_>) -> Message {
         let previous = before(self.next);
         if let Sending::Snapshot(transfer) = &mut self.sending {
-            return transfer.next_chunk(source);
+            return next_chunk(transfer, context);
         }
-        match (source.log.term_at(previous), source.snapshot) {
+        match (context.log.term_at(previous), context.snapshot) {
             (None, Some(snapshot)) => {
                 let mut transfer = OutgoingSnapshot::new(snapshot.clone());
-                let chunk = transfer.next_chunk(source);
+                let chunk = next_chunk(&mut transfer, context);
                 self.sending = Sending::Snapshot(transfer);
                 chunk
             }
             (previous_term, _) => {
-                let max_bytes = source.options.max_append_bytes;
-                let entries = source.log.batch(self.next, max_bytes);
-                self.record_sent(&entries, source.now);
-                append(source, previous, previous_term.unwrap_or_default(), entries)
+                let max_bytes = context.options.max_append_bytes;
+                let entries = context.log.batch(self.next, max_bytes);
+                self.record_sent(&entries, context.now);
+                append(
+                    context,
+                    previous,
+                    previous_term.unwrap_or_default(),
+                    entries,
+                )
             }
         }
     }
@@ -131,66 +183,76 @@
         }
     }
 
-    /// Begins a round: sends a heartbeat, and more where there is room.
-    pub fn heartbeat(&mut self, source: &Source<'_>, to: NodeId, out: &mut Vec<Outgoing>) {
-        if self.is_stalled(source) {
-            self.probe();
-            self.ask_again(source, to, out);
+    /// Sends the heartbeat of a new round, and entries if the window allows.
+    pub fn send_heartbeat_round(
+        &mut self,
+        context: &SendContext<'_>,
+        to: NodeId,
+        out: &mut Vec<Outgoing>,
+    ) {
+        if self.is_stalled(context) {
+            self.restart_probing();
+            self.repeat_empty(context, to, out);
         } else {
             match &mut self.sending {
-                Sending::Probe { waiting: true } => self.ask_again(source, to, out),
+                Sending::Probe { waiting: true } => self.repeat_empty(context, to, out),
                 Sending::Probe { waiting: false } => {}
-                Sending::Snapshot(transfer) => out.extend(transfer.ask_again(source, to)),
-                Sending::Replicate { .. } => self.beat(source, to, out),
+                Sending::Snapshot(transfer) => {
+                    let message = transfer.empty_chunk(context.term, context.round);
+                    out.extend(message.map(|message| Outgoing { to, message }));
+                }
+                Sending::Replicate { .. } => self.send_heartbeat(context, to, out),
             }
         }
-        self.pump(source, to, out);
+        self.send_available(context, to, out);
     }
 
     /// Returns whether appends in flight count as lost.
-    fn is_stalled(&self, source: &Source<'_>) -> bool {
-        let timeout = Milliseconds(source.options.heartbeat_interval.0 * LOSS_HEARTBEATS);
-        let in_flight = match &self.sending {
+    fn is_stalled(&self, context: &SendContext<'_>) -> bool {
+        let timeout = Milliseconds(context.options.heartbeat_interval.0 * LOSS_HEARTBEATS);
+        let has_appends_in_flight = match &self.sending {
             Sending::Replicate { in_flight } => !in_flight.is_empty(),
-            _ => false,
+            Sending::Probe { .. } | Sending::Snapshot(_) => false,
         };
-        in_flight && source.now.since(self.advanced_at) >= timeout
+        has_appends_in_flight && context.now.since(self.advanced_at) >= timeout
     }
 
-    /// Everything up to `matched` is equal there, so an empty append after it
-    /// never fails and carries the commit index that far.
-    fn beat(&mut self, source: &Source<'_>, to: NodeId, out: &mut Vec<Outgoing>) {
-        let Some(term) = source.log.term_at(self.matched) else {
-            return self.probe();
+    /// Sends an empty append after `matched`. The log matches up to there, so
+    /// the append never fails and carries the commit index that far.
+    fn send_heartbeat(&mut self, context: &SendContext<'_>, to: NodeId, out: &mut Vec<Outgoing>) {
+        let Some(term) = context.log.term_at(self.matched) else {
+            self.restart_probing();
+            return;
         };
         out.push(Outgoing {
             to,
-            message: append(source, self.matched, term, Vec::new()),
+            message: append(context, self.matched, term, Vec::new()),
         });
     }
 
-    /// Asks for the entry before the next one, and sends none: what was sent
-    /// has not been answered. A pump follows where that entry is gone.
-    fn ask_again(&mut self, source: &Source<'_>, to: NodeId, out: &mut Vec<Outgoing>) {
+    /// Sends an empty append before the next entry, since what was sent is not
+    /// answered. Where the previous entry is compacted nothing is sent, and
+    /// [`Progress::send_available`] begins a snapshot.
+    fn repeat_empty(&mut self, context: &SendContext<'_>, to: NodeId, out: &mut Vec<Outgoing>) {
         let previous = before(self.next);
-        let term = source.log.term_at(previous);
+        let term = context.log.term_at(previous);
         self.sending = Sending::Probe {
             waiting: term.is_some(),
         };
         out.extend(term.map(|term| Outgoing {
             to,
-            message: append(source, previous, term, Vec::new()),
+            message: append(context, previous, term, Vec::new()),
         }));
     }
 
-    /// Goes back to sending one append at a time, from what is known equal.
-    fn probe(&mut self) {
+    /// Returns to one append at a time, from the last index known to match.
+    fn restart_probing(&mut self) {
         self.next = after(self.matched);
         self.sending = Sending::Probe { waiting: false };
     }
 
-    /// Records that the member holds the log up to `index`, synced.
-    pub fn succeed(&mut self, index: LogIndex, log: &Log, now: Monotonic) {
+    /// Records that the member has synced the log up to `index`.
+    pub fn record_match(&mut self, index: LogIndex, log: &Log, now: Monotonic) {
         if index > self.matched {
             self.matched = index;
             self.advanced_at = now;
@@ -213,16 +275,32 @@
         }
     }
 
-    /// Ends the transfer of a snapshot that is installed.
-    pub fn leave_snapshot(&mut self) {
+    /// Records a member's reply to a chunk of the snapshot at `index`, of which
+    /// it wants `next_offset` next. Returns whether the snapshot is installed.
+    pub fn record_snapshot_reply(&mut self, index: LogIndex, next_offset: u64, round: u64) -> bool {
+        let Sending::Snapshot(transfer) = &mut self.sending else {
+            return false;
+        };
+        if transfer.index() != index {
+            return false;
+        }
+        if next_offset < transfer.total() {
+            transfer.resume(next_offset, round);
+            return false;
+        }
+        self.end_snapshot();
+        true
+    }
+
+    fn end_snapshot(&mut self) {
         self.sending = Sending::Probe { waiting: false };
     }
 
-    /// Records that an append was rejected; `hint` is where the logs may still
-    /// be equal, and lies before what was tried. Any other rejection is an old
-    /// one: the appends behind a lost one are all rejected, and must not each
-    /// have the lost one sent again.
-    pub fn fail(&mut self, hint: LogIndex) {
+    /// Records that the member rejected an append; `hint` is where the logs may
+    /// still match, and is before the index tried. A rejection with another
+    /// hint is an old one: the appends behind a lost one are all rejected, and
+    /// must not each cause the lost one to be sent again.
+    pub fn record_reject(&mut self, hint: LogIndex) {
         let tried = before(self.next);
         if matches!(self.sending, Sending::Snapshot(_)) || hint >= tried {
             return;
@@ -232,18 +310,23 @@
     }
 }
 
+fn next_chunk(transfer: &mut OutgoingSnapshot, context: &SendContext<'_>) -> Message {
+    let max_bytes = context.options.snapshot_chunk_bytes;
+    transfer.next_chunk(context.term, context.round, max_bytes)
+}
+
 fn append(
-    source: &Source<'_>,
+    context: &SendContext<'_>,
     previous_index: LogIndex,
     previous_term: Term,
     entries: Vec<Entry>,
 ) -> Message {
     Message::Append {
-        term: source.term,
+        term: context.term,
         previous_index,
         previous_term,
         entries,
-        commit: source.commit,
-        round: source.round,
+        commit: context.commit,
+        round: context.round,
     }
 }
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -1,82 +1,88 @@
-//! Snapshots: cutting the log, sending in pieces, receiving and installing.
+//! Snapshots on their way to or from another node, in chunks.
 
-use crate::lease::NO_ROUND;
-use crate::node::Role;
-use crate::progress::Source;
-use crate::{Message, Node, Outgoing, Snapshot, SnapshotMeta};
+use crate::rounds::NO_ROUND;
+use crate::{Message, Snapshot, SnapshotMeta};
 use std::sync::Arc;
-use types::{LogIndex, NodeId, Term};
+use types::{LogIndex, Term};
 
-/// A snapshot on its way to one follower, one piece at a time.
+/// A snapshot that is sent to one follower, one chunk at a time.
 #[derive(Debug)]
 pub(crate) struct OutgoingSnapshot {
     snapshot: Snapshot,
     offset: u64,
     waiting: bool,
-    /// Round in which the piece under way was sent.
-    sent_in: u64,
+    /// Round in which the chunk in flight was sent.
+    sent_in_round: u64,
 }
 
 impl OutgoingSnapshot {
+    /// A snapshot of which nothing is sent yet.
     pub fn new(snapshot: Snapshot) -> Self {
         Self {
             snapshot,
             offset: 0,
             waiting: false,
-            sent_in: NO_ROUND,
+            sent_in_round: NO_ROUND,
         }
     }
 
-    /// Returns whether a piece is on its way.
-    pub fn waiting(&self) -> bool {
+    /// Returns whether a chunk is in flight.
+    pub fn is_waiting(&self) -> bool {
         self.waiting
     }
 
-    fn total(&self) -> u64 {
+    /// Last index that the snapshot covers.
+    pub fn index(&self) -> LogIndex {
+        self.snapshot.meta.index
+    }
+
+    /// Length of the snapshot in bytes.
+    pub fn total(&self) -> u64 {
         self.snapshot.data.len() as u64
     }
 
-    /// Sends the next piece.
-    pub fn next_chunk(&mut self, source: &Source<'_>) -> Message {
+    /// The next chunk, of at most `max_bytes` and at least one byte.
+    pub fn next_chunk(&mut self, term: Term, round: u64, max_bytes: usize) -> Message {
         self.waiting = true;
-        self.sent_in = source.round;
+        self.sent_in_round = round;
         let data = &self.snapshot.data;
         let start = usize::try_from(self.offset).unwrap_or(data.len());
-        let length = source.options.snapshot_chunk_bytes.max(1);
+        let length = max_bytes.max(1);
         let end = start.saturating_add(length).min(data.len());
-        self.chunk(source, data.get(start..end).unwrap_or_default())
+        self.chunk(term, round, data.get(start..end).unwrap_or_default())
     }
 
-    /// Asks which piece is wanted, with an empty one, where one is under way.
-    pub fn ask_again(&self, source: &Source<'_>, to: NodeId) -> Option<Outgoing> {
-        let message = self.chunk(source, &[]);
-        self.waiting.then_some(Outgoing { to, message })
+    /// An empty chunk that asks for the next offset wanted, if a chunk is in
+    /// flight.
+    pub fn empty_chunk(&self, term: Term, round: u64) -> Option<Message> {
+        self.waiting.then(|| self.chunk(term, round, &[]))
     }
 
-    fn chunk(&self, source: &Source<'_>, data: &[u8]) -> Message {
+    fn chunk(&self, term: Term, round: u64, data: &[u8]) -> Message {
         Message::SnapshotChunk {
-            term: source.term,
+            term,
             meta: self.snapshot.meta.clone(),
             offset: self.offset,
             total: self.total(),
             data: Arc::from(data),
-            round: source.round,
+            round,
         }
     }
 
-    /// Takes the follower's wish. The piece under way has arrived if more is
-    /// wanted, and is lost if an answer from a later round still wants it:
-    /// the question went after it. Any other answer is an old or doubled one,
-    /// and must not double the pieces.
-    fn resume(&mut self, next_offset: u64, round: u64) {
-        if next_offset > self.offset || round > self.sent_in {
+    /// Records the next offset that the follower wants. The chunk in flight has
+    /// arrived if the follower wants more. It is lost if a reply from a later
+    /// round still wants it, since the request of that round was sent after
+    /// it. Any other reply is old or a duplicate, and must not duplicate
+    /// chunks.
+    pub fn resume(&mut self, next_offset: u64, round: u64) {
+        if next_offset > self.offset || round > self.sent_in_round {
             self.waiting = false;
             self.offset = next_offset.min(self.total());
         }
     }
 }
 
-/// A piece as it arrives.
+/// A chunk received from the leader.
 pub(crate) struct Chunk {
     pub meta: SnapshotMeta,
     pub offset: u64,
@@ -84,7 +90,7 @@
     pub data: Arc<[u8]>,
 }
 
-/// The pieces of a snapshot received so far.
+/// The chunks of one snapshot received so far.
 #[derive(Debug)]
 pub(crate) struct IncomingSnapshot {
     meta: SnapshotMeta,
@@ -101,8 +107,8 @@
         self.data.len() as u64
     }
 
-    /// Takes the piece if it is the next one; returns the offset wanted then.
-    fn take(&mut self, chunk: &Chunk) -> u64 {
+    /// Appends the chunk if it is the next one. Returns the next offset wanted.
+    fn append(&mut self, chunk: &Chunk) -> u64 {
         if chunk.offset == self.received() {
             self.data.extend_from_slice(&chunk.data);
         }
@@ -111,132 +117,57 @@
 }
 
 impl Chunk {
-    fn is_well_formed(&self, term: Term) -> bool {
+    /// Returns whether the chunk lies within the snapshot, and the snapshot is
+    /// not from a term after `term`, that of the leader.
+    pub fn is_well_formed(&self, term: Term) -> bool {
         let end = self.offset.saturating_add(self.data.len() as u64);
         end <= self.total && self.meta.term <= term
     }
 }
 
-impl Node {
-    /// Says that the state machine's snapshot is synced: the log may be cut
-    /// before it, and slow followers get it in pieces. Ignored if it covers
-    /// entries that were never handed out, or less than the last one. Its
-    /// meta must be what [`Node::snapshot_meta`] gave.
-    pub fn compact(&mut self, snapshot: Snapshot) {
-        let index = snapshot.meta.index;
-        let newest = self.snapshot.as_ref().map(|s| s.meta.index);
-        if index > self.delivered || newest.is_some_and(|newest| index <= newest) {
-            return;
-        }
-        if self.log.term_at(index) != Some(snapshot.meta.term) {
-            return;
-        }
-        let retained = self.options.retained_entries;
-        self.log.cover(index);
-        self.history.compact(index);
-        self.log.compact(LogIndex(index.0.saturating_sub(retained)));
-        self.snapshot = Some(snapshot);
-    }
+/// The snapshot that a follower is receiving, if any.
+#[derive(Debug, Default)]
+pub(crate) struct SnapshotReceiver {
+    incoming: Option<IncomingSnapshot>,
+}
 
-    pub(crate) fn on_snapshot_chunk(&mut self, from: NodeId, term: Term, chunk: Chunk, round: u64) {
-        if !chunk.is_well_formed(term) {
-            tracing::warn!(node = %self.id, peer = %from, "rejected malformed snapshot chunk");
-            return;
-        }
-        if !self.hear_leader(from, term) {
-            self.reply_snapshot(from, chunk.meta.index, 0, NO_ROUND);
-            return;
-        }
-        let index = chunk.meta.index;
-        let next_offset = if index <= self.commit {
-            chunk.total
-        } else {
-            self.receive(chunk)
-        };
-        self.reply_snapshot(from, index, next_offset, round);
-    }
+/// Result of a received chunk.
+pub(crate) struct Received {
+    /// Next offset wanted.
+    pub next_offset: u64,
+    /// The snapshot, once it is whole.
+    pub snapshot: Option<Snapshot>,
+}
 
-    fn reply_snapshot(&mut self, to: NodeId, index: LogIndex, next_offset: u64, round: u64) {
-        let reply = Message::SnapshotReply {
-            term: self.term,
-            index,
-            next_offset,
-            round,
-        };
-        self.send_after_persist(to, reply);
+impl SnapshotReceiver {
+    /// Drops the chunks received so far.
+    pub fn clear(&mut self) {
+        self.incoming = None;
     }
 
-    /// Collects a piece and installs the snapshot when it is whole; returns
-    /// the next offset wanted.
-    fn receive(&mut self, chunk: Chunk) -> u64 {
+    /// Adds a chunk; one of another snapshot begins anew.
+    pub fn receive(&mut self, chunk: &Chunk) -> Received {
         let mut incoming = match self.incoming.take() {
-            Some(incoming) if incoming.is_for(&chunk) => incoming,
+            Some(incoming) if incoming.is_for(chunk) => incoming,
             _ => IncomingSnapshot {
                 meta: chunk.meta.clone(),
                 total: chunk.total,
                 data: Vec::new(),
             },
         };
-        let next_offset = incoming.take(&chunk);
+        let next_offset = incoming.append(chunk);
+        let mut snapshot = None;
         if next_offset == incoming.total {
-            self.install(Snapshot {
+            snapshot = Some(Snapshot {
                 meta: incoming.meta,
                 data: Arc::from(incoming.data),
             });
         } else {
             self.incoming = Some(incoming);
         }
-        next_offset
-    }
-
-    fn install(&mut self, snapshot: Snapshot) {
-        let meta = &snapshot.meta;
-        tracing::info!(node = %self.id, index = %meta.index, "installing snapshot");
-        let keeps_tail = self.log.term_at(meta.index) == Some(meta.term);
-        if !keeps_tail {
-            self.history.truncate_from(LogIndex(0));
-        }
-        self.log.install(meta.index, meta.term);
-        self.history.install(meta.index, meta.membership.clone());
-        self.commit = meta.index;
-        self.delivered = meta.index;
-        self.outbox.snapshot = Some(snapshot.clone());
-        self.snapshot = Some(snapshot);
-    }
-
-    pub(crate) fn on_snapshot_reply(
-        &mut self,
-        from: NodeId,
-        term: Term,
-        index: LogIndex,
-        next_offset: u64,
-        round: u64,
-    ) {
-        self.step_down_for(term);
-        if term != self.term || round == NO_ROUND || index > self.commit {
-            return;
-        }
-        self.record_answer(from, round);
-        let now = self.clock;
-        let Role::Leader(leadership) = &mut self.role else {
-            return;
-        };
-        let Some(progress) = leadership.progress.get_mut(&from) else {
-            return;
-        };
-        let crate::progress::Sending::Snapshot(transfer) = &mut progress.sending else {
-            return;
-        };
-        if transfer.snapshot.meta.index != index {
-            return;
-        }
-        if next_offset < transfer.total() {
-            transfer.resume(next_offset, round);
-            return;
+        Received {
+            next_offset,
+            snapshot,
         }
-        progress.leave_snapshot();
-        progress.succeed(index, &self.log, now);
-        self.advance_commit();
-        self.advance_transfer();
     }
 }
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -1,4 +1,4 @@
-//! What Raft keeps: entries, hard state, membership, snapshots.
+//! Persistent state of Raft: entries, hard state, membership, snapshots.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -9,30 +9,31 @@
 /// One entry of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place.
+    /// Position in the log; the first entry has index 1.
     pub index: LogIndex,
     /// Term of the leader that appended it.
     pub term: Term,
-    /// What it carries.
+    /// Its content.
     pub payload: Payload,
 }
 
-/// What an entry carries.
+/// Content of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// A leader's first entry: it lets earlier terms' entries commit.
+    /// The first entry of a leader's term: with it the entries of earlier terms
+    /// commit (thesis, 6.4).
     Noop,
-    /// A command for the state machine, opaque here.
+    /// A command for the state machine, opaque to Raft.
     Command(Arc<[u8]>),
     /// A new membership, in force as soon as it is in the log.
     Membership(Membership),
 }
 
-/// The bytes a member of a membership is counted with.
+/// Estimated size of one member in a membership entry, in bytes.
 const MEMBER_BYTES: usize = 40;
 
 impl Payload {
-    /// About how long it is.
+    /// Estimated size in bytes.
     pub fn bytes(&self) -> usize {
         match self {
             Self::Noop => 0,
@@ -44,17 +45,17 @@
     }
 }
 
-/// Voters and learners with their peer sockets.
+/// Voters and learners with their peer addresses.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Membership {
-    /// Members whose acknowledgements count.
+    /// Members that count for elections and commits.
     pub voters: BTreeMap<NodeId, SocketAddr>,
-    /// Members that receive the log and do not vote.
+    /// Members that receive the log without a vote (thesis, 4.2.1).
     pub learners: BTreeMap<NodeId, SocketAddr>,
 }
 
 impl Membership {
-    /// The socket of any member.
+    /// The peer address of a member.
     pub fn socket(&self, node: NodeId) -> Option<SocketAddr> {
         self.voters
             .get(&node)
@@ -62,24 +63,24 @@
             .copied()
     }
 
-    /// Voters needed for a decision.
+    /// Number of voters in a quorum, the smallest majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 }
 
-/// What must be on disk before a vote or an acknowledgement leaves.
+/// State that must be synced before a vote or a reply to an append is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct HardState {
     /// Highest term seen.
     pub term: Term,
-    /// Whom this node voted for in that term.
+    /// The candidate that received this node's vote in that term.
     pub voted_for: Option<NodeId>,
-    /// Highest index known committed; a hint that saves work at restart.
+    /// Highest index known committed; a hint that shortens a restart.
     pub commit: LogIndex,
 }
 
-/// What a snapshot covers.
+/// Metadata of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct SnapshotMeta {
     /// Last index it covers.
@@ -93,35 +94,35 @@
 /// A snapshot of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// What it covers.
+    /// Its metadata.
     pub meta: SnapshotMeta,
-    /// The state machine's bytes, opaque here.
+    /// The encoded state machine, opaque to Raft.
     pub data: Arc<[u8]>,
 }
 
-/// What was found on disk at start.
+/// State recovered from the disk at start.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Recovered {
-    /// The hard state; default for a new node.
+    /// The hard state; the default for a new node.
     pub hard_state: HardState,
-    /// The newest whole snapshot.
+    /// The newest complete snapshot.
     pub snapshot: Option<Snapshot>,
-    /// Entries after the snapshot, without holes.
+    /// Entries after the snapshot, without gaps.
     pub entries: Vec<Entry>,
 }
 
-/// The role of a node in its term.
+/// Role of a node in its term, as reported in [`crate::Status`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RaftRole {
     /// Receives the log without a vote.
     Learner,
-    /// Follows a leader or waits for one.
+    /// Replicates a leader's log, or waits for a leader.
     Follower,
-    /// Asks whether an election could be won, without raising its term.
+    /// Asks for pre-votes, without a new term (thesis, 9.6).
     PreCandidate,
-    /// Stands for election.
+    /// Asks for votes in a new term.
     Candidate,
-    /// Appends and replicates.
+    /// Appends entries and replicates them.
     Leader,
 }
