--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -5,16 +5,28 @@
 //! The leader's messages are collected while an input is handled, and leave
 //! only if the lease still holds at the end.
 
-use crate::directory::Directory;
-use crate::identification::Identification;
+mod bootstrap;
+mod heartbeats;
+mod joining;
+mod leadership;
+mod readiness;
+mod replication;
+mod requests;
+mod sessions;
+
+use crate::effect::{Effect, Input};
+use crate::identity::directory::Directory;
+use crate::identity::identification::Identification;
 use crate::leader::Leader;
+use crate::options::{CoordinatorOptions, Mutation};
+use crate::readiness::Readiness;
 use crate::replica::Replica;
+use crate::sender::Sender;
 use consensus::Recovered;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use session::route::{self, Opened};
-use std::net::SocketAddr;
-use storage::{Batch, Identity};
+use storage::Identity;
 use transport::{Envelope, PeerMessage};
 use types::{Address, Milliseconds, Monotonic, Now};
 
@@ -23,141 +35,21 @@
 /// Rounds of proposing and applying within one input.
 const MAX_ROUNDS: usize = 8;
 
-/// Settings of the core.
-#[derive(Debug, Clone)]
-pub struct CoordinatorOptions {
-    /// Who and where this process is.
-    pub address: Address,
-    /// Peer sockets of other processes of any role; may be dead, or its own.
-    pub seeds: Vec<SocketAddr>,
-    /// Initial coordinators of a new cluster, and voters wanted ever after.
-    pub initial_coordinators: u32,
-    /// Who may found a cluster.
-    pub bootstrap_rule: BootstrapRule,
-    /// A run whose progress stands still for this long is stopped and placed
-    /// again; none where it is left alone.
-    pub stalled_after: Option<Milliseconds>,
-    /// Runs on a slow runner are moved as well; only where the former is set.
-    pub move_slow: bool,
-    /// Timings of consensus.
-    pub consensus: consensus::Options,
-    /// Limits of the scheduler.
-    pub scheduler: scheduler::SchedulerOptions,
-    /// Length of the sessions of gateways and agents.
-    pub session_lease: Milliseconds,
-    /// A voter silent for this long is replaced by a learner that is ready.
-    pub replace_voter_after: Milliseconds,
-    /// A fresh leader waits at most this long for runners' lists.
-    pub runner_wait: Milliseconds,
-    /// Entries between two snapshots.
-    pub snapshot_every: u64,
-    /// Requests that may wait for the log at once.
-    pub max_waiting_requests: usize,
-    /// Lines of the decision log kept.
-    pub decision_log_capacity: usize,
-    /// Seed of elections, draws and identifiers.
-    pub seed: u64,
-    /// A fault built in on purpose, for the simulation alone: it proves that
-    /// the checker finds what it should. None in every daemon.
-    pub mutation: Option<Mutation>,
-}
-
-/// Who may found a cluster.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum BootstrapRule {
-    /// The lowest identity, when exactly the initial coordinators are there.
-    #[default]
-    Exact,
-    /// The process at this socket alone, when at least the initial
-    /// coordinators are there; the others join. For fleets that know one
-    /// socket in common and not their own number.
-    At(SocketAddr),
-    /// Nobody: a cluster is there or will come back.
-    Never,
-}
-
-/// Faults that the simulation may build in, to prove that they are found.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Mutation {
-    /// An unanswered start is sent again, where a revocation belongs.
-    ResendStartInsteadOfRevoke,
-    /// An unanswered start is closed as rejected, without a revocation.
-    CloseUnansweredStart,
-    /// The leader acts without looking at its lease.
-    SkipLeaseCheck,
-    /// A submit is acknowledged as soon as it is proposed.
-    AcknowledgeBeforeCommit,
-    /// Runs of a silent runner are closed at a tenth of their lease.
-    ExpireRunsEarly,
-    /// The scheduler pulls for every runner and looks into every list.
-    ScanAll,
-    /// A guard of the record left out.
-    StateMachine(state_machine::mutation::Mutation),
-}
-
-/// What happens to the core.
-#[derive(Debug, Clone)]
-pub enum Input {
-    /// Time passed.
-    Tick,
-    /// A message arrived.
-    Peer(Envelope),
-    /// A request arrived so long ago that it is rejected rather than answered
-    /// late: this process is behind, and would be further behind for it.
-    Overdue(Envelope),
-    /// [`Effect::Persist`] of this number is synced.
-    Persisted {
-        /// Its number.
-        number: u64,
-    },
-    /// [`Effect::SaveIdentity`] is synced.
-    IdentitySaved,
-    /// The process was asked to stop: hand over, then end.
-    Stop,
-}
-
-/// What the shell must do.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Effect {
-    /// Send a message; it may be lost.
-    Send {
-        /// Where to.
-        to: SocketAddr,
-        /// The message.
-        message: PeerMessage,
-    },
-    /// Write and sync, in order of the numbers, then give
-    /// [`Input::Persisted`].
-    Persist {
-        /// Its number.
-        number: u64,
-        /// What to write.
-        batch: Batch,
-    },
-    /// Write and sync the identity, then give [`Input::IdentitySaved`].
-    SaveIdentity(Identity),
-    /// Whether this process should count as ready, and why not.
-    Ready(Result<(), String>),
-    /// A line of the decision log.
-    Decision(Box<transport::DecisionEntry>),
-    /// All is handed over; the process may end.
-    Stopped,
-}
-
 /// A coordinator.
 pub struct Coordinator {
-    pub(crate) options: CoordinatorOptions,
-    pub(crate) own: Address,
-    pub(crate) directory: Directory,
-    pub(crate) identification: Identification,
-    pub(crate) replica: Option<Replica>,
-    pub(crate) leader: Option<Leader>,
-    pub(crate) random: ChaCha8Rng,
+    options: CoordinatorOptions,
+    own: Address,
+    directory: Directory,
+    identification: Identification,
+    replica: Option<Replica>,
+    leader: Option<Leader>,
+    random: ChaCha8Rng,
     /// Why it serves no more, when its log or snapshot could not be read.
-    pub(crate) fault: Option<String>,
-    pub(crate) handover: Option<Monotonic>,
-    pub(crate) stopped: bool,
-    pub(crate) readiness: Option<Result<(), String>>,
+    fault: Option<String>,
+    /// When a polite stop ends at the latest; none before one begins.
+    handover_deadline: Option<Monotonic>,
+    stopped: bool,
+    reported_readiness: Option<Readiness>,
     last_input: Now,
 }
 
@@ -184,9 +76,9 @@
             replica: None,
             leader: None,
             fault: None,
-            handover: None,
+            handover_deadline: None,
             stopped: false,
-            readiness: None,
+            reported_readiness: None,
             last_input: now,
         };
         coordinator.start_replica(recovered, now.monotonic);
@@ -213,15 +105,16 @@
             return;
         }
         if let Some(replica) = self.replica.as_mut().filter(|_| self.fault.is_none()) {
-            replica.node.tick(now.monotonic);
+            replica.tick(now.monotonic);
         }
         if self.fault.is_none() {
-            self.follow_leadership(now, effects);
+            self.update_leadership(now, effects);
         }
         for input in inputs {
-            match self.fault {
-                None => self.take(now, input, effects),
-                Some(_) => self.handle_faulted(&input, effects),
+            if self.fault.is_none() {
+                self.handle_one(now, input, effects);
+            } else {
+                self.handle_faulted(now, &input, effects);
             }
         }
         if self.fault.is_none() {
@@ -229,13 +122,13 @@
         }
     }
 
-    fn take(&mut self, now: Now, input: Input, effects: &mut Vec<Effect>) {
+    fn handle_one(&mut self, now: Now, input: Input, effects: &mut Vec<Effect>) {
         match input {
             Input::Tick => {}
             Input::Peer(envelope) => self.receive(now, envelope, effects),
             Input::Overdue(envelope) => self.reject_overdue(now, envelope, effects),
-            Input::Persisted { number } => self.persisted(now, number, effects),
-            Input::IdentitySaved => self.identity_saved(now, effects),
+            Input::Persisted { number } => self.receive_persisted(now, number, effects),
+            Input::IdentitySaved => self.receive_identity_saved(now, effects),
             Input::Stop => self.begin_stop(now),
         }
     }
@@ -244,7 +137,7 @@
     /// is late for that does not speak against a link.
     pub fn record_lag(&mut self, lag: Milliseconds) {
         if let Some(replica) = &mut self.replica {
-            replica.node.record_lag(lag);
+            replica.record_lag(lag);
         }
     }
 
@@ -257,7 +150,7 @@
             own = own.min(at.max(last));
         }
         match &self.replica {
-            Some(replica) => own.min(replica.node.next_wakeup()),
+            Some(replica) => own.min(replica.next_wakeup()),
             None => own,
         }
     }
@@ -265,30 +158,30 @@
     /// The record as this process has applied it; none before it belongs to a
     /// cluster. For checks and for `replay`.
     pub fn state_machine(&self) -> Option<&state_machine::StateMachine> {
-        self.replica.as_ref().map(|replica| &replica.state_machine)
+        self.replica.as_ref().map(Replica::state_machine)
     }
 
     /// Looks of the scheduler so far, in this term; 0 while it does not lead.
     pub fn scan_cost(&self) -> u64 {
         let leader = self.leader.as_ref();
-        leader.map_or(0, |leader| leader.scheduler.scan_cost())
+        leader.map_or(0, |leader| leader.scan_cost())
     }
 
     /// What its consensus node says of itself; none before it has one.
     pub fn status(&self, now: Now) -> Option<consensus::Status> {
         let replica = self.replica.as_ref()?;
-        Some(replica.node.status(now.monotonic))
+        Some(replica.status(now.monotonic))
     }
 
     /// Returns whether it leads and may act.
     pub fn is_serving(&self, now: Now) -> bool {
-        self.may_serve(now) && self.leader.as_ref().is_some_and(|leader| leader.serving)
+        self.may_serve(now) && self.leader.as_ref().is_some_and(Leader::is_serving)
     }
 
     /// The lease, checked at this moment. A leader that hands over acts no
     /// more, whatever its lease says: its successor need not wait for that.
-    pub(crate) fn may_serve(&self, now: Now) -> bool {
-        if self.handover.is_some() || self.fault.is_some() {
+    fn may_serve(&self, now: Now) -> bool {
+        if self.handover_deadline.is_some() || self.fault.is_some() {
             return false;
         }
         let Some(replica) = &self.replica else {
@@ -297,27 +190,27 @@
         if self.options.mutation == Some(Mutation::SkipLeaseCheck) && self.leader.is_some() {
             return true;
         }
-        replica.node.holds_lease(now.monotonic)
+        replica.holds_lease(now.monotonic)
     }
 
     fn advance(&mut self, now: Now, effects: &mut Vec<Effect>) {
-        self.identify(now, effects);
-        self.pump(now, effects);
-        self.follow_leadership(now, effects);
-        self.lead(now);
+        self.run_identity_round(now, effects);
+        self.process_consensus(now, effects);
+        self.update_leadership(now, effects);
+        self.run_leader_work(now);
         for _ in 0..MAX_ROUNDS {
             if !self.propose_collected(now, effects) {
                 break;
             }
-            self.pump(now, effects);
-            self.follow_leadership(now, effects);
+            self.process_consensus(now, effects);
+            self.update_leadership(now, effects);
         }
         self.send_collected(now, effects);
         self.report_readiness(now, effects);
         self.finish_stop(now, effects);
     }
 
-    pub(crate) fn receive(&mut self, now: Now, envelope: Envelope, effects: &mut Vec<Effect>) {
+    fn receive(&mut self, now: Now, envelope: Envelope, effects: &mut Vec<Effect>) {
         let Some(envelope) = self.open_relay(envelope, effects) else {
             return;
         };
@@ -330,23 +223,25 @@
         let sender = Sender::of(&envelope);
         match envelope.body {
             PeerMessage::Discover => self.answer_discover(now, &sender, effects),
-            PeerMessage::Members(members) => self.members_received(now, &sender, members),
+            PeerMessage::Members(members) => self.receive_members(now, &sender, members),
             PeerMessage::Bootstrap(bootstrap) => {
-                self.bootstrap_received(now, &sender, bootstrap, effects)
+                self.receive_bootstrap(now, &sender, bootstrap, effects);
             }
             PeerMessage::Raft {
                 cluster,
                 to,
                 message,
-            } => self.raft_received(now, &sender, cluster, to, message),
+            } => self.receive_consensus(now, &sender, cluster, to, message),
             PeerMessage::KeepAlive(keep_alive) => {
-                self.keep_alive_received(now, &sender, keep_alive, effects)
+                self.receive_keep_alive(now, &sender, &keep_alive, effects);
+            }
+            PeerMessage::Lease(lease) => self.receive_lease(now, lease, effects),
+            PeerMessage::NotLeader { leader } => self.identification.record_leader_hint(leader),
+            PeerMessage::Request(request) => self.receive_request(now, &sender, request, effects),
+            PeerMessage::AgentReport(report) => self.receive_report(now, &sender, &report),
+            PeerMessage::OrderResults { results } => {
+                self.receive_order_results(now, &sender, &results)
             }
-            PeerMessage::Lease(lease) => self.lease_received(now, lease, effects),
-            PeerMessage::NotLeader { leader } => self.identification.hint_leader(leader),
-            PeerMessage::Request(request) => self.request_received(now, &sender, request, effects),
-            PeerMessage::AgentReport(report) => self.report_received(now, &sender, report),
-            PeerMessage::OrderResults { results } => self.results_received(now, &sender, results),
             PeerMessage::Configuration { .. }
             | PeerMessage::Reply(_)
             | PeerMessage::RunnerUpdate(_)
@@ -357,11 +252,7 @@
 
     /// Opens a relay meant for this process; passes one on that comes from its
     /// origin.
-    pub(crate) fn open_relay(
-        &self,
-        envelope: Envelope,
-        effects: &mut Vec<Effect>,
-    ) -> Option<Envelope> {
+    fn open_relay(&self, envelope: Envelope, effects: &mut Vec<Effect>) -> Option<Envelope> {
         match route::open(&self.own, envelope) {
             Opened::Own(envelope) => Some(envelope),
             Opened::Forward(to, message) => {
@@ -372,30 +263,3 @@
         }
     }
 }
-
-/// Whom a message came from, and by which member.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Sender {
-    /// The sender.
-    pub(crate) address: Address,
-    /// The member that relayed it.
-    pub(crate) via: Option<SocketAddr>,
-}
-
-impl Sender {
-    /// The sender of an opened message.
-    pub(crate) fn of(envelope: &Envelope) -> Self {
-        Self {
-            address: envelope.from.clone(),
-            via: envelope.via,
-        }
-    }
-
-    /// Addresses an answer, by the same member the message came by.
-    pub(crate) fn answer(&self, own: &Address, message: PeerMessage) -> (SocketAddr, PeerMessage) {
-        match self.via {
-            None => (self.address.socket, message),
-            Some(via) => route::through(own, via, self.address.socket, message),
-        }
-    }
-}
--- /dev/null
+++ b/crates/coordinator/src/core/bootstrap.rs
@@ -0,0 +1,131 @@
+//! The exchange of proposals by which coordinators bootstrap a cluster.
+//!
+//! The rules are in [`crate::identity::bootstrap`].
+
+use super::Coordinator;
+use crate::effect::Effect;
+use crate::identity::identification::ClusterProposal;
+use crate::sender::Sender;
+use rand::Rng;
+use std::net::SocketAddr;
+use transport::{Bootstrap, PeerMessage};
+use types::{ClusterId, Now, Role};
+
+impl Coordinator {
+    /// Bootstraps a cluster if all first voters are present and this process
+    /// is the one to do so.
+    pub(super) fn bootstrap_cluster(&mut self, now: Now, effects: &mut Vec<Effect>) {
+        let Some(voters) = self.identification.choose_voters(
+            &self.own,
+            self.options.initial_coordinators,
+            self.options.bootstrap_rule,
+            now.monotonic,
+        ) else {
+            return;
+        };
+        let cluster = ClusterId(self.random.random());
+        tracing::info!(%cluster, "bootstrapping cluster");
+        let proposal = ClusterProposal { cluster, voters };
+        self.identification.save_cluster(proposal, effects);
+    }
+
+    /// Sends the saved proposal to the voters that may not have it.
+    pub(super) fn resend_proposal(&self, now: Now, effects: &mut Vec<Effect>) {
+        let Some(proposal) = self.identification.saved_proposal() else {
+            return;
+        };
+        let unconfirmed = self.identification.unconfirmed_voters(&proposal.voters);
+        if unconfirmed.is_empty() {
+            return;
+        }
+        let Some(status) = self.status(now) else {
+            return;
+        };
+        for (node, to) in unconfirmed {
+            if status.membership.socket(node).is_some() {
+                effects.push(send_proposal(to, proposal.clone()));
+            }
+        }
+    }
+
+    /// Takes a message of the bootstrap, from a coordinator directly.
+    pub(super) fn receive_bootstrap(
+        &mut self,
+        now: Now,
+        sender: &Sender,
+        bootstrap: Bootstrap,
+        effects: &mut Vec<Effect>,
+    ) {
+        if sender.via.is_some() || sender.address.role != Role::Coordinator {
+            return;
+        }
+        match bootstrap {
+            Bootstrap::Announce { expected } => {
+                self.receive_announcement(now, sender, expected, effects);
+            }
+            Bootstrap::Propose { cluster, voters } => {
+                let proposal = ClusterProposal { cluster, voters };
+                self.receive_proposal(now, sender, proposal, effects);
+            }
+            Bootstrap::Accept { cluster } => {
+                if self.identification.cluster() == Some(cluster) {
+                    self.identification.confirm_voter(sender.address.node);
+                }
+            }
+        }
+    }
+
+    /// Records a coordinator without a cluster, or tells it of this one's.
+    fn receive_announcement(
+        &mut self,
+        now: Now,
+        sender: &Sender,
+        expected: u32,
+        effects: &mut Vec<Effect>,
+    ) {
+        let address = &sender.address;
+        match self.identification.saved_proposal() {
+            None => self
+                .identification
+                .record_announcement(address, expected, now.monotonic),
+            Some(proposal) if proposal.voters.voters.contains_key(&address.node) => {
+                effects.push(send_proposal(address.socket, proposal));
+            }
+            Some(_) => self.answer_discover(now, sender, effects),
+        }
+    }
+
+    /// Accepts a proposal that names this identity, unless one was accepted before.
+    fn receive_proposal(
+        &mut self,
+        now: Now,
+        sender: &Sender,
+        proposal: ClusterProposal,
+        effects: &mut Vec<Effect>,
+    ) {
+        let proposer = sender.address.socket;
+        let cluster = proposal.cluster;
+        if self.identification.cluster() == Some(cluster) {
+            effects.push(Effect::Send {
+                to: proposer,
+                message: PeerMessage::Bootstrap(Bootstrap::Accept { cluster }),
+            });
+            return;
+        }
+        let rule = self.options.bootstrap_rule;
+        if self
+            .identification
+            .may_accept(&self.own, &proposal, rule, now.monotonic)
+        {
+            self.identification.accept(proposer, proposal, effects);
+        }
+    }
+}
+
+fn send_proposal(to: SocketAddr, proposal: ClusterProposal) -> Effect {
+    let ClusterProposal { cluster, voters } = proposal;
+    Effect::Send {
+        to,
+        message: PeerMessage::Bootstrap(Bootstrap::Propose { cluster, voters }),
+    }
+}
--- /dev/null
+++ b/crates/coordinator/src/core/replication.rs
@@ -0,0 +1,121 @@
+//! The exchange between the replica, the disk and the other members.
+
+use super::Coordinator;
+use crate::effect::Effect;
+use crate::options::Mutation;
+use crate::replica::Replica;
+use crate::replica::snapshots::SnapshotSchedule;
+use crate::sender::Sender;
+use consensus::message::Outgoing;
+use consensus::{Message, Node, Recovered};
+use rand::Rng;
+use transport::PeerMessage;
+use types::{ClusterId, Monotonic, NodeId, Now};
+
+impl Coordinator {
+    /// Starts the consensus node once the identity on disk names a cluster.
+    pub(super) fn start_replica(&mut self, recovered: Recovered, now: Monotonic) {
+        let Some(proposal) = self.identification.saved_proposal() else {
+            return;
+        };
+        let own = self.own.node;
+        let options = self.options.consensus.clone();
+        let seed = self.random.random();
+        let read = recovered.snapshot.as_ref();
+        let bytes = read.map_or(0, |snapshot| snapshot.data.len() as u64);
+        let schedule = SnapshotSchedule::new(self.options.snapshot_every, own, bytes);
+        let replica = Replica::new(
+            proposal.cluster,
+            schedule,
+            proposal.voters,
+            recovered,
+            |initial, recovered| Node::new(own, options, initial, recovered, seed, now),
+        );
+        match replica {
+            Ok(mut replica) => {
+                if let Some(Mutation::StateMachine(mutation)) = self.options.mutation {
+                    replica.set_mutation(mutation);
+                }
+                self.replica = Some(replica);
+            }
+            Err(error) => self.stop_serving(&error),
+        }
+    }
+
+    /// Processes all batches of the consensus node, then writes a snapshot if
+    /// one is due.
+    pub(super) fn process_consensus(&mut self, now: Now, effects: &mut Vec<Effect>) {
+        while let Some(replica) = &mut self.replica
+            && let Some(batch) = replica.process_ready(now.monotonic, effects)
+        {
+            self.send_consensus(now, batch.messages, effects);
+            match batch.applied {
+                Ok(entries) => self.apply_to_leader(now, entries),
+                Err(error) => return self.stop_serving(&error),
+            }
+        }
+        if let Some(replica) = &mut self.replica
+            && let Err(error) = replica.snapshot_when_due(now.monotonic, effects)
+        {
+            self.stop_serving(&error);
+        }
+    }
+
+    /// Takes note that a write is durable and sends what waited for it.
+    pub(super) fn receive_persisted(&mut self, now: Now, number: u64, effects: &mut Vec<Effect>) {
+        let Some(replica) = &mut self.replica else {
+            return;
+        };
+        let messages = replica.persisted(now.monotonic, number);
+        self.send_consensus(now, messages, effects);
+    }
+
+    /// Takes a consensus message, if it is for this cluster and this node.
+    pub(super) fn receive_consensus(
+        &mut self,
+        now: Now,
+        sender: &Sender,
+        cluster: ClusterId,
+        to: NodeId,
+        message: Message,
+    ) {
+        let Some(replica) = &mut self.replica else {
+            return;
+        };
+        if cluster != replica.cluster() || to != self.own.node {
+            return;
+        }
+        self.identification.confirm_voter(sender.address.node);
+        replica.step(now.monotonic, sender.address.node, message);
+    }
+
+    /// Sends to the sockets of the membership; to a process that is not in it
+    /// (a leader, for a learner that has no log yet) to its last known socket.
+    fn send_consensus(&self, now: Now, messages: Vec<Outgoing>, effects: &mut Vec<Effect>) {
+        let Some(replica) = &self.replica else {
+            return;
+        };
+        if messages.is_empty() {
+            return;
+        }
+        let membership = replica.status(now.monotonic).membership;
+        for outgoing in messages {
+            let last_known = || {
+                self.directory
+                    .address(outgoing.to)
+                    .map(|address| address.socket)
+            };
+            let Some(to) = membership.socket(outgoing.to).or_else(last_known) else {
+                continue;
+            };
+            effects.push(Effect::Send {
+                to,
+                message: PeerMessage::Raft {
+                    cluster: replica.cluster(),
+                    to: outgoing.to,
+                    message: outgoing.message,
+                },
+            });
+        }
+    }
+}
--- a/crates/coordinator/src/leader.rs
+++ b/crates/coordinator/src/leader.rs
@@ -1,4 +1,5 @@
-//! What a leader holds in memory, and nothing else does.
+//! The leader: what only the leader of a term holds in memory, and the
+//! composition of its parts.
 //!
 //! A leader of one term is built when its lease first holds, and dropped with
 //! its role. If the lease lapses within the term (no other leader can have
@@ -7,59 +8,76 @@
 //!
 //! Nothing here sends or proposes: it collects, and the core lets out what the
 //! lease allows at the end of an input.
+//!
+//! Parts with a state of their own: [`sessions`], [`runner_registry`],
+//! [`run_tracker`], [`request_table`], [`proposals`], [`outbox`],
+//! [`placement`], [`audit`], [`rebuild`], [`lease_state`], [`decision_log`],
+//! [`error_budgets`], [`submit_admission`] and [`membership`]. The other
+//! modules compose them, one for each kind of input: [`keep_alives`],
+//! [`heartbeats`], [`orders`], [`requests`], [`reads`] and
+//! [`applied_entries`].
+
+mod applied_entries;
+mod audit;
+mod decision_log;
+mod error_budgets;
+mod heartbeats;
+mod keep_alives;
+mod lease_state;
+mod membership;
+mod orders;
+mod outbox;
+mod periodic_timer;
+mod placement;
+mod progress_history;
+mod proposals;
+mod reads;
+mod rebuild;
+mod rejections;
+mod request_table;
+mod requests;
+mod run_tracker;
+mod runner_registry;
+mod sessions;
+mod stall_detection;
+mod submit_admission;
 
-use crate::admission::Admission;
-use crate::audit::AuditCursor;
-use crate::budget::Budgets;
-use crate::core::{Mutation, Sender};
-use crate::decisions::DecisionLog;
-use crate::membership::Joiners;
-use crate::placement::RejectedRun;
-use crate::requests::rejection_unavailable;
-use crate::runners::Runners;
-use crate::runs::Runs;
-use crate::sessions::Sessions;
-use crate::waiting::{RequestKey, WaitingRequests};
-use crate::{CoordinatorOptions, Effect};
+pub(crate) use proposals::Proposal;
+
+use crate::effect::Effect;
+use crate::leader::audit::AuditState;
+use crate::leader::decision_log::DecisionLog;
+use crate::leader::error_budgets::ErrorBudgets;
+use crate::leader::lease_state::LeaseState;
+use crate::leader::membership::{Joiners, MemberVersions, MembershipPlanner};
+use crate::leader::outbox::Outbox;
+use crate::leader::periodic_timer::PeriodicTimer;
+use crate::leader::placement::PlacementState;
+use crate::leader::proposals::Proposals;
+use crate::leader::rebuild::RebuildCursor;
+use crate::leader::rejections::uncertain;
+use crate::leader::request_table::RequestTable;
+use crate::leader::run_tracker::RunTracker;
+use crate::leader::runner_registry::RunnerRegistry;
+use crate::leader::sessions::Sessions;
+use crate::leader::submit_admission::SubmitAdmission;
+use crate::options::{CoordinatorOptions, Mutation};
+use crate::sender::{AddressedMessage, Sender};
 use configuration::Timings;
+use consensus::{Membership, Status};
 use scheduler::Scheduler;
-use state_machine::{ClosedRun, Command, StateMachine};
-use std::collections::{BTreeMap, VecDeque};
-use std::net::SocketAddr;
-use transport::{OperationReply, PeerMessage, Rejection, Reply, RequestId};
-use types::{
-    Address, ClusterId, ConfigurationVersion, JobNumber, LogIndex, Milliseconds, Monotonic, NodeId,
-    Now, OrderSequence, Reservation, RunId, RunnerId, RunnerOrder, Term,
-};
-
-/// Who waits for an entry to be applied.
-#[derive(Debug, Clone)]
-pub(crate) enum Waiting {
-    /// A gateway's request.
-    Request(RequestKey),
-    /// The scheduler, for these choices.
-    Reservations(Vec<Reservation>),
-    /// Nobody; the changes say it all.
-    Nobody,
-}
-
-/// A command to propose, and who waits for it.
-#[derive(Debug)]
-pub(crate) struct Proposal {
-    pub(crate) command: Command,
-    pub(crate) waiting: Waiting,
-}
+use state_machine::StateMachine;
+use transport::{MemberView, PeerMessage};
+use types::{Address, ClusterId, ConfigurationVersion, Milliseconds, Monotonic, NodeId, Now, Term};
 
-/// How far the view has been rebuilt from the record.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Rebuild {
-    /// Tasks of jobs after this number are still to be published.
-    After(Option<JobNumber>),
-    /// Everything is published.
-    Done,
-}
+/// Time between two checks of runs, sessions and pending requests.
+const CHECK_INTERVAL: Milliseconds = Milliseconds(100);
+/// Time between two checks of the membership.
+const MEMBERSHIP_INTERVAL: Milliseconds = Milliseconds(100);
+/// Time between two reports of the gauges.
+const GAUGE_INTERVAL: Milliseconds = Milliseconds(1_000);
 
-/// What the leader knows of the cluster's shape, told by the core.
+/// Who leads which cluster in which term.
 #[derive(Debug, Clone)]
 pub(crate) struct LeaderIdentity {
     pub(crate) own: Address,
@@ -67,78 +85,43 @@
     pub(crate) term: Term,
 }
 
-/// The leader's view.
-pub(crate) struct Leader {
-    pub(crate) identity: LeaderIdentity,
-    pub(crate) options: CoordinatorOptions,
-    /// Whether the lease held when it was last looked at.
-    pub(crate) serving: bool,
-    /// When it was last seen to hold.
-    served_at: Monotonic,
-    /// Silence of runners counts from here at the earliest: the election, and
-    /// later by as long as the lease did not hold since.
-    pub(crate) failure_detection_start: Monotonic,
-    pub(crate) elected_at: Monotonic,
-    pub(crate) timings: Timings,
-    pub(crate) scheduler: Scheduler,
-    pub(crate) rebuild: Rebuild,
-    pub(crate) sessions: Sessions,
-    pub(crate) runners: Runners,
-    pub(crate) runs: Runs,
-    /// Who waits for each entry of this leader in the log.
-    pub(crate) waiting: BTreeMap<LogIndex, Waiting>,
-    /// Requests among those, and among the proposals not made yet.
-    pub(crate) requests: WaitingRequests,
-    pub(crate) reservations_in_flight: usize,
-    pub(crate) admission: Admission,
-    pub(crate) budgets: Budgets,
-    pub(crate) decisions: DecisionLog,
-    pub(crate) joiners: Joiners,
-    /// What the other members of the group last said they have applied.
-    pub(crate) member_versions: BTreeMap<NodeId, ConfigurationVersion>,
-    pub(crate) audit: AuditCursor,
-    pub(crate) next_order: OrderSequence,
-    /// Reserved runs whose start is to leave at the end of this input.
-    pub(crate) to_start: Vec<RunId>,
-    pub(crate) closes: Vec<ClosedRun>,
-    pub(crate) proposals: Vec<Proposal>,
-    pub(crate) orders: Vec<(Sender, RunnerOrder)>,
-    pub(crate) messages: Vec<(SocketAddr, PeerMessage)>,
-    /// Ends that the record has taken since the last message left, by runner.
-    pub(crate) recorded: BTreeMap<RunnerId, Vec<RunId>>,
-    pub(crate) placement_due: bool,
-    /// Rejected runs that stay bound in the view for a moment.
-    pub(crate) rejected: VecDeque<RejectedRun>,
-    pub(crate) timers: Timers,
-}
-
-/// When each periodic duty is next due.
-#[derive(Debug, Clone, Copy)]
-pub(crate) struct Timers {
-    pub(crate) placement: Monotonic,
-    pub(crate) sweep: Monotonic,
-    pub(crate) audit: Monotonic,
-    pub(crate) forget: Monotonic,
-    pub(crate) membership: Monotonic,
-    pub(crate) gauges: Monotonic,
+/// When the periodic work of the leader is next due.
+#[derive(Debug)]
+struct Timers {
+    checks: PeriodicTimer,
+    membership: PeriodicTimer,
+    gauges: PeriodicTimer,
 }
 
-impl Timers {
-    fn new(now: Monotonic) -> Self {
-        Self {
-            placement: now,
-            sweep: now,
-            audit: now,
-            forget: now,
-            membership: now,
-            gauges: now,
-        }
-    }
+/// The leader of one term.
+pub(crate) struct Leader {
+    identity: LeaderIdentity,
+    options: CoordinatorOptions,
+    lease: LeaseState,
+    /// Of the configuration in force.
+    timings: Timings,
+    scheduler: Scheduler,
+    rebuild: RebuildCursor,
+    sessions: Sessions,
+    runners: RunnerRegistry,
+    runs: RunTracker,
+    requests: RequestTable,
+    proposals: Proposals,
+    placement: PlacementState,
+    admission: SubmitAdmission,
+    budgets: ErrorBudgets,
+    decisions: DecisionLog,
+    joiners: Joiners,
+    member_versions: MemberVersions,
+    audit: AuditState,
+    outbox: Outbox,
+    timers: Timers,
 }
 
 impl Leader {
-    /// A leader whose lease began to hold now. Open runs are entered at once,
-    /// so that resource limits count them; tasks follow in slices. The scheduler is new.
+    /// Builds a leader whose lease began to hold now. Open runs are added at
+    /// once, so that resource limits count them; tasks follow in slices. The
+    /// scheduler must be new.
     pub(crate) fn new(
         options: CoordinatorOptions,
         identity: LeaderIdentity,
@@ -146,94 +129,180 @@
         mut scheduler: Scheduler,
         now: Now,
     ) -> Self {
-        let runs = adopt(state_machine, &mut scheduler, now.monotonic);
+        let start = now.monotonic;
+        let runs = adopt_runs(state_machine, &mut scheduler, start);
         Self {
-            serving: true,
-            served_at: now.monotonic,
-            failure_detection_start: now.monotonic,
-            elected_at: now.monotonic,
+            lease: LeaseState::new(start),
             timings: state_machine.configuration().1.timings.clone(),
             scheduler,
-            rebuild: Rebuild::After(None),
-            sessions: Sessions::default(),
-            runners: Runners::default(),
+            rebuild: RebuildCursor::default(),
+            sessions: Sessions::new(options.session_lease),
+            runners: RunnerRegistry::default(),
             runs,
-            waiting: BTreeMap::new(),
-            requests: WaitingRequests::default(),
-            reservations_in_flight: 0,
-            admission: Admission::default(),
-            budgets: Budgets::default(),
+            requests: RequestTable::default(),
+            proposals: Proposals::default(),
+            placement: PlacementState::new(start),
+            admission: SubmitAdmission::default(),
+            budgets: ErrorBudgets::default(),
             decisions: DecisionLog::new(identity.term, options.decision_log_capacity),
             joiners: Joiners::default(),
-            member_versions: BTreeMap::new(),
-            audit: AuditCursor::default(),
-            next_order: OrderSequence(0),
-            to_start: Vec::new(),
-            closes: Vec::new(),
-            proposals: Vec::new(),
-            orders: Vec::new(),
-            messages: Vec::new(),
-            recorded: BTreeMap::new(),
-            placement_due: true,
-            rejected: VecDeque::new(),
-            timers: Timers::new(now.monotonic),
+            member_versions: MemberVersions::default(),
+            audit: AuditState::new(start),
+            outbox: Outbox::new(identity.own.clone(), identity.term),
+            timers: Timers {
+                checks: PeriodicTimer::new(CHECK_INTERVAL, start),
+                membership: PeriodicTimer::new(MEMBERSHIP_INTERVAL, start),
+                gauges: PeriodicTimer::new(GAUGE_INTERVAL, start),
+            },
             identity,
             options,
         }
     }
 
+    /// The term that it leads in.
+    pub(crate) fn term(&self) -> Term {
+        self.identity.term
+    }
+
+    /// Returns whether the lease held when it was last checked.
+    pub(crate) fn is_serving(&self) -> bool {
+        self.lease.is_serving()
+    }
+
+    /// Positions that the scheduler has scanned in this term.
+    pub(crate) fn scan_cost(&self) -> u64 {
+        self.scheduler.scan_cost()
+    }
+
     /// When it has something to do that cannot wait for the next tick.
     pub(crate) fn next_wakeup(&self, last_input: Now) -> Option<Monotonic> {
-        if !self.serving {
+        if !self.lease.is_serving() {
             return None;
         }
-        if self.rebuild != Rebuild::Done {
+        if !self.rebuild.is_done() {
             return Some(last_input.monotonic);
         }
-        if !self.may_place(last_input.monotonic) || self.reservations_in_flight > 0 {
+        if !self.may_place(last_input.monotonic) || self.placement.has_in_flight() {
             return None;
         }
-        if self.placement_due {
-            return Some(self.timers.placement);
+        if self.placement.is_requested() {
+            return Some(self.placement.not_before());
         }
         let start = self.scheduler.next_start_time()?;
         let wait = Milliseconds(start.0.saturating_sub(last_input.wall.0));
-        Some((last_input.monotonic + wait).max(self.timers.placement))
+        Some((last_input.monotonic + wait).max(self.placement.not_before()))
     }
 
-    pub(crate) fn has_mutation(&self, mutation: Mutation) -> bool {
-        self.options.mutation == Some(mutation)
+    /// Runs the work that is due by time.
+    pub(crate) fn run_periodic_work(&mut self, state_machine: &StateMachine, now: Now) {
+        self.rebuild_slice(state_machine, now);
+        if self.timers.checks.fire(now.monotonic) {
+            self.placement.request();
+            self.requests.expire(now.monotonic);
+            self.sessions.expire(now.monotonic);
+            self.check_runs(state_machine, now);
+            self.release_delayed_runs(state_machine, now);
+        }
+        self.audit_when_due(state_machine, now);
+        self.forget_jobs_when_due(state_machine, now);
+        if self.timers.gauges.fire(now.monotonic) {
+            self.report_gauges(state_machine);
+        }
+    }
+
+    /// The next change of the membership to propose, if a check is due and
+    /// finds one.
+    pub(crate) fn next_membership(&mut self, status: &Status, now: Now) -> Option<Membership> {
+        self.joiners.expire(now.monotonic);
+        let planner = MembershipPlanner {
+            own: self.identity.own.node,
+            wanted_voters: self.options.initial_coordinators as usize,
+            replace_voter_after: self.options.replace_voter_after,
+            status,
+            joiners: &self.joiners,
+        };
+        planner.next()
+    }
+
+    /// Returns whether a check of the membership is due; if so, schedules the next.
+    pub(crate) fn is_membership_check_due(&mut self, now: Now) -> bool {
+        self.timers.membership.fire(now.monotonic)
+    }
+
+    /// Records a coordinator that asks for admission.
+    pub(crate) fn record_joiner(&mut self, address: &Address, now: Now) {
+        self.joiners.record(address, now.monotonic);
+    }
+
+    /// Records which configuration a member says to have applied.
+    pub(crate) fn record_member_version(
+        &mut self,
+        node: NodeId,
+        version: ConfigurationVersion,
+        membership: &Membership,
+    ) {
+        self.member_versions.record(node, version, membership);
+    }
+
+    /// The configuration that a member last said to have applied.
+    pub(crate) fn member_version(&self, node: NodeId) -> Option<ConfigurationVersion> {
+        self.member_versions.get(node)
+    }
+
+    /// The sessions, for the list of members.
+    pub(crate) fn session_views(&self, now: Now) -> impl Iterator<Item = MemberView> {
+        self.sessions.views(now.monotonic)
     }
 
     /// Collects an answer to a sender.
     pub(crate) fn answer(&mut self, sender: &Sender, message: PeerMessage) {
-        self.messages
-            .push(sender.answer(&self.identity.own, message));
+        self.outbox.answer(sender, message);
     }
 
-    /// Collects the final answer to a request.
-    pub(crate) fn reply(
+    /// Places tasks and takes the commands to propose, in order.
+    pub(crate) fn take_proposals(
         &mut self,
-        sender: &Sender,
-        id: RequestId,
-        result: Result<OperationReply, Rejection>,
-    ) {
-        self.answer(sender, PeerMessage::Reply(Reply { id, result }));
+        state_machine: &StateMachine,
+        now: Now,
+    ) -> Vec<Proposal> {
+        // Closes go first: the late end of a task that is done must be in the
+        // log before the task could be reserved again.
+        self.proposals.pack_closes(now);
+        self.place(state_machine, now);
+        self.proposals.take()
+    }
+
+    /// Takes the messages that may leave under the lease.
+    pub(crate) fn take_messages(&mut self) -> Vec<AddressedMessage> {
+        self.outbox.take_messages()
+    }
+
+    /// Packs what was collected for each agent and runner into messages.
+    pub(crate) fn pack_messages(&mut self) {
+        self.outbox.pack_orders();
+        self.confirm_recorded_ends();
     }
 
-    /// Collects a command.
-    pub(crate) fn propose(&mut self, command: Command, waiting: Waiting) {
-        self.proposals.push(Proposal { command, waiting });
+    /// Discards the messages that only a leader under its lease may send.
+    pub(crate) fn retain_replies(&mut self) {
+        self.outbox.retain_replies();
     }
 
-    /// Turns the runs to close into one command.
-    pub(crate) fn propose_closes(&mut self, now: Now) {
-        if self.closes.is_empty() {
-            return;
+    /// Emits the entries of the decision log since the last call.
+    pub(crate) fn emit_decisions(&mut self, effects: &mut Vec<Effect>) {
+        for entry in self.decisions.take_unemitted() {
+            effects.push(Effect::Decision(Box::new(entry)));
+        }
+    }
+
+    /// Answers every pending request that its outcome is uncertain: leadership
+    /// is lost.
+    pub(crate) fn reject_pending_requests(&mut self) -> Vec<AddressedMessage> {
+        let mut answers = Outbox::new(self.identity.own.clone(), self.identity.term);
+        for request in self.requests.take_all() {
+            answers.reply(&request.sender, request.id, Err(uncertain()));
         }
-        let runs = std::mem::take(&mut self.closes);
-        let at = now.wall;
-        self.propose(Command::CloseRuns { runs, at }, Waiting::Nobody);
+        answers.take_messages()
     }
 
     /// The lease lapsed: what was collected must not leave, and starts that
@@ -241,71 +310,53 @@
     /// on: the lease may hold again, and else they are answered as leadership
     /// is lost.
     pub(crate) fn suspend(&mut self) {
-        self.serving = false;
-        self.to_start.clear();
-        for proposal in std::mem::take(&mut self.proposals) {
-            self.reject_unproposed(proposal.waiting);
-        }
-        self.keep_replies();
-        self.orders.clear();
-        self.recorded.clear();
-        for close in std::mem::take(&mut self.closes) {
-            self.runs.close_failed(close.run);
+        self.lease.suspend();
+        self.runs.discard_starts();
+        for proposal in self.proposals.take() {
+            self.reject_unproposed(&proposal.origin);
         }
-    }
-
-    /// What was asked for never came into the log.
-    pub(crate) fn reject_unproposed(&mut self, waiting: Waiting) {
-        if let Waiting::Request(key) = waiting
-            && let Some(request) = self.requests.take(key)
-        {
-            self.reply(&request.sender, request.id, Err(rejection_unavailable()));
+        self.outbox.retain_replies();
+        self.outbox.discard_orders();
+        self.runners.take_recorded_ends();
+        for close in self.proposals.take_closes() {
+            self.runs.cancel_close(close.run);
         }
     }
 
-    /// Drops what only a leader under its lease may say. Answers to requests
-    /// stay true and leave when the lease holds again.
-    pub(crate) fn keep_replies(&mut self) {
-        self.messages.retain(|(_, message)| is_reply(message));
+    /// Records that the lease holds at this moment.
+    pub(crate) fn record_lease_held(&mut self, now: Monotonic) {
+        self.lease.record_held(now);
     }
 
-    /// The lease holds at this moment.
-    pub(crate) fn record_served(&mut self, now: Monotonic) {
-        self.served_at = now;
-    }
-
-    /// The lease holds again within the term. Nothing was taken from runners
-    /// meanwhile, so clocks of silence stood still; if they began anew, a leader
-    /// whose lease lapses now and then would never give a lost run up.
+    /// The lease holds again within the term.
     pub(crate) fn resume(&mut self, now: Monotonic) {
-        let gap = now.since(self.served_at);
-        self.serving = true;
-        self.served_at = now;
-        self.failure_detection_start = self.failure_detection_start + gap;
+        let gap = self.lease.resume(now);
         self.runners.shift_last_seen(gap, now);
-        self.placement_due = true;
+        self.placement.request();
     }
 
-    /// Lets out the lines of the decision log since the last call.
-    pub(crate) fn emit_decisions(&mut self, effects: &mut Vec<Effect>) {
-        for entry in self.decisions.take_new() {
-            effects.push(Effect::Decision(Box::new(entry)));
-        }
+    fn has_mutation(&self, mutation: Mutation) -> bool {
+        self.options.mutation == Some(mutation)
     }
-}
 
-fn is_reply(message: &PeerMessage) -> bool {
-    match message {
-        PeerMessage::Reply(_) => true,
-        PeerMessage::Relay(relay) => matches!(*relay.body, PeerMessage::Reply(_)),
-        _ => false,
+    fn report_gauges(&self, state_machine: &StateMachine) {
+        metrics::gauge!("cypressdrum_unfinished_jobs").set(state_machine.unfinished_jobs() as f64);
+        metrics::gauge!("cypressdrum_open_runs").set(self.runs.len() as f64);
+        metrics::gauge!("cypressdrum_sessions").set(self.sessions.len() as f64);
+        metrics::gauge!("cypressdrum_runners").set(self.runners.len() as f64);
+        metrics::gauge!("cypressdrum_waiting_requests").set(self.requests.len() as f64);
     }
 }
 
-/// Enters configuration, open runs and operators' words into a new view.
-fn adopt(state_machine: &StateMachine, scheduler: &mut Scheduler, now: Monotonic) -> Runs {
+/// Gives configuration, open runs and drained runners to a new scheduler, and
+/// tracks the runs.
+fn adopt_runs(
+    state_machine: &StateMachine,
+    scheduler: &mut Scheduler,
+    now: Monotonic,
+) -> RunTracker {
     scheduler.configure(state_machine.configuration().1);
-    let mut runs = Runs::default();
+    let mut runs = RunTracker::default();
     for run in state_machine.open_runs() {
         scheduler.adopt_run(run.clone());
         runs.adopt(run, now);
--- /dev/null
+++ b/crates/coordinator/src/leader/applied_entries.rs
@@ -0,0 +1,172 @@
+//! What follows from entries of the log: changes of the state machine update
+//! the leader's view, and replies answer what was proposed.
+
+use crate::leader::Leader;
+use crate::leader::proposals::{Proposal, ProposalOrigin};
+use crate::leader::rejections::{answer_from_reply, unavailable};
+use crate::options::Mutation;
+use crate::replica::AppliedEntry;
+use state_machine::{Change, Command, CommandReply, StateMachine};
+use transport::{DecisionEvent, OperationReply, PeerMessage};
+use types::{JobKey, JobNumber, JobState, LogIndex, Milliseconds, Now, Role};
+
+impl Leader {
+    /// Follows an entry that was applied.
+    pub(crate) fn follow_entry(
+        &mut self,
+        state_machine: &StateMachine,
+        entry: AppliedEntry,
+        now: Now,
+    ) {
+        for change in entry.applied.changes {
+            self.follow_change(state_machine, change, now);
+        }
+        let is_own = entry.term == self.identity.term;
+        if let Some(origin) = self.proposals.remove(entry.index)
+            && is_own
+        {
+            self.follow_reply(origin, entry.applied.reply, now);
+        }
+    }
+
+    /// Records that a proposal is in the log.
+    pub(crate) fn record_proposed(&mut self, index: LogIndex, proposal: Proposal) {
+        let Proposal { command, origin } = proposal;
+        if self.has_mutation(Mutation::AcknowledgeBeforeCommit)
+            && let (ProposalOrigin::Request(key), Command::Submit { .. }) = (&origin, &command)
+            && let Some(request) = self.requests.remove(*key)
+        {
+            let reply = OperationReply::Submitted {
+                number: JobNumber(0),
+                known: false,
+            };
+            self.outbox.reply(&request.sender, request.id, Ok(reply));
+            return;
+        }
+        if let ProposalOrigin::Placement(reservations) = &origin {
+            self.placement.add_in_flight(reservations.len());
+        }
+        self.proposals.record_index(index, origin);
+    }
+
+    /// Takes back a proposal that the consensus node did not take: it is
+    /// handing over or has lost its role.
+    pub(crate) fn withdraw_proposal(
+        &mut self,
+        state_machine: &StateMachine,
+        proposal: Proposal,
+        now: Now,
+    ) {
+        self.reject_unproposed(&proposal.origin);
+        match proposal.command {
+            Command::CloseRuns { runs, .. } => {
+                for closed in runs {
+                    self.runs.cancel_close(closed.run);
+                }
+            }
+            Command::Reserve { reservations, .. } => {
+                for reservation in reservations {
+                    self.release(state_machine, reservation.run, reservation.task, now);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Rejects the request, if any, whose command never came into the log.
+    pub(super) fn reject_unproposed(&mut self, origin: &ProposalOrigin) {
+        if let ProposalOrigin::Request(key) = origin
+            && let Some(request) = self.requests.remove(*key)
+        {
+            self.outbox
+                .reply(&request.sender, request.id, Err(unavailable()));
+        }
+    }
+
+    /// Follows the state machine's reply to an entry of this leader.
+    fn follow_reply(&mut self, origin: ProposalOrigin, reply: CommandReply, now: Now) {
+        match origin {
+            ProposalOrigin::Internal => {}
+            ProposalOrigin::Placement(reservations) => {
+                self.placement.finish_in_flight(reservations.len());
+                if let CommandReply::Reserved { accepted, rejected } = reply {
+                    self.runs.queue_starts(accepted);
+                    self.release_rejected(&reservations, rejected, now);
+                }
+            }
+            ProposalOrigin::Request(key) => {
+                if let Some(request) = self.requests.remove(key) {
+                    let result = answer_from_reply(reply, request.declares_lost);
+                    self.outbox.reply(&request.sender, request.id, result);
+                }
+            }
+        }
+    }
+
+    /// Follows a change of the state machine, whoever proposed it.
+    fn follow_change(&mut self, state_machine: &StateMachine, change: Change, now: Now) {
+        self.placement.request();
+        match change {
+            Change::TaskReady(meta) => {
+                self.scheduler.publish(meta, now);
+            }
+            Change::TaskEnded { task, open_runs } => {
+                self.scheduler.remove(task);
+                for run in open_runs {
+                    self.runs.request_stop(run.run);
+                }
+            }
+            Change::RunsUseless(runs) => {
+                for run in runs {
+                    self.runs.request_stop(run);
+                }
+            }
+            Change::RunOpened(run) => self.runs.add_reserved(run, now.monotonic),
+            Change::RunClosed { run, close, again } => {
+                self.follow_close(state_machine, run, close, again, now);
+            }
+            Change::JobEnded {
+                key, state, waited, ..
+            } => self.follow_job_end(state_machine, key, state, waited, now),
+            Change::ConfigurationChanged(_) => self.follow_configuration(state_machine),
+            Change::RunnerDrainingChanged { runner, draining } => {
+                self.scheduler.set_draining(&runner, draining);
+                self.runners.set_ordered_draining(&runner, draining);
+            }
+        }
+    }
+
+    /// Counts a job that reached a final state.
+    fn follow_job_end(
+        &mut self,
+        state_machine: &StateMachine,
+        key: JobKey,
+        state: JobState,
+        waited: Option<Milliseconds>,
+        now: Now,
+    ) {
+        let settings = state_machine.configuration().1.tenants.get(&key.tenant);
+        let late_after = settings.map(|settings| settings.error_budget.late_after);
+        self.budgets
+            .record_job_end(&key.tenant, state, waited, late_after);
+        let at = now.wall;
+        self.decisions
+            .record(Some(key), DecisionEvent::JobEnded { state, at });
+        metrics::counter!("cypressdrum_jobs_ended_total").increment(1);
+    }
+
+    /// Gives another configuration in force to the scheduler and to every
+    /// session at once.
+    fn follow_configuration(&mut self, state_machine: &StateMachine) {
+        let (version, document) = state_machine.configuration();
+        self.timings = document.timings.clone();
+        self.scheduler.configure(document);
+        for sender in self.sessions.senders() {
+            if sender.address.role != Role::Coordinator {
+                let document = document.clone();
+                self.outbox
+                    .answer(&sender, PeerMessage::Configuration { version, document });
+            }
+        }
+    }
+}
--- a/crates/coordinator/src/reads.rs
+++ b/crates/coordinator/src/leader/reads.rs
@@ -1,28 +1,24 @@
-//! Reads, answered from the record under the lease. All that is committed has
-//! been applied when an input is handled, so the answer holds what was
-//! acknowledged before.
+//! Reads, answered from the state machine under the lease. All that is
+//! committed has been applied when an input is handled, so the answer contains
+//! what was acknowledged before.
 
-use crate::Coordinator;
 use crate::leader::Leader;
-use crate::requests::{not_found, rejection_of};
+use crate::leader::rejections::{not_found, rejection_from};
 use configuration::ConfigurationUpdate;
 use scheduler::NotPlacedReason;
 use state_machine::{CommandRejection, StateMachine};
 use std::collections::BTreeMap;
 use transport::{
-    JobFilter, LicenceView, MemberView, Operation, OperationReply, QueueView, Rejection, TenantView,
-};
-use types::{
-    Address, ConfigurationVersion, JobKey, Milliseconds, NodeId, Now, QueueName, Role, TaskRef,
-    TaskState, TenantId, ZoneName,
+    JobFilter, LicenceView, Operation, OperationReply, QueueView, Rejection, TenantView,
 };
+use types::{ConfigurationVersion, JobKey, Now, QueueName, TaskRef, TaskState, TenantId};
 
 /// Jobs on one page at most.
 const MAX_PAGE: usize = 1_000;
 /// Lines of an explanation at most.
 const MAX_EXPLAINED: usize = 50;
 
-/// What waits and runs, counted by queue or tenant.
+/// Ready tasks and open runs of a queue or tenant.
 #[derive(Debug, Clone, Copy, Default)]
 struct Counts {
     ready: u64,
@@ -31,7 +27,11 @@
 
 impl Leader {
     /// Answers a read.
-    pub(crate) fn read(
+    ///
+    /// # Errors
+    ///
+    /// Returns the rejection if what is asked for is not known.
+    pub(super) fn read(
         &mut self,
         state_machine: &StateMachine,
         operation: Operation,
@@ -97,7 +97,7 @@
             let task = status.task;
             let reason = match status.state {
                 TaskState::Blocked => NotPlacedReason::WaitingForStep.to_string(),
-                TaskState::Ready => self.waits_because(task, now),
+                TaskState::Ready => self.waiting_reason(task, now),
                 _ => continue,
             };
             lines.push(format!("task {task} waits: {reason}"));
@@ -105,15 +105,16 @@
                 break;
             }
         }
-        for tracked in self.runs.iter().filter(|run| run.run.task.job == number) {
-            let (task, run, runner) = (tracked.run.task, tracked.run.run, &tracked.run.runner);
+        let open_runs = self.runs.iter().map(|tracked| tracked.open());
+        for open in open_runs.filter(|open| open.task.job == number) {
+            let (task, run, runner) = (open.task, open.run, &open.runner);
             lines.push(format!("task {task} has run {run} on runner {runner}"));
         }
         lines.truncate(MAX_EXPLAINED);
         Ok(OperationReply::Explained { lines })
     }
 
-    fn waits_because(&self, task: TaskRef, now: Now) -> String {
+    fn waiting_reason(&self, task: TaskRef, now: Now) -> String {
         match self.scheduler.explain(task, now) {
             Some(reason) => reason.to_string(),
             None => "it is about to be placed".to_owned(),
@@ -162,17 +163,17 @@
             .iter()
             .map(|(name, settings)| {
                 let counts = counts.get(name).copied().unwrap_or_default();
-                let spent = self.budgets.spent(name);
+                let ended = self.budgets.ended_jobs(name);
                 TenantView {
                     tenant: name.clone(),
                     unfinished_jobs: state_machine.unfinished_of_tenant(name),
                     ready_tasks: counts.ready,
                     usage: state_machine.tenant_usage(name),
                     resource_limit: settings.resource_limit,
-                    ended_jobs: spent.ended,
-                    late_jobs: spent.late,
-                    failed_jobs: spent.failed,
-                    budget_exceeded: spent.exceeds(&settings.error_budget),
+                    ended_jobs: ended.total,
+                    late_jobs: ended.late,
+                    failed_jobs: ended.failed,
+                    budget_exceeded: ended.exceeds(&settings.error_budget),
                 }
             })
             .collect()
@@ -191,7 +192,7 @@
             entry.ready += 1;
         }
         for tracked in self.runs.iter() {
-            let run = &tracked.run;
+            let run = tracked.open();
             let entry = counts.entry(key(&run.tenant, &run.queue)).or_default();
             entry.open += 1;
         }
@@ -209,7 +210,7 @@
         return Ok(OperationReply::Configured { version, known });
     }
     let (current, _) = state_machine.configuration();
-    Err(rejection_of(CommandRejection::VersionConflict {
+    Err(rejection_from(CommandRejection::VersionConflict {
         wanted: version,
         current,
     }))
@@ -223,68 +224,3 @@
     let jobs = page.into_iter().map(|(_, job)| job).collect();
     OperationReply::Jobs { jobs, next }
 }
-
-impl Coordinator {
-    /// Coordinators of the membership, then all sessions.
-    pub(crate) fn list_members(&self, now: Now) -> Vec<MemberView> {
-        let (Some(leader), Some(replica)) = (&self.leader, &self.replica) else {
-            return Vec::new();
-        };
-        let status = replica.node.status(now.monotonic);
-        let applied = replica.state_machine.configuration().0;
-        let version = |node: NodeId| match node {
-            _ if node == self.own.node => Some(applied),
-            _ => leader.member_versions.get(&node).copied(),
-        };
-        let role_name = |node: NodeId| match node {
-            _ if node == self.own.node => "leader",
-            _ if status.membership.voters.contains_key(&node) => "voter",
-            _ => "learner",
-        };
-        let links = |node: NodeId| match node {
-            _ if node == self.own.node => Some(status.links),
-            _ => {
-                let mut reports = status.peer_reports.iter();
-                reports
-                    .find(|(reporter, _)| *reporter == node)
-                    .map(|(_, links)| *links)
-            }
-        };
-        let last_contacts: BTreeMap<NodeId, Milliseconds> =
-            status.since_last_contact.iter().copied().collect();
-        let voters = status.membership.voters.iter();
-        let mut views: Vec<MemberView> = voters
-            .chain(status.membership.learners.iter())
-            .filter_map(|(node, socket)| {
-                Some(MemberView {
-                    address: self.member_address(*node, *socket)?,
-                    status: role_name(*node).to_owned(),
-                    since_last_contact: last_contacts.get(node).copied().unwrap_or_default(),
-                    configuration: version(*node),
-                    links: links(*node),
-                })
-            })
-            .collect();
-        views.extend(leader.sessions.iter().map(|session| MemberView {
-            address: session.sender.address.clone(),
-            status: "session".to_owned(),
-            since_last_contact: now.monotonic.since(session.last_seen),
-            configuration: Some(session.configuration),
-            links: None,
-        }));
-        views
-    }
-
-    /// A member's address; its zone is not known before it was heard.
-    fn member_address(&self, node: NodeId, socket: std::net::SocketAddr) -> Option<Address> {
-        if let Some(address) = self.directory.address(node) {
-            return Some(address.clone());
-        }
-        Some(Address {
-            node,
-            role: Role::Coordinator,
-            zone: ZoneName::new("unknown").ok()?,
-            socket,
-        })
-    }
-}
--- /dev/null
+++ b/crates/coordinator/src/leader/requests.rs
@@ -0,0 +1,217 @@
+//! Requests of callers and operators: those that change the state become
+//! proposals and are answered when their entries are applied; reads are
+//! answered at once.
+
+use crate::leader::Leader;
+use crate::leader::proposals::ProposalOrigin;
+use crate::leader::rejections::{not_found, overloaded, reject_problems, rejection_from};
+use crate::leader::request_table::PendingRequest;
+use crate::sender::Sender;
+use configuration::{ClusterConfiguration, ConfigurationUpdate, validate};
+use state_machine::{ClosedRun, Command, CommandRejection, StateMachine};
+use transport::{
+    MemberView, Operation, OperationReply, Rejection, RejectionCode, Request, RequestId,
+};
+use types::{
+    ConfigurationVersion, JobKey, JobSpec, Milliseconds, Now, RunClose, RunnerId, TenantId,
+};
+
+/// An answer at once, or none when it comes with the applied entry.
+type ImmediateAnswer = Option<Result<OperationReply, Rejection>>;
+
+impl Leader {
+    /// Rejects a request that waited too long for this process, unless an
+    /// earlier sending of it waits for the log and will be answered.
+    pub(crate) fn reject_overdue(&mut self, sender: &Sender, id: RequestId) {
+        if self.requests.contains(sender, id) {
+            return;
+        }
+        metrics::counter!("cypressdrum_requests_overdue_total").increment(1);
+        let rejection = overloaded("the leader is behind");
+        self.outbox.reply(sender, id, Err(rejection));
+    }
+
+    /// Takes a request. `members` answers [`Operation::ListMembers`].
+    pub(crate) fn receive_request(
+        &mut self,
+        state_machine: &StateMachine,
+        sender: &Sender,
+        request: Request,
+        members: Vec<MemberView>,
+        now: Now,
+    ) {
+        let pending = PendingRequest {
+            sender: sender.clone(),
+            id: request.id,
+            deadline: now.monotonic + request.time_left,
+            declares_lost: false,
+        };
+        if self.requests.record_retry(&pending) {
+            return;
+        }
+        let at = now.wall;
+        let answer = match request.operation {
+            Operation::ListMembers => Some(Ok(OperationReply::Members(members))),
+            Operation::Submit(spec) => self.submit(state_machine, spec, pending, now),
+            Operation::Cancel(selector) => {
+                self.propose_request(Command::Cancel { selector, at }, pending)
+            }
+            Operation::PutConfiguration { version, document } => {
+                self.put_configuration(version, document, pending, now)
+            }
+            Operation::UpdateConfiguration { version, update } => {
+                self.update_configuration(version, update, pending, now)
+            }
+            Operation::DrainRunner { runner, draining } => {
+                let command = Command::SetRunnerDraining {
+                    runner,
+                    draining,
+                    at,
+                };
+                self.propose_request(command, pending)
+            }
+            Operation::DeclareRunnerLost { runner } => {
+                self.declare_runner_lost(&runner, pending, now)
+            }
+            read => Some(self.read(state_machine, read, now)),
+        };
+        if let Some(result) = answer {
+            self.outbox.reply(sender, request.id, result);
+        }
+    }
+
+    /// Collects a request's command; the answer comes when it is applied.
+    fn propose_request(&mut self, command: Command, pending: PendingRequest) -> ImmediateAnswer {
+        if self.requests.len() >= self.options.max_waiting_requests {
+            metrics::counter!("cypressdrum_requests_refused_total").increment(1);
+            return Some(Err(overloaded("too many requests wait for the log")));
+        }
+        let key = self.requests.insert(pending);
+        self.proposals.add(command, ProposalOrigin::Request(key));
+        None
+    }
+
+    /// Submits a job. One that the state machine has with equal content is
+    /// acknowledged at once, at no cost to the tenant's rate: it is on a
+    /// majority of disks already.
+    fn submit(
+        &mut self,
+        state_machine: &StateMachine,
+        spec: JobSpec,
+        pending: PendingRequest,
+        now: Now,
+    ) -> ImmediateAnswer {
+        let key = JobKey {
+            tenant: spec.tenant.clone(),
+            job: spec.job.clone(),
+        };
+        if let Some(number) = state_machine.job_number(&key)
+            && state_machine.job_spec(&key) == Some(&spec)
+        {
+            let known = true;
+            return Some(Ok(OperationReply::Submitted { number, known }));
+        }
+        if let Err(rejection) = self.admit_submit(state_machine, &spec.tenant, now) {
+            metrics::counter!("cypressdrum_requests_refused_total").increment(1);
+            return Some(Err(rejection));
+        }
+        let at = now.wall;
+        self.propose_request(Command::Submit { spec, at }, pending)
+    }
+
+    /// Checks a submit against the rate of its tenant's contract.
+    ///
+    /// # Errors
+    ///
+    /// Returns the rejection if the tenant is unknown or submits too fast.
+    fn admit_submit(
+        &mut self,
+        state_machine: &StateMachine,
+        tenant: &TenantId,
+        now: Now,
+    ) -> Result<(), Rejection> {
+        let Some(settings) = state_machine.configuration().1.tenants.get(tenant) else {
+            let tenant = tenant.clone();
+            return Err(rejection_from(CommandRejection::UnknownTenant { tenant }));
+        };
+        self.admission
+            .admit(tenant, settings, now.monotonic)
+            .map_err(|retry_after| rate_exceeded(tenant, retry_after))
+    }
+
+    fn put_configuration(
+        &mut self,
+        version: ConfigurationVersion,
+        document: ClusterConfiguration,
+        pending: PendingRequest,
+        now: Now,
+    ) -> ImmediateAnswer {
+        if let Some(rejection) = reject_problems(validate(&document)) {
+            return Some(Err(rejection));
+        }
+        let at = now.wall;
+        let command = Command::PutConfiguration {
+            version,
+            document,
+            at,
+        };
+        self.propose_request(command, pending)
+    }
+
+    fn update_configuration(
+        &mut self,
+        version: ConfigurationVersion,
+        update: ConfigurationUpdate,
+        pending: PendingRequest,
+        now: Now,
+    ) -> ImmediateAnswer {
+        if let Some(rejection) = reject_problems(update.problems()) {
+            return Some(Err(rejection));
+        }
+        let at = now.wall;
+        let command = Command::UpdateConfiguration {
+            version,
+            update,
+            at,
+        };
+        self.propose_request(command, pending)
+    }
+
+    /// Closes every open run of a runner that an operator declares lost.
+    fn declare_runner_lost(
+        &mut self,
+        runner: &RunnerId,
+        mut pending: PendingRequest,
+        now: Now,
+    ) -> ImmediateAnswer {
+        let runs: Vec<ClosedRun> = self
+            .runs
+            .of_runner(runner)
+            .into_iter()
+            .map(|run| ClosedRun {
+                checkpoint: None,
+                run,
+                close: RunClose::Lost,
+            })
+            .collect();
+        if !runs.is_empty() {
+            pending.declares_lost = true;
+            let at = now.wall;
+            return self.propose_request(Command::CloseRuns { runs, at }, pending);
+        }
+        Some(if self.runners.contains(runner) {
+            Ok(OperationReply::RunsLost { runs: Vec::new() })
+        } else {
+            Err(not_found(format!("runner {runner} is not known")))
+        })
+    }
+}
+
+fn rate_exceeded(tenant: &TenantId, retry_after: Milliseconds) -> Rejection {
+    Rejection {
+        code: RejectionCode::Overloaded,
+        message: format!("tenant {tenant} submits faster than its contract allows"),
+        retry_after: Some(retry_after),
+        problems: Vec::new(),
+    }
+}
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -7,31 +7,18 @@
 
 pub mod core;
 pub mod shell;
-pub mod snapshots;
 
-mod admission;
-mod audit;
-mod budget;
-mod decisions;
-mod directory;
-mod disk;
-mod first_start;
-mod identification;
+mod effect;
+mod identity;
 mod leader;
-mod leadership;
-mod lifecycle;
-mod load;
-mod membership;
-mod orders;
-mod placement;
-mod progress_history;
-mod reads;
+mod options;
+mod readiness;
 mod replica;
-mod requests;
-mod runners;
-mod runs;
-mod sessions;
-mod waiting;
+mod sender;
 
-pub use crate::core::{BootstrapRule, Coordinator, CoordinatorOptions, Effect, Input, Mutation};
+pub use crate::core::Coordinator;
+pub use effect::{Effect, Input};
+pub use options::{BootstrapRule, CoordinatorOptions, Mutation};
+pub use readiness::{NotReadyReason, Readiness};
+pub use replica::snapshots;
 pub use shell::{CoordinatorError, ShellOptions, run};
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -1,22 +1,28 @@
-//! The consensus node with the record it feeds, and the order of the disk.
+//! The consensus node, the state machine that it feeds, and the order of the
+//! disk.
 //!
-//! What the node gives out is written, applied and sent here. Messages that
-//! promise something about the disk wait for the sync of the batch they
+//! What the node returns is written, applied and sent in this order. Messages
+//! that promise something about the disk wait for the sync of the batch they
 //! belong to. Since syncs end in order, a batch with nothing to write waits
 //! for the newest one still under way.
 
-use crate::core::Effect;
-use crate::snapshots::{SnapshotDue, SnapshotSchedule, Turn};
-use crate::{Coordinator, Mutation, core::Sender};
+mod error;
+pub mod snapshots;
+
+pub(crate) use error::ReplicaError;
+
+use crate::effect::Effect;
+use crate::replica::snapshots::{SnapshotDue, SnapshotSchedule, VoterTurn};
 use consensus::message::Outgoing;
-use consensus::{Membership, Message, Node, Payload, Ready, Recovered, Snapshot, SnapshotMeta};
-use rand::Rng;
+use consensus::{
+    Membership, Message, Node, Payload, ProposeError, Ready, Recovered, Snapshot, SnapshotMeta,
+    Status,
+};
 use state_machine::{Applied, Command, StateMachine};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use storage::Batch;
-use transport::PeerMessage;
-use types::{ClusterId, LogIndex, Monotonic, NodeId, Now, Term};
+use types::{ClusterId, LogIndex, Milliseconds, Monotonic, NodeId, Term};
 
 /// A write under way.
 #[derive(Debug)]
@@ -37,11 +43,18 @@
     pub(crate) applied: Applied,
 }
 
+/// A batch of the consensus node, written and applied.
+pub(crate) struct ProcessedBatch {
+    /// Messages that may leave before any sync.
+    pub(crate) messages: Vec<Outgoing>,
+    pub(crate) applied: Result<Vec<AppliedEntry>, ReplicaError>,
+}
+
 /// One copy of the replicated state.
 pub(crate) struct Replica {
-    pub(crate) cluster: ClusterId,
-    pub(crate) node: Node,
-    pub(crate) state_machine: StateMachine,
+    cluster: ClusterId,
+    node: Node,
+    state_machine: StateMachine,
     applied: SnapshotMeta,
     schedule: SnapshotSchedule,
     snapshot_under_way: bool,
@@ -50,14 +63,18 @@
 }
 
 impl Replica {
-    /// A replica from what the disk held.
+    /// Builds a replica from what the disk held.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the snapshot on disk does not decode.
     pub(crate) fn new(
         cluster: ClusterId,
         schedule: SnapshotSchedule,
         initial: Membership,
         recovered: Recovered,
         node: impl FnOnce(Membership, Recovered) -> Node,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, ReplicaError> {
         let (state_machine, applied) = match &recovered.snapshot {
             Some(snapshot) => (restore(snapshot)?, snapshot.meta.clone()),
             None => {
@@ -80,6 +97,94 @@
         })
     }
 
+    /// The cluster that the replica belongs to.
+    pub(crate) fn cluster(&self) -> ClusterId {
+        self.cluster
+    }
+
+    /// The state machine with all committed entries that this member knows.
+    pub(crate) fn state_machine(&self) -> &StateMachine {
+        &self.state_machine
+    }
+
+    /// Builds a fault into the state machine, for the simulation.
+    pub(crate) fn set_mutation(&mut self, mutation: state_machine::mutation::Mutation) {
+        self.state_machine.set_mutation(Some(mutation));
+    }
+
+    /// The status of the consensus node.
+    pub(crate) fn status(&self, now: Monotonic) -> Status {
+        self.node.status(now)
+    }
+
+    /// Returns whether this member leads and its lease holds.
+    pub(crate) fn holds_lease(&self, now: Monotonic) -> bool {
+        self.node.holds_lease(now)
+    }
+
+    /// Returns whether a transfer of leadership is under way.
+    pub(crate) fn is_handing_over(&self) -> bool {
+        self.node.is_handing_over()
+    }
+
+    /// When the consensus node wants the next tick.
+    pub(crate) fn next_wakeup(&self) -> Monotonic {
+        self.node.next_wakeup()
+    }
+
+    /// Lets the consensus node check its timers.
+    pub(crate) fn tick(&mut self, now: Monotonic) {
+        self.node.tick(now);
+    }
+
+    /// Records how long messages wait for this process.
+    pub(crate) fn record_lag(&mut self, lag: Milliseconds) {
+        self.node.record_lag(lag);
+    }
+
+    /// Gives the consensus node a message of another member.
+    pub(crate) fn step(&mut self, now: Monotonic, from: NodeId, message: Message) {
+        self.node.step(now, from, message);
+    }
+
+    /// Hands leadership to the voter that is furthest; returns it if there is one.
+    pub(crate) fn transfer_leadership(&mut self, now: Monotonic) -> Option<NodeId> {
+        self.node.transfer_leadership(now)
+    }
+
+    /// Proposes a command; none if the node does not take it, because it hands
+    /// over or does not lead.
+    pub(crate) fn propose(&mut self, now: Monotonic, command: &Command) -> Option<LogIndex> {
+        let bytes = command.encode().ok()?;
+        self.node.propose(now, bytes).ok()
+    }
+
+    /// Proposes a membership.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the node does not take the proposal now.
+    pub(crate) fn propose_membership(
+        &mut self,
+        now: Monotonic,
+        membership: Membership,
+    ) -> Result<LogIndex, ProposeError> {
+        self.node.propose_membership(now, membership)
+    }
+
+    /// Processes the next batch of the node, if it has one: writes, applies,
+    /// and returns what may leave now.
+    pub(crate) fn process_ready(
+        &mut self,
+        now: Monotonic,
+        effects: &mut Vec<Effect>,
+    ) -> Option<ProcessedBatch> {
+        let mut ready = self.node.ready()?;
+        let messages = self.store(now, &mut ready, effects);
+        let applied = self.apply(ready);
+        Some(ProcessedBatch { messages, applied })
+    }
+
     /// Writes what a batch of the node holds and gives the messages that may
     /// leave now.
     fn store(
@@ -133,7 +238,7 @@
         effects.push(Effect::Persist { number, batch });
     }
 
-    /// A sync ended: gives the messages that waited for it.
+    /// Takes note that a write is durable; returns the messages that waited for it.
     pub(crate) fn persisted(&mut self, now: Monotonic, number: u64) -> Vec<Outgoing> {
         let mut messages = Vec::new();
         while let Some(oldest) = self.outstanding.pop_front() {
@@ -154,7 +259,7 @@
     }
 
     /// Applies what a batch of the node committed.
-    fn apply(&mut self, ready: Ready) -> Result<Vec<AppliedEntry>, String> {
+    fn apply(&mut self, ready: Ready) -> Result<Vec<AppliedEntry>, ReplicaError> {
         if let Some(snapshot) = &ready.snapshot {
             let mutation = self.state_machine.mutation();
             self.state_machine = restore(snapshot)?;
@@ -169,13 +274,14 @@
             }
             self.applied.index = entry.index;
             self.applied.term = entry.term;
-            self.schedule.applied(entry.payload.bytes());
+            self.schedule.record_applied(entry.payload.bytes());
             match entry.payload {
                 Payload::Noop => {}
                 Payload::Membership(membership) => self.applied.membership = membership,
                 Payload::Command(bytes) => {
+                    let index = entry.index;
                     let command = Command::decode(&bytes)
-                        .map_err(|error| format!("entry {}: {error}", entry.index))?;
+                        .map_err(|source| ReplicaError::DecodeEntry { index, source })?;
                     results.push(AppliedEntry {
                         index: entry.index,
                         term: entry.term,
@@ -188,18 +294,22 @@
     }
 
     /// Writes a snapshot of its own when one is due.
-    fn snapshot_when_due(
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the state does not encode.
+    pub(crate) fn snapshot_when_due(
         &mut self,
         now: Monotonic,
         effects: &mut Vec<Effect>,
-    ) -> Result<(), String> {
+    ) -> Result<(), ReplicaError> {
         // A joiner that has not reached its own admission in the log does not
         // know the membership a snapshot must name.
         let membership_known = !self.applied.membership.voters.is_empty();
         if self.snapshot_under_way || !membership_known {
             return Ok(());
         }
-        match self.schedule.due(self.node.is_leader(), self.turn()) {
+        match self.schedule.due(self.node.is_leader(), self.voter_turn()) {
             SnapshotDue::No => return Ok(()),
             SnapshotDue::AfterHandingOver => {
                 if self.node.transfer_leadership(now).is_some() {
@@ -208,10 +318,14 @@
             }
             SnapshotDue::Yes => {}
         }
+        self.write_snapshot(effects)
+    }
+
+    fn write_snapshot(&mut self, effects: &mut Vec<Effect>) -> Result<(), ReplicaError> {
         let data = self
             .state_machine
             .snapshot()
-            .map_err(|error| error.to_string())?;
+            .map_err(ReplicaError::EncodeSnapshot)?;
         tracing::info!(index = %self.applied.index, bytes = data.len(), "snapshot taken");
         self.schedule.restart(data.len());
         let snapshot = Snapshot {
@@ -226,13 +340,11 @@
         self.persist(batch, None, Vec::new(), Some(snapshot), effects);
         Ok(())
     }
-}
 
-impl Replica {
-    fn turn(&self) -> Turn {
+    fn voter_turn(&self) -> VoterTurn {
         let voters = &self.applied.membership.voters;
         let own = self.node.id();
-        Turn {
+        VoterTurn {
             applied: self.applied.index,
             position: voters.keys().position(|voter| *voter == own),
             voters: voters.len(),
@@ -240,117 +352,9 @@
     }
 }
 
-fn restore(snapshot: &Snapshot) -> Result<StateMachine, String> {
-    StateMachine::restore(&snapshot.data)
-        .map_err(|error| format!("snapshot at {}: {error}", snapshot.meta.index))
-}
-
-impl Coordinator {
-    /// Starts the consensus node once the identity on disk names a cluster.
-    pub(crate) fn start_replica(&mut self, recovered: Recovered, now: Monotonic) {
-        let Some((cluster, initial)) = self.identification.attached() else {
-            return;
-        };
-        let own = self.own.node;
-        let options = self.options.consensus.clone();
-        let seed = self.random.random();
-        let read = recovered.snapshot.as_ref();
-        let bytes = read.map_or(0, |snapshot| snapshot.data.len() as u64);
-        let schedule = SnapshotSchedule::new(self.options.snapshot_every, own, bytes);
-        let replica = Replica::new(
-            cluster,
-            schedule,
-            initial,
-            recovered,
-            |initial, recovered| Node::new(own, options, initial, recovered, seed, now),
-        );
-        match replica {
-            Ok(mut replica) => {
-                if let Some(Mutation::StateMachine(mutation)) = self.options.mutation {
-                    replica.state_machine.set_mutation(Some(mutation));
-                }
-                self.replica = Some(replica);
-            }
-            Err(reason) => self.fail(reason),
-        }
-    }
-
-    /// Takes everything the node has to give: writes, applies, sends.
-    pub(crate) fn pump(&mut self, now: Now, effects: &mut Vec<Effect>) {
-        loop {
-            let Some(replica) = &mut self.replica else {
-                return;
-            };
-            let Some(mut ready) = replica.node.ready() else {
-                break;
-            };
-            let messages = replica.store(now.monotonic, &mut ready, effects);
-            let applied = replica.apply(ready);
-            self.send_raft(now, messages, effects);
-            match applied {
-                Ok(entries) => self.entries_applied(now, entries),
-                Err(reason) => return self.fail(reason),
-            }
-        }
-        if let Some(replica) = &mut self.replica
-            && let Err(reason) = replica.snapshot_when_due(now.monotonic, effects)
-        {
-            self.fail(reason);
-        }
-    }
-
-    pub(crate) fn persisted(&mut self, now: Now, number: u64, effects: &mut Vec<Effect>) {
-        let Some(replica) = &mut self.replica else {
-            return;
-        };
-        let messages = replica.persisted(now.monotonic, number);
-        self.send_raft(now, messages, effects);
-    }
-
-    /// Takes a consensus message, if it is for this cluster and this node.
-    pub(crate) fn raft_received(
-        &mut self,
-        now: Now,
-        sender: &Sender,
-        cluster: ClusterId,
-        to: NodeId,
-        message: Message,
-    ) {
-        let Some(replica) = &mut self.replica else {
-            return;
-        };
-        if cluster != replica.cluster || to != self.own.node {
-            return;
-        }
-        self.identification.settled(sender.address.node);
-        replica
-            .node
-            .step(now.monotonic, sender.address.node, message);
-    }
-
-    /// Sends to the sockets of the membership; to a process that is not in it
-    /// (a leader, seen by a learner that has no log yet) as it was heard.
-    fn send_raft(&self, now: Now, messages: Vec<Outgoing>, effects: &mut Vec<Effect>) {
-        let Some(replica) = &self.replica else {
-            return;
-        };
-        if messages.is_empty() {
-            return;
-        }
-        let membership = replica.node.status(now.monotonic).membership;
-        for outgoing in messages {
-            let last_known = || self.directory.address(outgoing.to).map(|a| a.socket);
-            let Some(to) = membership.socket(outgoing.to).or_else(last_known) else {
-                continue;
-            };
-            effects.push(Effect::Send {
-                to,
-                message: PeerMessage::Raft {
-                    cluster: replica.cluster,
-                    to: outgoing.to,
-                    message: outgoing.message,
-                },
-            });
-        }
-    }
+fn restore(snapshot: &Snapshot) -> Result<StateMachine, ReplicaError> {
+    StateMachine::restore(&snapshot.data).map_err(|source| ReplicaError::RestoreSnapshot {
+        index: snapshot.meta.index,
+        source,
+    })
 }
--- /dev/null
+++ b/crates/coordinator/src/replica/error.rs
@@ -0,0 +1,26 @@
+//! Errors that make the replicated state unreadable.
+
+use state_machine::StateMachineError;
+use thiserror::Error;
+use types::LogIndex;
+
+/// Why the replica cannot go on: the log or snapshot of a majority must not be
+/// skipped.
+#[derive(Debug, Error)]
+pub(crate) enum ReplicaError {
+    /// A snapshot does not decode.
+    #[error("snapshot at {index}: {source}")]
+    RestoreSnapshot {
+        index: LogIndex,
+        source: StateMachineError,
+    },
+    /// A committed entry does not decode.
+    #[error("entry {index}: {source}")]
+    DecodeEntry {
+        index: LogIndex,
+        source: StateMachineError,
+    },
+    /// The state does not encode.
+    #[error(transparent)]
+    EncodeSnapshot(StateMachineError),
+}
--- a/crates/coordinator/src/snapshots.rs
+++ b/crates/coordinator/src/replica/snapshots.rs
@@ -1,10 +1,10 @@
-//! When a member writes a snapshot of its record.
+//! When a member writes a snapshot of its state machine.
 //!
-//! Encoding a large record takes longer than a leader's lease: some 30 ms a
-//! megabyte on a small machine, in the thread of the core, while no quorum is
-//! heard. So snapshots of a large record are as far apart as they are large, the
-//! voters take turns, by the index they have all applied, and a leader puts its
-//! own off; when it can no longer, it hands over first.
+//! Encoding a large state takes longer than a leader's lease: some 30 ms a
+//! megabyte on a small machine, in the thread of the core, which takes no
+//! message meanwhile. So snapshots of a large state are as far apart as they are
+//! large, the voters take turns, by the index they have all applied, and a leader
+//! delays its own; when it can no longer, it transfers leadership first.
 
 use types::{LogIndex, NodeId};
 
@@ -26,7 +26,7 @@
     AfterHandingOver,
 }
 
-/// What was applied since the last snapshot.
+/// Counts what was applied since the last snapshot.
 #[derive(Debug)]
 pub struct SnapshotSchedule {
     /// Shortest interval, in entries.
@@ -37,7 +37,7 @@
 }
 
 impl SnapshotSchedule {
-    /// A member that has just read a snapshot of so many bytes, or none.
+    /// Begins after a snapshot of `snapshot_bytes` was read, or none (0).
     ///
     /// Members apply the same entries and would all write at once, while no quorum
     /// syncs anything else: each begins with another number of entries.
@@ -51,53 +51,56 @@
         }
     }
 
-    /// An entry was applied.
-    pub fn applied(&mut self, bytes: usize) {
+    /// Counts an applied entry of this many bytes.
+    pub fn record_applied(&mut self, bytes: usize) {
         self.entries += 1;
         self.entry_bytes += bytes as u64;
     }
 
-    /// A snapshot was written or taken over.
+    /// Begins a new interval, after a snapshot of this many bytes was written or
+    /// installed.
     pub fn restart(&mut self, snapshot_bytes: usize) {
         self.entries = 0;
         self.entry_bytes = 0;
         self.snapshot_bytes = snapshot_bytes as u64;
     }
 
-    /// What is due, for a leader or another member.
-    pub fn due(&self, leads: bool, turn: Turn) -> SnapshotDue {
+    /// Returns whether a snapshot is due, for the leader or another member.
+    pub fn due(&self, is_leader: bool, turn: VoterTurn) -> SnapshotDue {
         if self.snapshot_bytes < LARGE_BYTES {
-            return match self.entries >= self.every {
-                true => SnapshotDue::Yes,
-                false => SnapshotDue::No,
+            return if self.entries >= self.every {
+                SnapshotDue::Yes
+            } else {
+                SnapshotDue::No
             };
         }
-        let intervals = match leads {
-            true => LEADER_INTERVALS,
-            false => 1,
-        };
+        let intervals = if is_leader { LEADER_INTERVALS } else { 1 };
         let is_due = self.entries >= self.every.saturating_mul(intervals)
             && self.entry_bytes >= self.snapshot_bytes.saturating_mul(intervals);
-        match (is_due, leads) {
-            (true, true) => SnapshotDue::AfterHandingOver,
-            (true, false) if turn.is_own() => SnapshotDue::Yes,
-            _ => SnapshotDue::No,
+        if !is_due {
+            SnapshotDue::No
+        } else if is_leader {
+            SnapshotDue::AfterHandingOver
+        } else if turn.is_own() {
+            SnapshotDue::Yes
+        } else {
+            SnapshotDue::No
         }
     }
 }
 
-/// Whose turn it is among the voters.
+/// The position of a member among the voters, which write snapshots in turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Turn {
-    /// What the member has applied.
+pub struct VoterTurn {
+    /// Index of the last entry that the member applied.
     pub applied: LogIndex,
-    /// Its position among the voters; none for another member, who need not wait.
+    /// Its position among the voters; none for a learner, which need not wait.
     pub position: Option<usize>,
     /// Number of voters.
     pub voters: usize,
 }
 
-impl Turn {
+impl VoterTurn {
     fn is_own(&self) -> bool {
         let turn = self.applied.0 / TURN_ENTRIES % self.voters.max(1) as u64;
         self.position.is_none_or(|position| turn == position as u64)
--- a/crates/coordinator/src/shell.rs
+++ b/crates/coordinator/src/shell.rs
@@ -5,10 +5,15 @@
 //! and joins what has piled up meanwhile into one sync. A failed write or sync
 //! ends the process: nothing may be promised after it.
 
-use crate::disk::{DiskJob, DiskThread};
-use crate::load::Load;
-use crate::{Coordinator, CoordinatorOptions, Effect, Input};
-use admin::Readiness;
+mod disk;
+mod load;
+
+use crate::core::Coordinator;
+use crate::effect::{Effect, Input};
+use crate::options::CoordinatorOptions;
+use crate::readiness::Readiness;
+use crate::shell::disk::{DiskJob, DiskThread};
+use crate::shell::load::Load;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -132,7 +137,7 @@
 }
 
 struct AdminRoutes {
-    readiness: Readiness,
+    readiness: admin::Readiness,
     server: JoinHandle<()>,
 }
 
@@ -140,7 +145,7 @@
     let listener = tokio::net::TcpListener::bind(listen)
         .await
         .map_err(|source| CoordinatorError::Admin { listen, source })?;
-    let readiness = Readiness::starting();
+    let readiness = admin::Readiness::starting();
     let routes = admin::routes(readiness.clone());
     let server = tokio::spawn(async move {
         if let Err(error) = axum::serve(listener, routes).await {
@@ -155,7 +160,7 @@
     transport: Transport,
     incoming: Inbox,
     disk: DiskThread,
-    readiness: Readiness,
+    readiness: admin::Readiness,
     stop: watch::Receiver<bool>,
     grace: Duration,
     stopped: bool,
@@ -199,10 +204,11 @@
     fn arrived(&mut self, arrival: Arrival) -> Input {
         let waited = arrival.waited();
         self.load.accepted(&arrival, waited);
-        let overdue = arrival.lane == Lane::Requests && waited > MAX_REQUEST_WAIT;
-        match overdue {
-            true => Input::Overdue(arrival.envelope),
-            false => Input::Peer(arrival.envelope),
+        let is_overdue = arrival.lane == Lane::Requests && waited > MAX_REQUEST_WAIT;
+        if is_overdue {
+            Input::Overdue(arrival.envelope)
+        } else {
+            Input::Peer(arrival.envelope)
         }
     }
 
@@ -244,13 +250,19 @@
             Effect::Send { to, message } => self.send(decided, to, message),
             Effect::Persist { number, batch } => self.disk.submit(DiskJob::Batch { number, batch }),
             Effect::SaveIdentity(identity) => self.disk.submit(DiskJob::Identity(identity)),
-            Effect::Ready(Ok(())) => self.readiness.set_ready(),
-            Effect::Ready(Err(reason)) => self.readiness.set_not_ready(&reason),
+            Effect::Ready(readiness) => self.report(&readiness),
             Effect::Decision(entry) => tracing::debug!(target: "decisions", ?entry),
             Effect::Stopped => self.stopped = true,
         }
     }
 
+    fn report(&self, readiness: &Readiness) {
+        match readiness {
+            Readiness::Ready => self.readiness.set_ready(),
+            Readiness::NotReady(reason) => self.readiness.set_not_ready(&reason.to_string()),
+        }
+    }
+
     /// Messages may be lost, so one that a freeze made old is not sent.
     fn send(&self, decided: Now, to: SocketAddr, message: PeerMessage) {
         let age = clock::now().monotonic.since(decided.monotonic);
--- a/crates/coordinator/src/disk.rs
+++ b/crates/coordinator/src/shell/disk.rs
@@ -1,6 +1,6 @@
 //! The thread that owns the store: writes in order, syncs in groups.
 
-use crate::Input;
+use crate::effect::Input;
 use std::io;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use storage::{Batch, Disk, Identity, StorageError, Store};
--- a/crates/coordinator/tests/snapshots.rs
+++ b/crates/coordinator/tests/snapshots.rs
@@ -1,6 +1,6 @@
 //! Snapshots of a large record: apart, and not by a leader.
 
-use coordinator::snapshots::{SnapshotDue, SnapshotSchedule, Turn};
+use coordinator::snapshots::{SnapshotDue, SnapshotSchedule, VoterTurn};
 use types::{LogIndex, NodeId};
 
 const EVERY: u64 = 100;
@@ -8,8 +8,8 @@
 const FOLLOWS: bool = false;
 const LEADS: bool = true;
 
-fn turn(applied: u64, position: usize) -> Turn {
-    Turn {
+fn turn(applied: u64, position: usize) -> VoterTurn {
+    VoterTurn {
         applied: LogIndex(applied),
         position: Some(position),
         voters: 5,
@@ -20,7 +20,7 @@
 fn due_at(schedule: &mut SnapshotSchedule, bytes: usize, leads: bool, position: usize) -> u64 {
     let mut applied = 0;
     while schedule.due(leads, turn(applied, position)) == SnapshotDue::No {
-        schedule.applied(bytes);
+        schedule.record_applied(bytes);
         applied += 1;
     }
     applied
@@ -63,9 +63,9 @@
     let mut schedule = SnapshotSchedule::new(EVERY, NodeId(0), 0);
     schedule.restart(2 * MIB);
     for _ in 0..300 {
-        schedule.applied(MIB / 100);
+        schedule.record_applied(MIB / 100);
     }
-    let learner = Turn {
+    let learner = VoterTurn {
         position: None,
         ..turn(5_000, 0)
     };
