--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -1,6 +1,6 @@
-//! The coordinator's core: one input in, effects out.
+//! The coordinator's core: takes inputs and appends effects.
 //!
-//! Every input first lets the consensus node look at the clock, so a process
+//! Every input first lets the consensus node check its timers, so a process
 //! that wakes from a freeze loses its lease before anything it held can act.
 //! The leader's messages are collected while an input is handled, and leave
 //! only if the lease still holds at the end.
@@ -20,7 +20,7 @@
 use crate::leader::Leader;
 use crate::options::{CoordinatorOptions, Mutation};
 use crate::readiness::Readiness;
-use crate::replica::Replica;
+use crate::replica::{Replica, ReplicaError};
 use crate::sender::Sender;
 use consensus::Recovered;
 use rand::SeedableRng;
@@ -30,12 +30,12 @@
 use transport::{Envelope, PeerMessage};
 use types::{Address, Milliseconds, Monotonic, Now};
 
-/// Longest time between two looks at the core's own timers.
+/// Longest time between two checks of the core's own timers.
 const TICK_INTERVAL: Milliseconds = Milliseconds(50);
 /// Rounds of proposing and applying within one input.
 const MAX_ROUNDS: usize = 8;
 
-/// A coordinator.
+/// A coordinator without I/O: the composition of identity, replica and leader.
 pub struct Coordinator {
     options: CoordinatorOptions,
     own: Address,
@@ -44,8 +44,8 @@
     replica: Option<Replica>,
     leader: Option<Leader>,
     random: ChaCha8Rng,
-    /// Why it serves no more, when its log or snapshot could not be read.
-    fault: Option<String>,
+    /// Why its log or snapshot could not be read; it serves no more then.
+    fault: Option<ReplicaError>,
     /// When a polite stop ends at the latest; none before one begins.
     handover_deadline: Option<Monotonic>,
     stopped: bool,
@@ -54,8 +54,8 @@
 }
 
 impl Coordinator {
-    /// A coordinator from what its disk held. With no identity it makes a new
-    /// one from `options.address.node`.
+    /// Builds a coordinator from what its disk held. Without an identity it saves
+    /// a new one with `options.address.node`.
     pub fn new(
         options: CoordinatorOptions,
         identity: Option<Identity>,
@@ -85,15 +85,15 @@
         coordinator
     }
 
-    /// Takes one input and appends what is to be done. The caller reads the
-    /// clock just before; after a freeze the core sees the jump first.
+    /// Handles one input and appends its effects. The caller reads the clock just
+    /// before; after a freeze of the process the core sees the jump first.
     pub fn handle(&mut self, now: Now, input: Input, effects: &mut Vec<Effect>) {
         self.handle_all(now, std::iter::once(input), effects);
     }
 
-    /// Takes inputs that are there together. What they lead to (placement,
+    /// Handles inputs that arrived together. What follows from them (placement,
     /// entries of the log, messages to followers) is done once for all of them,
-    /// so a core that is behind catches up.
+    /// so that a core that is behind catches up.
     pub fn handle_all(
         &mut self,
         now: Now,
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Says how long messages wait for this process, to leave and to be taken: what
-    /// is late for that does not speak against a link.
+    /// Records how long messages wait in this process, outgoing and incoming: that
+    /// delay does not count as one of a link.
     pub fn record_lag(&mut self, lag: Milliseconds) {
         if let Some(replica) = &mut self.replica {
             replica.record_lag(lag);
@@ -155,31 +155,32 @@
         }
     }
 
-    /// The record as this process has applied it; none before it belongs to a
-    /// cluster. For checks and for `replay`.
+    /// The state machine with the entries that this process has applied; none
+    /// before it belongs to a cluster. For checks and for `replay`.
     pub fn state_machine(&self) -> Option<&state_machine::StateMachine> {
         self.replica.as_ref().map(Replica::state_machine)
     }
 
-    /// Looks of the scheduler so far, in this term; 0 while it does not lead.
+    /// Scan steps of the scheduler in this term, as a measure of its cost; 0 while
+    /// this process does not lead.
     pub fn scan_cost(&self) -> u64 {
         let leader = self.leader.as_ref();
-        leader.map_or(0, |leader| leader.scan_cost())
+        leader.map_or(0, Leader::scan_cost)
     }
 
-    /// What its consensus node says of itself; none before it has one.
+    /// The status of the consensus node; none before there is one.
     pub fn status(&self, now: Now) -> Option<consensus::Status> {
         let replica = self.replica.as_ref()?;
         Some(replica.status(now.monotonic))
     }
 
-    /// Returns whether it leads and may act.
+    /// Returns whether this process leads and its lease lets it act.
     pub fn is_serving(&self, now: Now) -> bool {
         self.may_serve(now) && self.leader.as_ref().is_some_and(Leader::is_serving)
     }
 
-    /// The lease, checked at this moment. A leader that hands over acts no
-    /// more, whatever its lease says: its successor need not wait for that.
+    /// Checks the lease at this moment. A leader that hands over acts no more,
+    /// whatever its lease says: its successor need not wait for that.
     fn may_serve(&self, now: Now) -> bool {
         if self.handover_deadline.is_some() || self.fault.is_some() {
             return false;
@@ -193,6 +194,7 @@
         replica.holds_lease(now.monotonic)
     }
 
+    /// Does what follows from the inputs, once for all of them.
     fn advance(&mut self, now: Now, effects: &mut Vec<Effect>) {
         self.run_identity_round(now, effects);
         self.process_consensus(now, effects);
@@ -210,6 +212,7 @@
         self.finish_stop(now, effects);
     }
 
+    /// Takes a message of another process.
     fn receive(&mut self, now: Now, envelope: Envelope, effects: &mut Vec<Effect>) {
         let Some(envelope) = self.open_relay(envelope, effects) else {
             return;
@@ -240,7 +243,7 @@
             PeerMessage::Request(request) => self.receive_request(now, &sender, request, effects),
             PeerMessage::AgentReport(report) => self.receive_report(now, &sender, &report),
             PeerMessage::OrderResults { results } => {
-                self.receive_order_results(now, &sender, &results)
+                self.receive_order_results(now, &sender, &results);
             }
             PeerMessage::Configuration { .. }
             | PeerMessage::Reply(_)
@@ -250,8 +253,8 @@
         }
     }
 
-    /// Opens a relay meant for this process; passes one on that comes from its
-    /// origin.
+    /// Opens a relayed message for this process; forwards one that comes straight
+    /// from its origin.
     fn open_relay(&self, envelope: Envelope, effects: &mut Vec<Effect>) -> Option<Envelope> {
         match route::open(&self.own, envelope) {
             Opened::Own(envelope) => Some(envelope),
--- a/crates/coordinator/src/core/readiness.rs
+++ b/crates/coordinator/src/core/readiness.rs
@@ -55,7 +55,7 @@
 
     fn find_not_ready_reason(&self, now: Now) -> Option<NotReadyReason> {
         if let Some(error) = &self.fault {
-            let error = error.clone();
+            let error = error.to_string();
             return Some(NotReadyReason::StateUnreadable { error });
         }
         if self.handover_deadline.is_some() {
@@ -84,10 +84,10 @@
 
     /// Stops serving. The log or snapshot of a majority cannot be skipped, so
     /// there is nothing to go on with.
-    pub(super) fn stop_serving(&mut self, error: &ReplicaError) {
+    pub(super) fn stop_serving(&mut self, error: ReplicaError) {
         let reason = error.to_string();
         tracing::error!(reason, "stopped serving: state is unreadable");
-        self.fault = Some(reason);
+        self.fault = Some(error);
         self.leader = None;
     }
 }
--- a/crates/coordinator/src/core/replication.rs
+++ b/crates/coordinator/src/core/replication.rs
@@ -38,7 +38,7 @@
                 }
                 self.replica = Some(replica);
             }
-            Err(error) => self.stop_serving(&error),
+            Err(error) => self.stop_serving(error),
         }
     }
 
@@ -51,13 +51,13 @@
             self.send_consensus(now, batch.messages, effects);
             match batch.applied {
                 Ok(entries) => self.apply_to_leader(now, entries),
-                Err(error) => return self.stop_serving(&error),
+                Err(error) => return self.stop_serving(error),
             }
         }
         if let Some(replica) = &mut self.replica
             && let Err(error) = replica.snapshot_when_due(now.monotonic, effects)
         {
-            self.stop_serving(&error);
+            self.stop_serving(error);
         }
     }
 
--- a/crates/coordinator/src/effect.rs
+++ b/crates/coordinator/src/effect.rs
@@ -5,7 +5,7 @@
 use storage::{Batch, Identity};
 use transport::{Envelope, PeerMessage};
 
-/// What happens to the core.
+/// An event that the core handles.
 #[derive(Debug, Clone)]
 pub enum Input {
     /// Time passed.
@@ -13,25 +13,25 @@
     /// A message arrived.
     Peer(Envelope),
     /// A request arrived so long ago that it is rejected rather than answered
-    /// late: this process is behind, and would be further behind for it.
+    /// late: this process is behind, and would fall further behind.
     Overdue(Envelope),
-    /// [`Effect::Persist`] of this number is synced.
+    /// The write of [`Effect::Persist`] with this number is durable.
     Persisted {
-        /// Its number.
+        /// Number of the write, from 1.
         number: u64,
     },
-    /// [`Effect::SaveIdentity`] is synced.
+    /// The identity of [`Effect::SaveIdentity`] is durable.
     IdentitySaved,
     /// The process was asked to stop: hand over, then end.
     Stop,
 }
 
-/// What the shell must do.
+/// An action that the shell carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Send a message; it may be lost.
     Send {
-        /// Where to.
+        /// The socket it goes to.
         to: SocketAddr,
         /// The message.
         message: PeerMessage,
@@ -39,17 +39,17 @@
     /// Write and sync, in order of the numbers, then give
     /// [`Input::Persisted`].
     Persist {
-        /// Its number.
+        /// Number of the write, from 1.
         number: u64,
-        /// What to write.
+        /// The content to write.
         batch: Batch,
     },
     /// Write and sync the identity, then give [`Input::IdentitySaved`].
     SaveIdentity(Identity),
     /// Report whether this process is ready.
     Ready(Readiness),
-    /// A line of the decision log.
+    /// Log an entry of the decision log.
     Decision(Box<transport::DecisionEntry>),
-    /// All is handed over; the process may end.
+    /// The polite stop is complete; end the process.
     Stopped,
 }
--- a/crates/coordinator/src/identity/directory.rs
+++ b/crates/coordinator/src/identity/directory.rs
@@ -1,31 +1,32 @@
-//! Processes this one has heard of, for discovery and for the addresses of
+//! Processes that this one knows, for discovery and for the addresses of
 //! members.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use types::{Address, Milliseconds, Monotonic, NodeId, Role};
 
-/// A process silent for this long is not passed on to others.
+/// A process without a message for this long is not named to others.
 const ALIVE_WITHIN: Milliseconds = Milliseconds(5_000);
-/// A process silent for this long is forgotten.
+/// A process that neither sends nor is named for this long is removed.
 const FORGET_AFTER: Milliseconds = Milliseconds(60_000);
 /// Processes named to others at once.
 const MAX_NAMED: usize = 32;
-/// Processes kept at most; the longest silent goes first.
+/// Processes kept at most; the one without contact for longest goes first.
 const MAX_KNOWN: usize = 4_096;
 
+/// A process and the last time it sent a message or was named.
 #[derive(Debug, Clone)]
-struct Known {
+struct KnownProcess {
     address: Address,
-    /// When it was heard, or when another process last named it.
-    last: Monotonic,
-    /// Whether it was heard itself.
+    /// When it last sent a message, or another process last named it.
+    last_contact: Monotonic,
+    /// Whether its last contact was a message of its own.
     is_direct: bool,
 }
 
-impl Known {
+impl KnownProcess {
     fn is_alive(&self, now: Monotonic) -> bool {
-        self.is_direct && now.since(self.last) <= ALIVE_WITHIN
+        self.is_direct && now.since(self.last_contact) <= ALIVE_WITHIN
     }
 }
 
@@ -33,10 +34,11 @@
 #[derive(Debug)]
 pub(crate) struct Directory {
     own: Address,
-    known: BTreeMap<NodeId, Known>,
+    known: BTreeMap<NodeId, KnownProcess>,
 }
 
 impl Directory {
+    /// A directory that knows this process alone.
     pub(crate) fn new(own: Address) -> Self {
         Self {
             own,
@@ -44,12 +46,12 @@
         }
     }
 
-    /// A message came straight from this process.
+    /// Records a message that came directly from a process.
     pub(crate) fn record_contact(&mut self, address: &Address, now: Monotonic) {
         if let Some(known) = self.known.get_mut(&address.node)
             && known.address == *address
         {
-            known.last = now;
+            known.last_contact = now;
             known.is_direct = true;
             return;
         }
@@ -59,7 +61,7 @@
         self.insert(address, now, true);
     }
 
-    /// Another process named this one.
+    /// Adds a process that another one named, unless its socket is known.
     pub(crate) fn learn(&mut self, address: &Address, now: Monotonic) {
         let own = address.node == self.own.node || address.socket == self.own.socket;
         let socket_known = self
@@ -73,26 +75,29 @@
 
     fn insert(&mut self, address: &Address, now: Monotonic, is_direct: bool) {
         if self.known.len() >= MAX_KNOWN {
-            let oldest = self.known.iter().min_by_key(|(_, known)| known.last);
+            let oldest = self
+                .known
+                .iter()
+                .min_by_key(|(_, known)| known.last_contact);
             if let Some(node) = oldest.map(|(node, _)| *node) {
                 self.known.remove(&node);
             }
         }
-        let known = Known {
+        let known = KnownProcess {
             address: address.clone(),
-            last: now,
+            last_contact: now,
             is_direct,
         };
         self.known.insert(address.node, known);
     }
 
-    /// Drops processes that have been silent for long.
+    /// Removes processes without contact for long.
     pub(crate) fn forget_unresponsive(&mut self, now: Monotonic) {
         self.known
-            .retain(|_, known| now.since(known.last) <= FORGET_AFTER);
+            .retain(|_, known| now.since(known.last_contact) <= FORGET_AFTER);
     }
 
-    /// The address of a process.
+    /// The address of a process, if it is known.
     pub(crate) fn address(&self, node: NodeId) -> Option<&Address> {
         if node == self.own.node {
             return Some(&self.own);
@@ -100,7 +105,7 @@
         self.known.get(&node).map(|known| &known.address)
     }
 
-    /// The address of a process that was heard a short while ago.
+    /// The address of a process that sent a message a short while ago.
     pub(crate) fn alive_address(&self, node: NodeId, now: Monotonic) -> Option<&Address> {
         if node == self.own.node {
             return Some(&self.own);
@@ -109,7 +114,7 @@
         known.is_alive(now).then_some(&known.address)
     }
 
-    /// Processes heard a short while ago: this one, the other coordinators,
+    /// Processes that sent a message a short while ago: this one, the other coordinators,
     /// and some of the rest.
     pub(crate) fn alive(&self, now: Monotonic) -> Vec<Address> {
         let alive = || {
--- a/crates/coordinator/src/leader.rs
+++ b/crates/coordinator/src/leader.rs
@@ -210,8 +210,7 @@
         }
     }
 
-    /// The next change of the membership to propose, if a check is due and
-    /// finds one.
+    /// The next membership to propose, if it is to change.
     pub(crate) fn next_membership(&mut self, status: &Status, now: Now) -> Option<Membership> {
         self.joiners.expire(now.monotonic);
         let planner = MembershipPlanner {
--- a/crates/coordinator/src/leader/applied_entries.rs
+++ b/crates/coordinator/src/leader/applied_entries.rs
@@ -69,7 +69,12 @@
                     self.release(state_machine, reservation.run, reservation.task, now);
                 }
             }
-            _ => {}
+            Command::Submit { .. }
+            | Command::Cancel { .. }
+            | Command::PutConfiguration { .. }
+            | Command::UpdateConfiguration { .. }
+            | Command::SetRunnerDraining { .. }
+            | Command::Forget { .. } => {}
         }
     }
 
--- a/crates/coordinator/src/leader/heartbeats.rs
+++ b/crates/coordinator/src/leader/heartbeats.rs
@@ -2,6 +2,7 @@
 //! incarnation of a runner has active and has ended.
 
 use crate::leader::Leader;
+use crate::leader::run_tracker::TrackedRun;
 use crate::leader::runner_registry::Freshness;
 use crate::sender::Sender;
 use state_machine::{ClosedRun, StateMachine};
@@ -97,7 +98,7 @@
         let lost: Vec<RunId> = self
             .runs
             .iter()
-            .map(|tracked| tracked.open())
+            .map(TrackedRun::open)
             .filter(|run| run.endpoint.as_ref() == Some(endpoint))
             .filter(|run| run.runner != report.runner)
             .map(|run| run.run)
--- a/crates/coordinator/src/leader/membership.rs
+++ b/crates/coordinator/src/leader/membership.rs
@@ -23,7 +23,7 @@
 
 /// Entries a learner may lack and still count as caught up.
 const CAUGHT_UP_LAG: u64 = 64;
-/// A member that was not heard for longer is not counted as live.
+/// A member that is unresponsive for longer does not count as live.
 const LIVE_WITHIN: Milliseconds = Milliseconds(1_000);
 /// A learner that was unresponsive for this long is removed.
 const DROP_LEARNER_AFTER: Milliseconds = Milliseconds(60_000);
--- a/crates/coordinator/src/leader/orders.rs
+++ b/crates/coordinator/src/leader/orders.rs
@@ -20,6 +20,7 @@
 use crate::leader::Leader;
 use crate::leader::outbox::OrderContent;
 use crate::leader::run_tracker::{Phase, TrackedRun};
+use crate::leader::runner_registry::RunnerState;
 use crate::leader::stall_detection::StallDetector;
 use crate::options::Mutation;
 use crate::sender::Sender;
@@ -360,7 +361,7 @@
     /// heartbeat of its runner, so that the runner has stopped it.
     fn is_runner_lost(&self, run: &OpenRun, now: Monotonic) -> bool {
         let runner = self.runners.get(&run.runner);
-        let stops_itself = run.self_stop && runner.is_none_or(|runner| runner.stops_itself());
+        let stops_itself = run.self_stop && runner.is_none_or(RunnerState::stops_itself);
         let earliest = self.lease.failure_detection_start();
         let last_seen = runner.map_or(earliest, |runner| runner.last_seen().max(earliest));
         stops_itself && now.since(last_seen) > self.max_unresponsive_time()
--- a/crates/coordinator/src/leader/reads.rs
+++ b/crates/coordinator/src/leader/reads.rs
@@ -4,6 +4,7 @@
 
 use crate::leader::Leader;
 use crate::leader::rejections::{not_found, rejection_from};
+use crate::leader::run_tracker::TrackedRun;
 use configuration::ConfigurationUpdate;
 use scheduler::NotPlacedReason;
 use state_machine::{CommandRejection, StateMachine};
@@ -38,16 +39,10 @@
         now: Now,
     ) -> Result<OperationReply, Rejection> {
         match operation {
-            Operation::GetJob(key) => state_machine
-                .job(&key)
-                .map(|job| OperationReply::Job(Box::new(job)))
-                .ok_or_else(|| not_found(format!("job {key} is not known"))),
+            Operation::GetJob(key) => get_job(state_machine, &key),
             Operation::ListJobs(filter) => Ok(list_jobs(state_machine, &filter)),
             Operation::Explain(key) => self.explain(state_machine, &key, now),
-            Operation::GetJobState(key) => state_machine
-                .job_state(&key)
-                .map(OperationReply::JobState)
-                .ok_or_else(|| not_found(format!("job {key} is not known"))),
+            Operation::GetJobState(key) => get_job_state(state_machine, &key),
             Operation::CountJobs(queue) => Ok(OperationReply::Count(
                 state_machine.unfinished_of_queue(&queue),
             )),
@@ -69,11 +64,22 @@
                 let entries = self.decisions.after(after, limit as usize);
                 Ok(OperationReply::Decisions(entries))
             }
-            _ => Err(not_found("this is no question".to_owned())),
+            Operation::Submit(_)
+            | Operation::Cancel(_)
+            | Operation::PutConfiguration { .. }
+            | Operation::UpdateConfiguration { .. }
+            | Operation::DrainRunner { .. }
+            | Operation::DeclareRunnerLost { .. }
+            | Operation::ListMembers => Err(not_found("this is no question".to_owned())),
         }
     }
 
-    /// A line for each task that may start, and each that runs.
+    /// Explains the state of a job: a line for each task that waits, and for each
+    /// that runs.
+    ///
+    /// # Errors
+    ///
+    /// Returns the rejection if the job is not known.
     fn explain(
         &self,
         state_machine: &StateMachine,
@@ -82,7 +88,7 @@
     ) -> Result<OperationReply, Rejection> {
         let (Some(number), Some(job)) = (state_machine.job_number(key), state_machine.job(key))
         else {
-            return Err(not_found(format!("job {key} is not known")));
+            return Err(job_not_found(key));
         };
         let mut lines = Vec::new();
         if job.state.is_final() {
@@ -105,7 +111,7 @@
                 break;
             }
         }
-        let open_runs = self.runs.iter().map(|tracked| tracked.open());
+        let open_runs = self.runs.iter().map(TrackedRun::open);
         for open in open_runs.filter(|open| open.task.job == number) {
             let (task, run, runner) = (open.task, open.run, &open.runner);
             lines.push(format!("task {task} has run {run} on runner {runner}"));
@@ -179,8 +185,8 @@
             .collect()
     }
 
-    /// Counts by a key drawn from tenant and queue. Walks all ready tasks and
-    /// open runs: for operators' questions only.
+    /// Counts ready tasks and open runs by a key made from tenant and queue. It
+    /// visits all of them: for operators' reads only.
     fn count<K: Ord>(
         &self,
         state_machine: &StateMachine,
@@ -200,6 +206,24 @@
     }
 }
 
+fn get_job(state_machine: &StateMachine, key: &JobKey) -> Result<OperationReply, Rejection> {
+    state_machine
+        .job(key)
+        .map(|job| OperationReply::Job(Box::new(job)))
+        .ok_or_else(|| job_not_found(key))
+}
+
+fn get_job_state(state_machine: &StateMachine, key: &JobKey) -> Result<OperationReply, Rejection> {
+    state_machine
+        .job_state(key)
+        .map(OperationReply::JobState)
+        .ok_or_else(|| job_not_found(key))
+}
+
+fn job_not_found(key: &JobKey) -> Rejection {
+    not_found(format!("job {key} is not known"))
+}
+
 fn confirm_update(
     state_machine: &StateMachine,
     version: ConfigurationVersion,
--- a/crates/coordinator/src/leader/requests.rs
+++ b/crates/coordinator/src/leader/requests.rs
@@ -49,9 +49,25 @@
         if self.requests.record_retry(&pending) {
             return;
         }
-        let at = now.wall;
         let answer = match request.operation {
             Operation::ListMembers => Some(Ok(OperationReply::Members(members))),
+            operation => self.handle_operation(state_machine, operation, pending, now),
+        };
+        if let Some(result) = answer {
+            self.outbox.reply(sender, request.id, result);
+        }
+    }
+
+    /// Handles any operation but the list of members.
+    fn handle_operation(
+        &mut self,
+        state_machine: &StateMachine,
+        operation: Operation,
+        pending: PendingRequest,
+        now: Now,
+    ) -> ImmediateAnswer {
+        let at = now.wall;
+        match operation {
             Operation::Submit(spec) => self.submit(state_machine, spec, pending, now),
             Operation::Cancel(selector) => {
                 self.propose_request(Command::Cancel { selector, at }, pending)
@@ -74,9 +90,6 @@
                 self.declare_runner_lost(&runner, pending, now)
             }
             read => Some(self.read(state_machine, read, now)),
-        };
-        if let Some(result) = answer {
-            self.outbox.reply(sender, request.id, result);
         }
     }
 
--- a/crates/coordinator/src/leader/stall_detection.rs
+++ b/crates/coordinator/src/leader/stall_detection.rs
@@ -2,7 +2,7 @@
 //! little that another run of the task would be done before.
 
 use crate::leader::run_tracker::{RunTracker, TrackedRun};
-use crate::leader::runner_registry::RunnerRegistry;
+use crate::leader::runner_registry::{RunnerRegistry, RunnerState};
 use state_machine::StateMachine;
 use std::collections::BTreeSet;
 use types::{JobNumber, Milliseconds, Monotonic};
@@ -60,7 +60,7 @@
     /// those of several jobs: callers' expectations are too rough to go by one.
     fn is_on_slow_runner(&self, tracked: &TrackedRun) -> bool {
         let runner = &tracked.open().runner;
-        let Some(last_seen) = self.runners.get(runner).map(|state| state.last_seen()) else {
+        let Some(last_seen) = self.runners.get(runner).map(RunnerState::last_seen) else {
             return false;
         };
         let runs = self.runs.of_runner(runner);
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -24,7 +24,7 @@
 use storage::Batch;
 use types::{ClusterId, LogIndex, Milliseconds, Monotonic, NodeId, Term};
 
-/// A write under way.
+/// A write that is not durable yet.
 #[derive(Debug)]
 struct Outstanding {
     number: u64,
@@ -35,7 +35,7 @@
     snapshot: Option<Snapshot>,
 }
 
-/// An entry applied to the record.
+/// An entry that was applied to the state machine.
 #[derive(Debug)]
 pub(crate) struct AppliedEntry {
     pub(crate) index: LogIndex,
@@ -185,8 +185,7 @@
         Some(ProcessedBatch { messages, applied })
     }
 
-    /// Writes what a batch of the node holds and gives the messages that may
-    /// leave now.
+    /// Writes a batch of the node; returns the messages that may leave now.
     fn store(
         &mut self,
         now: Monotonic,
@@ -212,7 +211,7 @@
         messages
     }
 
-    /// The newest batch of the node still under way. Own snapshots beside it
+    /// The newest batch of the node that is not durable. Own snapshots beside it
     /// promise nothing to others.
     fn newest_batch(&mut self) -> Option<&mut Outstanding> {
         let mut newest_first = self.outstanding.iter_mut().rev();
@@ -258,7 +257,11 @@
         messages
     }
 
-    /// Applies what a batch of the node committed.
+    /// Applies the committed entries of a batch.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if a snapshot or an entry does not decode.
     fn apply(&mut self, ready: Ready) -> Result<Vec<AppliedEntry>, ReplicaError> {
         if let Some(snapshot) = &ready.snapshot {
             let mutation = self.state_machine.mutation();
--- a/crates/coordinator/src/shell.rs
+++ b/crates/coordinator/src/shell.rs
@@ -13,7 +13,7 @@
 use crate::options::CoordinatorOptions;
 use crate::readiness::Readiness;
 use crate::shell::disk::{DiskJob, DiskThread};
-use crate::shell::load::Load;
+use crate::shell::load::{Load, whole_milliseconds};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -26,18 +26,18 @@
 
 /// Sends that were decided longer ago than this are dropped: the process was
 /// frozen in between, and what it held may no longer be true.
-const OLDEST_SEND: Milliseconds = Milliseconds(250);
+const MAX_SEND_AGE: Milliseconds = Milliseconds(250);
 
-/// Inputs that share one step of the core at most: what they lead to waits for the
-/// last of them.
-const STEP_INPUTS: usize = 64;
-/// A step that takes this long is told: no lease is renewed meanwhile.
-const LONG_STEP: Duration = Duration::from_millis(100);
+/// Inputs that share one step of the core at most: what follows from them waits
+/// for the last of them.
+const MAX_STEP_INPUTS: usize = 64;
+/// A step that takes this long is logged: no lease is renewed meanwhile.
+const SLOW_STEP: Duration = Duration::from_millis(100);
 /// A request that waited this long for the core is rejected, not answered late.
 /// Gateways send again soon after, and each sending would come to wait longer.
 const MAX_REQUEST_WAIT: Milliseconds = Milliseconds(300);
 
-/// What the shell needs beyond the core's settings.
+/// Settings of the shell, with those of the core.
 #[derive(Debug, Clone)]
 pub struct ShellOptions {
     /// Settings of the core.
@@ -79,7 +79,12 @@
     },
 }
 
-/// Runs a coordinator until `stop` turns true and all is handed over.
+/// Runs a coordinator until `stop` turns true and leadership is handed over.
+///
+/// # Errors
+///
+/// Returns an error if the data folder or a listener cannot be used, the thread of
+/// the disk cannot be started, or a write fails.
 pub async fn run(
     options: ShellOptions,
     stop: watch::Receiver<bool>,
@@ -186,12 +191,12 @@
                 }
                 () = sleep_until(deadline), if deadline.is_some() => return Ok(()),
                 arrival = self.incoming.arrival() => match arrival {
-                    Some(arrival) => self.arrived(arrival),
+                    Some(arrival) => self.receive_arrival(arrival),
                     None => return Ok(()),
                 },
                 () = tokio::time::sleep(until_wakeup) => {
                     let late = slept_at.elapsed().saturating_sub(until_wakeup);
-                    self.load.woken_late(late);
+                    self.load.record_wakeup(late);
                     Input::Tick
                 }
             };
@@ -200,10 +205,10 @@
         Ok(())
     }
 
-    /// A message as the core takes it.
-    fn arrived(&mut self, arrival: Arrival) -> Input {
+    /// Records the wait of a message and turns it into an input of the core.
+    fn receive_arrival(&mut self, arrival: Arrival) -> Input {
         let waited = arrival.waited();
-        self.load.accepted(&arrival, waited);
+        self.load.record_arrival(&arrival, waited);
         let is_overdue = arrival.lane == Lane::Requests && waited > MAX_REQUEST_WAIT;
         if is_overdue {
             Input::Overdue(arrival.envelope)
@@ -217,14 +222,14 @@
         Duration::from_millis(self.core.next_wakeup().since(now).0)
     }
 
-    /// Gives the core an input, and with it what else has arrived.
+    /// Gives the core an input together with all messages that have arrived.
     fn handle(&mut self, input: Input) {
         let begun = Instant::now();
         let mut inputs = vec![input];
-        while inputs.len() < STEP_INPUTS
+        while inputs.len() < MAX_STEP_INPUTS
             && let Some(arrival) = self.incoming.try_arrival()
         {
-            inputs.push(self.arrived(arrival));
+            inputs.push(self.receive_arrival(arrival));
         }
         let count = inputs.len();
         let now = clock::now();
@@ -232,31 +237,31 @@
         self.core.record_lag(self.load.lag());
         self.core.handle_all(now, inputs, &mut effects);
         for effect in effects {
-            self.carry_out(now, effect);
+            self.execute(now, effect);
         }
         let took = begun.elapsed();
-        if took >= LONG_STEP {
+        if took >= SLOW_STEP {
             tracing::warn!(
-                elapsed_ms = took.as_millis() as u64,
+                elapsed_ms = whole_milliseconds(took),
                 inputs = count,
                 "slow core step"
             );
         }
-        self.load.stepped(count, took, &self.incoming);
+        self.load.record_step(count, took, &self.incoming);
     }
 
-    fn carry_out(&mut self, decided: Now, effect: Effect) {
+    fn execute(&mut self, decided: Now, effect: Effect) {
         match effect {
             Effect::Send { to, message } => self.send(decided, to, message),
             Effect::Persist { number, batch } => self.disk.submit(DiskJob::Batch { number, batch }),
             Effect::SaveIdentity(identity) => self.disk.submit(DiskJob::Identity(identity)),
-            Effect::Ready(readiness) => self.report(&readiness),
+            Effect::Ready(readiness) => self.report_readiness(&readiness),
             Effect::Decision(entry) => tracing::debug!(target: "decisions", ?entry),
             Effect::Stopped => self.stopped = true,
         }
     }
 
-    fn report(&self, readiness: &Readiness) {
+    fn report_readiness(&self, readiness: &Readiness) {
         match readiness {
             Readiness::Ready => self.readiness.set_ready(),
             Readiness::NotReady(reason) => self.readiness.set_not_ready(&reason.to_string()),
@@ -266,7 +271,7 @@
     /// Messages may be lost, so one that a freeze made old is not sent.
     fn send(&self, decided: Now, to: SocketAddr, message: PeerMessage) {
         let age = clock::now().monotonic.since(decided.monotonic);
-        if age <= OLDEST_SEND {
+        if age <= MAX_SEND_AGE {
             self.transport.send(to, message);
         } else {
             tracing::warn!(
@@ -277,7 +282,7 @@
     }
 }
 
-/// Ends when the process is asked to stop; a lost sender asks nothing.
+/// Returns when the process is asked to stop; never if the sender is gone.
 async fn stop_wanted(stop: &mut watch::Receiver<bool>) {
     if stop.wait_for(|wanted| *wanted).await.is_err() {
         std::future::pending::<()>().await;
--- a/crates/coordinator/src/shell/disk.rs
+++ b/crates/coordinator/src/shell/disk.rs
@@ -9,24 +9,28 @@
 /// Entries joined into one write at most.
 const MAX_GROUP_ENTRIES: usize = 4_096;
 
-/// Something to write.
+/// A write for the disk thread.
 #[derive(Debug)]
 pub(crate) enum DiskJob {
     /// The identity.
     Identity(Identity),
-    /// A batch of the log.
+    /// A batch of the log, and its number.
     Batch { number: u64, batch: Batch },
 }
 
-/// The thread, as the shell sees it.
+/// The handle of the disk thread.
 pub(crate) struct DiskThread {
     jobs: Sender<DiskJob>,
     done: UnboundedReceiver<Result<Input, StorageError>>,
 }
 
 impl DiskThread {
-    /// Starts the thread. It ends with the first error, or when the shell
-    /// drops this.
+    /// Starts the thread. It ends with the first error, or when the handle is
+    /// dropped.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the system starts no thread.
     pub(crate) fn start<D: Disk + 'static>(store: Store<D>) -> io::Result<Self> {
         let (jobs, waiting) = channel();
         let (reports, done) = unbounded_channel();
@@ -36,15 +40,19 @@
         Ok(Self { jobs, done })
     }
 
-    /// Queues a write. If the thread has ended, [`DiskThread::done`] says why.
+    /// Queues a write. If the thread has ended, [`DiskThread::done`] returns the error.
     pub(crate) fn submit(&self, job: DiskJob) {
         if self.jobs.send(job).is_err() {
             tracing::error!("disk writer thread exited");
         }
     }
 
-    /// Ends what is queued and waits until the thread has let go of the store:
+    /// Finishes what is queued and waits until the thread has closed the store:
     /// another process, or a restart, may open it then.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error that ended the thread.
     pub(crate) async fn finish(mut self) -> Result<(), StorageError> {
         drop(self.jobs);
         while let Some(done) = self.done.recv().await {
@@ -71,9 +79,12 @@
                 .save_identity(&identity)
                 .map(|()| Input::IdentitySaved),
             DiskJob::Batch { number, batch } => {
-                let (number, batch, rest) = group(number, batch, jobs);
-                left_over = rest;
-                store.write(&batch).map(|()| Input::Persisted { number })
+                let group = join_batches(number, batch, jobs);
+                left_over = group.next_job;
+                let number = group.number;
+                store
+                    .write(&group.batch)
+                    .map(|()| Input::Persisted { number })
             }
         };
         let failed = result.is_err();
@@ -83,30 +94,45 @@
     }
 }
 
-/// Joins batches that wait and follow one another into one. A sync of the last
-/// one's number stands for all before it.
-fn group(
-    mut number: u64,
-    mut batch: Batch,
-    jobs: &Receiver<DiskJob>,
-) -> (u64, Batch, Option<DiskJob>) {
+/// Batches joined into one write.
+struct BatchGroup {
+    /// Number of the last batch.
+    number: u64,
+    batch: Batch,
+    /// A job that was taken from the queue and could not be joined.
+    next_job: Option<DiskJob>,
+}
+
+/// Joins queued batches that follow one another into one. Its sync reports the
+/// last number, which covers all before it.
+fn join_batches(mut number: u64, mut batch: Batch, jobs: &Receiver<DiskJob>) -> BatchGroup {
     while let Ok(job) = jobs.try_recv() {
         match job {
             DiskJob::Batch {
                 number: next,
                 batch: following,
-            } if follows(&batch, &following) => {
+            } if can_join(&batch, &following) => {
                 number = next;
                 batch.hard_state = following.hard_state.or(batch.hard_state);
                 batch.entries.extend(following.entries);
             }
-            other => return (number, batch, Some(other)),
+            other => {
+                return BatchGroup {
+                    number,
+                    batch,
+                    next_job: Some(other),
+                };
+            }
         }
     }
-    (number, batch, None)
+    BatchGroup {
+        number,
+        batch,
+        next_job: None,
+    }
 }
 
-fn follows(batch: &Batch, following: &Batch) -> bool {
+fn can_join(batch: &Batch, following: &Batch) -> bool {
     if batch.snapshot.is_some() || following.snapshot.is_some() {
         return false;
     }
--- a/crates/coordinator/src/shell/load.rs
+++ b/crates/coordinator/src/shell/load.rs
@@ -1,21 +1,21 @@
-//! How far the coordinator's loop is behind, told by metrics and, when it is
-//! far behind, by its log: whose messages wait, how long, and what takes the
-//! time.
+//! Measurement of how far the coordinator's loop is behind, reported by metrics
+//! and, when it is far behind, by its log: whose messages wait, how long, and what
+//! takes the time.
 
 use std::time::{Duration, Instant};
 use transport::{Arrival, Inbox, Lane};
 use types::Milliseconds;
 
 /// The log says that the loop is behind when something waited this long.
-const BEHIND: Milliseconds = Milliseconds(250);
-/// Shortest time between two such lines.
+const BEHIND_AFTER: Milliseconds = Milliseconds(250);
+/// Shortest time between two such log lines.
 const LINE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What was late counts as the loop's lag for one to two such times.
+/// A delay counts as the loop's lag for one to two such windows.
 const LAG_WINDOW: Duration = Duration::from_millis(500);
 
-/// How late the loop is, lately: messages that waited, timers that fired late and
-/// long steps. It is the most in this window and the one before.
+/// The recent lag of the loop: the longest wait of a message, delay of a timer or
+/// step in this window and the one before.
 #[derive(Debug)]
 struct Lag {
     max: Duration,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Figures of the loop since the last line of the log.
+/// Figures of the loop since the last log line.
 #[derive(Debug)]
 pub(crate) struct Load {
     max_wait: Milliseconds,
@@ -57,8 +57,13 @@
     lag: Lag,
 }
 
+/// Whole milliseconds of a duration.
+pub(crate) fn whole_milliseconds(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
+}
+
 impl Load {
-    /// A loop that has done nothing yet.
+    /// Begins with no figures.
     pub(crate) fn new() -> Self {
         Self {
             max_wait: Milliseconds(0),
@@ -70,19 +75,18 @@
         }
     }
 
-    /// How late the loop is.
+    /// The recent lag of the loop.
     pub(crate) fn lag(&self) -> Milliseconds {
-        let lag = self.lag.now().as_millis();
-        Milliseconds(u64::try_from(lag).unwrap_or(u64::MAX))
+        Milliseconds(whole_milliseconds(self.lag.now()))
     }
 
     /// Records a timer that fired so late.
-    pub(crate) fn woken_late(&mut self, late: Duration) {
+    pub(crate) fn record_wakeup(&mut self, late: Duration) {
         self.lag.record(late);
     }
 
     /// Records a message that is taken now.
-    pub(crate) fn accepted(&mut self, arrival: &Arrival, waited: Milliseconds) {
+    pub(crate) fn record_arrival(&mut self, arrival: &Arrival, waited: Milliseconds) {
         metrics::histogram!("cypressdrum_inbox_wait_seconds", "lane" => arrival.lane.name())
             .record(waited.0 as f64 / 1_000.0);
         self.max_wait = self.max_wait.max(waited);
@@ -90,7 +94,7 @@
     }
 
     /// Records a step of the core with so many inputs.
-    pub(crate) fn stepped(&mut self, inputs: usize, took: Duration, inbox: &Inbox) {
+    pub(crate) fn record_step(&mut self, inputs: usize, took: Duration, inbox: &Inbox) {
         metrics::histogram!("cypressdrum_step_seconds").record(took.as_secs_f64());
         self.max_step = self.max_step.max(took);
         self.lag.record(took);
@@ -102,10 +106,10 @@
     }
 
     fn report(&mut self, inbox: &Inbox) {
-        if self.max_wait >= BEHIND {
+        if self.max_wait >= BEHIND_AFTER {
             tracing::warn!(
                 max_wait_ms = self.max_wait.0,
-                max_step_ms = self.max_step.as_millis() as u64,
+                max_step_ms = whole_milliseconds(self.max_step),
                 steps = self.steps,
                 inputs = self.inputs,
                 liveness = inbox.waiting(Lane::Liveness),
--- a/crates/coordinator/tests/golden_data.rs
+++ b/crates/coordinator/tests/coordinator/golden_data.rs
@@ -6,9 +6,7 @@
 //! bytes, since a choice of the scheduler may change on purpose. It is left
 //! in the folder for temporary files of the build.
 
-mod common;
-
-use common::{Server, World, document};
+use crate::test_cluster::{Server, TestCluster, document, jobs};
 use configuration::{ClusterConfiguration, LicenceSettings};
 use coordinator::Input;
 use state_machine::{CancelSelector, StateMachine};
@@ -21,7 +19,7 @@
 
 const RECORDED_FOLDER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/folder");
 /// The record's snapshot after the recovery, in hex.
-const RECOVERED: &str = include_str!("golden/recovered.txt");
+const RECOVERED: &str = include_str!("../golden/recovered.txt");
 const BYTES_OF_LINE: usize = 48;
 const PORT: u16 = 8_000;
 /// It holds nothing, and only a running daemon needs it.
@@ -57,17 +55,17 @@
 }
 
 /// One coordinator that leads itself and writes snapshots often.
-fn alone(server: Server) -> World {
-    let mut world = World::new(1);
-    world.servers = vec![server];
-    world.options.initial_coordinators = 1;
-    world.options.snapshot_every = SNAPSHOT_EVERY;
-    world.start(0);
-    world
+fn alone(server: Server) -> TestCluster {
+    let mut cluster = TestCluster::new(1);
+    cluster.servers = vec![server];
+    cluster.options.initial_coordinators = 1;
+    cluster.options.snapshot_every = SNAPSHOT_EVERY;
+    cluster.start(0);
+    cluster
 }
 
-fn submit(world: &mut World, spec: JobSpec) {
-    let answer = world.answer(Operation::Submit(spec));
+fn submit(cluster: &mut TestCluster, spec: JobSpec) {
+    let answer = cluster.answer(Operation::Submit(spec));
     assert!(
         matches!(answer, Ok(OperationReply::Submitted { known: false, .. })),
         "{answer:?}"
@@ -76,37 +74,42 @@
 
 /// A job of one step, changed as wanted.
 fn job(name: &str, change: impl FnOnce(&mut StepSpec)) -> JobSpec {
-    let mut spec = document::job(name);
+    let mut spec = jobs::job(name);
     change(&mut spec.steps[0]);
     spec
 }
 
 /// Open runs of a job.
 fn open_runs(state_machine: &StateMachine, job: &str) -> Vec<OpenRun> {
-    let number = state_machine.job_number(&document::key(job));
+    let number = state_machine.job_number(&jobs::key(job));
     let runs = state_machine.open_runs().into_iter();
     runs.filter(|run| Some(run.task.job) == number).collect()
 }
 
-fn wait_for_runs(world: &mut World, job: &str, count: usize) {
-    world.run_until(20_000, job, |world| {
-        let active = |run: &OpenRun| world.agents.iter().any(|a| a.active.contains_key(&run.run));
-        let runs = open_runs(world.state_machine(), job);
+fn wait_for_runs(cluster: &mut TestCluster, job: &str, count: usize) {
+    cluster.run_until(20_000, job, |cluster| {
+        let active = |run: &OpenRun| {
+            cluster
+                .agents
+                .iter()
+                .any(|a| a.active.contains_key(&run.run))
+        };
+        let runs = open_runs(cluster.state_machine(), job);
         runs.len() == count && runs.iter().all(active)
     });
 }
 
 /// Submits a job and lets its runs go.
-fn run(world: &mut World, spec: JobSpec, count: usize) {
+fn run(cluster: &mut TestCluster, spec: JobSpec, count: usize) {
     let name = spec.job.clone();
-    submit(world, spec);
-    wait_for_runs(world, name.as_str(), count);
+    submit(cluster, spec);
+    wait_for_runs(cluster, name.as_str(), count);
 }
 
 /// Ends the only run of a job on its runner.
-fn end(world: &mut World, job: &str, outcome: Outcome, checkpoint: Option<&str>) {
-    let run = open_runs(world.state_machine(), job)[0].run;
-    let mut agents = world.agents.iter_mut();
+fn end(cluster: &mut TestCluster, job: &str, outcome: Outcome, checkpoint: Option<&str>) {
+    let run = open_runs(cluster.state_machine(), job)[0].run;
+    let mut agents = cluster.agents.iter_mut();
     let agent = agents.find(|a| a.active.contains_key(&run)).unwrap();
     agent.active.remove(&run);
     agent.ended.push(EndedRun {
@@ -114,94 +117,94 @@
         outcome,
         checkpoint: checkpoint.map(str::to_owned),
     });
-    world.run_until(2_000, "the end in the record", |world| {
-        world.state_machine().is_closed(run)
+    cluster.run_until(2_000, "the end in the record", |cluster| {
+        cluster.state_machine().is_closed(run)
     });
 }
 
 /// A run that was given up as lost and may still be told of; its task runs
 /// again.
-fn lose_a_run(world: &mut World) {
-    world.add_agent(1);
-    run(world, job("given-up", |_| {}), 1);
+fn lose_a_run(cluster: &mut TestCluster) {
+    cluster.add_agent(1);
+    run(cluster, job("given-up", |_| {}), 1);
     // Nothing new starts on it once it is known to leave.
-    world.agents[0].draining = true;
-    world.run(500);
-    world.agents[0].silent = true;
-    let runner = world.agents[0].runner.clone();
-    let answer = world.answer(Operation::DeclareRunnerLost { runner });
+    cluster.agents[0].draining = true;
+    cluster.run(500);
+    cluster.agents[0].silent = true;
+    let runner = cluster.agents[0].runner.clone();
+    let answer = cluster.answer(Operation::DeclareRunnerLost { runner });
     assert!(matches!(answer, Ok(OperationReply::RunsLost { .. })));
-    world.add_agent(2);
-    world.add_agent(3);
-    wait_for_runs(world, "given-up", 1);
+    cluster.add_agent(2);
+    cluster.add_agent(3);
+    wait_for_runs(cluster, "given-up", 1);
 }
 
-fn end_jobs(world: &mut World) {
-    run(world, job("ended", |_| {}), 1);
-    end(world, "ended", Outcome::Done, None);
+fn end_jobs(cluster: &mut TestCluster) {
+    run(cluster, job("ended", |_| {}), 1);
+    end(cluster, "ended", Outcome::Done, None);
     let broke = Outcome::Failed("it broke".to_owned());
-    run(world, job("broken", |step| step.allowed_failures = 0), 1);
-    end(world, "broken", broke, None);
-    run(world, job("stopped", |_| {}), 1);
-    let selector = CancelSelector::Jobs(vec![document::key("stopped")]);
-    world.answer(Operation::Cancel(selector)).unwrap();
-    world.run_until(2_000, "the cancelled run's end", |world| {
-        open_runs(world.state_machine(), "stopped").is_empty()
+    run(cluster, job("broken", |step| step.allowed_failures = 0), 1);
+    end(cluster, "broken", broke, None);
+    run(cluster, job("stopped", |_| {}), 1);
+    let selector = CancelSelector::Jobs(vec![jobs::key("stopped")]);
+    cluster.answer(Operation::Cancel(selector)).unwrap();
+    cluster.run_until(2_000, "the cancelled run's end", |cluster| {
+        open_runs(cluster.state_machine(), "stopped").is_empty()
     });
 }
 
-fn keep_jobs_running(world: &mut World) {
-    run(world, job("goes", |step| step.allowed_failures = 3), 1);
+fn keep_jobs_running(cluster: &mut TestCluster) {
+    run(cluster, job("goes", |step| step.allowed_failures = 3), 1);
     let broke = Outcome::Failed("it broke".to_owned());
-    end(world, "goes", broke, Some(CHECKPOINT));
-    wait_for_runs(world, "goes", 1);
+    end(cluster, "goes", broke, Some(CHECKPOINT));
+    wait_for_runs(cluster, "goes", 1);
     let gang = job("together", |step| {
         step.tasks = GANG;
         step.rules.gang = true;
     });
-    run(world, gang, GANG as usize);
+    run(cluster, gang, GANG as usize);
     let seated = job("seated", |step| {
         step.tasks = SEATS + 1;
         step.rules.licence = Some(licence());
     });
-    run(world, seated, SEATS as usize);
+    run(cluster, seated, SEATS as usize);
 }
 
-fn let_jobs_wait(world: &mut World) {
+fn let_jobs_wait(cluster: &mut TestCluster) {
     let mut waits = job("waits", |_| {});
     waits.start_at = Some(FAR_AHEAD);
-    submit(world, waits);
+    submit(cluster, waits);
 }
 
-fn drain_a_runner(world: &mut World) {
+fn drain_a_runner(cluster: &mut TestCluster) {
     let drain = Operation::DrainRunner {
         runner: name("rowan-9"),
         draining: true,
     };
-    assert_eq!(world.answer(drain), Ok(OperationReply::Accepted));
+    assert_eq!(cluster.answer(drain), Ok(OperationReply::Accepted));
 }
 
-fn configure(world: &mut World, version: u64, document: ClusterConfiguration) {
+fn configure(cluster: &mut TestCluster, version: u64, document: ClusterConfiguration) {
     let version = ConfigurationVersion(version);
     let put = Operation::PutConfiguration { version, document };
     let known = false;
     let taken = OperationReply::Configured { version, known };
-    assert_eq!(world.answer(put), Ok(taken));
+    assert_eq!(cluster.answer(put), Ok(taken));
 }
 
 /// The incarnation of a coordinator up to a sudden end; gives its files.
 fn told() -> Files {
-    let mut world = alone(Server::new(PORT, 1));
-    world.run_until(10_000, "a leader", |world| world.leader().is_some());
-    configure(&mut world, 1, licensed_document());
-    lose_a_run(&mut world);
-    end_jobs(&mut world);
-    keep_jobs_running(&mut world);
-    let_jobs_wait(&mut world);
-    drain_a_runner(&mut world);
-    configure(&mut world, 2, last_document());
-    world.kill(0);
-    let disk = world.servers[0].store.take().unwrap().into_disk();
+    let mut cluster = alone(Server::new(PORT, 1));
+    cluster.run_until(10_000, "a leader", |cluster| cluster.leader().is_some());
+    configure(&mut cluster, 1, licensed_document());
+    lose_a_run(&mut cluster);
+    end_jobs(&mut cluster);
+    keep_jobs_running(&mut cluster);
+    let_jobs_wait(&mut cluster);
+    drain_a_runner(&mut cluster);
+    configure(&mut cluster, 2, last_document());
+    cluster.kill(0);
+    let disk = cluster.servers[0].store.take().unwrap().into_disk();
     let files = disk.list().unwrap().into_iter().map(|name| {
         let bytes = disk.read(&name).unwrap();
         (name, bytes)
@@ -247,11 +250,11 @@
 }
 
 /// A coordinator started from files, as soon as it has applied its log.
-fn recovered(files: &Files) -> World {
-    let mut world = alone(Server::from_disk(PORT, Some(store_of(files))));
-    world.input(0, Input::Tick);
-    world.run_until(10_000, "a leader", |world| world.leader().is_some());
-    world
+fn recovered(files: &Files) -> TestCluster {
+    let mut cluster = alone(Server::from_disk(PORT, Some(store_of(files))));
+    cluster.input(0, Input::Tick);
+    cluster.run_until(10_000, "a leader", |cluster| cluster.leader().is_some());
+    cluster
 }
 
 fn assert_jobs_stand(state_machine: &StateMachine) {
@@ -273,7 +276,7 @@
         states,
         expected.map(|(name, state)| (name.to_owned(), state))
     );
-    let broken = state_machine.job(&document::key("broken")).unwrap();
+    let broken = state_machine.job(&jobs::key("broken")).unwrap();
     let reason = "task 0 of step step failed 1 times, last: it broke";
     assert_eq!(broken.reason.as_deref(), Some(reason));
     assert_eq!(state_machine.unfinished_of_tenant(&document::tenant()), 5);
@@ -307,8 +310,7 @@
         .iter()
         .map(|meta| meta.task.job)
         .collect();
-    let waiting =
-        ["seated", "waits"].map(|job| state_machine.job_number(&document::key(job)).unwrap());
+    let waiting = ["seated", "waits"].map(|job| state_machine.job_number(&jobs::key(job)).unwrap());
     assert_eq!(ready, BTreeSet::from(waiting));
 }
 
@@ -343,19 +345,19 @@
     let snapshot = opened.recovered.snapshot.unwrap();
     let taken = StateMachine::restore(&snapshot.data).unwrap();
     assert_eq!(
-        taken.job_state(&document::key("broken")),
+        taken.job_state(&jobs::key("broken")),
         Some(JobState::Failed)
     );
-    assert_eq!(taken.job_state(&document::key("goes")), None);
+    assert_eq!(taken.job_state(&jobs::key("goes")), None);
     assert!(!opened.recovered.entries.is_empty());
     assert!(fs::exists(folder.join(LOCK_FILE)).unwrap());
 }
 
 #[test]
 fn the_recorded_folder_is_recovered_to_the_recorded_record() {
-    let world = recovered(&recorded_files());
-    assert_stands(world.state_machine());
-    let snapshot = to_hex(&world.state_machine().snapshot().unwrap());
+    let cluster = recovered(&recorded_files());
+    assert_stands(cluster.state_machine());
+    let snapshot = to_hex(&cluster.state_machine().snapshot().unwrap());
     assert!(snapshot == RECOVERED.trim_end(), "it is\n{snapshot}");
 }
 
@@ -368,12 +370,12 @@
 
 #[test]
 fn the_recovered_coordinator_serves_on() {
-    let mut world = recovered(&recorded_files());
-    let again = world.answer(Operation::Submit(document::job("ended")));
+    let mut cluster = recovered(&recorded_files());
+    let again = cluster.answer(Operation::Submit(jobs::job("ended")));
     assert!(
         matches!(again, Ok(OperationReply::Submitted { known: true, .. })),
         "{again:?}"
     );
-    submit(&mut world, document::job("new"));
-    configure(&mut world, 3, licensed_document());
+    submit(&mut cluster, jobs::job("new"));
+    configure(&mut cluster, 3, licensed_document());
 }
--- /dev/null
+++ b/crates/coordinator/tests/coordinator/main.rs
@@ -0,0 +1,11 @@
+//! Tests of the coordinator's core in a cluster with virtual time.
+
+mod faults;
+mod first_start;
+mod golden_data;
+mod mutations;
+mod relay;
+mod requests;
+mod runs;
+mod snapshots;
+mod test_cluster;
--- a/crates/coordinator/tests/common/document.rs
+++ b/crates/coordinator/tests/coordinator/test_cluster/document.rs
@@ -1,26 +1,16 @@
-//! Configuration and jobs of the tests.
+//! Configuration of the tests.
 
 use configuration::{
     ClusterConfiguration, ErrorBudget, PoolSettings, QueueMode, QueueSettings, TenantSettings,
     Timings,
 };
 use std::collections::BTreeMap;
-use types::{
-    JobId, JobKey, JobSpec, Milliseconds, PoolName, QueueName, Resources, StepName, StepSpec,
-    TenantId, Urgency,
-};
+use types::{Milliseconds, PoolName, QueueName, Resources, TenantId};
 
 pub fn tenant() -> TenantId {
     TenantId::new("tenant").unwrap()
 }
 
-pub fn key(job: &str) -> JobKey {
-    JobKey {
-        tenant: tenant(),
-        job: JobId::new(job).unwrap(),
-    }
-}
-
 pub fn slots(slots: u32) -> Resources {
     Resources {
         slots,
@@ -64,27 +54,3 @@
         timings: Timings::default(),
     }
 }
-
-/// A job of one task.
-pub fn job(job: &str) -> JobSpec {
-    JobSpec {
-        payload: String::new(),
-        tenant: tenant(),
-        job: JobId::new(job).unwrap(),
-        queue: QueueName::new("queue").unwrap(),
-        urgency: Urgency::Normal,
-        start_at: None,
-        steps: vec![StepSpec {
-            rules: Default::default(),
-            name: StepName::new("step").unwrap(),
-            after: Vec::new(),
-            tasks: 1,
-            resources: slots(1),
-            labels: BTreeMap::new(),
-            max_copies: 1,
-            allowed_failures: 1,
-            time_limit: Milliseconds(60_000),
-            payload: String::new(),
-        }],
-    }
-}
--- a/crates/coordinator/tests/common/mod.rs
+++ b/crates/coordinator/tests/coordinator/test_cluster/mod.rs
@@ -1,10 +1,10 @@
-//! A small world for the coordinator's core: virtual time, a network without
+//! A small cluster for the coordinator's core: virtual time, a network without
 //! loss, disks in memory, scripted agents with their runners.
-#![allow(dead_code)] // Each test file uses its own part of the world.
 
 pub mod agent;
-mod asking;
 pub mod document;
+pub mod jobs;
+mod requests;
 mod server;
 
 use agent::ScriptedAgent;
@@ -19,7 +19,7 @@
 use types::{Address, Milliseconds, Monotonic, NodeId, Now, Role, WallTime, ZoneName};
 
 const LATENCY: u64 = 1;
-/// Wall time at the start of the world.
+/// Wall time at the start of the cluster.
 const WALL_START: u64 = 1_700_000_000_000;
 const GATEWAY_PORT: u16 = 9_000;
 
@@ -36,7 +36,7 @@
     }
 }
 
-pub struct World {
+pub struct TestCluster {
     pub now: u64,
     pub servers: Vec<Server>,
     pub agents: Vec<ScriptedAgent>,
@@ -57,7 +57,7 @@
     next_request: u64,
 }
 
-impl World {
+impl TestCluster {
     /// `count` empty coordinators on ports from 8000, none started.
     pub fn new(count: u16) -> Self {
         let seeds: Vec<SocketAddr> = (0..count).map(|n| socket(8_000 + n)).collect();
@@ -87,17 +87,17 @@
 
     /// The same, with a mechanism switched off.
     pub fn served_with(mutation: Option<coordinator::Mutation>) -> Self {
-        let mut world = Self::new(3);
-        world.options.mutation = mutation;
+        let mut cluster = Self::new(3);
+        cluster.options.mutation = mutation;
         for server in 0..3 {
-            world.start(server);
+            cluster.start(server);
         }
-        world.run(4_000);
-        assert!(world.leader().is_some(), "no leader after 4 s");
-        let put = world.put_configuration(1, document::document());
-        world.run(200);
-        assert!(matches!(world.replies.get(&put), Some(Ok(_))));
-        world
+        cluster.run(4_000);
+        assert!(cluster.leader().is_some(), "no leader after 4 s");
+        let put = cluster.put_configuration(1, document::document());
+        cluster.run(200);
+        assert!(matches!(cluster.replies.get(&put), Some(Ok(_))));
+        cluster
     }
 
     pub fn clock(&self) -> Now {
--- a/crates/coordinator/tests/common/asking.rs
+++ b/crates/coordinator/tests/coordinator/test_cluster/requests.rs
@@ -1,13 +1,13 @@
-//! What gateways ask of the world, and what can be read from it.
+//! What gateways ask of the cluster, and what can be read from it.
 
 use super::agent::ScriptedAgent;
-use super::{GATEWAY_PORT, World, address, document, socket};
+use super::{GATEWAY_PORT, TestCluster, address, jobs, socket};
 use coordinator::Input;
 use std::collections::BTreeSet;
 use transport::{Envelope, Operation, OperationReply, PeerMessage, Rejection, Request, RequestId};
 use types::{Address, Milliseconds, Role};
 
-impl World {
+impl TestCluster {
     /// Hands the leader a message at once.
     pub fn tell_leader(&mut self, from: Address, body: PeerMessage) {
         let leader = self.leader().expect("no leader to tell");
@@ -91,13 +91,15 @@
     /// Asks and gives the answer.
     pub fn answer(&mut self, operation: Operation) -> Result<OperationReply, Rejection> {
         let id = self.ask(operation);
-        self.run_until(2_000, "an answer", |world| world.replies.contains_key(&id));
+        self.run_until(2_000, "an answer", |cluster| {
+            cluster.replies.contains_key(&id)
+        });
         self.replies[&id].clone()
     }
 
     /// Submits a job of one task and waits for the acknowledgement.
     pub fn submit(&mut self, job: &str) {
-        let answer = self.answer(Operation::Submit(document::job(job)));
+        let answer = self.answer(Operation::Submit(jobs::job(job)));
         assert!(
             matches!(answer, Ok(OperationReply::Submitted { .. })),
             "{answer:?}"
@@ -106,7 +108,7 @@
 
     pub fn job(&self, job: &str) -> types::JobView {
         self.state_machine()
-            .job(&document::key(job))
+            .job(&jobs::key(job))
             .expect("unknown job")
     }
 
--- a/crates/coordinator/tests/shell.rs
+++ b/crates/coordinator/tests/shell.rs
@@ -1,9 +1,9 @@
 //! Three coordinators with real sockets, disks and clocks on loopback: a first
 //! start, a configuration, a polite stop of all, and what their disks kept.
 
-mod common;
+#[path = "coordinator/test_cluster/document.rs"]
+mod document;
 
-use common::document;
 use consensus::Options;
 use coordinator::{CoordinatorError, CoordinatorOptions, ShellOptions};
 use std::net::{SocketAddr, TcpListener};
