--- a/crates/coordinator/src/reads.rs
+++ b/crates/coordinator/src/reads.rs
@@ -148,7 +148,7 @@
                 licence: licence.clone(),
                 seats: settings.seats,
                 used: state_machine.seats_used(licence),
-                waiting: self.scheduler.seats_of(licence).1 as u64,
+                waiting: self.scheduler.seat_usage(licence).waiting_tasks as u64,
             })
             .collect()
     }
--- /dev/null
+++ b/crates/scheduler/src/availability.rs
@@ -0,0 +1,59 @@
+//! Whether a runner may pull, and what it pulls with.
+
+use crate::index::RunnerIndex;
+use crate::pull::Pull;
+use crate::view::View;
+use std::sync::Arc;
+use types::Now;
+
+/// Why a runner may not pull.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum PullRejection {
+    /// This leader has no heartbeat of the runner.
+    NotSeen,
+    /// The runner or an operator has set it to draining.
+    Draining,
+    /// The last heartbeat is older than `unresponsive_after`.
+    Unresponsive,
+    /// The runner is on probation, or its one run of the time after it is open.
+    OnProbation,
+}
+
+impl View {
+    /// Returns why a runner may not pull, if it may not.
+    pub(crate) fn pull_rejection(&self, runner: RunnerIndex, now: Now) -> Option<PullRejection> {
+        let state = &self.runners[runner];
+        let Some(last) = &state.reported else {
+            return Some(PullRejection::NotSeen);
+        };
+        if state.is_draining() {
+            return Some(PullRejection::Draining);
+        }
+        let at = now.monotonic;
+        if at.since(last.received_at) > self.options.unresponsive_after {
+            return Some(PullRejection::Unresponsive);
+        }
+        let has_trial_run = state.health.on_trial(at) && state.has_run_of_current_incarnation();
+        if state.health.on_probation(at) || has_trial_run {
+            return Some(PullRejection::OnProbation);
+        }
+        None
+    }
+
+    /// Returns the pull of a runner that has reported to this leader.
+    pub(crate) fn pull_of(&self, runner: RunnerIndex) -> Option<Pull> {
+        let state = &self.runners[runner];
+        let last = state.reported.as_ref()?;
+        Some(Pull {
+            runner,
+            incarnation: last.incarnation,
+            self_stop: last.self_stop,
+            pool: last.pool,
+            free: state.free(),
+            capacity: last.capacity,
+            labels: Arc::clone(&last.labels),
+            rack: last.rack.clone(),
+            endpoint: last.endpoint.clone(),
+        })
+    }
+}
--- a/crates/scheduler/src/bounds.rs
+++ b/crates/scheduler/src/bounds.rs
@@ -1,12 +1,12 @@
-//! The least and the most that waiting tasks need, kind by kind.
+//! Lower and upper bounds of what tasks need, by kind of resource.
 //!
-//! Whole lists are passed over by these alone: where even the least does not
-//! fit, no task does. Bounds may be wider than what waits, never narrower, so
-//! passing over a list never passes over a task that could start.
+//! Where the lower bound does not fit, no task does, and a whole list is skipped.
+//! Bounds may be wider than what the tasks need but never narrower, so that no
+//! task that could start is skipped.
 
 use types::Resources;
 
-/// Bounds of what a set of tasks needs.
+/// Bounds of what the tasks of a set need.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Bounds {
     /// No task needs less of any kind.
@@ -16,7 +16,7 @@
 }
 
 impl Bounds {
-    /// Bounds of one task.
+    /// Returns the bounds of one task.
     pub(crate) fn of(needs: Resources) -> Self {
         Self {
             min: needs,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Bounds of both sets together.
+    /// Returns the bounds of both sets together.
     pub(crate) fn with(self, other: Self) -> Self {
         Self {
             min: self.min.component_min(&other.min),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The same where either set may be empty.
+    /// Returns the bounds of both sets together, where either may be empty.
     pub(crate) fn join(one: Option<Self>, other: Option<Self>) -> Option<Self> {
         match (one, other) {
             (Some(one), Some(other)) => Some(one.with(other)),
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Returns whether a task that needs this much may stand on a bound: without it
-    /// the bounds may be narrower.
+    /// Returns whether a task with these needs reaches a bound, so that the bounds
+    /// may be narrower without it.
     pub(crate) fn touches(&self, needs: &Resources) -> bool {
         let on = |needs: u32, min: u32, max: u32| needs <= min || needs >= max;
         on(needs.slots, self.min.slots, self.max.slots)
--- a/crates/scheduler/src/configure.rs
+++ b/crates/scheduler/src/configure.rs
@@ -1,84 +1,71 @@
-//! Queues, pools and tenant contracts from a configuration.
+//! Application of a configuration.
 
-use crate::Scheduler;
+use crate::index::QueueIndex;
 use crate::task::TaskStatus;
+use crate::view::View;
 use configuration::{ClusterConfiguration, QueueMode};
-use types::{PoolName, QueueName, Resources, RunnerId, TaskRef, TenantId};
+use types::{Resources, TaskRef};
 
-impl Scheduler {
-    pub(crate) fn take_configuration(&mut self, document: &ClusterConfiguration) {
+impl View {
+    /// Applies queues, pools, licences and tenant contracts.
+    pub(crate) fn configure(&mut self, document: &ClusterConfiguration) {
         for name in document.pools.keys() {
-            self.pool_index(name);
+            self.pools.get_or_insert(name);
         }
         for name in document.queues.keys() {
-            self.queue_index(name);
+            self.queues.get_or_insert(name);
         }
         for name in document.tenants.keys() {
-            self.tenant_index(name);
+            self.tenants.get_or_insert(name);
         }
-        self.seats.configure(&document.licences);
-        self.take_queues(document);
-        self.take_tenants(document);
+        self.licences.configure(&document.licences);
+        self.configure_queues(document);
+        self.configure_tenants(document);
     }
 
-    fn take_queues(&mut self, document: &ClusterConfiguration) {
+    fn configure_queues(&mut self, document: &ClusterConfiguration) {
         for pool in 0..self.pools.len() {
             self.pools[pool].queues.clear();
         }
-        for queue in 0..self.queues.len() {
-            let settings = self.queues.name(queue);
+        for index in 0..self.queues.len() {
+            let settings = self.queues.name(index);
             let settings = settings.and_then(|name| document.queues.get(name));
-            let pool = settings.map(|settings| self.pool_index(&settings.pool));
-            let old_mode = self.queues[queue].mode;
-            self.queues[queue].pool = pool;
-            self.queues[queue].mode = settings.map(|settings| settings.mode).unwrap_or_default();
+            let pool = settings.map(|settings| self.pools.get_or_insert(&settings.pool));
             let priority = settings.filter(|_| self.options.policy.priorities);
-            self.queues[queue].priority = priority.map_or(0, |settings| settings.priority);
+            let queue = &mut self.queues[index];
+            let old_mode = queue.mode;
+            queue.pool = pool;
+            queue.mode = settings.map(|settings| settings.mode).unwrap_or_default();
+            queue.priority = priority.map_or(0, |settings| settings.priority);
+            let left_shadow = old_mode == QueueMode::Shadow && queue.mode != QueueMode::Shadow;
             if let Some(pool) = pool {
-                self.pools[pool].queues.push(queue);
+                self.pools[pool].queues.push(index);
             }
-            if old_mode == QueueMode::Shadow && self.queues[queue].mode != QueueMode::Shadow {
-                self.return_shadowed(queue);
+            if left_shadow {
+                self.return_shadowed(index);
             }
         }
     }
 
-    // What the shadow queue only decided on waits again.
-    fn return_shadowed(&mut self, queue: usize) {
+    // Tasks that shadow mode only decided on are pending again.
+    fn return_shadowed(&mut self, queue: QueueIndex) {
         for position in 0..self.queues[queue].lists.len() {
             let list = self.queues[queue].lists[position];
-            let shadowed: Vec<TaskRef> = self.lists[list].shadowed.iter().copied().collect();
+            let shadowed: Vec<TaskRef> = self.lists[list].shadowed().iter().copied().collect();
             for task in shadowed {
-                self.stand(task, TaskStatus::Pending);
+                self.set_status(task, TaskStatus::Pending);
             }
         }
     }
 
-    fn take_tenants(&mut self, document: &ClusterConfiguration) {
+    fn configure_tenants(&mut self, document: &ClusterConfiguration) {
         for tenant in 0..self.tenants.len() {
-            let settings = self.tenants.name(tenant);
-            let settings = settings.and_then(|name| document.tenants.get(name));
-            let entry = &mut self.tenants[tenant];
-            entry.share_percent = settings.map_or(0, |settings| settings.share_percent);
-            entry.resource_limit =
-                settings.map_or(Resources::ZERO, |settings| settings.resource_limit);
+            let contract = self.tenants.name(tenant);
+            let contract = contract.and_then(|name| document.tenants.get(name));
+            let share_percent = contract.map_or(0, |contract| contract.share_percent);
+            let limit = contract.map_or(Resources::ZERO, |contract| contract.resource_limit);
+            self.tenants[tenant].set_contract(share_percent, limit);
             self.refresh_tenant(tenant);
         }
     }
-
-    pub(crate) fn pool_index(&mut self, name: &PoolName) -> usize {
-        self.pools.number(name)
-    }
-
-    pub(crate) fn queue_index(&mut self, name: &QueueName) -> usize {
-        self.queues.number(name)
-    }
-
-    pub(crate) fn tenant_index(&mut self, name: &TenantId) -> usize {
-        self.tenants.number(name)
-    }
-
-    pub(crate) fn runner_index(&mut self, name: &RunnerId) -> usize {
-        self.runners.number(name)
-    }
 }
--- a/crates/scheduler/src/decision.rs
+++ b/crates/scheduler/src/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions with their reasons.
+//! Decisions of the scheduler and their reasons.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -7,82 +7,81 @@
 /// One decision of the scheduler.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
-    /// Leader's wall time.
+    /// Wall time of the leader.
     pub at: WallTime,
     /// The queue.
     pub queue: QueueName,
-    /// The tenant whose task it is about.
+    /// The tenant of the task.
     pub tenant: TenantId,
-    /// What was decided.
+    /// The decision.
     pub kind: DecisionKind,
 }
 
-/// What was decided.
+/// Kind of a decision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DecisionKind {
-    /// The task goes to this runner under this run.
+    /// The task was placed on a runner.
     Placed {
-        /// The choice, to be committed.
+        /// The reservation, to be committed.
         reservation: Reservation,
-        /// Tenants that were runnable when one was drawn.
+        /// Number of tenants that were runnable when one was drawn.
         runnable_tenants: u32,
-        /// True in a shadow queue: nothing will be started.
+        /// Whether the queue is in shadow mode, so that nothing is started.
         shadow: bool,
     },
-    /// The tenant's next task stays where it is. Reported when the reason
-    /// changes, not at every pull.
+    /// The tenant's first task was not placed. Reported when the reason changes,
+    /// not at every pull.
     NotPlaced {
         /// The task.
         task: TaskRef,
-        /// Why.
+        /// The reason.
         reason: NotPlacedReason,
     },
 }
 
-/// Why a task was not placed.
+/// Reason why a task was not placed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotPlacedReason {
-    /// The tenant's runs hold its resource limit.
+    /// The task would exceed the tenant's resource limit.
     #[serde(rename = "tenant_at_ceiling")]
     TenantAtLimit,
-    /// What is left below the resource limit is kept for more urgent queues of the
-    /// tenant.
+    /// The task would use the headroom of the tenant's more urgent queues.
     #[serde(rename = "ceiling_kept_for_urgent")]
     LimitReservedForUrgent,
     /// No seat of the licence is free, or more urgent work waits for it.
     NoSeat,
-    /// The tenant is above its share and another one below its own waits.
+    /// The tenant is above its share while one below its share waits.
     TenantAboveShare,
-    /// The runners that could take it leave or are silent.
+    /// The runners that could take the task are draining or unresponsive.
     RunnersAway,
-    /// No runner of the pool has room.
+    /// No runner of the pool has the resources free.
     #[serde(rename = "no_room")]
     NoCapacity,
-    /// No runner with room carries the labels.
+    /// No runner has the labels.
     NoRunnerWithLabels,
-    /// The only room left is on a runner on probation.
+    /// Only a runner on probation has the resources free.
     RunnerOnProbation,
-    /// A runner is kept free for an older, larger task.
+    /// A runner with the resources free is reserved for a task that starves.
     #[serde(rename = "held_for_larger_task")]
     ReservedForLargerTask {
         /// The runner.
         runner: RunnerId,
     },
-    /// Its start time or backoff has not come.
+    /// The task's start time, or the end of its backoff, is in the future.
     BeforeItsTime {
-        /// When it comes.
+        /// The earliest start.
         not_before: WallTime,
     },
-    /// A step before it is not done.
+    /// A step that the task's step depends on is not done.
     WaitingForStep,
     /// The queue is paused.
     QueuePaused,
-    /// The queue only decides and logs.
+    /// The queue is in shadow mode.
     QueueShadow,
     /// No runner of the pool has reported to this leader yet.
     NoRunnerKnown,
-    /// It has all the runs it may have.
+    /// The task has as many open runs as it may have.
     AlreadyRunning,
 }
 
--- a/crates/scheduler/src/explain.rs
+++ b/crates/scheduler/src/explain.rs
@@ -1,19 +1,22 @@
-//! Why a ready task is not running.
+//! The reason why a ready task is not running.
 
-use crate::heartbeat::PullRejection;
-use crate::queue::TenantList;
-use crate::runner::RunnerIndex;
+use crate::availability::PullRejection;
+use crate::decision::NotPlacedReason;
+use crate::index::{PoolIndex, RunnerIndex};
+use crate::queue::Queue;
 use crate::shape::Shape;
 use crate::task::{Task, TaskStatus};
-use crate::{NotPlacedReason, Scheduler};
+use crate::tenant_list::TenantList;
+use crate::view::View;
 use configuration::QueueMode;
 use types::{Now, TaskRef};
 
-impl Scheduler {
-    /// None when the task is unknown, or nothing stands against its start.
-    pub(crate) fn reason_of(&self, task: TaskRef, now: Now) -> Option<NotPlacedReason> {
-        let Some(entry) = self.tasks.get(&task) else {
-            let is_running = self.runs_of.contains_key(&task);
+impl View {
+    /// Returns why a task is not running; `None` when the view does not have the
+    /// task or nothing prevents its start.
+    pub(crate) fn explain(&self, task: TaskRef, now: Now) -> Option<NotPlacedReason> {
+        let Some(entry) = self.tasks.get(task) else {
+            let is_running = self.runs.has_task(task);
             return is_running.then_some(NotPlacedReason::AlreadyRunning);
         };
         if entry.status == TaskStatus::Bound {
@@ -26,15 +29,18 @@
         }
         let list = &self.lists[entry.list];
         let queue = &self.queues[list.queue];
-        let Some(pool) = queue.pool else {
-            return Some(NotPlacedReason::QueuePaused);
+        let pool = match starting_pool(queue) {
+            Ok(pool) => pool,
+            Err(reason) => return Some(reason),
         };
-        match queue.mode {
-            QueueMode::Paused => return Some(NotPlacedReason::QueuePaused),
-            QueueMode::Shadow => return Some(NotPlacedReason::QueueShadow),
-            QueueMode::Active | QueueMode::Draining => {}
-        }
         let needs = self.shapes.get(entry.shape)?;
+        self.reason_of_limits(entry, needs, now)
+            .or_else(|| self.reason_of_runners(task, entry, needs, pool, now))
+            .or_else(|| self.reason_of_share(list, pool))
+    }
+
+    fn reason_of_limits(&self, entry: &Task, needs: &Shape, now: Now) -> Option<NotPlacedReason> {
+        let list = &self.lists[entry.list];
         if !self.tenants[list.tenant].allows(&needs.resources) {
             return Some(NotPlacedReason::TenantAtLimit);
         }
@@ -44,8 +50,7 @@
         if !self.has_seats(needs, list.queue, 1) {
             return Some(NotPlacedReason::NoSeat);
         }
-        self.reason_of_runners(task, entry, needs, pool, now)
-            .or_else(|| self.reason_of_share(list, pool))
+        None
     }
 
     fn reason_of_runners(
@@ -53,24 +58,24 @@
         task: TaskRef,
         entry: &Task,
         needs: &Shape,
-        pool: usize,
+        pool: PoolIndex,
         now: Now,
     ) -> Option<NotPlacedReason> {
-        if self.pools[pool].runners.is_empty() {
+        if self.pools[pool].runner_count() == 0 {
             return Some(NotPlacedReason::NoRunnerKnown);
         }
         let mut reason = NotPlacedReason::NoRunnerWithLabels;
-        for &runner in &self.pools[pool].runners {
-            self.record_scan();
-            let against = self.reason_of_runner(runner, task, entry, needs, now)?;
-            if rank(&against) > rank(&reason) {
-                reason = against;
+        for runner in self.pools[pool].runners() {
+            self.count_scan();
+            let of_runner = self.reason_of_runner(runner, task, entry, needs, now)?;
+            if rank(&of_runner) > rank(&reason) {
+                reason = of_runner;
             }
         }
         Some(reason)
     }
 
-    // None when the runner could take the task.
+    /// Returns `None` when the runner could take the task.
     fn reason_of_runner(
         &self,
         runner: RunnerIndex,
@@ -80,53 +85,72 @@
         now: Now,
     ) -> Option<NotPlacedReason> {
         let state = &self.runners[runner];
-        let carries_labels = state.reported.as_ref();
-        if !carries_labels.is_some_and(|last| needs.matches(&last.labels)) {
+        let last = state.reported.as_ref();
+        if !last.is_some_and(|last| needs.matches(&last.labels)) {
             return Some(NotPlacedReason::NoRunnerWithLabels);
         }
         let rejection = self.pull_rejection(runner, now);
         if rejection.is_some_and(|rejection| rejection != PullRejection::OnProbation) {
             return Some(NotPlacedReason::RunnersAway);
         }
-        let is_copy_here = entry.status == TaskStatus::Copies && self.runs_on(task, runner);
+        let is_copy_here =
+            entry.status == TaskStatus::Copyable && self.runs.has_task_on_runner(task, runner);
         if is_copy_here || !needs.resources.fits_in(&state.free()) {
             return Some(NotPlacedReason::NoCapacity);
         }
         if rejection.is_some() {
             return Some(NotPlacedReason::RunnerOnProbation);
         }
-        state.backfill.filter(|backfill| backfill.task != task)?;
+        let backfill = self.backfills.get(runner);
+        backfill.filter(|backfill| backfill.task != task)?;
         Some(NotPlacedReason::ReservedForLargerTask {
             runner: self.runners.name(runner)?.clone(),
         })
     }
 
-    fn reason_of_share(&self, list: &TenantList, pool: usize) -> Option<NotPlacedReason> {
-        let capacity = &self.pools[pool].capacity;
-        let is_above = self.tenants[list.tenant].is_above_share(pool, capacity);
-        if !is_above {
+    fn reason_of_share(&self, list: &TenantList, pool: PoolIndex) -> Option<NotPlacedReason> {
+        if !self.is_above_share(list, pool) {
             return None;
         }
         let queues = self.pools[pool].queues.iter();
         let mut lists = queues.flat_map(|queue| self.queues[*queue].lists.iter());
         let others_wait = lists.any(|other| {
             let other = &self.lists[*other];
-            let tenant = &self.tenants[other.tenant];
-            !other.pending.is_empty()
-                && !tenant.is_at_limit()
-                && !tenant.is_above_share(pool, capacity)
+            !other.pending().is_empty()
+                && !self.tenants[other.tenant].is_at_limit()
+                && !self.is_above_share(other, pool)
         });
         others_wait.then_some(NotPlacedReason::TenantAboveShare)
     }
 }
 
-// The nearer a runner came to taking the task, the more its reason says.
+/// Returns the pool of a queue, or why the queue starts nothing.
+fn starting_pool(queue: &Queue) -> Result<PoolIndex, NotPlacedReason> {
+    let pool = queue.pool.ok_or(NotPlacedReason::QueuePaused)?;
+    match queue.mode {
+        QueueMode::Paused => Err(NotPlacedReason::QueuePaused),
+        QueueMode::Shadow => Err(NotPlacedReason::QueueShadow),
+        QueueMode::Active | QueueMode::Draining => Ok(pool),
+    }
+}
+
+// The reason of the runner that came nearest to taking the task is reported.
 fn rank(reason: &NotPlacedReason) -> u8 {
     match reason {
         NotPlacedReason::ReservedForLargerTask { .. } => 4,
         NotPlacedReason::RunnerOnProbation => 3,
         NotPlacedReason::NoCapacity => 2,
         NotPlacedReason::RunnersAway => 1,
-        _ => 0,
+        NotPlacedReason::NoRunnerWithLabels
+        | NotPlacedReason::TenantAtLimit
+        | NotPlacedReason::LimitReservedForUrgent
+        | NotPlacedReason::NoSeat
+        | NotPlacedReason::TenantAboveShare
+        | NotPlacedReason::BeforeItsTime { .. }
+        | NotPlacedReason::WaitingForStep
+        | NotPlacedReason::QueuePaused
+        | NotPlacedReason::QueueShadow
+        | NotPlacedReason::NoRunnerKnown
+        | NotPlacedReason::AlreadyRunning => 0,
     }
 }
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -1,57 +1,50 @@
-//! Health of a runner, judged by how runs of different jobs end on it.
+//! Health of a runner, judged by the outcomes of runs of different jobs on it.
 //!
-//! A runner on which many jobs fail is to blame; a job that fails on many
-//! runners is not the runners' fault and uses up its own allowed failures.
+//! Failures of many jobs on one runner count against the runner. Failures of one
+//! job on many runners count against the job, by its allowed failures.
 
 use std::collections::{BTreeSet, VecDeque};
 use types::{JobNumber, Milliseconds, Monotonic};
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-enum TaskStatus {
-    #[default]
-    Trusted,
-    OnProbation {
-        until: Monotonic,
-    },
-}
-
-/// Failures since the last success, and where that has put the runner.
+/// Recent outcomes of runs on a runner, and its probation.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Health {
-    /// Different jobs with a failed run since the last done one, oldest first.
+    /// Different jobs with a failed run since the last success, oldest first.
     failed_jobs: VecDeque<JobNumber>,
-    status: TaskStatus,
-    /// How the newest runs ended, oldest first.
-    recent: VecDeque<Ended>,
+    /// End of the probation; the runner is on trial from then to its first success.
+    probation_until: Option<Monotonic>,
+    /// Outcomes of the newest runs, oldest first.
+    recent: VecDeque<RecentOutcome>,
 }
 
-/// How a run ended.
+/// Outcome of one run.
 #[derive(Debug, Clone, Copy)]
-struct Ended {
+struct RecentOutcome {
     at: Monotonic,
-    /// The job, where the run failed.
-    failed: Option<JobNumber>,
+    /// The job of a failed run; `None` for a success.
+    failed_job: Option<JobNumber>,
 }
 
-/// Ends remembered.
-const RECENT_ENDS: usize = 12;
-/// Ends longer ago say nothing of a runner any more.
-const RECENT_WITHIN: Milliseconds = Milliseconds(3_000);
-/// A runner is suspect when runs of this many jobs failed on it lately, and at
-/// least half of all that ended there.
-const SUSPECT_JOBS: usize = 2;
+/// Number of outcomes kept.
+const MAX_RECENT_OUTCOMES: usize = 12;
+/// Age up to which an outcome counts as recent.
+const RECENT_WINDOW: Milliseconds = Milliseconds(3_000);
+/// A runner is suspect when at least this many different jobs, and at least half
+/// of all runs, failed on it recently.
+const MIN_SUSPECT_JOBS: usize = 2;
 
 impl Health {
-    /// A run ended done: the runner is trusted again.
+    /// Records a successful run, which ends the trial after a probation.
     pub(crate) fn record_done(&mut self, now: Monotonic) {
-        self.remember(now, None);
+        self.record_outcome(now, None);
         self.failed_jobs.clear();
-        self.status = TaskStatus::Trusted;
+        self.probation_until = None;
     }
 
-    /// A run of `job` failed. True when the runner should go on probation.
+    /// Records a failed run of `job`. Returns whether the runner has reached the
+    /// threshold of failed jobs and is not on probation yet.
     pub(crate) fn record_failed(&mut self, job: JobNumber, threshold: u32, now: Monotonic) -> bool {
-        self.remember(now, Some(job));
+        self.record_outcome(now, Some(job));
         if self.failed_jobs.contains(&job) {
             return false;
         }
@@ -63,42 +56,42 @@
         self.failed_jobs.len() == threshold && !self.on_probation(now)
     }
 
-    fn remember(&mut self, at: Monotonic, failed: Option<JobNumber>) {
-        self.recent.push_back(Ended { at, failed });
-        if self.recent.len() > RECENT_ENDS {
+    fn record_outcome(&mut self, at: Monotonic, failed_job: Option<JobNumber>) {
+        self.recent.push_back(RecentOutcome { at, failed_job });
+        if self.recent.len() > MAX_RECENT_OUTCOMES {
             self.recent.pop_front();
         }
     }
 
-    /// Returns whether much of what ended on the runner lately has failed: others
-    /// are given work first.
+    /// Returns whether many recent runs failed, so that other runners get work
+    /// first.
     pub(crate) fn is_suspect(&self, now: Monotonic) -> bool {
         let recent = self.recent.iter();
-        let recent = recent.filter(|ended| now.since(ended.at) <= RECENT_WITHIN);
-        let failed = recent.clone().filter_map(|ended| ended.failed);
-        // Asked for every runner in every placement, and nearly always no.
+        let recent = recent.filter(|outcome| now.since(outcome.at) <= RECENT_WINDOW);
+        let failed = recent.clone().filter_map(|outcome| outcome.failed_job);
+        // This check runs for every runner in every placement, and nearly always
+        // returns here.
         let failures = failed.clone().count();
-        if failures < SUSPECT_JOBS || failures * 2 < recent.count() {
+        if failures < MIN_SUSPECT_JOBS || failures * 2 < recent.count() {
             return false;
         }
         let jobs: BTreeSet<JobNumber> = failed.collect();
-        jobs.len() >= SUSPECT_JOBS
+        jobs.len() >= MIN_SUSPECT_JOBS
     }
 
     /// Puts the runner on probation.
     pub(crate) fn start_probation(&mut self, now: Monotonic, length: Milliseconds) {
-        self.status = TaskStatus::OnProbation {
-            until: now + length,
-        };
+        self.probation_until = Some(now + length);
     }
 
-    /// Returns whether nothing may start on the runner.
+    /// Returns whether the runner is on probation and may start nothing.
     pub(crate) fn on_probation(&self, now: Monotonic) -> bool {
-        matches!(self.status, TaskStatus::OnProbation { until } if now < until)
+        self.probation_until.is_some_and(|until| now < until)
     }
 
-    /// True from the end of probation to the first success: one run at a time.
+    /// Returns whether probation is over but no run has succeeded since: the runner
+    /// may have one run at a time.
     pub(crate) fn on_trial(&self, now: Monotonic) -> bool {
-        matches!(self.status, TaskStatus::OnProbation { until } if now >= until)
+        self.probation_until.is_some_and(|until| now >= until)
     }
 }
--- a/crates/scheduler/src/options.rs
+++ b/crates/scheduler/src/options.rs
@@ -1,35 +1,39 @@
-//! Limits of the scheduler, and what it answers with.
+//! Options of the scheduler and the values that its steps return.
 
 use crate::policy::Policy;
 use serde::{Deserialize, Serialize};
 use types::{Labels, Milliseconds, PoolName, RackName, Resources, RunnerId, RunnerIncarnation};
 
-/// Limits of the scheduler.
+/// Options of the scheduler.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SchedulerOptions {
-    /// Tasks of one tenant looked at past one that does not fit. Tasks with
-    /// equal needs count as one, since none fits where the first does not.
+    /// Number of tasks that a scan of a tenant's list examines after the first
+    /// one. Of tasks with equal needs only the first is examined and counted,
+    /// since none fits where the first does not.
     pub scan_depth: usize,
-    /// A task that has waited this long without fitting gets a runner kept free.
+    /// A task that has waited this long while smaller ones start gets a backfill
+    /// reservation.
     pub reserve_after: Milliseconds,
-    /// Failed runs of different jobs on one runner, without a done one in
-    /// between, that put it on probation.
+    /// Number of different jobs with a failed run on a runner, without a success
+    /// in between, that puts the runner on probation.
     pub probation_failures: u32,
-    /// How long probation lasts.
+    /// Length of a probation.
     pub probation: Milliseconds,
-    /// A runner silent for this long gets no pulls.
+    /// A runner whose last heartbeat is older than this gets no pulls.
     pub unresponsive_after: Milliseconds,
-    /// Part of each runner, in percent, that work leaves free for work of more
-    /// urgent queues of its pool.
+    /// Percentage of each runner that work leaves to more urgent queues of its
+    /// pool, 0 to 100.
     pub urgent_reserve_percent: u32,
-    /// Most of a tenant's resource limit, in percent of each kind, that its less urgent
-    /// work leaves to its more urgent queues. Less is left where these asked for
-    /// less lately.
+    /// Maximum headroom that less urgent work leaves to its tenant's more urgent
+    /// queues, in percent of each kind of the resource limit, 0 to 100. The
+    /// headroom is less where these queues have asked for less recently.
     pub urgent_headroom_percent: u32,
-    /// A task waits this long for the rack, or for another runner than the one
-    /// it failed on, while those have no room; then any runner serves.
+    /// The delay of delay scheduling (Zaharia et al., "Delay Scheduling", EuroSys
+    /// 2010): a task waits this long for its preferred rack, and three times as
+    /// long for another runner than those it failed on, before it takes any
+    /// runner.
     pub locality_wait: Milliseconds,
-    /// Which mechanisms decide.
+    /// Policies of placement.
     pub policy: Policy,
 }
 
@@ -49,50 +53,59 @@
     }
 }
 
-/// What publish found.
+/// Result of a publish.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Published {
     /// The task is new to the view.
     New,
-    /// It was there already; nothing changed.
+    /// The task was present; nothing changed.
     Present,
 }
 
-/// A runner as the scheduler sees it.
+/// State of a runner in the view.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerView {
     /// The runner.
     pub runner: RunnerId,
-    /// Its current incarnation.
+    /// The current incarnation.
     pub incarnation: RunnerIncarnation,
-    /// Its pool.
+    /// The pool.
     pub pool: PoolName,
-    /// Its rack.
+    /// The rack.
     pub rack: RackName,
-    /// Its labels.
+    /// The labels.
     pub labels: Labels,
-    /// All it has.
+    /// All resources.
     pub capacity: Resources,
-    /// Reported room less orders in flight.
+    /// Resources reported free, less those of runs not reported yet.
     pub free: Resources,
-    /// Open runs bound to it, those of earlier incarnations among them.
+    /// Number of open runs, including those of earlier incarnations.
     pub open_runs: u32,
-    /// Whether it or an operator says so.
+    /// Whether the runner or an operator has set it to draining.
     pub draining: bool,
-    /// Whether on probation.
+    /// Whether the runner is on probation.
     pub on_probation: bool,
     /// Time since its last heartbeat.
     pub since_last_contact: Milliseconds,
 }
 
-/// What one slice of the audit found.
+/// Seats of a licence.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub struct SeatUsage {
+    /// Number of seats in use.
+    pub used: u32,
+    /// Number of tasks that wait for capacity or a seat.
+    pub waiting_tasks: usize,
+}
+
+/// Result of the audit of one range of jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct AuditReport {
-    /// Tasks compared.
+    /// Number of tasks compared.
     pub compared: u64,
-    /// Tasks in the record that the view had lost or held with other content;
-    /// published again.
+    /// Number of ready tasks that the view had lost or had with other content, and
+    /// that were published again.
     pub republished: u64,
-    /// Tasks in the view that the record does not hold ready; removed.
+    /// Number of waiting tasks that are not ready and were removed.
     pub removed: u64,
 }
--- a/crates/scheduler/src/pending.rs
+++ b/crates/scheduler/src/pending.rs
@@ -1,114 +1,128 @@
-//! Waiting tasks of one tenant in one queue, oldest first, grouped by what
-//! they need, so that looking past a task that does not fit also looks past
-//! every other one with the same needs.
+//! Tasks of one tenant in one queue, in order and grouped by shape.
+//!
+//! A search that examines only the first task of each shape passes over all
+//! others of that shape, since none fits where the first does not.
 
 use crate::bounds::Bounds;
-use crate::shape::ShapeIndex;
+use crate::index::ShapeIndex;
 use std::collections::{BTreeMap, BTreeSet};
 use types::{Resources, TaskRef, Urgency};
 
-/// Place of a task among its tenant's own: urgent first, then the oldest job.
-pub(crate) type Order = (Urgency, TaskRef);
+/// Position of a task among those of its list: urgent tasks first, then those
+/// of the oldest job.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct TaskOrder {
+    pub(crate) urgency: Urgency,
+    pub(crate) task: TaskRef,
+}
+
+/// The first task of one shape.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct ShapeHead {
+    pub(crate) order: TaskOrder,
+    pub(crate) shape: ShapeIndex,
+}
 
 /// The tasks of one shape.
 #[derive(Debug, Clone)]
-struct Lane {
+struct ShapeTasks {
     needs: Resources,
-    tasks: BTreeSet<Order>,
+    tasks: BTreeSet<TaskOrder>,
 }
 
-/// Tasks in order, and the first of each shape in order.
+/// Tasks in order, grouped by shape.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PendingList {
-    by_shape: BTreeMap<ShapeIndex, Lane>,
-    heads: BTreeSet<(Order, ShapeIndex)>,
+    by_shape: BTreeMap<ShapeIndex, ShapeTasks>,
+    heads: BTreeSet<ShapeHead>,
     length: usize,
     bounds: Option<Bounds>,
 }
 
 impl PendingList {
-    /// Number of tasks.
+    /// Returns the number of tasks.
     pub(crate) fn len(&self) -> usize {
         self.length
     }
 
-    /// Returns whether no task waits.
+    /// Returns whether the list has no task.
     pub(crate) fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Bounds of what its tasks need; none when no task waits.
+    /// Returns bounds of what the tasks need; `None` when the list is empty.
     pub(crate) fn bounds(&self) -> Option<Bounds> {
         self.bounds
     }
 
-    /// Adds a task; false if it was there. `needs` is what its shape holds.
-    pub(crate) fn insert(&mut self, order: Order, shape: ShapeIndex, needs: Resources) -> bool {
-        let lane = self.by_shape.entry(shape).or_insert_with(|| Lane {
+    /// Adds a task whose shape needs these resources. Idempotent.
+    pub(crate) fn insert(&mut self, order: TaskOrder, shape: ShapeIndex, needs: Resources) {
+        let same_shape = self.by_shape.entry(shape).or_insert_with(|| ShapeTasks {
             needs,
             tasks: BTreeSet::new(),
         });
-        let old_head = lane.tasks.first().copied();
-        if !lane.tasks.insert(order) {
-            return false;
+        let old_head = same_shape.tasks.first().copied();
+        if !same_shape.tasks.insert(order) {
+            return;
         }
         self.bounds = Bounds::join(self.bounds, Some(Bounds::of(needs)));
         self.length += 1;
         if old_head.is_none_or(|head| order < head) {
-            if let Some(head) = old_head {
-                self.heads.remove(&(head, shape));
+            if let Some(old_order) = old_head {
+                self.heads.remove(&ShapeHead {
+                    order: old_order,
+                    shape,
+                });
             }
-            self.heads.insert((order, shape));
+            self.heads.insert(ShapeHead { order, shape });
         }
-        true
     }
 
-    /// Takes a task out; false if it was not there.
-    pub(crate) fn remove(&mut self, order: Order, shape: ShapeIndex) -> bool {
-        let Some(lane) = self.by_shape.get_mut(&shape) else {
-            return false;
+    /// Removes a task. Idempotent.
+    pub(crate) fn remove(&mut self, order: TaskOrder, shape: ShapeIndex) {
+        let Some(same_shape) = self.by_shape.get_mut(&shape) else {
+            return;
         };
-        if !lane.tasks.remove(&order) {
-            return false;
+        if !same_shape.tasks.remove(&order) {
+            return;
         }
         self.length -= 1;
-        let needs = lane.needs;
-        let new_head = lane.tasks.first().copied();
-        if self.heads.remove(&(order, shape))
-            && let Some(head) = new_head
+        let needs = same_shape.needs;
+        let new_head = same_shape.tasks.first().copied();
+        if self.heads.remove(&ShapeHead { order, shape })
+            && let Some(order) = new_head
         {
-            self.heads.insert((head, shape));
+            self.heads.insert(ShapeHead { order, shape });
         }
         if new_head.is_none() {
             self.by_shape.remove(&shape);
-            self.narrow(&needs);
+            self.narrow_bounds(&needs);
         }
-        true
     }
 
-    /// The last task with these needs is gone.
-    fn narrow(&mut self, needs: &Resources) {
+    /// Narrows the bounds after the last task of a shape was removed.
+    fn narrow_bounds(&mut self, needs: &Resources) {
         if self.bounds.is_some_and(|bounds| bounds.touches(needs)) {
-            let lanes = self.by_shape.values();
-            self.bounds = lanes
-                .map(|lane| Bounds::of(lane.needs))
+            let shapes = self.by_shape.values();
+            self.bounds = shapes
+                .map(|same_shape| Bounds::of(same_shape.needs))
                 .reduce(Bounds::with);
         }
     }
 
-    /// The oldest task of each shape, in order.
-    pub(crate) fn heads(&self) -> impl Iterator<Item = (Order, ShapeIndex)> + '_ {
+    /// Returns the first task of each shape, in order.
+    pub(crate) fn heads(&self) -> impl Iterator<Item = ShapeHead> + '_ {
         self.heads.iter().copied()
     }
 
-    /// The tasks of one shape, in order.
-    pub(crate) fn of_shape(&self, shape: ShapeIndex) -> impl Iterator<Item = Order> + '_ {
-        let lane = self.by_shape.get(&shape).into_iter();
-        lane.flat_map(|lane| lane.tasks.iter().copied())
+    /// Returns the tasks of one shape, in order.
+    pub(crate) fn tasks_of_shape(&self, shape: ShapeIndex) -> impl Iterator<Item = TaskOrder> + '_ {
+        let same_shape = self.by_shape.get(&shape).into_iter();
+        same_shape.flat_map(|same_shape| same_shape.tasks.iter().copied())
     }
 
-    /// The first task of all.
-    pub(crate) fn first(&self) -> Option<Order> {
-        self.heads.first().map(|(order, _)| *order)
+    /// Returns the first task of the list.
+    pub(crate) fn first(&self) -> Option<TaskOrder> {
+        self.heads.first().map(|head| head.order)
     }
 }
--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -1,8 +1,8 @@
-//! Which mechanisms decide: each can be left out, to see what it is worth.
+//! Switches of the placement policies, to measure what each contributes.
 //!
-//! The defaults are what ships. What guards a promise is no policy and has no
-//! switch: resource limits, seats, spreading, gangs whole, and the record's own checks
-//! hold under every policy.
+//! All are on by default. Guarantees are no policies and have no switch: resource
+//! limits, seats, the limit of a step's runs on a runner, gangs started as a
+//! whole, and the checks of the state machine apply always.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,35 +13,36 @@
     /// Uniformly at random, as in the source.
     #[default]
     Uniform,
-    /// The one whose first task is the oldest.
+    /// The tenant whose first task is the oldest.
     Oldest,
 }
 
-/// The mechanisms of placement.
+/// The policies of placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// How a tenant is chosen.
+    /// How a tenant is chosen among those that could start a task.
     pub draw: Draw,
     /// A tenant above its share waits while one below could start.
     pub shares: bool,
-    /// Work of a queue with a lower priority number goes first, and keeps its
-    /// part of each runner free (`urgent_reserve_percent`).
+    /// Work of a queue with a lower priority number goes first, and other work
+    /// leaves it a part of each runner (`urgent_reserve_percent`).
     pub priorities: bool,
-    /// Less urgent work leaves a part of its tenant's resource limit to the tenant's more
-    /// urgent queues (`urgent_headroom_percent`).
+    /// Less urgent work leaves headroom below its tenant's resource limit to the
+    /// tenant's more urgent queues (`urgent_headroom_percent`).
     #[serde(rename = "ceiling_reserve")]
     pub urgent_headroom: bool,
-    /// A runner is kept free for a task or a gang that starves.
+    /// A runner is reserved for a task or a gang that starves.
     #[serde(rename = "holds")]
     pub backfill_reservations: bool,
-    /// Further copies of running tasks, where a step allows them.
+    /// Running tasks get further copies, where their step allows them.
     pub copies: bool,
-    /// Runners on which much failed lately come last.
-    pub suspects_last: bool,
-    /// Runners on which many jobs failed in a row get nothing for a while.
+    /// Runners on which many recent runs failed get work after the others.
+    #[serde(rename = "suspects_last")]
+    pub suspect_runners_last: bool,
+    /// Runners on which many jobs failed in a row get no work for a time.
     pub probation: bool,
-    /// A task waits `locality_wait` for the rack where it runs best.
+    /// A task waits `locality_wait` for its preferred rack.
     #[serde(rename = "rack_patience")]
     pub rack_locality: bool,
     /// A task waits for another runner than those it failed on.
@@ -57,7 +58,7 @@
             urgent_headroom: true,
             backfill_reservations: true,
             copies: true,
-            suspects_last: true,
+            suspect_runners_last: true,
             probation: true,
             rack_locality: true,
             avoid_failed: true,
--- /dev/null
+++ b/crates/scheduler/src/pool.rs
@@ -0,0 +1,57 @@
+//! Pools of runners.
+
+use crate::index::{QueueIndex, RunnerIndex};
+use std::collections::{BTreeMap, BTreeSet};
+use types::{RackName, Resources};
+
+/// A pool of runners.
+#[derive(Debug, Clone, Default)]
+pub(crate) struct Pool {
+    /// Queues whose work the pool's runners take.
+    pub(crate) queues: Vec<QueueIndex>,
+    /// Sum over the runners that count, for shares.
+    pub(crate) capacity: Resources,
+    runners: BTreeSet<RunnerIndex>,
+    racks: BTreeMap<RackName, BTreeSet<RunnerIndex>>,
+}
+
+impl Pool {
+    /// Adds a runner, or moves it to another rack.
+    pub(crate) fn add_runner(&mut self, runner: RunnerIndex, rack: &RackName) {
+        self.remove_from_racks(runner);
+        self.runners.insert(runner);
+        let rack = self.racks.entry(rack.clone()).or_default();
+        rack.insert(runner);
+    }
+
+    /// Removes a runner.
+    pub(crate) fn remove_runner(&mut self, runner: RunnerIndex) {
+        self.remove_from_racks(runner);
+        self.runners.remove(&runner);
+    }
+
+    /// Returns the runners in order.
+    pub(crate) fn runners(&self) -> impl Iterator<Item = RunnerIndex> + '_ {
+        self.runners.iter().copied()
+    }
+
+    /// Returns the number of runners.
+    pub(crate) fn runner_count(&self) -> usize {
+        self.runners.len()
+    }
+
+    /// Returns the runners of one rack in order.
+    pub(crate) fn runners_in_rack(
+        &self,
+        rack: &RackName,
+    ) -> impl Iterator<Item = RunnerIndex> + '_ {
+        self.racks.get(rack).into_iter().flatten().copied()
+    }
+
+    fn remove_from_racks(&mut self, runner: RunnerIndex) {
+        self.racks.retain(|_, runners| {
+            runners.remove(&runner);
+            !runners.is_empty()
+        });
+    }
+}
--- a/crates/scheduler/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -1,63 +1,32 @@
-//! Queues, pools, tenants, and the waiting work of a tenant in a queue.
+//! Queues, and the sets of tenant lists from which a pull draws.
 
-use crate::NotPlacedReason;
-use crate::demand::Demand;
-use crate::pending::PendingList;
-use crate::runner::RunnerIndex;
+use crate::index::{ListIndex, PoolIndex};
+use crate::pull::RunKind;
 use configuration::QueueMode;
 use indexmap::IndexSet;
 use rand::Rng;
-use std::collections::{BTreeMap, BTreeSet};
-use types::{Monotonic, RackName, Resources, TaskRef};
 
-/// Index of a (queue, tenant) pair's waiting work.
-pub(crate) type ListIndex = usize;
-
-/// Waiting work of one tenant in one queue.
-#[derive(Debug, Clone)]
-pub(crate) struct TenantList {
-    pub(crate) queue: usize,
-    pub(crate) tenant: usize,
-    /// Tasks without a run that may start now.
-    pub(crate) pending: PendingList,
-    /// Running tasks that may have a further copy.
-    pub(crate) copies: PendingList,
-    /// Tasks that a shadow queue has decided on.
-    pub(crate) shadowed: BTreeSet<TaskRef>,
-    /// Whether every task looked at would exceed the tenant's resource limit; until
-    /// the list, the resource limit or the holdings change, it need not be drawn.
-    pub(crate) above_limit: bool,
-    /// Whether some of them would start but for what is kept for urgent work,
-    /// which shrinks as time goes by.
-    pub(crate) limited_by_headroom: bool,
-    /// What its work asks for.
-    pub(crate) demand: Demand,
-    /// When a task of it was last given a runner.
-    pub(crate) started_at: Monotonic,
-    /// Since when some task of it waits.
-    pub(crate) waiting_since: Monotonic,
-    /// The reason last reported.
-    pub(crate) last_reason: Option<NotPlacedReason>,
-}
-
-/// Lists that may be drawn, with a uniform draw in constant time.
+/// Tenant lists that may be drawn, with a uniform draw in constant time.
+///
+/// A pull draws each member at most once: members that it has drawn are moved
+/// behind those that remain, and the caller counts them.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RunnableSet {
     members: IndexSet<ListIndex>,
 }
 
 impl RunnableSet {
-    /// Number of members.
+    /// Returns the number of members.
     pub(crate) fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// The members, in no order that means anything.
+    /// Returns the members in an arbitrary but deterministic order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = ListIndex> + '_ {
         self.members.iter().copied()
     }
 
-    /// Makes the list a member or not.
+    /// Adds or removes a list.
     pub(crate) fn set(&mut self, list: ListIndex, member: bool) {
         if member {
             self.members.insert(list);
@@ -66,136 +35,82 @@
         }
     }
 
-    /// The members that stand before the last `drawn`.
-    pub(crate) fn left(&self, drawn: usize) -> impl Iterator<Item = ListIndex> + '_ {
-        let left = self.members.len().saturating_sub(drawn);
-        self.members.iter().take(left).copied()
+    /// Returns the members that remain when the last `drawn` ones are drawn.
+    pub(crate) fn remaining(&self, drawn: usize) -> impl Iterator<Item = ListIndex> + '_ {
+        let remaining = self.members.len().saturating_sub(drawn);
+        self.members.iter().take(remaining).copied()
     }
 
-    /// Moves a member that is left among those drawn.
-    pub(crate) fn take(&mut self, list: ListIndex, drawn: usize) {
+    /// Moves one of the remaining members to those drawn.
+    pub(crate) fn mark_drawn(&mut self, list: ListIndex, drawn: usize) {
         let last = self.members.len().saturating_sub(drawn + 1);
         if let Some(chosen) = self.members.get_index_of(&list) {
             self.members.swap_indices(chosen, last);
         }
     }
 
-    /// Draws one of the members that stand before the last `drawn`, and moves
-    /// it among those, so that repeated draws never meet one twice.
+    /// Draws one of the remaining members uniformly and moves it to those drawn.
     pub(crate) fn draw(&mut self, drawn: usize, random: &mut impl Rng) -> Option<ListIndex> {
-        let left = self.members.len().checked_sub(drawn)?;
-        if left == 0 {
+        let remaining = self.members.len().checked_sub(drawn)?;
+        if remaining == 0 {
             return None;
         }
-        let chosen = random.random_range(0..left);
-        self.members.swap_indices(chosen, left - 1);
-        self.members.get_index(left - 1).copied()
+        let chosen = random.random_range(0..remaining);
+        self.members.swap_indices(chosen, remaining - 1);
+        self.members.get_index(remaining - 1).copied()
     }
 }
 
 /// A queue.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Queue {
-    /// Its pool; None when the configuration does not know the queue.
-    pub(crate) pool: Option<usize>,
+    /// The queue's pool; `None` when the configuration does not name the queue.
+    pub(crate) pool: Option<PoolIndex>,
     pub(crate) mode: QueueMode,
-    /// Work of a lower number goes first.
+    /// Work of a lower number is more urgent.
     pub(crate) priority: u8,
-    /// Lists with startable tasks of tenants below their resource limit.
-    pub(crate) runnable: RunnableSet,
-    /// Lists with startable copies of tenants below their resource limit.
-    pub(crate) copying: RunnableSet,
+    /// The queue's lists, one for each tenant that has used it.
     pub(crate) lists: Vec<ListIndex>,
+    /// Lists with pending tasks, of tenants below their resource limit.
+    runnable: RunnableSet,
+    /// Lists with copyable tasks, of tenants below their resource limit.
+    copyable: RunnableSet,
 }
 
-/// A pool of runners.
-#[derive(Debug, Clone, Default)]
-pub(crate) struct Pool {
-    pub(crate) queues: Vec<usize>,
-    pub(crate) runners: BTreeSet<RunnerIndex>,
-    /// The same by rack.
-    racks: BTreeMap<RackName, BTreeSet<RunnerIndex>>,
-    /// Sum over its runners.
-    pub(crate) capacity: Resources,
-    /// Runners kept free for a large task.
-    pub(crate) backfills: BTreeSet<RunnerIndex>,
-}
-
-impl Pool {
-    /// Takes a runner in, or notes that it stands in another rack now.
-    pub(crate) fn enter(&mut self, runner: RunnerIndex, rack: &RackName) {
-        self.leave_racks(runner);
-        self.runners.insert(runner);
-        let rack = self.racks.entry(rack.clone()).or_default();
-        rack.insert(runner);
-    }
-
-    /// Lets a runner go.
-    pub(crate) fn leave(&mut self, runner: RunnerIndex) {
-        self.leave_racks(runner);
-        self.runners.remove(&runner);
+impl Queue {
+    /// Returns whether tasks of the queue are started at all.
+    pub(crate) fn starts_tasks(&self) -> bool {
+        matches!(self.mode, QueueMode::Active | QueueMode::Draining)
     }
 
-    /// The runners of one rack.
-    pub(crate) fn in_rack(&self, rack: &RackName) -> impl Iterator<Item = RunnerIndex> + '_ {
-        self.racks.get(rack).into_iter().flatten().copied()
+    /// Returns the queue's pool if tasks of the queue are started there.
+    pub(crate) fn starting_pool(&self) -> Option<PoolIndex> {
+        self.pool.filter(|_| self.starts_tasks())
     }
 
-    fn leave_racks(&mut self, runner: RunnerIndex) {
-        self.racks.retain(|_, runners| {
-            runners.remove(&runner);
-            !runners.is_empty()
-        });
-    }
-}
-
-/// A tenant.
-#[derive(Debug, Clone)]
-pub(crate) struct Tenant {
-    pub(crate) share_percent: u32,
-    pub(crate) resource_limit: Resources,
-    /// What its open runs hold in all pools.
-    pub(crate) usage: Resources,
-    /// The same by pool.
-    pub(crate) usage_by_pool: BTreeMap<usize, Resources>,
-    pub(crate) lists: Vec<ListIndex>,
-}
-
-impl Default for Tenant {
-    // A tenant without a contract may hold nothing.
-    fn default() -> Self {
-        Self {
-            share_percent: 0,
-            resource_limit: Resources::ZERO,
-            usage: Resources::ZERO,
-            usage_by_pool: BTreeMap::new(),
-            lists: Vec::new(),
+    /// Returns the lists that may be drawn for a run of the given kind.
+    pub(crate) fn runnable(&self, kind: RunKind) -> &RunnableSet {
+        match kind {
+            RunKind::Only => &self.runnable,
+            RunKind::Copy => &self.copyable,
         }
     }
-}
 
-impl Tenant {
-    /// Returns whether a run with these resources stays within the resource limit.
-    pub(crate) fn allows(&self, resources: &Resources) -> bool {
-        self.usage.plus(resources).fits_in(&self.resource_limit)
-    }
-
-    /// Returns whether no kind of resource is left below the resource limit.
-    pub(crate) fn is_at_limit(&self) -> bool {
-        self.resource_limit.fits_in(&self.usage)
+    /// Returns the same set for a draw.
+    pub(crate) fn runnable_mut(&mut self, kind: RunKind) -> &mut RunnableSet {
+        match kind {
+            RunKind::Only => &mut self.runnable,
+            RunKind::Copy => &mut self.copyable,
+        }
     }
 
-    /// Returns whether its runs in the pool hold more than its share of any kind.
-    pub(crate) fn is_above_share(&self, pool: usize, capacity: &Resources) -> bool {
-        let Some(usage) = self.usage_by_pool.get(&pool) else {
-            return false;
-        };
-        let share = u64::from(self.share_percent);
-        let above =
-            |usage: u32, all: u32| u64::from(usage) * 100 > share.saturating_mul(u64::from(all));
-        above(usage.slots, capacity.slots)
-            || above(usage.cpu_milli, capacity.cpu_milli)
-            || above(usage.memory_mib, capacity.memory_mib)
-            || above(usage.gpus, capacity.gpus)
+    /// Returns the number of lists that the queue's mode lets a pull draw.
+    pub(crate) fn drawable_count(&self, kind: RunKind) -> usize {
+        match (self.mode, kind) {
+            (QueueMode::Paused, _) | (QueueMode::Shadow, RunKind::Copy) => 0,
+            (QueueMode::Active | QueueMode::Draining | QueueMode::Shadow, _) => {
+                self.runnable(kind).len()
+            }
+        }
     }
 }
--- a/crates/scheduler/src/runner.rs
+++ b/crates/scheduler/src/runner.rs
@@ -1,7 +1,8 @@
-//! A runner: what it last reported and which open runs are bound to it.
+//! Runners: the last heartbeat of each and the open runs bound to it.
 
-use crate::backfill::Backfill;
 use crate::health::Health;
+use crate::index::PoolIndex;
+use crate::shape::Shape;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use types::{
@@ -9,56 +10,53 @@
     RunnerIncarnation, RunnerReport,
 };
 
-/// Index of a runner in the scheduler.
-pub(crate) type RunnerIndex = usize;
+/// A runner without open runs counts in its pool's capacity for this long after
+/// its last heartbeat: longer than a run lease and than most restarts.
+const CAPACITY_TIMEOUT: Milliseconds = Milliseconds(30_000);
 
-/// A runner silent for this long with nothing bound to it no longer counts in
-/// its pool's capacity. Longer than a run lease and than most restarts.
-const COUNTED_FOR: Milliseconds = Milliseconds(30_000);
-
-/// What the last heartbeat said.
+/// Content of the last heartbeat.
 #[derive(Debug, Clone)]
 pub(crate) struct Reported {
     pub(crate) incarnation: RunnerIncarnation,
     pub(crate) sequence: HeartbeatSequence,
-    pub(crate) pool: usize,
+    pub(crate) pool: PoolIndex,
     pub(crate) rack: RackName,
     pub(crate) endpoint: Option<EndpointName>,
     pub(crate) labels: Arc<Labels>,
     pub(crate) capacity: Resources,
+    /// Resources free at the time of the heartbeat.
     pub(crate) free: Resources,
     pub(crate) draining: bool,
     pub(crate) self_stop: bool,
     pub(crate) received_at: Monotonic,
 }
 
+/// An open run that is bound to a runner.
 #[derive(Debug, Clone)]
 struct BoundRun {
     resources: Resources,
     incarnation: RunnerIncarnation,
-    /// True once the runner has listed it as held or ended.
+    /// Whether the runner's last heartbeat lists the run as active or ended.
     listed: bool,
 }
 
-/// A runner with its bound runs.
+/// A runner and its open runs.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Runner {
-    /// None until this leader has heard it.
+    /// `None` until this leader has a heartbeat of the runner.
     pub(crate) reported: Option<Reported>,
     pub(crate) drained_by_operator: bool,
     pub(crate) health: Health,
-    /// The large task it is kept free for.
-    pub(crate) backfill: Option<Backfill>,
     bound: BTreeMap<RunId, BoundRun>,
-    /// Sum over bound runs of its current incarnation.
+    /// Sum over the open runs of the current incarnation.
     bound_sum: Resources,
-    /// Sum over those of them that it has not listed yet.
+    /// Sum over those of them that no heartbeat has listed yet.
     unlisted_sum: Resources,
 }
 
 impl Runner {
-    /// Takes a newer heartbeat and counts its bound runs anew.
-    pub(crate) fn take_report(&mut self, report: &RunnerReport, pool: usize, now: Monotonic) {
+    /// Applies a heartbeat.
+    pub(crate) fn apply_report(&mut self, report: &RunnerReport, pool: PoolIndex, now: Monotonic) {
         self.reported = Some(Reported {
             incarnation: report.incarnation,
             sequence: report.sequence,
@@ -82,14 +80,14 @@
         self.recount();
     }
 
-    /// Returns whether the report is older than one already taken.
+    /// Returns whether a newer heartbeat, or this one, was applied before.
     pub(crate) fn is_stale(&self, report: &RunnerReport) -> bool {
         self.reported.as_ref().is_some_and(|last| {
             (report.incarnation, report.sequence) <= (last.incarnation, last.sequence)
         })
     }
 
-    /// Binds a run.
+    /// Adds an open run.
     pub(crate) fn bind(&mut self, run: RunId, incarnation: RunnerIncarnation, usage: Resources) {
         let bound = BoundRun {
             resources: usage,
@@ -103,7 +101,7 @@
         self.bound.insert(run, bound);
     }
 
-    /// Lets a run go.
+    /// Removes a closed run.
     pub(crate) fn unbind(&mut self, run: RunId) {
         let Some(bound) = self.bound.remove(&run) else {
             return;
@@ -117,41 +115,54 @@
         }
     }
 
-    /// What it last said, unless it may be gone for good: silent for long and
-    /// with nothing bound to it.
+    /// Returns the runner's pool.
+    pub(crate) fn pool(&self) -> Option<PoolIndex> {
+        self.reported.as_ref().map(|last| last.pool)
+    }
+
+    /// Returns whether the runner, if it were empty, could run a task.
+    pub(crate) fn could_run(&self, needs: &Shape) -> bool {
+        self.reported.as_ref().is_some_and(|last| {
+            needs.resources.fits_in(&last.capacity) && needs.matches(&last.labels)
+        })
+    }
+
+    /// Returns the last heartbeat of a runner that counts in its pool's
+    /// capacity.
     pub(crate) fn present(&self, now: Monotonic) -> Option<&Reported> {
         let last = self.reported.as_ref()?;
-        let is_present = self.open_runs() > 0 || now.since(last.received_at) < COUNTED_FOR;
+        let is_present = self.open_runs() > 0 || now.since(last.received_at) < CAPACITY_TIMEOUT;
         is_present.then_some(last)
     }
 
-    /// Open runs, those of earlier incarnations among them.
+    /// Returns the number of open runs, including those of earlier incarnations.
     pub(crate) fn open_runs(&self) -> usize {
         self.bound.len()
     }
 
-    /// Returns whether an open run belongs to its current incarnation.
+    /// Returns whether an open run belongs to the current incarnation.
     pub(crate) fn has_run_of_current_incarnation(&self) -> bool {
         self.bound.values().any(|bound| self.counts(bound))
     }
 
-    /// What may still be placed: reported free room less runs on their way,
-    /// and never more than capacity less all its open runs.
+    /// Returns the resources that may still be placed: those reported free less
+    /// those of runs not reported yet, but at most the capacity less that of all
+    /// open runs.
     pub(crate) fn free(&self) -> Resources {
         let Some(reported) = &self.reported else {
             return Resources::ZERO;
         };
         let by_report = reported.free.minus(&self.unlisted_sum);
-        let by_record = reported.capacity.minus(&self.bound_sum);
-        by_report.component_min(&by_record)
+        let by_open_runs = reported.capacity.minus(&self.bound_sum);
+        by_report.component_min(&by_open_runs)
     }
 
-    /// Returns whether it or an operator says that it leaves.
+    /// Returns whether the runner or an operator has set it to draining.
     pub(crate) fn is_draining(&self) -> bool {
         self.drained_by_operator || self.reported.as_ref().is_some_and(|last| last.draining)
     }
 
-    // Runs of an earlier incarnation died with it and take no room in this one.
+    // Runs of an earlier incarnation ended with it and use no resources now.
     fn counts(&self, bound: &BoundRun) -> bool {
         self.reported
             .as_ref()
--- a/crates/scheduler/src/scan.rs
+++ b/crates/scheduler/src/scan.rs
@@ -1,135 +1,136 @@
-//! A look into one tenant's list: what of it a runner could take.
+//! Scan of one tenant list for a task that a pull may take.
 
-use crate::Scheduler;
-use crate::draw::Offer;
-use crate::pending::Order;
-use crate::queue::ListIndex;
-use crate::shape::ShapeIndex;
+use crate::index::{ListIndex, ShapeIndex};
+use crate::pull::{Pull, StarvationSearch};
+use crate::tenant_list::TenantList;
+use crate::view::View;
 use configuration::QueueMode;
-use types::{Now, TaskRef};
+use types::{Now, Resources, TaskRef};
 
-/// Whether a pull looks for tasks that wait too long beside smaller ones. A
-/// placement over all runners does not: it goes through the lists for that.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Starving {
-    /// Tasks that do not fit are looked at as well.
-    Search,
-    /// Only what may start is looked at.
-    PassOver,
-}
-
-/// What a look into one tenant's list found.
+/// Result of a scan of one tenant list.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ScanResult {
+    /// The first task that the pull may take.
     pub(crate) startable: Option<TaskRef>,
-    /// Waits longer than a task should and fits an empty runner like this one.
+    /// A task that starves and could run on this runner once it is empty.
     pub(crate) starving: Option<TaskRef>,
-    /// Every task looked at would exceed the tenant's resource limit, or what is left
-    /// of it beside the part kept for urgent work.
+    /// Whether every task examined would exceed the tenant's resource limit or
+    /// the headroom below it.
     pub(crate) above_limit: bool,
-    /// Some task would start but for that part.
+    /// Whether some task would start but for the headroom.
     pub(crate) limited_by_headroom: bool,
 }
 
-impl Scheduler {
-    /// The task of a list that a pull may take, or one that starves.
+impl View {
+    /// Scans a list for a task without a run that the pull may take, and for one
+    /// that starves if `search` asks for that.
     pub(crate) fn scan_for_task(
         &self,
         index: ListIndex,
-        offer: &Offer,
-        starving: Starving,
+        pull: &Pull,
+        search: StarvationSearch,
         now: Now,
     ) -> ScanResult {
         let list = &self.lists[index];
-        let tenant = &self.tenants[list.tenant];
         let in_shadow = self.queues[list.queue].mode == QueueMode::Shadow;
-        let searches = starving == Starving::Search && !in_shadow;
-        let reserve = self.reserve_beside(list.queue, offer);
-        let bounds = list.pending.bounds();
-        let may_admit = bounds.is_some_and(|bounds| reserve.may_admit(&bounds, offer));
-        if !searches && !may_admit && self.passes_over {
+        let searches = search == StarvationSearch::Enabled && !in_shadow;
+        let reserve = self.urgent_reserve(list.queue, pull);
+        let bounds = list.pending().bounds();
+        let may_admit = bounds.is_some_and(|bounds| reserve.may_admit(&bounds, pull));
+        if !searches && !may_admit && self.skips_by_bounds {
             return ScanResult::default();
         }
-        let headroom = self.urgent_headroom_of(index, now.monotonic);
-        let mut finding = ScanResult {
+        let headroom = self.urgent_headroom(index, now.monotonic);
+        let mut result = ScanResult {
             above_limit: true,
             ..ScanResult::default()
         };
-        for ((_, task), shape) in self.scan_depth(list.pending.heads()) {
-            self.record_scan();
-            let Some(needs) = self.shapes.get(shape) else {
+        for head in self.scanned_heads(list.pending()) {
+            self.count_scan();
+            let task = head.order.task;
+            let Some(needs) = self.shapes.get(head.shape) else {
                 continue;
             };
-            if !tenant.allows_beside(&needs.resources, &headroom) {
-                finding.limited_by_headroom |= tenant.allows(&needs.resources);
+            if self.is_above_limit(list, &needs.resources, &headroom, &mut result) {
                 continue;
             }
-            finding.above_limit = false;
-            let admitted = reserve.admits(needs, offer);
+            let admitted = reserve.admits(needs, pull);
             let may_starve = searches
-                && finding.starving.is_none()
-                && needs.resources.fits_in(&offer.capacity)
+                && result.starving.is_none()
+                && needs.resources.fits_in(&pull.capacity)
                 && self.starves(task, now);
-            // What costs most to find out comes last.
+            // The most expensive check comes last.
             if !(admitted || may_starve)
-                || !needs.matches(&offer.labels)
+                || !needs.matches(&pull.labels)
                 || !self.has_seats(needs, list.queue, 1)
-                || !self.suits(task, needs, offer, now)
+                || !self.is_eligible(task, needs, pull, now)
             {
                 continue;
             }
             if admitted {
-                finding.startable = Some(task);
+                result.startable = Some(task);
                 break;
             }
-            finding.starving = Some(task);
+            result.starving = Some(task);
         }
-        finding
+        result
     }
 
-    /// A running task of a list that may have a further copy on the runner.
-    pub(crate) fn scan_for_copy(&self, index: ListIndex, offer: &Offer) -> ScanResult {
-        let list = &self.lists[index];
+    /// Returns whether a task of the list would exceed the tenant's limit, and
+    /// records that in the result.
+    fn is_above_limit(
+        &self,
+        list: &TenantList,
+        needs: &Resources,
+        headroom: &Resources,
+        result: &mut ScanResult,
+    ) -> bool {
         let tenant = &self.tenants[list.tenant];
-        let bounds = list.copies.bounds();
-        if !bounds.is_some_and(|bounds| bounds.min.fits_in(&offer.free)) {
+        let is_above = !tenant.allows_with_headroom(needs, headroom);
+        if is_above {
+            result.limited_by_headroom |= tenant.allows(needs);
+        } else {
+            result.above_limit = false;
+        }
+        is_above
+    }
+
+    /// Scans a list for a running task that may have a further copy on the runner.
+    pub(crate) fn scan_for_copy(&self, index: ListIndex, pull: &Pull) -> ScanResult {
+        let list = &self.lists[index];
+        let bounds = list.copyable().bounds();
+        if !bounds.is_some_and(|bounds| bounds.min.fits_in(&pull.free)) {
             return ScanResult::default();
         }
-        let fits = |shape: ShapeIndex| {
-            self.record_scan();
-            self.shapes.get(shape).is_some_and(|needs| {
-                tenant.allows(&needs.resources)
-                    && self.has_seats(needs, list.queue, 1)
-                    && needs.matches(&offer.labels)
-                    && self.is_below_step_limit(needs, offer.runner)
-                    && needs.resources.fits_in(&offer.free)
-            })
-        };
-        let shapes = self.scan_depth(list.copies.heads());
-        let tasks = shapes
-            .filter(|(_, shape)| fits(*shape))
-            .flat_map(|(_, shape)| list.copies.of_shape(shape))
-            .take(self.options.scan_depth.saturating_add(1));
-        let startable = tasks
-            .map(|(_, task)| task)
-            .find(|task| !self.runs_on(*task, offer.runner));
+        let startable = self
+            .scanned_heads(list.copyable())
+            .filter(|head| self.may_copy(list, head.shape, pull))
+            .flat_map(|head| list.copyable().tasks_of_shape(head.shape))
+            .take(self.max_scanned())
+            .map(|order| order.task)
+            .find(|task| !self.runs.has_task_on_runner(*task, pull.runner));
         ScanResult {
             startable,
             ..ScanResult::default()
         }
     }
 
-    pub(crate) fn scan_depth<'a>(
-        &self,
-        heads: impl Iterator<Item = (Order, ShapeIndex)> + 'a,
-    ) -> impl Iterator<Item = (Order, ShapeIndex)> + 'a {
-        heads.take(self.options.scan_depth.saturating_add(1))
+    fn may_copy(&self, list: &TenantList, shape: ShapeIndex, pull: &Pull) -> bool {
+        self.count_scan();
+        self.shapes.get(shape).is_some_and(|needs| {
+            self.tenants[list.tenant].allows(&needs.resources)
+                && self.has_seats(needs, list.queue, 1)
+                && needs.matches(&pull.labels)
+                && self.is_below_step_limit(needs, pull.runner)
+                && needs.resources.fits_in(&pull.free)
+        })
     }
 
-    /// True for a task that has waited long beside smaller ones. Among equals
+    /// Returns whether a task starves: it has waited for `reserve_after` while
+    /// smaller tasks could take the capacity that it needs. Among equal tasks
     /// the draw alone decides, however long they wait.
     pub(crate) fn starves(&self, task: TaskRef, now: Now) -> bool {
-        self.tasks.get(&task).is_some_and(|entry| {
+        self.tasks.get(task).is_some_and(|entry| {
             now.monotonic.since(entry.waiting_since) >= self.options.reserve_after
                 && self.shapes.has_smaller(entry.shape)
         })
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,188 +1,130 @@
-//! The scheduler's public steps; each module beside this one has one part.
-
-use crate::gang::Gangs;
-use crate::options::{AuditReport, Published, RunnerView, SchedulerOptions};
-use crate::queue::{ListIndex, Pool, Queue, Tenant, TenantList};
-use crate::run::Run;
-use crate::runner::{Runner, RunnerIndex};
-use crate::scan::Starving;
-use crate::seats::Seats;
-use crate::shape::ShapeTable;
-use crate::table::Table;
-use crate::task::Task;
-use crate::{Decision, NotPlacedReason};
+//! The scheduler's public steps, composed from those of the view.
+
+use crate::decision::{Decision, NotPlacedReason};
+use crate::options::{AuditReport, Published, RunnerView, SchedulerOptions, SeatUsage};
+use crate::pull::StarvationSearch;
+use crate::view::View;
 use configuration::ClusterConfiguration;
-use rand::SeedableRng;
-use rand_chacha::ChaCha8Rng;
-use std::cell::Cell;
-use std::collections::{BTreeMap, BTreeSet};
 use types::{
-    JobNumber, Monotonic, Now, OpenRun, PoolName, QueueName, Resources, RunId, RunnerId,
-    RunnerReport, TaskMeta, TaskRef, TenantId, Term, WallTime,
+    JobNumber, LicenceName, Now, OpenRun, QueueName, Resources, RunId, RunnerId, RunnerReport,
+    TaskMeta, TaskRef, TenantId, Term, WallTime,
 };
 
 /// The leader's view of waiting and running work.
 ///
 /// Every step is idempotent, and equal calls with an equal seed lead to equal
-/// decisions. The cost of a reserve grows with the tenants drawn and with the
-/// logarithm of the tasks waiting.
+/// decisions. The cost of a reserve grows with the number of tenants drawn and
+/// with the logarithm of the number of waiting tasks.
 #[derive(Debug, Clone)]
 pub struct Scheduler {
-    pub(crate) options: SchedulerOptions,
-    pub(crate) term: Term,
-    pub(crate) last_sequence: u64,
-    pub(crate) random: ChaCha8Rng,
-    pub(crate) pools: Table<PoolName, Pool>,
-    pub(crate) queues: Table<QueueName, Queue>,
-    pub(crate) tenants: Table<TenantId, Tenant>,
-    pub(crate) runners: Table<RunnerId, Runner>,
-    pub(crate) lists: Vec<TenantList>,
-    pub(crate) list_of: BTreeMap<(usize, usize), ListIndex>,
-    pub(crate) shapes: ShapeTable,
-    pub(crate) tasks: BTreeMap<TaskRef, Task>,
-    pub(crate) delayed: BTreeSet<(WallTime, TaskRef)>,
-    pub(crate) runs: BTreeMap<RunId, Run>,
-    pub(crate) runs_of: BTreeMap<TaskRef, Vec<RunId>>,
-    pub(crate) gangs: Gangs,
-    pub(crate) seats: Seats,
-    /// The runners on which an unfinished task failed.
-    pub(crate) failed_on: BTreeMap<TaskRef, BTreeSet<RunnerIndex>>,
-    pub(crate) reason_cursor: usize,
-    pub(crate) search_backfills_after: Monotonic,
-    /// The latest time given.
-    pub(crate) latest: Monotonic,
-    /// Runners and lists that nothing could fit are passed over.
-    pub(crate) passes_over: bool,
-    /// See [`Scheduler::scan_cost`].
-    scan_cost: Cell<u64>,
+    view: View,
 }
 
 impl Scheduler {
-    /// An empty view of the leader of `term`; run identifiers carry the term.
+    /// Creates the empty view of the leader of `term`. New run identifiers carry
+    /// the term.
     pub fn new(options: SchedulerOptions, term: Term, seed: u64) -> Self {
         Self {
-            options,
-            term,
-            last_sequence: 0,
-            random: ChaCha8Rng::seed_from_u64(seed),
-            pools: Table::default(),
-            queues: Table::default(),
-            tenants: Table::default(),
-            runners: Table::default(),
-            lists: Vec::new(),
-            list_of: BTreeMap::new(),
-            shapes: ShapeTable::default(),
-            tasks: BTreeMap::new(),
-            delayed: BTreeSet::new(),
-            runs: BTreeMap::new(),
-            runs_of: BTreeMap::new(),
-            gangs: Gangs::default(),
-            seats: Seats::default(),
-            failed_on: BTreeMap::new(),
-            reason_cursor: 0,
-            search_backfills_after: Monotonic::default(),
-            latest: Monotonic::default(),
-            passes_over: true,
-            scan_cost: Cell::new(0),
+            view: View::new(options, term, seed),
         }
     }
 
-    /// Takes queues, pools and tenant contracts; tenants at a new limit become
-    /// runnable or stop being so. Work of a queue or tenant that is left out
-    /// stays in the view and starts no more runs.
+    /// Applies the queues, pools, licences and tenant contracts of a
+    /// configuration. Work of a queue or tenant that it leaves out stays in the
+    /// view and starts no more runs.
     pub fn configure(&mut self, document: &ClusterConfiguration) {
-        self.take_configuration(document);
+        self.view.configure(document);
     }
 
-    /// Atomic step: adds a task unless it is present, pending or running.
+    /// Atomic step: adds a task unless it is pending or running.
     pub fn publish(&mut self, meta: TaskMeta, now: Now) -> Published {
-        self.record_time(now);
-        self.add_task(meta, now)
+        self.view.record_time(now);
+        self.view.add_task(meta, now)
     }
 
-    /// Enters a run that the record holds open (after an election, before its
-    /// task is published). Idempotent.
+    /// Adds a run that the replicated state holds open: after an election, before
+    /// its task is published. Idempotent.
     pub fn adopt_run(&mut self, run: OpenRun) {
-        self.enter_open_run(run);
+        self.view.adopt_run(run);
     }
 
-    /// Atomic step: one pull for one runner. Draws uniformly among the
-    /// runnable tenants of the pool's queues (a tenant that waits in two
-    /// queues counts once in each), takes that tenant's oldest startable task
-    /// that fits, and binds it. None when nothing may start.
+    /// Atomic step: one pull for one runner. Draws uniformly among the runnable
+    /// tenants of the pool's queues (a tenant with work in two queues counts once
+    /// in each), takes that tenant's oldest startable task that fits, and binds
+    /// it. Returns `None` when nothing may start.
     pub fn reserve(&mut self, runner: &RunnerId, now: Now) -> Option<Decision> {
-        self.record_time(now);
-        let runner = self.runners.find(runner)?;
-        self.admit_due(now);
-        self.pull(runner, Starving::Search, now)
+        self.view.record_time(now);
+        let runner = self.view.runners.find(runner)?;
+        self.view.admit_due(now);
+        self.view.reserve(runner, StarvationSearch::Enabled, now)
     }
 
-    /// Derives pulls from all known room, at most `limit` placements, and
-    /// reports changed reasons of what stays, a bounded number in each call.
+    /// Pulls for all runners with free resources, for at most `limit` tasks, and
+    /// reports changed reasons of what stays pending, a bounded number in each
+    /// call.
     pub fn place(&mut self, now: Now, limit: usize) -> Vec<Decision> {
-        self.record_time(now);
-        self.place_all(now, limit)
+        self.view.record_time(now);
+        self.view.place(now, limit)
     }
 
-    /// Atomic step: the run is over and its task may run again. For a run
-    /// that is not open it publishes the task if it is absent.
+    /// Atomic step: closes a run whose task may run again. For a run that is not
+    /// open it publishes the task if that is absent.
     pub fn reschedule(&mut self, run: RunId, meta: TaskMeta, now: Now) {
-        self.record_time(now);
-        if let Some(closed) = self.close_run(run) {
-            self.remove_task(closed.task);
+        self.view.record_time(now);
+        if let Some(closed) = self.view.close_run(run) {
+            self.view.remove_task(closed.task);
         }
-        self.add_task(meta, now);
+        self.view.add_task(meta, now);
     }
 
-    /// Atomic step: the run is over, and its task with it. Idempotent.
+    /// Atomic step: closes a run and removes its task. Idempotent.
     pub fn remove_run(&mut self, run: RunId) {
-        if let Some(closed) = self.close_run(run) {
-            self.failed_on.remove(&closed.task);
-            self.remove_task(closed.task);
+        if let Some(closed) = self.view.close_run(run) {
+            self.remove(closed.task);
         }
     }
 
-    /// Atomic step: the task will never start again; its open runs go on
-    /// counting until they are removed. Idempotent.
+    /// Atomic step: removes a task that will never start again. Its open runs
+    /// count until they are removed. Idempotent.
     pub fn remove(&mut self, task: TaskRef) {
-        self.failed_on.remove(&task);
-        self.remove_task(task);
+        self.view.failed_on.remove(&task);
+        self.view.remove_task(task);
     }
 
-    /// Takes a runner's heartbeat: room, labels, draining, what it holds. One
-    /// that is older than the last taken is passed over.
+    /// Applies a runner's heartbeat unless a newer one was applied.
     pub fn heartbeat(&mut self, report: &RunnerReport, now: Now) {
-        self.record_time(now);
-        self.take_heartbeat(report, now);
+        self.view.record_time(now);
+        self.view.apply_heartbeat(report, now);
     }
 
-    /// An operator's word on a runner.
+    /// Sets whether an operator drains a runner.
     pub fn set_draining(&mut self, runner: &RunnerId, draining: bool) {
-        let index = self.runner_index(runner);
-        self.runners[index].drained_by_operator = draining;
+        let index = self.view.runners.get_or_insert(runner);
+        self.view.runners[index].drained_by_operator = draining;
     }
 
-    /// Records how a run on a runner ended, for the runner's health.
+    /// Records the outcome of a run for the health of its runner.
     pub fn record_outcome(&mut self, runner: &RunnerId, task: TaskRef, failed: bool, now: Now) {
-        self.take_outcome(runner, task, failed, now.monotonic);
+        self.view
+            .record_outcome(runner, task, failed, now.monotonic);
     }
 
-    /// Why a ready task is not running; None when the view does not hold it or
-    /// nothing stands against its start.
+    /// Returns why a ready task is not running; `None` when the view does not
+    /// have the task or nothing prevents its start.
     pub fn explain(&self, task: TaskRef, now: Now) -> Option<NotPlacedReason> {
-        self.reason_of(task, now)
+        self.view.explain(task, now)
     }
 
-    /// All runners that this leader has heard.
+    /// Returns all runners that have reported to this leader.
     pub fn runners(&self, now: Now) -> Vec<RunnerView> {
-        self.view_runners(now)
+        self.view.runner_views(now.monotonic)
     }
 
-    /// Compares the view with the record for the jobs numbered `from..=to`:
-    /// `ready` is everything the record holds ready there. A task that has
-    /// all the runs it may have is left alone; what waits in the view and is
-    /// not ready in the record is removed, what differs or is missing is
-    /// published again.
+    /// Compares the view with the replicated state for the jobs numbered
+    /// `from..=to`, of which `ready` are all ready tasks, and corrects the view.
+    ///
+    /// A task with all the runs it may have is skipped. A waiting task that is
+    /// not ready is removed; one that differs or is missing is published again.
     pub fn audit(
         &mut self,
         from: JobNumber,
@@ -190,59 +132,56 @@
         ready: &[TaskMeta],
         now: Now,
     ) -> AuditReport {
-        self.audit_slice(from, to, ready, now)
+        self.view.audit(from, to, ready, now)
     }
 
-    /// When a task's time comes next, if one waits for it.
+    /// Returns the earliest start time of the tasks that wait for theirs.
     pub fn next_start_time(&self) -> Option<WallTime> {
-        self.delayed.first().map(|(time, _)| *time)
+        self.view.tasks.next_start_time()
     }
 
-    /// Tasks of a tenant in a queue that could start now but for room.
+    /// Returns the number of a tenant's tasks in a queue that could start if
+    /// there were capacity.
     pub fn pending_count(&self, queue: &QueueName, tenant: &TenantId) -> usize {
-        let pair = self.queues.find(queue).zip(self.tenants.find(tenant));
-        let list = pair.and_then(|pair| self.list_of.get(&pair));
-        list.map_or(0, |list| self.lists[*list].pending.len())
+        let list = self.view.find_list(queue, tenant);
+        list.map_or(0, |list| list.pending().len())
     }
 
-    /// What the tenant's open runs hold in all pools.
+    /// Returns what the tenant's open runs use in all pools.
     pub fn usage(&self, tenant: &TenantId) -> Resources {
-        let index = self.tenants.find(tenant);
-        index.map_or(Resources::ZERO, |index| self.tenants[index].usage)
+        let index = self.view.tenants.find(tenant);
+        index.map_or(Resources::ZERO, |index| self.view.tenants[index].usage())
+    }
+
+    /// Returns the seats of a licence in use and the tasks that wait for
+    /// capacity or a seat.
+    pub fn seat_usage(&self, licence: &LicenceName) -> SeatUsage {
+        let licence = self.view.licences.get(licence);
+        licence.map_or_else(SeatUsage::default, |licence| SeatUsage {
+            used: licence.used(),
+            waiting_tasks: licence.waiting_in(|_| true),
+        })
     }
 
-    /// Open runs of all tenants.
+    /// Returns the number of open runs of all tenants.
     pub fn open_run_count(&self) -> usize {
-        self.runs.len()
+        self.view.runs.len()
     }
 
-    /// Tasks, runners and gangs looked at so far: what the work of this view
-    /// is counted in, the same on every machine.
+    /// Returns the number of tasks and runners examined so far: the cost of the
+    /// view's work in a unit that is the same on every machine.
     pub fn scan_cost(&self) -> u64 {
-        self.scan_cost.get()
+        self.view.scan_cost()
     }
 
-    /// Passes over nothing any more, for proofs of what that is worth.
+    /// Examines lists and runners also when bounds show that nothing fits, so
+    /// that tests can prove that the bounds change no decision.
     pub fn scan_all(&mut self) {
-        self.passes_over = false;
-    }
-
-    fn record_time(&mut self, now: Now) {
-        self.latest = self.latest.max(now.monotonic);
-    }
-
-    pub(crate) fn record_scan(&self) {
-        self.record_scans(1);
-    }
-
-    pub(crate) fn record_scans(&self, scan_cost: usize) {
-        let scan_cost = u64::try_from(scan_cost).unwrap_or(u64::MAX);
-        self.scan_cost
-            .set(self.scan_cost.get().saturating_add(scan_cost));
+        self.view.skips_by_bounds = false;
     }
 
-    /// Published tasks, waiting and running.
+    /// Returns the number of published tasks, waiting and running.
     pub fn task_count(&self) -> usize {
-        self.tasks.len()
+        self.view.tasks.len()
     }
 }
--- a/crates/scheduler/src/shape.rs
+++ b/crates/scheduler/src/shape.rs
@@ -1,64 +1,39 @@
-//! What a task needs of a runner, stored once for all tasks that need the same.
+//! Shapes: what tasks need of a runner, stored once for all tasks of a shape.
 //!
-//! With millions of tasks waiting, each carries a small index in place of its
+//! With millions of tasks waiting, each carries a small index instead of its
 //! resources and labels.
 
-use crate::runner::RunnerIndex;
+use crate::index::{RunnerIndex, ShapeIndex};
+use crate::step::StepRef;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
-use types::{JobNumber, Labels, LicenceName, RackName, Resources, TaskMeta, TaskRef};
+use types::{Labels, LicenceName, RackName, Resources, TaskMeta};
 
-/// What a run of a task holds and which labels its runner must carry.
+/// What a task needs of a runner.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Shape {
     pub(crate) resources: Resources,
+    /// Labels that the runner must have.
     pub(crate) labels: Labels,
-    /// The rack where its tasks run best.
+    /// The rack that other runners wait for (locality).
     pub(crate) preferred_rack: Option<RackName>,
-    /// Most runs of one step on a runner, and the step.
+    /// Limit of the step's runs on one runner.
     pub(crate) spread: Option<Spread>,
-    /// The licence of which a run takes a seat.
+    /// The licence of which a run uses a seat.
     pub(crate) licence: Option<LicenceName>,
-    /// The runners on which the task failed; others are tried first.
+    /// Runners on which the task failed; others are preferred.
     pub(crate) failed_on: BTreeSet<RunnerIndex>,
 }
 
-/// A bound on the runs of one step that a runner holds at once.
+/// Limit of the open runs of one step on one runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct Spread {
     pub(crate) max_per_runner: u32,
     pub(crate) step: StepRef,
 }
 
-/// One step of a job.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) struct StepRef {
-    pub(crate) job: JobNumber,
-    pub(crate) step: u16,
-}
-
-impl StepRef {
-    /// The step of a task.
-    pub(crate) fn of(task: TaskRef) -> Self {
-        Self {
-            job: task.job,
-            step: task.step,
-        }
-    }
-
-    /// The task at a position in the step.
-    pub(crate) fn task(self, task: u32) -> TaskRef {
-        TaskRef {
-            job: self.job,
-            step: self.step,
-            task,
-        }
-    }
-}
-
 impl Shape {
-    /// What a published task needs. A gang's members wait apart from other
-    /// work, so their shape needs no bound of its own.
+    /// Returns the shape of a published task that failed on the given runners.
     pub(crate) fn new(meta: &TaskMeta, failed_on: BTreeSet<RunnerIndex>) -> Self {
         let spread = |max_per_runner| Spread {
             max_per_runner,
@@ -74,7 +49,7 @@
         }
     }
 
-    /// Returns whether a runner with these labels carries all that are asked for.
+    /// Returns whether these labels of a runner include all that are required.
     pub(crate) fn matches(&self, labels: &Labels) -> bool {
         self.labels
             .iter()
@@ -82,12 +57,9 @@
     }
 }
 
-/// With more different needs than this, looking at each costs more than a search
-/// for a runner that finds none.
-const MAX_SHAPES_SCANNED: usize = 256;
-
-/// Index of a shape in the table.
-pub(crate) type ShapeIndex = u32;
+/// Maximum number of different needs that [`ShapeTable::has_smaller`] compares;
+/// comparing more costs more than a futile search for a runner.
+const MAX_NEEDS_COMPARED: usize = 256;
 
 #[derive(Debug, Clone)]
 struct Slot {
@@ -95,20 +67,19 @@
     users: usize,
 }
 
-/// All shapes in use; a shape without users is dropped and its place used again.
+/// All shapes in use. The index of a shape without users is reused.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ShapeTable {
-    // Only looked up, never iterated, or iterated for a yes or no: its order cannot
-    // reach a decision.
+    // Never iterated, so that its order cannot reach a decision.
     index: HashMap<Arc<Shape>, ShapeIndex>,
     slots: Vec<Option<Slot>>,
     free: Vec<ShapeIndex>,
-    /// Shapes in use by what they hold. Many differ in rack or step alone.
+    /// Number of shapes in use by their resources. Iterated only for a yes or no.
     needs: HashMap<Resources, usize>,
 }
 
 impl ShapeTable {
-    /// Index of the shape, with one user more.
+    /// Adds a user to a shape and returns the shape's index.
     pub(crate) fn acquire(&mut self, shape: Shape) -> ShapeIndex {
         if let Some(&index) = self.index.get(&shape) {
             if let Some(Some(slot)) = self.slots.get_mut(index as usize) {
@@ -122,21 +93,28 @@
             shape: Arc::clone(&shape),
             users: 1,
         });
-        let index = match self.free.pop() {
-            Some(index) => {
-                self.slots[index as usize] = slot;
-                index
-            }
-            None => {
-                self.slots.push(slot);
-                (self.slots.len() - 1) as ShapeIndex
-            }
-        };
+        let index = self.insert_slot(slot);
         self.index.insert(shape, index);
         index
     }
 
-    /// Takes one user away.
+    /// Stores a slot in a free place.
+    ///
+    /// # Panics
+    ///
+    /// Panics if more than `u32::MAX` shapes are in use, which needs more memory
+    /// than any machine has.
+    fn insert_slot(&mut self, slot: Option<Slot>) -> ShapeIndex {
+        if let Some(index) = self.free.pop() {
+            self.slots[index as usize] = slot;
+            return index;
+        }
+        let index = ShapeIndex::try_from(self.slots.len()).expect("fewer than 2^32 shapes");
+        self.slots.push(slot);
+        index
+    }
+
+    /// Removes a user from a shape.
     pub(crate) fn release(&mut self, index: ShapeIndex) {
         let Some(entry) = self.slots.get_mut(index as usize) else {
             return;
@@ -148,11 +126,11 @@
             self.index.remove(&slot.shape);
             *entry = None;
             self.free.push(index);
-            self.forget_needs(needs);
+            self.release_needs(needs);
         }
     }
 
-    fn forget_needs(&mut self, needs: Resources) {
+    fn release_needs(&mut self, needs: Resources) {
         if let Some(shapes) = self.needs.get_mut(&needs) {
             *shapes -= 1;
             if *shapes == 0 {
@@ -161,20 +139,21 @@
         }
     }
 
-    /// Returns whether tasks in use need less than this shape, and so could take the
-    /// room it waits for. With very many needs it takes that for granted.
+    /// Returns whether tasks of a smaller shape could take the capacity that
+    /// this shape waits for. With more than [`MAX_NEEDS_COMPARED`] different
+    /// needs it assumes so.
     pub(crate) fn has_smaller(&self, index: ShapeIndex) -> bool {
         let Some(large) = self.get(index) else {
             return false;
         };
-        self.needs.len() > MAX_SHAPES_SCANNED
+        self.needs.len() > MAX_NEEDS_COMPARED
             || self
                 .needs
                 .keys()
                 .any(|small| *small != large.resources && small.fits_in(&large.resources))
     }
 
-    /// The shape, if the index is in use.
+    /// Returns the shape, if the index is in use.
     pub(crate) fn get(&self, index: ShapeIndex) -> Option<&Arc<Shape>> {
         self.slots
             .get(index as usize)?
--- a/crates/scheduler/src/table.rs
+++ b/crates/scheduler/src/table.rs
@@ -1,13 +1,13 @@
-//! Named entries that are known by a small number everywhere inside.
+//! Table of named entries that the view refers to by index.
 //!
-//! Entries are never taken out, so a number handed out stays good for the
-//! incarnation of the table. This is the one place where the view indexes by number.
+//! Entries are never removed, so an index is valid for as long as the table
+//! exists.
 
 use indexmap::{Equivalent, IndexMap};
 use std::hash::Hash;
 use std::ops::{Index, IndexMut};
 
-/// Entries in the order in which their names were first met.
+/// Entries in the order in which their names were first used.
 #[derive(Debug, Clone)]
 pub(crate) struct Table<K, V> {
     entries: IndexMap<K, V>,
@@ -22,30 +22,30 @@
 }
 
 impl<K: Hash + Eq + Clone, V: Default> Table<K, V> {
-    /// Number of the entry, made with its default when the name is new.
-    pub(crate) fn number(&mut self, name: &K) -> usize {
-        if let Some(number) = self.find(name) {
-            return number;
+    /// Returns the index of an entry, inserting a default one if the name is new.
+    pub(crate) fn get_or_insert(&mut self, name: &K) -> usize {
+        if let Some(index) = self.find(name) {
+            return index;
         }
         self.entries.insert_full(name.clone(), V::default()).0
     }
 
-    /// Number of the entry, if the name was ever met.
+    /// Returns the index of an entry, if there is one of that name.
     pub(crate) fn find<Q: Hash + Equivalent<K> + ?Sized>(&self, name: &Q) -> Option<usize> {
         self.entries.get_index_of(name)
     }
 
-    /// Name of the entry.
-    pub(crate) fn name(&self, number: usize) -> Option<&K> {
-        self.entries.get_index(number).map(|(name, _)| name)
+    /// Returns the name of an entry.
+    pub(crate) fn name(&self, index: usize) -> Option<&K> {
+        self.entries.get_index(index).map(|(name, _)| name)
     }
 
-    /// Number of entries.
+    /// Returns the number of entries.
     pub(crate) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Entries with their names, by number.
+    /// Returns the entries with their names, in order of index.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         self.entries.iter()
     }
@@ -53,13 +53,13 @@
 
 impl<K, V> Index<usize> for Table<K, V> {
     type Output = V;
-    fn index(&self, number: usize) -> &V {
-        &self.entries[number]
+    fn index(&self, index: usize) -> &V {
+        &self.entries[index]
     }
 }
 
 impl<K, V> IndexMut<usize> for Table<K, V> {
-    fn index_mut(&mut self, number: usize) -> &mut V {
-        &mut self.entries[number]
+    fn index_mut(&mut self, index: usize) -> &mut V {
+        &mut self.entries[index]
     }
 }
--- a/crates/scheduler/src/task.rs
+++ b/crates/scheduler/src/task.rs
@@ -1,235 +1,164 @@
-//! Tasks: publish, remove, and the one place each task stands in.
+//! The table of published tasks and the status of each.
 
-use crate::pending::Order;
-use crate::queue::{ListIndex, TenantList};
-use crate::shape::{Shape, ShapeIndex};
-use crate::{Published, Scheduler};
-use types::{Monotonic, Now, QueueName, StepRules, TaskMeta, TaskRef, TenantId, Urgency, WallTime};
+use crate::index::{ListIndex, ShapeIndex};
+use crate::pending::TaskOrder;
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::RangeInclusive;
+use types::{Monotonic, StepRules, TaskRef, Urgency, WallTime};
 
-/// Where a published task stands.
+/// Status of a published task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TaskStatus {
-    /// May start now.
+    /// The task has no run and may start now.
     Pending,
-    /// Runs, and may have a further copy.
-    Copies,
-    /// Its time has not come.
+    /// The task runs and may have a further copy.
+    Copyable,
+    /// The task's start time or backoff is in the future.
     Delayed,
-    /// A shadow queue has decided on it.
+    /// A queue in shadow mode has decided on the task.
     Shadowed,
-    /// A member of a gang that could start, were the whole gang here.
-    Gathered,
-    /// Has all the runs it may have.
+    /// The task belongs to a gang and could start together with the others.
+    InGang,
+    /// The task has as many open runs as it may have.
     Bound,
 }
 
-/// A published task (source: the `jobs:<id>` entry, here one for each task).
+impl TaskStatus {
+    /// Returns whether the task would start if it had capacity and a seat.
+    pub(crate) fn is_waiting(self) -> bool {
+        matches!(self, Self::Pending | Self::InGang)
+    }
+}
+
+/// A change of a task's status.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct StatusChange {
+    pub(crate) old: TaskStatus,
+    pub(crate) new: TaskStatus,
+}
+
+impl StatusChange {
+    /// Returns whether the task starts to wait by this change.
+    pub(crate) fn starts_waiting(self) -> bool {
+        !self.old.is_waiting() && self.new.is_waiting()
+    }
+
+    /// Returns whether the task stops waiting by this change.
+    pub(crate) fn stops_waiting(self) -> bool {
+        self.old.is_waiting() && !self.new.is_waiting()
+    }
+}
+
+/// A published task. In the source an entry `jobs:<id>` stands for a job; here
+/// there is one for each task.
 #[derive(Debug, Clone)]
 pub(crate) struct Task {
     pub(crate) list: ListIndex,
     pub(crate) shape: ShapeIndex,
+    /// Maximum number of open runs; at least 1.
     pub(crate) max_copies: u32,
     pub(crate) urgency: Urgency,
     pub(crate) status: TaskStatus,
-    /// Zero when it may start at once.
+    /// Earliest start; zero when the task may start at once.
     pub(crate) not_before: WallTime,
-    /// Since when it may start, on this leader's clock.
+    /// Start of the current wait, on this leader's clock.
     pub(crate) waiting_since: Monotonic,
-    /// The rules of its step.
+    /// Placement rules of the task's step.
     pub(crate) rules: StepRules,
-    /// Tasks of its step.
+    /// Number of tasks of the step.
     pub(crate) step_tasks: u32,
 }
 
 impl Task {
-    fn order(&self, task: TaskRef) -> Order {
-        (self.urgency, task)
+    /// Returns the task's position among the tasks of its tenant list.
+    pub(crate) fn order(&self, task: TaskRef) -> TaskOrder {
+        TaskOrder {
+            urgency: self.urgency,
+            task,
+        }
     }
 }
 
-/// True for a task that would start if it had room and a seat.
-fn is_waiting(status: TaskStatus) -> bool {
-    matches!(status, TaskStatus::Pending | TaskStatus::Gathered)
+/// All published tasks.
+#[derive(Debug, Clone, Default)]
+pub(crate) struct TaskTable {
+    entries: BTreeMap<TaskRef, Task>,
+    /// Tasks with the status [`TaskStatus::Delayed`], by start time.
+    delayed: BTreeSet<(WallTime, TaskRef)>,
 }
 
-impl Scheduler {
-    pub(crate) fn add_task(&mut self, meta: TaskMeta, now: Now) -> Published {
-        let open_runs = self.runs_of.get(&meta.task).map_or(0, Vec::len);
-        let is_bound = open_runs >= meta.max_copies.max(1) as usize;
-        if is_bound || self.tasks.contains_key(&meta.task) {
-            return Published::Present;
-        }
-        let list = self.list_index(&meta.queue, &meta.tenant);
-        let failed_on = self.failed_on.get(&meta.task).cloned();
-        let shape = Shape::new(&meta, failed_on.unwrap_or_default());
-        let shape = self.shapes.acquire(shape);
-        let task = Task {
-            list,
-            shape,
-            max_copies: meta.max_copies.max(1),
-            urgency: meta.urgency,
-            status: TaskStatus::Bound,
-            not_before: meta.not_before.unwrap_or_default(),
-            waiting_since: now.monotonic,
-            rules: meta.rules,
-            step_tasks: meta.step_tasks,
-        };
-        self.tasks.insert(meta.task, task);
-        self.settle(meta.task, now);
-        Published::New
+impl TaskTable {
+    /// Returns the number of published tasks.
+    pub(crate) fn len(&self) -> usize {
+        self.entries.len()
     }
 
-    pub(crate) fn remove_task(&mut self, task: TaskRef) -> bool {
-        if !self.tasks.contains_key(&task) {
-            return false;
-        }
-        self.stand(task, TaskStatus::Bound);
-        if let Some(entry) = self.tasks.remove(&task) {
-            self.shapes.release(entry.shape);
-        }
-        true
+    /// Returns whether the task is published.
+    pub(crate) fn contains(&self, task: TaskRef) -> bool {
+        self.entries.contains_key(&task)
     }
 
-    /// Puts a task where its time and its open runs say.
-    pub(crate) fn settle(&mut self, task: TaskRef, now: Now) {
-        let Some(entry) = self.tasks.get_mut(&task) else {
-            return;
-        };
-        let open_runs = self.runs_of.get(&task).map_or(0, Vec::len);
-        let status = if open_runs >= entry.max_copies as usize {
-            TaskStatus::Bound
-        } else if entry.not_before > now.wall {
-            TaskStatus::Delayed
-        } else if open_runs == 0 && entry.rules.gang {
-            TaskStatus::Gathered
-        } else if open_runs == 0 {
-            TaskStatus::Pending
-        } else {
-            TaskStatus::Copies
-        };
-        if status != entry.status {
-            entry.waiting_since = now.monotonic;
-        }
-        self.stand(task, status);
+    /// Returns the entry of a published task.
+    pub(crate) fn get(&self, task: TaskRef) -> Option<&Task> {
+        self.entries.get(&task)
     }
 
-    /// Moves a task from where it stands to another standing.
-    pub(crate) fn stand(&mut self, task: TaskRef, status: TaskStatus) {
-        let Some(entry) = self.tasks.get_mut(&task) else {
-            return;
-        };
-        if entry.status == status {
-            return;
-        }
-        let order = entry.order(task);
-        let (index, shape, not_before) = (entry.list, entry.shape, entry.not_before);
-        let size = entry.step_tasks;
-        let needs = self.shapes.get(shape).map(|shape| shape.resources);
-        let needs = needs.unwrap_or_default();
-        let licence = entry.rules.licence.clone();
-        let waited = is_waiting(entry.status);
-        let old = std::mem::replace(&mut entry.status, status);
-        let latest = self.latest;
-        let list = &mut self.lists[index];
-        match (waited, is_waiting(status)) {
-            (false, true) => {
-                if list.pending.is_empty() {
-                    list.waiting_since = latest;
-                }
-                list.demand.wait(&needs, latest);
-            }
-            (true, false) => list.demand.wait_no_more(&needs),
-            _ => {}
-        }
-        match old {
-            TaskStatus::Pending => drop(list.pending.remove(order, shape)),
-            TaskStatus::Copies => drop(list.copies.remove(order, shape)),
-            TaskStatus::Delayed => drop(self.delayed.remove(&(not_before, task))),
-            TaskStatus::Shadowed => drop(list.shadowed.remove(&task)),
-            TaskStatus::Gathered => self.gangs.leave(task),
-            TaskStatus::Bound => {}
-        }
-        match status {
-            TaskStatus::Pending => drop(list.pending.insert(order, shape, needs)),
-            TaskStatus::Copies => drop(list.copies.insert(order, shape, needs)),
-            TaskStatus::Delayed => drop(self.delayed.insert((not_before, task))),
-            TaskStatus::Shadowed => drop(list.shadowed.insert(task)),
-            TaskStatus::Gathered => self.gangs.gather(task, size, index),
-            TaskStatus::Bound => {}
-        }
-        list.above_limit = false;
-        if let Some(licence) = licence {
-            let queue = self.lists[index].queue;
-            match (waited, is_waiting(status)) {
-                (false, true) => self.seats.wait(&licence, queue),
-                (true, false) => self.seats.wait_no_more(&licence, queue),
-                _ => {}
-            }
-        }
-        self.refresh_list(index);
+    /// Returns the published tasks of a range, in order.
+    pub(crate) fn range(
+        &self,
+        tasks: RangeInclusive<TaskRef>,
+    ) -> impl Iterator<Item = (TaskRef, &Task)> {
+        self.entries
+            .range(tasks)
+            .map(|(task, entry)| (*task, entry))
     }
 
-    /// Lets tasks whose time has come into their pending lists.
-    pub(crate) fn admit_due(&mut self, now: Now) {
-        while let Some(&(time, task)) = self.delayed.first() {
-            if time > now.wall {
-                return;
-            }
-            // Taken out here as well, so that the loop ends whatever it meets.
-            self.delayed.pop_first();
-            self.settle(task, now);
-        }
+    /// Adds a task.
+    pub(crate) fn insert(&mut self, task: TaskRef, entry: Task) {
+        self.entries.insert(task, entry);
+    }
+
+    /// Removes a task and returns its entry.
+    pub(crate) fn remove(&mut self, task: TaskRef) -> Option<Task> {
+        self.entries.remove(&task)
     }
 
-    /// Index of the waiting work of a tenant in a queue, made when new.
-    pub(crate) fn list_index(&mut self, queue: &QueueName, tenant: &TenantId) -> ListIndex {
-        let queue = self.queue_index(queue);
-        let tenant = self.tenant_index(tenant);
-        self.list_of_pair(queue, tenant)
+    /// Starts the wait of a task anew.
+    pub(crate) fn restart_wait(&mut self, task: TaskRef, now: Monotonic) {
+        if let Some(entry) = self.entries.get_mut(&task) {
+            entry.waiting_since = now;
+        }
     }
 
-    /// The same by the indexes of both.
-    pub(crate) fn list_of_pair(&mut self, queue: usize, tenant: usize) -> ListIndex {
-        if let Some(&index) = self.list_of.get(&(queue, tenant)) {
-            return index;
+    /// Sets a task's status. Returns `None` when the task is not published or
+    /// has that status already.
+    pub(crate) fn set_status(&mut self, task: TaskRef, new: TaskStatus) -> Option<StatusChange> {
+        let entry = self.entries.get_mut(&task)?;
+        if entry.status == new {
+            return None;
+        }
+        let old = std::mem::replace(&mut entry.status, new);
+        let due = (entry.not_before, task);
+        if old == TaskStatus::Delayed {
+            self.delayed.remove(&due);
+        }
+        if new == TaskStatus::Delayed {
+            self.delayed.insert(due);
         }
-        let index = self.lists.len();
-        self.lists.push(TenantList {
-            queue,
-            tenant,
-            pending: Default::default(),
-            copies: Default::default(),
-            shadowed: Default::default(),
-            above_limit: false,
-            limited_by_headroom: false,
-            demand: Default::default(),
-            started_at: self.latest,
-            waiting_since: self.latest,
-            last_reason: None,
-        });
-        self.list_of.insert((queue, tenant), index);
-        self.queues[queue].lists.push(index);
-        self.tenants[tenant].lists.push(index);
-        index
+        Some(StatusChange { old, new })
     }
 
-    /// Puts a list into its queue's runnable sets, or takes it out.
-    pub(crate) fn refresh_list(&mut self, index: ListIndex) {
-        let list = &self.lists[index];
-        let is_below_step_limit = !self.tenants[list.tenant].is_at_limit();
-        let runnable = is_below_step_limit && !list.above_limit && !list.pending.is_empty();
-        let copying = is_below_step_limit && !list.copies.is_empty();
-        let queue = &mut self.queues[list.queue];
-        queue.runnable.set(index, runnable);
-        queue.copying.set(index, copying);
+    /// Returns the start time of the first delayed task.
+    pub(crate) fn next_start_time(&self) -> Option<WallTime> {
+        self.delayed.first().map(|(time, _)| *time)
     }
 
-    /// The same for all lists of a tenant, after its holdings or resource limit moved.
-    pub(crate) fn refresh_tenant(&mut self, tenant: usize) {
-        for position in 0..self.tenants[tenant].lists.len() {
-            let index = self.tenants[tenant].lists[position];
-            self.lists[index].above_limit = false;
-            self.refresh_list(index);
+    /// Removes the first task that is due from the delayed ones, so that a loop
+    /// over the due tasks ends whatever status each of them gets.
+    pub(crate) fn pop_due(&mut self, now: WallTime) -> Option<TaskRef> {
+        if self.next_start_time()? > now {
+            return None;
         }
+        self.delayed.pop_first().map(|(_, task)| task)
     }
 }
--- /dev/null
+++ b/crates/scheduler/src/tenant.rs
@@ -0,0 +1,116 @@
+//! Tenants: their contracts and what their open runs use.
+
+use crate::index::{ListIndex, PoolIndex};
+use std::collections::BTreeMap;
+use types::Resources;
+
+/// A tenant. One without a contract has no share and a resource limit of zero.
+#[derive(Debug, Clone, Default)]
+pub(crate) struct Tenant {
+    share_percent: u32,
+    resource_limit: Resources,
+    usage: Resources,
+    usage_by_pool: BTreeMap<PoolIndex, Resources>,
+    /// The tenant's lists, one for each queue it has used.
+    pub(crate) lists: Vec<ListIndex>,
+}
+
+impl Tenant {
+    /// Sets the terms of the tenant's contract.
+    pub(crate) fn set_contract(&mut self, share_percent: u32, resource_limit: Resources) {
+        self.share_percent = share_percent;
+        self.resource_limit = resource_limit;
+    }
+
+    /// Returns the limit of what the open runs in all pools may use.
+    pub(crate) fn resource_limit(&self) -> &Resources {
+        &self.resource_limit
+    }
+
+    /// Returns what the open runs in all pools use.
+    pub(crate) fn usage(&self) -> Resources {
+        self.usage
+    }
+
+    /// Adds an open run to the usage.
+    pub(crate) fn add_run(&mut self, resources: &Resources, pool: Option<PoolIndex>) {
+        self.usage = self.usage.plus(resources);
+        if let Some(pool) = pool {
+            let usage = self.usage_by_pool.entry(pool).or_default();
+            *usage = usage.plus(resources);
+        }
+    }
+
+    /// Removes a closed run from the usage.
+    pub(crate) fn remove_run(&mut self, resources: &Resources, pool: Option<PoolIndex>) {
+        self.usage = self.usage.minus(resources);
+        if let Some(pool) = pool
+            && let Some(usage) = self.usage_by_pool.get_mut(&pool)
+        {
+            *usage = usage.minus(resources);
+            if *usage == Resources::ZERO {
+                self.usage_by_pool.remove(&pool);
+            }
+        }
+    }
+
+    /// Returns whether a run with these resources stays within the resource limit.
+    pub(crate) fn allows(&self, resources: &Resources) -> bool {
+        self.usage.plus(resources).fits_in(&self.resource_limit)
+    }
+
+    /// Returns whether a run with these resources stays within the resource
+    /// limit and leaves `headroom` of it free.
+    ///
+    /// No headroom is required of a kind of resource of which the tenant uses
+    /// less than half of its limit.
+    pub(crate) fn allows_with_headroom(&self, needs: &Resources, headroom: &Resources) -> bool {
+        let (usage, limit) = (&self.usage, &self.resource_limit);
+        self.allows(needs)
+            && kind_allows(usage.slots, needs.slots, headroom.slots, limit.slots)
+            && kind_allows(
+                usage.cpu_milli,
+                needs.cpu_milli,
+                headroom.cpu_milli,
+                limit.cpu_milli,
+            )
+            && kind_allows(
+                usage.memory_mib,
+                needs.memory_mib,
+                headroom.memory_mib,
+                limit.memory_mib,
+            )
+            && kind_allows(usage.gpus, needs.gpus, headroom.gpus, limit.gpus)
+    }
+
+    /// Returns whether no kind of resource is left below the resource limit.
+    pub(crate) fn is_at_limit(&self) -> bool {
+        self.resource_limit.fits_in(&self.usage)
+    }
+
+    /// Returns whether the open runs in a pool use more than the tenant's share
+    /// of any kind of resource.
+    pub(crate) fn is_above_share(&self, pool: PoolIndex, capacity: &Resources) -> bool {
+        let Some(usage) = self.usage_by_pool.get(&pool) else {
+            return false;
+        };
+        let share = u64::from(self.share_percent);
+        let above =
+            |usage: u32, all: u32| u64::from(usage) * 100 > share.saturating_mul(u64::from(all));
+        above(usage.slots, capacity.slots)
+            || above(usage.cpu_milli, capacity.cpu_milli)
+            || above(usage.memory_mib, capacity.memory_mib)
+            || above(usage.gpus, capacity.gpus)
+    }
+}
+
+/// Checks one kind of resource for [`Tenant::allows_with_headroom`].
+fn kind_allows(usage: u32, needs: u32, headroom: u32, limit: u32) -> bool {
+    let (usage, limit) = (u64::from(usage), u64::from(limit));
+    let headroom = if usage * 2 < limit {
+        0
+    } else {
+        u64::from(headroom)
+    };
+    needs == 0 || usage + u64::from(needs) + headroom <= limit
+}
--- /dev/null
+++ b/crates/scheduler/src/tenant_list.rs
@@ -0,0 +1,134 @@
+//! The work of one tenant in one queue.
+
+use crate::decision::NotPlacedReason;
+use crate::demand::Demand;
+use crate::index::{QueueIndex, ShapeIndex, TenantIndex};
+use crate::pending::{PendingList, TaskOrder};
+use crate::pull::RunKind;
+use crate::task::{StatusChange, TaskStatus};
+use std::collections::BTreeSet;
+use types::{Monotonic, Resources, TaskRef};
+
+/// The work of one tenant in one queue.
+#[derive(Debug, Clone)]
+pub(crate) struct TenantList {
+    pub(crate) queue: QueueIndex,
+    pub(crate) tenant: TenantIndex,
+    /// Whether every task examined would exceed the tenant's resource limit.
+    /// The list is not drawn again until the list, the limit or the usage changes.
+    pub(crate) above_limit: bool,
+    /// Whether some of those tasks would start but for the headroom of more
+    /// urgent work, which shrinks with time.
+    pub(crate) limited_by_headroom: bool,
+    /// Resources that the list's work asks for.
+    pub(crate) demand: Demand,
+    /// When a task of the list was last placed.
+    pub(crate) last_placed_at: Monotonic,
+    /// The reason reported last for the list's first task.
+    pub(crate) last_reason: Option<NotPlacedReason>,
+    /// Tasks without a run that may start now.
+    pending: PendingList,
+    /// Running tasks that may have a further copy.
+    copyable: PendingList,
+    /// Tasks that a queue in shadow mode has decided on.
+    shadowed: BTreeSet<TaskRef>,
+    waiting_since: Monotonic,
+}
+
+impl TenantList {
+    /// Creates an empty list.
+    pub(crate) fn new(queue: QueueIndex, tenant: TenantIndex, now: Monotonic) -> Self {
+        Self {
+            queue,
+            tenant,
+            above_limit: false,
+            limited_by_headroom: false,
+            demand: Demand::default(),
+            last_placed_at: now,
+            last_reason: None,
+            pending: PendingList::default(),
+            copyable: PendingList::default(),
+            shadowed: BTreeSet::new(),
+            waiting_since: now,
+        }
+    }
+
+    /// Returns the tasks without a run that may start now.
+    pub(crate) fn pending(&self) -> &PendingList {
+        &self.pending
+    }
+
+    /// Returns the running tasks that may have a further copy.
+    pub(crate) fn copyable(&self) -> &PendingList {
+        &self.copyable
+    }
+
+    /// Returns the tasks that may have a run of the given kind.
+    pub(crate) fn startable(&self, kind: RunKind) -> &PendingList {
+        match kind {
+            RunKind::Only => &self.pending,
+            RunKind::Copy => &self.copyable,
+        }
+    }
+
+    /// Returns the tasks that a queue in shadow mode has decided on.
+    pub(crate) fn shadowed(&self) -> &BTreeSet<TaskRef> {
+        &self.shadowed
+    }
+
+    /// Returns the time from which on the list has had a pending task.
+    pub(crate) fn waiting_since(&self) -> Monotonic {
+        self.waiting_since
+    }
+
+    /// Applies the change of a task's status to the demand and the lists.
+    pub(crate) fn apply_status_change(
+        &mut self,
+        order: TaskOrder,
+        shape: ShapeIndex,
+        needs: Resources,
+        change: StatusChange,
+        now: Monotonic,
+    ) {
+        if change.starts_waiting() {
+            if self.pending.is_empty() {
+                self.waiting_since = now;
+            }
+            self.demand.add_waiting(&needs, now);
+        }
+        if change.stops_waiting() {
+            self.demand.remove_waiting(&needs);
+        }
+        self.remove_task(order, shape, change.old);
+        self.insert_task(order, shape, needs, change.new);
+        self.above_limit = false;
+    }
+
+    fn remove_task(&mut self, order: TaskOrder, shape: ShapeIndex, status: TaskStatus) {
+        match status {
+            TaskStatus::Pending => self.pending.remove(order, shape),
+            TaskStatus::Copyable => self.copyable.remove(order, shape),
+            TaskStatus::Shadowed => {
+                self.shadowed.remove(&order.task);
+            }
+            TaskStatus::Delayed | TaskStatus::InGang | TaskStatus::Bound => {}
+        }
+    }
+
+    fn insert_task(
+        &mut self,
+        order: TaskOrder,
+        shape: ShapeIndex,
+        needs: Resources,
+        status: TaskStatus,
+    ) {
+        match status {
+            TaskStatus::Pending => self.pending.insert(order, shape, needs),
+            TaskStatus::Copyable => self.copyable.insert(order, shape, needs),
+            TaskStatus::Shadowed => {
+                self.shadowed.insert(order.task);
+            }
+            TaskStatus::Delayed | TaskStatus::InGang | TaskStatus::Bound => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/view.rs
@@ -0,0 +1,181 @@
+//! The view's state: the tables, and what every step on them shares.
+//!
+//! The tables keep their own rules. The modules that import this one add the
+//! steps across tables, each in one file; none of them is imported here.
+
+use crate::backfill::BackfillTable;
+use crate::gang::GangTable;
+use crate::index::{ListIndex, PoolIndex, QueueIndex, RunnerIndex, TenantIndex};
+use crate::licence::LicenceTable;
+use crate::options::SchedulerOptions;
+use crate::pending::{PendingList, ShapeHead};
+use crate::pool::Pool;
+use crate::pull::RunKind;
+use crate::queue::Queue;
+use crate::run::RunTable;
+use crate::runner::Runner;
+use crate::shape::ShapeTable;
+use crate::table::Table;
+use crate::task::TaskTable;
+use crate::tenant::Tenant;
+use crate::tenant_list::TenantList;
+use rand::SeedableRng;
+use rand_chacha::ChaCha8Rng;
+use std::cell::Cell;
+use std::collections::{BTreeMap, BTreeSet};
+use types::{Monotonic, Now, PoolName, QueueName, RunnerId, TaskRef, TenantId, Term};
+
+/// The leader's view of waiting and running work.
+#[derive(Debug, Clone)]
+pub(crate) struct View {
+    pub(crate) options: SchedulerOptions,
+    pub(crate) random: ChaCha8Rng,
+    pub(crate) pools: Table<PoolName, Pool>,
+    pub(crate) queues: Table<QueueName, Queue>,
+    pub(crate) tenants: Table<TenantId, Tenant>,
+    pub(crate) runners: Table<RunnerId, Runner>,
+    pub(crate) lists: Vec<TenantList>,
+    pub(crate) shapes: ShapeTable,
+    pub(crate) tasks: TaskTable,
+    pub(crate) runs: RunTable,
+    pub(crate) gangs: GangTable,
+    pub(crate) licences: LicenceTable,
+    pub(crate) backfills: BackfillTable,
+    /// Runners on which an unfinished task failed.
+    pub(crate) failed_on: BTreeMap<TaskRef, BTreeSet<RunnerIndex>>,
+    /// The list reviewed last.
+    pub(crate) review_cursor: ListIndex,
+    /// Pulls search for a runner to reserve from this time on.
+    pub(crate) next_backfill_search: Monotonic,
+    /// Whether lists and runners are skipped when bounds show that nothing fits.
+    pub(crate) skips_by_bounds: bool,
+    /// The latest time of any step.
+    latest: Monotonic,
+    list_by_pair: BTreeMap<(QueueIndex, TenantIndex), ListIndex>,
+    scan_cost: Cell<u64>,
+}
+
+impl View {
+    /// Creates an empty view.
+    pub(crate) fn new(options: SchedulerOptions, term: Term, seed: u64) -> Self {
+        Self {
+            options,
+            random: ChaCha8Rng::seed_from_u64(seed),
+            pools: Table::default(),
+            queues: Table::default(),
+            tenants: Table::default(),
+            runners: Table::default(),
+            lists: Vec::new(),
+            shapes: ShapeTable::default(),
+            tasks: TaskTable::default(),
+            runs: RunTable::new(term),
+            gangs: GangTable::default(),
+            licences: LicenceTable::default(),
+            backfills: BackfillTable::default(),
+            failed_on: BTreeMap::new(),
+            review_cursor: 0,
+            next_backfill_search: Monotonic::default(),
+            skips_by_bounds: true,
+            latest: Monotonic::default(),
+            list_by_pair: BTreeMap::new(),
+            scan_cost: Cell::new(0),
+        }
+    }
+
+    /// Records the time of a step.
+    pub(crate) fn record_time(&mut self, now: Now) {
+        self.latest = self.latest.max(now.monotonic);
+    }
+
+    /// Returns the latest time of any step. Steps without a time of their own
+    /// use it.
+    pub(crate) fn latest(&self) -> Monotonic {
+        self.latest
+    }
+
+    /// Returns the number of tasks and runners examined so far.
+    pub(crate) fn scan_cost(&self) -> u64 {
+        self.scan_cost.get()
+    }
+
+    /// Counts one examined task or runner.
+    pub(crate) fn count_scan(&self) {
+        self.count_scans(1);
+    }
+
+    /// Counts several examined tasks or runners.
+    pub(crate) fn count_scans(&self, scanned: usize) {
+        let scanned = u64::try_from(scanned).unwrap_or(u64::MAX);
+        self.scan_cost
+            .set(self.scan_cost.get().saturating_add(scanned));
+    }
+
+    /// Returns the first tasks of the shapes that a scan of a list examines.
+    pub(crate) fn scanned_heads<'a>(
+        &self,
+        tasks: &'a PendingList,
+    ) -> impl Iterator<Item = ShapeHead> + use<'a> {
+        tasks.heads().take(self.max_scanned())
+    }
+
+    /// Returns the maximum number of tasks that a scan of a list examines.
+    pub(crate) fn max_scanned(&self) -> usize {
+        self.options.scan_depth.saturating_add(1)
+    }
+
+    /// Returns the index of a tenant's list in a queue, creating it if new.
+    pub(crate) fn list_index(&mut self, queue: &QueueName, tenant: &TenantId) -> ListIndex {
+        let queue = self.queues.get_or_insert(queue);
+        let tenant = self.tenants.get_or_insert(tenant);
+        self.list_index_of_pair(queue, tenant)
+    }
+
+    /// Returns the index of a tenant's list in a queue, creating it if new.
+    pub(crate) fn list_index_of_pair(
+        &mut self,
+        queue: QueueIndex,
+        tenant: TenantIndex,
+    ) -> ListIndex {
+        if let Some(&index) = self.list_by_pair.get(&(queue, tenant)) {
+            return index;
+        }
+        let index = self.lists.len();
+        self.lists.push(TenantList::new(queue, tenant, self.latest));
+        self.list_by_pair.insert((queue, tenant), index);
+        self.queues[queue].lists.push(index);
+        self.tenants[tenant].lists.push(index);
+        index
+    }
+
+    /// Finds a tenant's list in a queue.
+    pub(crate) fn find_list(&self, queue: &QueueName, tenant: &TenantId) -> Option<&TenantList> {
+        let pair = (self.queues.find(queue)?, self.tenants.find(tenant)?);
+        let index = self.list_by_pair.get(&pair)?;
+        self.lists.get(*index)
+    }
+
+    /// Updates whether a list is in the runnable sets of its queue.
+    pub(crate) fn refresh_list(&mut self, index: ListIndex) {
+        let list = &self.lists[index];
+        let is_below_limit = !self.tenants[list.tenant].is_at_limit();
+        let is_runnable = is_below_limit && !list.above_limit && !list.pending().is_empty();
+        let is_copyable = is_below_limit && !list.copyable().is_empty();
+        let queue = &mut self.queues[list.queue];
+        queue.runnable_mut(RunKind::Only).set(index, is_runnable);
+        queue.runnable_mut(RunKind::Copy).set(index, is_copyable);
+    }
+
+    /// Updates all lists of a tenant whose usage or resource limit changed.
+    pub(crate) fn refresh_tenant(&mut self, tenant: TenantIndex) {
+        for position in 0..self.tenants[tenant].lists.len() {
+            let index = self.tenants[tenant].lists[position];
+            self.lists[index].above_limit = false;
+            self.refresh_list(index);
+        }
+    }
+
+    /// Returns whether a list's tenant uses more than its share of a pool.
+    pub(crate) fn is_above_share(&self, list: &TenantList, pool: PoolIndex) -> bool {
+        self.tenants[list.tenant].is_above_share(pool, &self.pools[pool].capacity)
+    }
+}
