--- a/crates/coordinator/src/leadership.rs
+++ b/crates/coordinator/src/leadership.rs
@@ -317,7 +317,7 @@
                     self.runs.want_stop(run.run);
                 }
             }
-            Change::RunsUseless(runs) => {
+            Change::RunsObsolete(runs) => {
                 for run in runs {
                     self.runs.want_stop(run);
                 }
--- a/crates/coordinator/src/runners.rs
+++ b/crates/coordinator/src/runners.rs
@@ -260,7 +260,7 @@
         let late = report
             .ended
             .iter()
-            .filter(|ended| state_machine.awaits_late_end(ended.run));
+            .filter(|ended| state_machine.awaits_late_report(ended.run));
         self.closes.extend(late.map(|ended| ClosedRun {
             run: ended.run,
             close: RunClose::Ended(ended.outcome.clone()),
@@ -333,7 +333,7 @@
     /// Answers a heartbeat: the run lease, ends the record has, runs to stop.
     fn confirm(&mut self, state_machine: &StateMachine, agent: &Sender, report: &RunnerReport) {
         let closed = |run: &RunId| state_machine.open_run(*run).is_none();
-        let recorded = |run: &RunId| closed(run) && !state_machine.awaits_late_end(*run);
+        let recorded = |run: &RunId| closed(run) && !state_machine.awaits_late_report(*run);
         let ended = report.ended.iter().map(|ended| ended.run);
         let active = report.active.iter().map(|active| active.run);
         let stop: BTreeSet<RunId> = active.filter(|run| closed(run)).collect();
--- a/crates/coordinator/tests/golden_data.rs
+++ b/crates/coordinator/tests/golden_data.rs
@@ -299,7 +299,7 @@
         ..moved.run
     });
     let awaited = earlier
-        .filter(|run| state_machine.awaits_late_end(*run))
+        .filter(|run| state_machine.awaits_late_report(*run))
         .count();
     assert_eq!(awaited, 1);
     let ready: BTreeSet<JobNumber> = state_machine
--- a/crates/scheduler/src/scan.rs
+++ b/crates/scheduler/src/scan.rs
@@ -1,5 +1,6 @@
 //! Scan of one tenant list for a task that a pull may take.
 
+use crate::eligibility::UrgentReserve;
 use crate::index::{ListIndex, ShapeIndex};
 use crate::pull::{Pull, StarvationSearch};
 use crate::tenant_list::TenantList;
@@ -40,6 +41,18 @@
         if !searches && !may_admit && self.skips_by_bounds {
             return ScanResult::default();
         }
+        self.scan_pending(index, pull, reserve, searches, now)
+    }
+
+    fn scan_pending(
+        &self,
+        index: ListIndex,
+        pull: &Pull,
+        reserve: UrgentReserve,
+        searches: bool,
+        now: Now,
+    ) -> ScanResult {
+        let list = &self.lists[index];
         let headroom = self.urgent_headroom(index, now.monotonic);
         let mut result = ScanResult {
             above_limit: true,
--- a/crates/state_machine/src/command.rs
+++ b/crates/state_machine/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the replicated log, their answers and what they change.
+//! Commands of the replicated log, their replies and the changes that they make.
 
 use crate::StateMachineError;
 use configuration::{ClusterConfiguration, ConfigurationError, ConfigurationUpdate};
@@ -12,49 +12,49 @@
 /// One entry of the log. `at` is the leader's wall time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Take a job. Idempotent by its key: equal content gets the same number.
+    /// Submit a job. Idempotent by its key: equal content gets the same number.
     Submit {
         /// The job.
         spec: JobSpec,
         /// Leader's wall time.
         at: WallTime,
     },
-    /// Cancel jobs: nothing of them starts again.
+    /// Cancel jobs: their tasks do not start again.
     Cancel {
         /// Which jobs.
         selector: CancelSelector,
         /// Leader's wall time.
         at: WallTime,
     },
-    /// Bind tasks to runners. Each is checked again against the state, on its
-    /// own; orders leave only for those taken.
+    /// Bind tasks to runners. Each reservation is checked against the state on its
+    /// own; only accepted ones are sent to their runners.
     Reserve {
-        /// The scheduler's choices.
+        /// The reservations of the scheduler.
         reservations: Vec<Reservation>,
         /// Leader's wall time.
         at: WallTime,
     },
-    /// Close runs. A run that is closed already, or unknown, stays as it is;
-    /// but the late end of a run given up as lost settles its task, if that is
-    /// unfinished.
+    /// Close runs. For a run that is closed already or unknown it does nothing,
+    /// except that a late report of a run closed as lost decides on its task, if
+    /// that is unfinished.
     CloseRuns {
         /// The runs.
         runs: Vec<ClosedRun>,
         /// Leader's wall time.
         at: WallTime,
     },
-    /// Take a configuration if `version` is the current one plus one. The
-    /// content a version was taken with is acknowledged again under it, while
-    /// the version is among the last 1,024.
+    /// Apply a configuration if `version` is the current one plus one. The same
+    /// configuration under the same version is acknowledged again while that
+    /// version is among the last 1,024.
     PutConfiguration {
-        /// The version wanted.
+        /// The proposed version.
         version: ConfigurationVersion,
         /// The document.
         document: ClusterConfiguration,
         /// Leader's wall time.
         at: WallTime,
     },
-    /// Mark a runner as draining by order of an operator, or take that back.
+    /// Set whether an operator drains a runner.
     SetRunnerDraining {
         /// The runner.
         runner: RunnerId,
@@ -65,16 +65,16 @@
     },
     /// Forget finished jobs whose retention has passed.
     Forget {
-        /// Ended at or before this time.
+        /// Jobs that ended at or before this time.
         ended_before: WallTime,
-        /// At most this many.
+        /// Maximum number of jobs.
         limit: u32,
     },
     /// Change named items of the configuration, if the version that the update
-    /// replaces is in force. The same update under a version that was taken is
+    /// replaces is in force. The same update under the same version is
     /// acknowledged again, as with [`Command::PutConfiguration`].
     UpdateConfiguration {
-        /// The version wanted; higher than the one in force.
+        /// The proposed version; higher than the one in force.
         version: ConfigurationVersion,
         /// The changes.
         update: ConfigurationUpdate,
@@ -84,12 +84,20 @@
 }
 
 impl Command {
-    /// The bytes for the log.
+    /// Encodes the command for the log.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`StateMachineError::Command`] when the command cannot be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, StateMachineError> {
         postcard::to_stdvec(self).map_err(StateMachineError::Command)
     }
 
-    /// A command from the log's bytes.
+    /// Decodes a command from the log.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`StateMachineError::Command`] when the bytes are not a command.
     pub fn decode(bytes: &[u8]) -> Result<Self, StateMachineError> {
         postcard::from_bytes(bytes).map_err(StateMachineError::Command)
     }
@@ -98,7 +106,7 @@
 /// Which jobs to cancel.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CancelSelector {
-    /// These jobs; unknown ones are left out of the answer's count.
+    /// These jobs; the reply lists unknown ones apart.
     Jobs(Vec<JobKey>),
     /// All unfinished jobs of a tenant, within one queue if it is given.
     Tenant {
@@ -114,14 +122,14 @@
 pub struct ClosedRun {
     /// The run.
     pub run: RunId,
-    /// Why.
+    /// How the run closed.
     pub close: RunClose,
-    /// What it saved last, for the next run of its task.
+    /// Last checkpoint of the run, for the next run of its task.
     pub checkpoint: Option<String>,
 }
 
 impl ClosedRun {
-    /// A run that saved nothing.
+    /// Creates a closed run without a checkpoint.
     pub fn new(run: RunId, close: RunClose) -> Self {
         Self {
             run,
@@ -131,39 +139,39 @@
     }
 }
 
-/// What applying a command gave.
+/// Result of applying a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Applied {
-    /// The answer to whoever proposed it.
+    /// The reply to the proposer.
     pub reply: CommandReply,
-    /// What changed, for the leader's scheduler and orders.
+    /// Changes of the state, for the leader.
     pub changes: Vec<Change>,
 }
 
-/// The answer to a command.
+/// Reply to a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandReply {
-    /// The job is in the record under this number; `known` when it already was.
+    /// The job has this number.
     Submitted {
         /// Number of the job.
         number: JobNumber,
-        /// True for a resent submit.
+        /// Whether the job was submitted before.
         known: bool,
     },
-    /// Jobs cancelled now, cancelled or finished before, and unknown.
+    /// Result of a cancellation.
     Cancelled {
-        /// Cancelled by this command.
+        /// Number of jobs cancelled by this command.
         cancelled: u64,
-        /// Already in a final state.
+        /// Number of jobs that were in a final state before.
         finished: u64,
-        /// Keys that name no job.
+        /// Keys of unknown jobs.
         unknown: Vec<JobKey>,
     },
-    /// What became of each reservation.
+    /// Result of each reservation.
     Reserved {
-        /// Bound; their orders may leave.
+        /// Runs that were opened.
         accepted: Vec<RunId>,
-        /// Not bound.
+        /// Runs that were rejected, and why.
         rejected: Vec<(RunId, ReservationRejection)>,
     },
     /// Runs closed by this command, in order.
@@ -171,33 +179,34 @@
         /// The runs.
         runs: Vec<RunId>,
     },
-    /// The configuration stands under this version.
+    /// The configuration has this version.
     Configured {
         /// The version.
         version: ConfigurationVersion,
-        /// True for a resent order.
+        /// Whether the configuration was applied before.
         known: bool,
     },
-    /// Done, with nothing to tell.
+    /// The command was applied and has no result.
     Accepted,
-    /// Nothing was changed, for this reason.
+    /// The command was rejected and changed nothing.
     Rejected(CommandRejection),
 }
 
-/// Why the record rejected a command.
+/// Reason why a command was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum CommandRejection {
-    /// Same key, other content.
+    /// A job of the same key has other content.
     #[error("job {key} is known with other content")]
     OtherContent {
         /// The key.
         key: JobKey,
     },
-    /// A job that can never succeed.
-    #[error("{problem}")]
+    /// The job can never succeed.
+    #[error("{error}")]
     InvalidJob {
-        /// What is wrong, in one sentence.
-        problem: String,
+        /// Message of the first error found.
+        #[serde(rename = "problem")]
+        error: String,
     },
     /// The tenant has no contract.
     #[error("tenant {tenant} has no contract")]
@@ -211,49 +220,49 @@
         /// The queue.
         queue: QueueName,
     },
-    /// The queue drains and takes no more jobs.
+    /// The queue is draining and accepts no jobs.
     #[error("queue {queue} is draining")]
     QueueDraining {
         /// The queue.
         queue: QueueName,
     },
-    /// The tenant or the queue holds its most unfinished jobs.
+    /// The tenant or queue has its maximum number of unfinished jobs.
     #[error("{what} holds its most unfinished jobs ({limit})")]
     Full {
         /// `tenant NAME` or `queue NAME`.
         what: String,
         /// The limit.
         limit: u64,
-        /// When to come back.
+        /// Time after which to retry.
         retry_after: Milliseconds,
     },
-    /// The version is not the current one plus one, and was not taken with
-    /// this content.
+    /// The version is not the current one plus one, and was not applied with this
+    /// content.
     #[error("version {wanted} was not taken: the current one is {current}")]
     VersionConflict {
-        /// Version in the order.
+        /// The proposed version.
         wanted: ConfigurationVersion,
-        /// Version in force.
+        /// The version in force.
         current: ConfigurationVersion,
     },
-    /// The document does not make sense.
+    /// The configuration is not valid.
     #[error("the configuration has {} problems", problems.len())]
     InvalidConfiguration {
-        /// Every problem found.
+        /// Every error found.
         problems: Vec<ConfigurationError>,
     },
 }
 
-/// Why one reservation was not taken.
+/// Reason why a reservation was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum ReservationRejection {
-    /// The task is unknown, blocked, finished, or has all its copies running.
+    /// The task is unknown, blocked or finished, or has as many runs as it may have.
     #[error("the task may not start")]
     NotReady,
     /// The run identifier has been used.
     #[error("the run is known")]
     KnownRun,
-    /// The runner drains by order of an operator.
+    /// An operator drains the runner.
     #[error("the runner is draining")]
     RunnerDraining,
     /// The queue is not active.
@@ -262,7 +271,7 @@
     /// The tenant would exceed its resource limit.
     #[error("the tenant is at its ceiling")]
     TenantAtLimit,
-    /// The runner holds as many runs of the step as it may.
+    /// The runner has as many runs of the step as the step allows.
     #[error("the runner holds as many runs of the step as it may")]
     RunnerAtStepLimit,
     /// No seat of the licence is free.
@@ -270,33 +279,32 @@
     NoSeat,
 }
 
-/// A change of state that the leader acts on.
+/// Change of the state that the leader acts on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// A task may start from now on, or from its `not_before`. It may go on
-    /// doing so until its open runs reach its copies; told once, not again at
-    /// each opened run.
+    /// A task may start now or at its `not_before`, until it has as many open runs
+    /// as copies. Reported once, not at each opened run.
     TaskReady(TaskMeta),
     /// A task will never start again: done, failed or cancelled. Its open
     /// runs, if any, are to be stopped.
     TaskEnded {
         /// The task.
         task: TaskRef,
-        /// Runs still open.
+        /// Open runs of the task.
         open_runs: Vec<OpenRun>,
     },
-    /// Open runs that are of no more use, since another member of their gang
-    /// ended: they are to be stopped.
-    RunsUseless(Vec<RunId>),
-    /// A run was bound.
+    /// Open runs are obsolete since another run of their gang closed without
+    /// success. They are to be stopped.
+    RunsObsolete(Vec<RunId>),
+    /// A run was opened.
     RunOpened(OpenRun),
     /// A run was closed.
     RunClosed {
-        /// The run as it was.
+        /// The run.
         run: OpenRun,
-        /// Why.
+        /// How the run closed.
         close: RunClose,
-        /// The task, if it may have another run now or from its `not_before`.
+        /// The task, if it may have another run now or at its `not_before`.
         again: Option<TaskMeta>,
     },
     /// A job reached a final state.
@@ -307,12 +315,12 @@
         number: JobNumber,
         /// The final state.
         state: JobState,
-        /// Time from submission to its first reservation, if it had one.
+        /// Time from the submission to the first reservation, if there was one.
         waited: Option<Milliseconds>,
     },
     /// Another configuration is in force.
     ConfigurationChanged(ConfigurationVersion),
-    /// An operator's word on a runner.
+    /// An operator has changed whether a runner drains.
     RunnerDrainingChanged {
         /// The runner.
         runner: RunnerId,
--- a/crates/state_machine/src/lib.rs
+++ b/crates/state_machine/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! Every coordinator applies the same commands in the same order and reaches
 //! the same state. Nothing here reads a clock or draws at random: the leader
-//! stamps each command with its wall time. A command that no longer fits the
-//! state is answered with a rejection and changes nothing.
+//! stamps each command with its wall time. A command that does not fit the state
+//! is rejected and changes nothing.
 
 pub mod command;
 pub mod error;
@@ -16,5 +16,5 @@
     Applied, CancelSelector, Change, ClosedRun, Command, CommandRejection, CommandReply,
     ReservationRejection,
 };
-pub use error::StateMachineError;
+pub use error::{SnapshotInconsistency, StateMachineError};
 pub use state::{StateMachine, TaskStatus};
--- a/crates/state_machine/src/mutation.rs
+++ b/crates/state_machine/src/mutation.rs
@@ -1,17 +1,17 @@
-//! Guards of the record that a proof may leave out.
+//! Mutations: checks of the state machine that a test may switch off.
 
-/// A guard left out, to prove that a checker notices; none outside proofs.
+/// A check that a mutation test switches off to prove that the checkers notice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Mutation {
-    /// A configuration is taken under any version.
+    /// A configuration is applied under any version.
     AnyConfigurationVersion,
     /// A resent submit becomes a further job.
     ResentSubmitIsNew,
-    /// A reservation is taken without looking at its task, runner, queue and
-    /// tenant again.
+    /// A reservation is accepted without a check of its task, runner, queue and
+    /// tenant.
     SkipReservationCheck,
-    /// Failed runs do not use up the allowance of their task.
+    /// Failed runs do not count.
     ForgetFailures,
-    /// The end of one member does not end the rest of its gang.
+    /// The other runs of a gang go on after one has failed.
     KeepRestOfGang,
 }
--- a/crates/state_machine/src/state.rs
+++ b/crates/state_machine/src/state.rs
@@ -1,9 +1,9 @@
-//! The record's state.
+//! The replicated state and the application of commands.
 //!
-//! The jobs, open runs, configuration and operators' words are the state
-//! proper; everything in `Indexes` follows from them and is built anew from
-//! a snapshot. With the indexes every command costs its own size times the
-//! logarithm of the state, never a walk over all jobs.
+//! Jobs, open runs, configuration and operators' settings of runners are the
+//! state. Everything in `Indexes` follows from them and is rebuilt from a
+//! snapshot. With the indexes the cost of a command grows with its own size and
+//! with the logarithm of the state, not with the number of jobs.
 
 mod applied_configurations;
 mod cancel;
@@ -11,11 +11,12 @@
 mod indexes;
 mod job;
 mod jobs;
-mod late_ends;
+mod late_reports;
 mod queries;
+mod reservations;
 mod retention;
-mod runs;
-mod settle;
+mod run_close;
+mod run_outcome;
 mod snapshot;
 pub mod submission;
 mod usage;
@@ -31,7 +32,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use types::{ConfigurationVersion, JobNumber, OpenRun, RunId, RunnerId, TaskRef};
 
-/// Jobs, runs, configuration and operators' words on runners.
+/// The replicated state of jobs, runs, configuration and draining runners.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct StateMachine {
     version: ConfigurationVersion,
@@ -40,33 +41,33 @@
     last_number: JobNumber,
     jobs: BTreeMap<JobNumber, Job>,
     open_runs: BTreeMap<RunId, OpenRun>,
-    /// Tasks of runs given up as lost, whose late end would still be news.
+    /// Tasks of runs closed as lost of which a late report would still count.
     lost_runs: BTreeMap<RunId, TaskRef>,
     draining_runners: BTreeSet<RunnerId>,
-    /// The highest run of any forgotten job. Runs grow by term and sequence
-    /// in the order of the log, and a job is forgotten a retention after its
-    /// last run, so no leader still has a lower one to reserve; one that
-    /// tries is rejected, and the scheduler draws another. This one value
-    /// keeps every run of every forgotten job from starting again.
+    /// The highest run of any forgotten job: no run up to it may be opened.
+    /// Runs grow by term and sequence in the order of the log, and a job is
+    /// forgotten a retention after its last run, so that no leader has a lower
+    /// run left to reserve. So one value keeps all runs of forgotten jobs from
+    /// starting again.
     highest_forgotten_run: Option<RunId>,
     indexes: Indexes,
-    /// Of proofs only; no part of a snapshot.
+    /// For mutation tests only; not part of a snapshot.
     mutation: Option<Mutation>,
 }
 
 impl StateMachine {
-    /// An empty record at configuration version 0.
+    /// Creates an empty state at configuration version 0.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Leaves a guard out, for proofs.
+    /// Switches a check off, for mutation tests.
     #[doc(hidden)]
     pub fn set_mutation(&mut self, mutation: Option<Mutation>) {
         self.mutation = mutation;
     }
 
-    /// The guard left out.
+    /// Returns the check that is switched off.
     #[doc(hidden)]
     pub fn mutation(&self) -> Option<Mutation> {
         self.mutation
--- a/crates/state_machine/src/state/applied_configurations.rs
+++ b/crates/state_machine/src/state/applied_configurations.rs
@@ -1,5 +1,7 @@
-//! Which configurations were taken, so that an operator who never got the
-//! acknowledgement may send the same order again after newer ones.
+//! Digests of the newest applied configurations.
+//!
+//! An operator whose acknowledgement was lost may resend a configuration also
+//! after newer ones; it is recognized here and acknowledged again.
 
 use configuration::{ClusterConfiguration, ConfigurationUpdate};
 use serde::{Deserialize, Serialize};
@@ -7,51 +9,58 @@
 use std::collections::BTreeMap;
 use types::ConfigurationVersion;
 
-/// Versions remembered. An order resent after more newer ones is a conflict.
+/// Number of versions kept. A configuration resent after more newer ones is a
+/// version conflict.
 pub(super) const MAX_APPLIED: usize = 1_024;
 
-/// SHA-256 of an order: of a document's bytes in the log, or of an update.
+/// SHA-256 digest of a configuration command: of a document's bytes in the log, or
+/// of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub(super) struct OrderDigest([u8; 32]);
+pub(super) struct ConfigurationDigest([u8; 32]);
 
-/// Stands before the bytes of an update, so that none has a document's digest.
-const UPDATE_LABEL: &[u8] = b"configuration update";
+/// Prefix of the hashed bytes of an update, so that none has the digest of a
+/// document.
+const UPDATE_PREFIX: &[u8] = b"configuration update";
 
-impl OrderDigest {
-    /// Of a whole document. None for one that has no bytes, which none read
-    /// from the log is.
+impl ConfigurationDigest {
+    /// Returns the digest of a document. `None` for one that cannot be encoded, which
+    /// never holds for one from the log.
     pub(super) fn of_document(document: &ClusterConfiguration) -> Option<Self> {
         let bytes = postcard::to_stdvec(document).ok()?;
         Some(Self(Sha256::digest(bytes).into()))
     }
 
-    /// Of an update: what was sent, where that is kept, since what follows
-    /// from it can be worked out once only; its items otherwise.
+    /// Returns the digest of an update: of what the operator sent if the update has
+    /// that, since its items depend on the state at that time; else of its items.
     pub(super) fn of_update(update: &ConfigurationUpdate) -> Option<Self> {
         let bytes = match &update.sent {
             Some(sent) => postcard::to_stdvec(&(update.replaces, sent)),
             None => postcard::to_stdvec(update),
         };
         let mut hasher = Sha256::new();
-        hasher.update(UPDATE_LABEL);
+        hasher.update(UPDATE_PREFIX);
         hasher.update([u8::from(update.sent.is_some())]);
         hasher.update(bytes.ok()?);
         Some(Self(hasher.finalize().into()))
     }
 }
 
-/// Digests of the newest versions taken.
+/// Digests of the newest applied versions.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(super) struct AppliedConfigurations {
-    digests: BTreeMap<ConfigurationVersion, OrderDigest>,
+    digests: BTreeMap<ConfigurationVersion, ConfigurationDigest>,
 }
 
 impl AppliedConfigurations {
-    /// Records that an order was taken; forgets the oldest beyond the limit.
-    pub(super) fn record(&mut self, version: ConfigurationVersion, order: Option<OrderDigest>) {
-        let Some(digest) = order else {
+    /// Records an applied configuration and drops the oldest beyond the limit.
+    pub(super) fn record(
+        &mut self,
+        version: ConfigurationVersion,
+        digest: Option<ConfigurationDigest>,
+    ) {
+        let Some(digest) = digest else {
             return;
         };
         self.digests.insert(version, digest);
@@ -60,17 +69,18 @@
         }
     }
 
-    /// Returns whether this order was taken under this version.
+    /// Returns whether this configuration was applied under this version.
     pub(super) fn contains(
         &self,
         version: ConfigurationVersion,
-        order: Option<OrderDigest>,
+        digest: Option<ConfigurationDigest>,
     ) -> bool {
-        let applied_configurations = self.digests.get(&version).copied();
-        applied_configurations.is_some() && applied_configurations == order
+        let applied = self.digests.get(&version).copied();
+        applied.is_some() && applied == digest
     }
 
-    /// Returns whether no more are held than may be, and none above the one in force.
+    /// Returns whether there are at most [`MAX_APPLIED`] digests and none of a version
+    /// above the one in force.
     pub(super) fn fits(&self, in_force: ConfigurationVersion) -> bool {
         let newest = self.digests.last_key_value();
         self.digests.len() <= MAX_APPLIED && newest.is_none_or(|(version, _)| *version <= in_force)
--- a/crates/state_machine/src/state/cancel.rs
+++ b/crates/state_machine/src/state/cancel.rs
@@ -1,11 +1,11 @@
-//! Cancelling jobs.
+//! Cancellation of jobs.
 
 use super::StateMachine;
 use crate::{CancelSelector, Change, CommandReply};
 use types::{JobNumber, JobState, QueueName, TenantId, WallTime};
 
 impl StateMachine {
-    /// Cancels the jobs selected that are not in a final state.
+    /// Cancels the selected jobs that are not in a final state.
     pub(super) fn cancel(
         &mut self,
         selector: &CancelSelector,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Returns whether the job was not in a final state before.
+    /// Cancels a job. Returns whether it was unfinished.
     fn cancel_job(&mut self, number: JobNumber, at: WallTime, changes: &mut Vec<Change>) -> bool {
         let job = self.jobs.get(&number);
         let unfinished = job.is_some_and(|job| !job.state.is_final());
@@ -53,7 +53,7 @@
         unfinished
     }
 
-    /// Unfinished jobs of a tenant in order of submission.
+    /// Returns the unfinished jobs of a tenant in order of submission.
     fn unfinished_numbers(&self, tenant: &TenantId, queue: Option<&QueueName>) -> Vec<JobNumber> {
         let Some(queues) = self.indexes.unfinished.get(tenant) else {
             return Vec::new();
--- a/crates/state_machine/src/state/configuration.rs
+++ b/crates/state_machine/src/state/configuration.rs
@@ -1,7 +1,7 @@
-//! Taking configurations and operators' words on runners.
+//! Application of configurations, and draining of runners.
 
 use super::StateMachine;
-use super::applied_configurations::OrderDigest;
+use super::applied_configurations::ConfigurationDigest;
 use crate::mutation::Mutation;
 use crate::{Change, CommandRejection, CommandReply};
 use configuration::{
@@ -11,18 +11,18 @@
 use types::{ConfigurationVersion, RunnerId};
 
 impl StateMachine {
-    /// Takes a document by compare-and-set on its version. The same document
-    /// under a version that was taken is acknowledged again, also after newer
-    /// ones: the first acknowledgement may have been lost.
+    /// Applies a document by compare-and-set on its version. The same document
+    /// under the same version is acknowledged again, also after newer ones: the
+    /// first acknowledgement may have been lost.
     pub(super) fn put_configuration(
         &mut self,
         version: ConfigurationVersion,
         document: &ClusterConfiguration,
         changes: &mut Vec<Change>,
     ) -> Result<CommandReply, CommandRejection> {
-        let order = OrderDigest::of_document(document);
+        let digest = ConfigurationDigest::of_document(document);
         let in_force = version == self.version && *document == self.document;
-        if in_force || self.applied_configurations.contains(version, order) {
+        if in_force || self.applied_configurations.contains(version, digest) {
             return Ok(CommandReply::Configured {
                 version,
                 known: true,
@@ -31,7 +31,7 @@
         let before = ConfigurationVersion(version.0.saturating_sub(1));
         let base = document.replaces.unwrap_or(before);
         self.compare_version(version, base)?;
-        self.put_in_force(version, document, order, changes)
+        self.put_in_force(version, document, digest, changes)
     }
 
     /// Changes named items by compare-and-set on the version that the update
@@ -42,8 +42,8 @@
         update: &ConfigurationUpdate,
         changes: &mut Vec<Change>,
     ) -> Result<CommandReply, CommandRejection> {
-        let order = OrderDigest::of_update(update);
-        if self.applied_configurations.contains(version, order) {
+        let digest = ConfigurationDigest::of_update(update);
+        if self.applied_configurations.contains(version, digest) {
             return Ok(CommandReply::Configured {
                 version,
                 known: true,
@@ -55,13 +55,13 @@
             return Err(CommandRejection::InvalidConfiguration { problems });
         }
         let document = update.applied_to(&self.document);
-        self.put_in_force(version, &document, order, changes)
+        self.put_in_force(version, &document, digest, changes)
     }
 
-    /// Returns whether this very update was taken under this version.
+    /// Returns whether this update was applied under this version.
     pub fn has_applied(&self, version: ConfigurationVersion, update: &ConfigurationUpdate) -> bool {
         self.applied_configurations
-            .contains(version, OrderDigest::of_update(update))
+            .contains(version, ConfigurationDigest::of_update(update))
     }
 
     fn compare_version(
@@ -80,12 +80,12 @@
         })
     }
 
-    /// Checks a document whole, and takes it whole.
+    /// Validates a document and puts all of it in force, or nothing.
     fn put_in_force(
         &mut self,
         version: ConfigurationVersion,
         document: &ClusterConfiguration,
-        order: Option<OrderDigest>,
+        digest: Option<ConfigurationDigest>,
         changes: &mut Vec<Change>,
     ) -> Result<CommandReply, CommandRejection> {
         let mut problems = validate(document);
@@ -98,7 +98,7 @@
         self.version = version;
         let old = std::mem::replace(&mut self.document, document.clone());
         self.keep_left_out(&old);
-        self.applied_configurations.record(version, order);
+        self.applied_configurations.record(version, digest);
         changes.push(Change::ConfigurationChanged(version));
         Ok(CommandReply::Configured {
             version,
@@ -106,9 +106,9 @@
         })
     }
 
-    /// Queues and tenants that the document leaves out while they hold
-    /// unfinished jobs. Those jobs could neither start nor end any more, so
-    /// the operator first drains or cancels them; nothing is lost silently.
+    /// Returns errors for queues and tenants that the document leaves out while
+    /// they have unfinished jobs. Those jobs could neither start nor end, so the
+    /// operator must first drain or cancel them.
     fn find_removed_in_use(&self, document: &ClusterConfiguration) -> Vec<ConfigurationError> {
         let queues = &self.indexes.unfinished_of_queue;
         let removed_queues = queues
@@ -128,8 +128,8 @@
     }
 
     /// Keeps what the document leaves out while unfinished jobs need it: their
-    /// queues drain under their last settings. Does nothing where the document
-    /// would have been rejected for it.
+    /// queues drain under their last settings. Does nothing if the document is
+    /// one that would have been rejected for that.
     fn keep_left_out(&mut self, old: &ClusterConfiguration) {
         for name in self.indexes.unfinished_of_queue.keys() {
             let left_out = !self.document.queues.contains_key(name);
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Marks a runner as draining, or takes that back.
+    /// Sets whether an operator drains a runner.
     pub(super) fn set_runner_draining(
         &mut self,
         runner: &RunnerId,
--- a/crates/state_machine/src/state/indexes.rs
+++ b/crates/state_machine/src/state/indexes.rs
@@ -1,4 +1,4 @@
-//! What follows from the jobs and open runs, kept for quick answers.
+//! Indexes and counters over jobs and open runs.
 
 use super::job::Job;
 use super::usage::Usage;
@@ -13,12 +13,12 @@
     sequence: 0,
 };
 
-/// Ways into the state; see the fields.
+/// Indexes and counters that follow from the state.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(crate) struct Indexes {
-    /// Number of each job known.
+    /// Numbers of jobs by key.
     pub numbers: BTreeMap<JobKey, JobNumber>,
-    /// All jobs of a tenant.
+    /// Jobs by tenant.
     pub of_tenant: BTreeMap<TenantId, BTreeSet<JobNumber>>,
     /// Jobs not in a final state, by tenant and queue.
     pub unfinished: BTreeMap<TenantId, BTreeMap<QueueName, BTreeSet<JobNumber>>>,
@@ -26,22 +26,22 @@
     pub unfinished_of_queue: BTreeMap<QueueName, u64>,
     /// Count of unfinished jobs.
     pub unfinished_count: u64,
-    /// Jobs with a task that may start, now or from its time on.
+    /// Jobs with a task that may start, now or at its start time.
     pub startable: BTreeSet<JobNumber>,
     /// Final jobs without open runs, by the time they ended.
     pub forgettable: BTreeSet<(WallTime, JobNumber)>,
-    /// Closed runs of the jobs known.
+    /// Closed runs of all jobs.
     pub closed_runs: BTreeSet<RunId>,
     /// Open runs by task.
     pub runs_of_task: BTreeSet<(TaskRef, RunId)>,
-    /// What each tenant's open runs hold.
+    /// What the open runs of each tenant use.
     pub usage: BTreeMap<TenantId, Usage>,
-    /// Seats that open runs take.
+    /// Number of seats that open runs use, by licence.
     pub seats: BTreeMap<LicenceName, u32>,
 }
 
 impl Indexes {
-    /// Enters a job that is not in a final state.
+    /// Adds a job that is not in a final state.
     pub fn insert_unfinished(&mut self, number: JobNumber, job: &Job) {
         let queue = &job.spec.queue;
         self.unfinished
@@ -54,7 +54,7 @@
         self.unfinished_count += 1;
     }
 
-    /// Takes a job out that reached a final state.
+    /// Removes a job that reached a final state from the unfinished ones.
     pub fn remove_unfinished(&mut self, number: JobNumber, job: &Job) {
         let queue = &job.spec.queue;
         if let Some(queues) = self.unfinished.get_mut(&job.spec.tenant) {
@@ -77,7 +77,7 @@
         self.unfinished_count = self.unfinished_count.saturating_sub(1);
     }
 
-    /// Enters a job's names and, by its state, all else.
+    /// Adds a job to all indexes that its state requires.
     pub fn insert_job(&mut self, number: JobNumber, job: &Job) {
         self.numbers.insert(job.key(), number);
         self.of_tenant
@@ -91,7 +91,7 @@
         self.refresh(number, job);
     }
 
-    /// Takes a forgotten job out.
+    /// Removes a forgotten job.
     pub fn remove_job(&mut self, number: JobNumber, job: &Job) {
         self.numbers.remove(&job.key());
         if let Some(numbers) = self.of_tenant.get_mut(&job.spec.tenant) {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Enters or takes out a job whose tasks or runs changed.
+    /// Updates the indexes of startable and forgettable jobs after a change of a job.
     pub fn refresh(&mut self, number: JobNumber, job: &Job) {
         if job.has_startable() {
             self.startable.insert(number);
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Enters an open run.
+    /// Adds an open run.
     pub fn insert_run(&mut self, run: &OpenRun) {
         self.runs_of_task.insert((run.task, run.run));
         let usage = self.usage.entry(run.tenant.clone()).or_default();
@@ -127,15 +127,15 @@
         }
     }
 
-    /// Takes a closed run out and remembers it.
+    /// Moves a run from the open to the closed ones.
     pub fn close_run(&mut self, run: &OpenRun) {
         self.runs_of_task.remove(&(run.task, run.run));
         self.closed_runs.insert(run.run);
         if let Some(licence) = &run.licence
-            && let Some(taken) = self.seats.get_mut(licence)
+            && let Some(used) = self.seats.get_mut(licence)
         {
-            *taken = taken.saturating_sub(1);
-            if *taken == 0 {
+            *used = used.saturating_sub(1);
+            if *used == 0 {
                 self.seats.remove(licence);
             }
         }
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Open runs of one task.
+    /// Returns the open runs of a task.
     pub fn runs_of(&self, task: TaskRef) -> impl Iterator<Item = RunId> + '_ {
         let last = RunId {
             term: types::Term(u64::MAX),
@@ -158,7 +158,7 @@
             .map(|(_, run)| *run)
     }
 
-    /// Open runs of all tasks of the step that a task belongs to.
+    /// Returns the open runs of all tasks of a task's step.
     pub fn runs_of_step(&self, task: TaskRef) -> impl Iterator<Item = RunId> + '_ {
         let first = TaskRef { task: 0, ..task };
         let runs = self.runs_of_task.range((first, FIRST_RUN)..);
@@ -166,7 +166,7 @@
             .map(|(_, run)| *run)
     }
 
-    /// Unfinished jobs of a tenant.
+    /// Returns the number of unfinished jobs of a tenant.
     pub fn unfinished_of_tenant(&self, tenant: &TenantId) -> u64 {
         let queues = self.unfinished.get(tenant);
         queues.map_or(0, |queues| {
--- a/crates/state_machine/src/state/job.rs
+++ b/crates/state_machine/src/state/job.rs
@@ -1,4 +1,5 @@
-//! A job with its steps and tasks, kept compact: a pending task is 16 bytes.
+//! State of a job with its steps and tasks. It is compact: a pending task is 16
+//! bytes.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -7,35 +8,36 @@
     TaskState, WallTime,
 };
 
-/// How far a task has come. Blocked, ready and running follow from its step
-/// and its open runs.
+/// Progress of a task. Whether an unfinished one is blocked, ready or running
+/// follows from its step and its open runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Progress {
     /// May still have runs.
     Unfinished,
-    /// Ended done.
+    /// A run ended successfully.
     Done,
-    /// Used up its allowed failures.
+    /// More runs failed than are allowed.
     Failed,
     /// Its job was cancelled or failed.
     Cancelled,
 }
 
-/// One task. Submit bounds failures and copies, so both fit in a byte.
+/// State of one task. Failures and copies are limited at submission, so both fit
+/// in a byte.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Task {
     /// End of the backoff after its last failure; 0 when it never failed.
     pub backoff_until: WallTime,
-    /// How far it has come.
+    /// Progress of the task.
     pub progress: Progress,
-    /// Failed runs so far.
+    /// Number of failed runs.
     pub failed_runs: u8,
-    /// Open runs now.
+    /// Number of open runs.
     pub open_runs: u8,
-    /// Runs so far: the number of the newest one.
+    /// Attempt number of the newest run; zero before the first.
     pub attempts: u16,
-    /// Number of the run that failed last; the members of a gang fail once by
-    /// each number.
+    /// Attempt number of the gang's last counted failure, which counts once for all
+    /// its tasks.
     pub failed_attempt: u16,
 }
 
@@ -48,17 +50,28 @@
     failed_attempt: 0,
 };
 
-/// A step's tasks with counters over them.
+/// A task with the step that it belongs to.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct TaskEntry<'a> {
+    /// The step as submitted.
+    pub spec: &'a StepSpec,
+    /// The state of the step.
+    pub step: &'a Step,
+    /// The state of the task.
+    pub task: &'a Task,
+}
+
+/// The tasks of a step, with counters over them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Step {
-    /// Steps before it that are not done.
+    /// Number of unfinished steps that this one depends on.
     pub waiting_for: u16,
-    /// Its tasks.
+    /// The tasks, by position.
     pub tasks: Box<[Task]>,
     counts: Counts,
 }
 
-/// What a step's tasks add up to.
+/// Counters over the tasks of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 struct Counts {
     done: u32,
@@ -124,7 +137,7 @@
             .fold(Counts::default(), Counts::plus);
     }
 
-    /// Returns whether every task ended done.
+    /// Returns whether every task is done.
     pub fn is_done(&self) -> bool {
         self.counts.done as usize == self.tasks.len()
     }
@@ -141,35 +154,35 @@
     }
 }
 
-/// A job in the record.
+/// State of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Job {
     /// The job as submitted.
     pub spec: JobSpec,
-    /// Where it stands.
+    /// Current state.
     pub state: JobState,
-    /// Why it failed.
+    /// Reason of the failure, for a failed job.
     pub reason: Option<String>,
-    /// When the record took it.
+    /// When the job was submitted.
     pub submitted_at: WallTime,
-    /// When its first run was reserved.
+    /// When the first run was reserved.
     pub first_reserved_at: Option<WallTime>,
-    /// When it reached a final state.
+    /// When the job reached a final state.
     pub ended_at: Option<WallTime>,
-    /// Its steps in order.
+    /// The steps in order of submission.
     pub steps: Box<[Step]>,
-    /// Open runs of all tasks, also of ended ones.
+    /// Number of open runs of all tasks, finished ones included.
     pub open_runs: u32,
-    /// Its closed runs in the order they closed.
+    /// Closed runs in the order in which they closed.
     pub closed_runs: Vec<RunId>,
-    /// What runs of its unfinished tasks saved last; of a gang under its first
-    /// task.
+    /// Last checkpoint of each unfinished task, by positions of step and task. A
+    /// gang has one, at its first task.
     pub checkpoints: BTreeMap<(u16, u32), String>,
     unfinished_steps: u16,
 }
 
 impl Job {
-    /// A job as it is at its submission.
+    /// Creates a job as submitted.
     pub fn new(spec: JobSpec, submitted_at: WallTime) -> Self {
         let steps: Box<[Step]> = spec.steps.iter().map(Step::new).collect();
         Self {
@@ -187,7 +200,7 @@
         }
     }
 
-    /// The caller's names.
+    /// Returns the key by which callers name the job.
     pub fn key(&self) -> JobKey {
         JobKey {
             tenant: self.spec.tenant.clone(),
@@ -200,20 +213,20 @@
         self.unfinished_steps == 0
     }
 
-    /// Returns whether a task may start, now or from its time on.
+    /// Returns whether a task may start, now or at its start time.
     pub fn has_startable(&self) -> bool {
         self.steps.iter().any(|step| step.counts.startable > 0)
     }
 
-    /// One task with its step's specification.
-    pub fn task(&self, at: TaskRef) -> Option<(&StepSpec, &Step, &Task)> {
+    /// Returns one task with its step.
+    pub fn task(&self, at: TaskRef) -> Option<TaskEntry<'_>> {
         let spec = self.spec.steps.get(usize::from(at.step))?;
         let step = self.steps.get(usize::from(at.step))?;
         let task = step.tasks.get(at.task as usize)?;
-        Some((spec, step, task))
+        Some(TaskEntry { spec, step, task })
     }
 
-    /// Changes one task and keeps the counters right.
+    /// Changes one task and updates the counters.
     pub fn change_task(&mut self, at: TaskRef, change: impl FnOnce(&mut Task)) {
         let position = usize::from(at.step);
         let Some(max_copies) = self.spec.steps.get(position).map(|spec| spec.max_copies) else {
@@ -235,13 +248,13 @@
         self.open_runs = (self.open_runs + open_after).saturating_sub(open_before);
     }
 
-    /// Records that a step is done; the steps that may start by that.
+    /// Records that a step is done and returns the steps that may start now.
     pub fn complete_step(&mut self, done: u16) -> Vec<u16> {
         self.unfinished_steps = self.unfinished_steps.saturating_sub(1);
         let Some(name) = self.spec.steps.get(usize::from(done)).map(|s| &s.name) else {
             return Vec::new();
         };
-        let mut freed = Vec::new();
+        let mut unblocked = Vec::new();
         for ((position, spec), step) in (0..).zip(&self.spec.steps).zip(&mut self.steps) {
             if !spec.after.contains(name) {
                 continue;
@@ -249,37 +262,38 @@
             step.waiting_for = step.waiting_for.saturating_sub(1);
             if step.waiting_for == 0 {
                 step.recount(spec.max_copies);
-                freed.push(position);
+                unblocked.push(position);
             }
         }
-        freed
+        unblocked
     }
 
-    /// References to all tasks of one step.
+    /// Returns the tasks of one step, in order.
     pub fn step_tasks(&self, number: JobNumber, step: u16) -> impl Iterator<Item = TaskRef> + '_ {
         let count = self
             .steps
             .get(usize::from(step))
             .map_or(0, |step| step.tasks.len());
-        (0..count as u32).map(move |task| TaskRef {
+        let count = u32::try_from(count).unwrap_or(u32::MAX);
+        (0..count).map(move |task| TaskRef {
             job: number,
             step,
             task,
         })
     }
 
-    /// References to all tasks, in order.
+    /// Returns all tasks, in order.
     pub fn tasks(&self, number: JobNumber) -> impl Iterator<Item = TaskRef> + '_ {
         let steps = u16::try_from(self.steps.len()).unwrap_or(u16::MAX);
         (0..steps).flat_map(move |step| self.step_tasks(number, step))
     }
 
-    /// Returns whether the task may have another run. A member of a gang may only
-    /// while no run of the whole gang is open.
+    /// Returns whether the task may have another run. A task of a gang may only
+    /// while the gang has no open run.
     pub fn is_startable(&self, at: TaskRef) -> bool {
-        self.task(at).is_some_and(|(spec, step, task)| {
-            let alone = Counts::of(task, step.waiting_for > 0, spec.max_copies).startable > 0;
-            alone && (!spec.rules.gang || step.counts.running == 0)
+        self.task(at).is_some_and(|TaskEntry { spec, step, task }| {
+            let counts = Counts::of(task, step.waiting_for > 0, spec.max_copies);
+            counts.startable > 0 && (!spec.rules.gang || step.counts.running == 0)
         })
     }
 
@@ -289,69 +303,71 @@
         spec.is_some_and(|spec| spec.rules.gang)
     }
 
-    /// The number that the next run of a task has; one for a whole gang.
+    /// Returns the attempt number of a task's next run; a gang has one for all its
+    /// tasks.
     pub fn next_attempt(&self, at: TaskRef) -> u16 {
         let newest = match self.steps.get(usize::from(at.step)) {
             Some(step) if self.is_gang(at.step) => {
                 step.tasks.iter().map(|task| task.attempts).max()
             }
-            _ => self.task(at).map(|(_, _, task)| task.attempts),
+            _ => self.task(at).map(|entry| entry.task.attempts),
         };
         newest.unwrap_or(0).saturating_add(1)
     }
 
-    /// Where the checkpoint of a task is kept: a gang has one in common.
+    /// Returns the position of a task's checkpoint; a gang has one for all its tasks.
     fn checkpoint_position(&self, at: TaskRef) -> (u16, u32) {
-        match self.is_gang(at.step) {
-            true => (at.step, 0),
-            false => (at.step, at.task),
+        if self.is_gang(at.step) {
+            (at.step, 0)
+        } else {
+            (at.step, at.task)
         }
     }
 
-    /// What runs of the task saved last.
+    /// Returns the last checkpoint of a task.
     pub fn checkpoint(&self, at: TaskRef) -> Option<&String> {
         self.checkpoints.get(&self.checkpoint_position(at))
     }
 
-    /// Keeps what a run of the task saved.
-    pub fn keep_checkpoint(&mut self, at: TaskRef, checkpoint: &str) {
+    /// Sets the checkpoint of a task.
+    pub fn set_checkpoint(&mut self, at: TaskRef, checkpoint: &str) {
         let position = self.checkpoint_position(at);
         self.checkpoints.insert(position, checkpoint.to_owned());
     }
 
-    /// Where a task stands.
+    /// Returns the state of a task.
     pub fn task_state(&self, at: TaskRef) -> Option<TaskState> {
-        self.task(at).map(|(_, step, task)| step.state_of(task))
+        self.task(at).map(|entry| entry.step.state_of(entry.task))
     }
 
-    /// When a task may start: the latest of the job's own time, its step's and
-    /// the end of its backoff.
+    /// Returns the earliest start of a task: the latest of the start times of its job
+    /// and step and the end of its backoff.
     pub fn not_before(&self, step: &StepSpec, task: &Task) -> Option<WallTime> {
         let backoff = (task.backoff_until.0 > 0).then_some(task.backoff_until);
         self.spec.start_at.max(step.rules.start_at).max(backoff)
     }
 
-    /// What the scheduler needs, when the task may have another run.
+    /// Returns what the scheduler needs of a task, if it may have another run.
     pub fn startable_meta(&self, at: TaskRef) -> Option<TaskMeta> {
         if !self.is_startable(at) {
             return None;
         }
-        let (step, _, task) = self.task(at)?;
+        let TaskEntry { spec, task, .. } = self.task(at)?;
         Some(TaskMeta {
             task: at,
             tenant: self.spec.tenant.clone(),
             queue: self.spec.queue.clone(),
             urgency: self.spec.urgency,
-            resources: step.resources,
-            labels: step.labels.clone(),
-            max_copies: step.max_copies,
-            not_before: self.not_before(step, task),
-            rules: step.rules.clone(),
-            step_tasks: step.tasks,
+            resources: spec.resources,
+            labels: spec.labels.clone(),
+            max_copies: spec.max_copies,
+            not_before: self.not_before(spec, task),
+            rules: spec.rules.clone(),
+            step_tasks: spec.tasks,
         })
     }
 
-    /// The job as its caller sees it.
+    /// Returns the job as callers see it.
     pub fn view(&self) -> JobView {
         let steps = self.spec.steps.iter().zip(&self.steps);
         JobView {
--- a/crates/state_machine/src/state/jobs.rs
+++ b/crates/state_machine/src/state/jobs.rs
@@ -1,4 +1,4 @@
-//! Taking jobs, and bringing them to their final state.
+//! Submission of jobs, and their way to a final state.
 
 use super::StateMachine;
 use super::job::{Job, Progress};
@@ -11,16 +11,16 @@
     WallTime,
 };
 
-/// When a caller rejected for a full queue or tenant should come back.
+/// Time after which a caller rejected for too many unfinished jobs should retry.
 pub const FULL_RETRY_AFTER: Milliseconds = Milliseconds(1_000);
 
-/// Longest reason kept for a failed job, in bytes.
+/// Maximum length of the reason of a failed job, in bytes; the rest is cut off.
 const MAX_REASON_BYTES: usize = 1_024;
 
 impl StateMachine {
-    /// Takes a job, or tells again about one that is known. A resent job is
-    /// acknowledged before any other check: it was taken under the rules of
-    /// its time.
+    /// Accepts a job, or acknowledges it again if it is known. A resent job is
+    /// acknowledged before any other check: it was accepted under the
+    /// configuration of its time.
     pub(super) fn submit(
         &mut self,
         spec: &JobSpec,
@@ -66,7 +66,7 @@
         })
     }
 
-    /// The job to keep, sharing its names with the configuration.
+    /// Returns the job to store. It shares its names with the configuration.
     fn check_submission(&self, spec: &JobSpec) -> Result<JobSpec, CommandRejection> {
         let (tenant, contract) = find_tenant(&self.document, &spec.tenant)?;
         let (queue, settings) = find_queue(&self.document, &spec.queue)?;
@@ -75,9 +75,11 @@
                 queue: queue.clone(),
             });
         }
-        if let Some(problem) = submission::find_problem(spec, &self.document) {
-            return Err(CommandRejection::InvalidJob { problem });
-        }
+        submission::validate_job(spec, &self.document).map_err(|error| {
+            CommandRejection::InvalidJob {
+                error: error.to_string(),
+            }
+        })?;
         check_limit(
             || format!("tenant {tenant}"),
             self.indexes.unfinished_of_tenant(tenant),
@@ -95,8 +97,8 @@
         })
     }
 
-    /// Brings an unfinished job to a final state: every unfinished task is
-    /// cancelled, and the runs still open are told so that they are stopped.
+    /// Moves an unfinished job to a final state: every unfinished task is
+    /// cancelled, and its open runs are reported so that they are stopped.
     pub(super) fn end_job(
         &mut self,
         number: JobNumber,
@@ -116,13 +118,13 @@
             job.change_task(*task, |task| task.progress = Progress::Cancelled);
         }
         job.state = state;
-        job.reason = reason.map(bound_reason);
+        job.reason = reason.map(truncate_reason);
         job.ended_at = Some(at);
         let ended = Change::JobEnded {
             key: job.key(),
             number,
             state,
-            waited: waited(job),
+            waited: waiting_time(job),
         };
         self.indexes.remove_unfinished(number, job);
         self.indexes.refresh(number, job);
@@ -132,7 +134,7 @@
         changes.push(ended);
     }
 
-    /// The change that tells of a task's end, with its open runs.
+    /// Returns the change that reports the end of a task, with its open runs.
     pub(super) fn task_ended(&self, task: TaskRef) -> Change {
         let runs = self.indexes.runs_of(task);
         let open_runs: Vec<OpenRun> = runs
@@ -141,8 +143,9 @@
         Change::TaskEnded { task, open_runs }
     }
 
-    /// Records that a step is done: dependents may start, or the job is done.
-    pub(super) fn step_done(
+    /// Records that a step is done: steps that depend on it may start, or the job is
+    /// done.
+    pub(super) fn complete_step(
         &mut self,
         number: JobNumber,
         step: u16,
@@ -152,8 +155,8 @@
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
-        for freed in job.complete_step(step) {
-            changes.extend(startable_changes(job, job.step_tasks(number, freed)));
+        for unblocked in job.complete_step(step) {
+            changes.extend(startable_changes(job, job.step_tasks(number, unblocked)));
         }
         self.indexes.refresh(number, job);
         if job.all_done() {
@@ -165,7 +168,7 @@
 /// Returns whether the task may still have runs.
 pub(super) fn is_unfinished(job: &Job, task: TaskRef) -> bool {
     job.task(task)
-        .is_some_and(|(_, _, task)| task.progress == Progress::Unfinished)
+        .is_some_and(|entry| entry.task.progress == Progress::Unfinished)
 }
 
 fn startable_changes<'a>(
@@ -197,6 +200,7 @@
     document.queues.get_key_value(name).ok_or_else(unknown)
 }
 
+/// Checks the number of unfinished jobs of a tenant or queue.
 fn check_limit(
     what: impl FnOnce() -> String,
     unfinished: u64,
@@ -212,12 +216,12 @@
     })
 }
 
-fn waited(job: &Job) -> Option<Milliseconds> {
+fn waiting_time(job: &Job) -> Option<Milliseconds> {
     let first = job.first_reserved_at?;
     Some(Milliseconds(first.0.saturating_sub(job.submitted_at.0)))
 }
 
-fn bound_reason(mut reason: String) -> String {
+fn truncate_reason(mut reason: String) -> String {
     if reason.len() > MAX_REASON_BYTES {
         let end = reason.floor_char_boundary(MAX_REASON_BYTES);
         reason.truncate(end);
--- a/crates/state_machine/src/state/queries.rs
+++ b/crates/state_machine/src/state/queries.rs
@@ -1,7 +1,7 @@
-//! What callers, operators and the leader ask.
+//! Queries of callers, operators and the leader.
 
 use super::StateMachine;
-use super::job::Job;
+use super::job::{Job, TaskEntry};
 use configuration::ClusterConfiguration;
 use std::ops::Bound;
 use types::{
@@ -10,53 +10,53 @@
     TenantId, WallTime,
 };
 
-/// Where one task of a job stands.
+/// Status of one task of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskStatus {
     /// The task.
     pub task: TaskRef,
-    /// Its state.
+    /// The state.
     pub state: TaskState,
-    /// Failed runs so far.
+    /// Number of failed runs.
     pub failed_runs: u32,
-    /// Open runs now; a cancelled task may have some until they are stopped.
+    /// Number of open runs. A cancelled task may have some until they are stopped.
     pub open_runs: u32,
-    /// Not before this time: the job's start time or a retry's backoff.
+    /// Earliest start: the start time or the end of the backoff of a retry.
     pub not_before: Option<WallTime>,
 }
 
 impl StateMachine {
-    /// Version and document in force.
+    /// Returns the configuration in force and its version.
     pub fn configuration(&self) -> (ConfigurationVersion, &ClusterConfiguration) {
         (self.version, &self.document)
     }
 
-    /// A job as its caller sees it.
+    /// Returns a job as callers see it.
     pub fn job(&self, key: &JobKey) -> Option<JobView> {
         self.find(key).map(Job::view)
     }
 
-    /// Where a job stands.
+    /// Returns the state of a job.
     pub fn job_state(&self, key: &JobKey) -> Option<JobState> {
         self.find(key).map(|job| job.state)
     }
 
-    /// A job as its caller sees it, by its number.
+    /// Returns a job as callers see it, by its number.
     pub fn job_view(&self, number: JobNumber) -> Option<JobView> {
         self.jobs.get(&number).map(Job::view)
     }
 
-    /// The job as submitted.
+    /// Returns a job as submitted.
     pub fn job_spec(&self, key: &JobKey) -> Option<&JobSpec> {
         self.find(key).map(|job| &job.spec)
     }
 
-    /// The caller's names of a job.
+    /// Returns the key by which callers name a job.
     pub fn job_key(&self, number: JobNumber) -> Option<JobKey> {
         self.jobs.get(&number).map(Job::key)
     }
 
-    /// The number of a job.
+    /// Returns the number of a job.
     pub fn job_number(&self, key: &JobKey) -> Option<JobNumber> {
         self.indexes.numbers.get(key).copied()
     }
@@ -65,8 +65,8 @@
         self.jobs.get(&self.job_number(key)?)
     }
 
-    /// Jobs in order of number after `after`, at most `limit`, of one tenant
-    /// and one state where they are given.
+    /// Returns at most `limit` jobs in order of number, those after `after`, of one
+    /// tenant and in one state where these are given.
     pub fn jobs(
         &self,
         tenant: Option<&TenantId>,
@@ -97,9 +97,9 @@
             .collect()
     }
 
-    /// Every task that may start now or from its `not_before`, for republish
-    /// and audit; from `after` on in order of job number, at most `limit` jobs.
-    /// A running task with fewer open runs than its copies is among them.
+    /// Returns every task that may start now or at its `not_before`, of at most
+    /// `limit` jobs in order of number, those after `after`. A running task that
+    /// may have a further copy is included.
     pub fn ready_tasks(&self, after: Option<JobNumber>, limit: usize) -> Vec<TaskMeta> {
         let range = (
             after.map_or(Bound::Unbounded, Bound::Excluded),
@@ -117,24 +117,25 @@
             .collect()
     }
 
-    /// Every open run.
+    /// Returns all open runs.
     pub fn open_runs(&self) -> Vec<OpenRun> {
         self.open_runs.values().cloned().collect()
     }
 
-    /// One open run.
+    /// Returns an open run.
     pub fn open_run(&self, run: RunId) -> Option<OpenRun> {
         self.open_runs.get(&run).cloned()
     }
 
-    /// What a runner needs to start an open run.
+    /// Returns what a runner needs to start an open run.
     pub fn run_spec(&self, run: RunId) -> Option<RunSpec> {
         let open = self.open_runs.get(&run)?;
         let job = self.jobs.get(&open.task.job)?;
-        let (step, _, _) = job.task(open.task)?;
-        let payload = match step.payload.is_empty() {
-            true => &job.spec.payload,
-            false => &step.payload,
+        let step = job.task(open.task)?.spec;
+        let payload = if step.payload.is_empty() {
+            &job.spec.payload
+        } else {
+            &step.payload
         };
         Some(RunSpec {
             run,
@@ -149,7 +150,7 @@
         })
     }
 
-    /// A run as callers and runners name it.
+    /// Returns the name of a run by which callers and runners know it.
     pub fn run_name(&self, open: &OpenRun) -> Option<RunName> {
         let job = self.jobs.get(&open.task.job)?;
         let step = job.spec.steps.get(usize::from(open.task.step))?;
@@ -161,7 +162,7 @@
         })
     }
 
-    /// The open run that callers and runners know by this name.
+    /// Finds the open run of a name.
     pub fn find_open_run(&self, name: &RunName) -> Option<RunId> {
         let of_name = |tenant: &TenantId| {
             let key = JobKey {
@@ -182,44 +183,57 @@
         self.indexes.of_tenant.keys().find_map(of_name)
     }
 
-    /// Returns whether the run was closed, and its job is not forgotten.
+    /// Returns whether the run was closed and its job is not forgotten.
     pub fn is_closed(&self, run: RunId) -> bool {
         self.indexes.closed_runs.contains(&run)
     }
 
-    /// Runners that drain by order of an operator.
+    /// Returns whether the task is a member of a gang.
+    pub fn is_gang(&self, task: TaskRef) -> bool {
+        let job = self.jobs.get(&task.job);
+        job.is_some_and(|job| job.is_gang(task.step))
+    }
+
+    /// Returns whether the task runs again and again until its job is cancelled.
+    pub fn is_endless(&self, task: TaskRef) -> bool {
+        let job = self.jobs.get(&task.job);
+        job.and_then(|job| job.task(task))
+            .is_some_and(|entry| entry.spec.rules.endless)
+    }
+
+    /// Returns the runners that an operator has set to draining.
     pub fn draining_runners(&self) -> Vec<RunnerId> {
         self.draining_runners.iter().cloned().collect()
     }
 
-    /// Unfinished jobs of all tenants.
+    /// Returns the number of unfinished jobs of all tenants.
     pub fn unfinished_jobs(&self) -> u64 {
         self.indexes.unfinished_count
     }
 
-    /// Unfinished jobs of one tenant.
+    /// Returns the number of unfinished jobs of a tenant.
     pub fn unfinished_of_tenant(&self, tenant: &TenantId) -> u64 {
         self.indexes.unfinished_of_tenant(tenant)
     }
 
-    /// Unfinished jobs of one queue.
+    /// Returns the number of unfinished jobs of a queue.
     pub fn unfinished_of_queue(&self, queue: &QueueName) -> u64 {
         let count = self.indexes.unfinished_of_queue.get(queue);
         count.copied().unwrap_or(0)
     }
 
-    /// What all open runs of a tenant hold, those of ended jobs among them.
+    /// Returns what all open runs of a tenant use, those of finished jobs included.
     pub fn tenant_usage(&self, tenant: &TenantId) -> Resources {
         let usage = self.indexes.usage.get(tenant).copied();
         usage.unwrap_or_default().amount()
     }
 
-    /// Seats of a licence that open runs take.
+    /// Returns the number of seats of a licence that open runs use.
     pub fn seats_used(&self, licence: &LicenceName) -> u32 {
         self.indexes.seats.get(licence).copied().unwrap_or(0)
     }
 
-    /// Where each task of a job stands, in order of step and position.
+    /// Returns the status of each task of a job, in order of step and position.
     pub fn task_states(&self, key: &JobKey) -> Option<Vec<TaskStatus>> {
         let number = self.job_number(key)?;
         let job = self.jobs.get(&number)?;
@@ -229,12 +243,12 @@
 }
 
 fn task_status(job: &Job, at: TaskRef) -> Option<TaskStatus> {
-    let (step, _, task) = job.task(at)?;
+    let TaskEntry { spec, task, .. } = job.task(at)?;
     Some(TaskStatus {
         task: at,
         state: job.task_state(at)?,
         failed_runs: u32::from(task.failed_runs),
         open_runs: u32::from(task.open_runs),
-        not_before: job.not_before(step, task),
+        not_before: job.not_before(spec, task),
     })
 }
--- a/crates/state_machine/src/state/retention.rs
+++ b/crates/state_machine/src/state/retention.rs
@@ -1,22 +1,23 @@
-//! Forgetting finished jobs.
+//! Removal of finished jobs after their retention.
 
 use super::StateMachine;
 use crate::CommandReply;
 use types::{JobNumber, WallTime};
 
 impl StateMachine {
-    /// Forgets final jobs that ended at or before a time, oldest first. A job
-    /// with open runs stays until they are closed: its runs hold resources.
+    /// Removes at most `limit` finished jobs that ended at or before a time, oldest
+    /// first. A job with open runs stays until they are closed, since they use
+    /// resources.
     pub(super) fn forget(&mut self, ended_before: WallTime, limit: u32) -> CommandReply {
         for _ in 0..limit {
-            match self.indexes.forgettable.first() {
-                Some((ended_at, number)) if *ended_at <= ended_before => {
-                    let number = *number;
-                    self.indexes.forgettable.pop_first();
-                    self.forget_job(number);
-                }
-                _ => break,
+            let Some(&(ended_at, number)) = self.indexes.forgettable.first() else {
+                break;
+            };
+            if ended_at > ended_before {
+                break;
             }
+            self.indexes.forgettable.pop_first();
+            self.forget_job(number);
         }
         CommandReply::Accepted
     }
--- /dev/null
+++ b/crates/state_machine/src/state/run_close.rs
@@ -0,0 +1,174 @@
+//! The closing of runs and what follows for tasks, gangs, steps and jobs.
+
+use super::StateMachine;
+use super::job::{Job, Progress, Step, TaskEntry};
+use super::jobs::is_unfinished;
+use super::run_outcome::{RunOutcome, apply_run_outcome};
+use crate::mutation::Mutation;
+use crate::{Change, ClosedRun, CommandReply};
+use types::{JobState, OpenRun, Outcome, RunClose, RunId, TaskRef, WallTime};
+
+impl StateMachine {
+    /// Closes runs. For a run that is closed already or unknown it does nothing,
+    /// except that it applies the late report of a lost run.
+    pub(super) fn close_runs(
+        &mut self,
+        runs: &[ClosedRun],
+        at: WallTime,
+        changes: &mut Vec<Change>,
+    ) -> CommandReply {
+        let mut closed = Vec::new();
+        for run in runs {
+            if let Some(open) = self.open_runs.remove(&run.run) {
+                closed.push(run.run);
+                self.close_run(open, run, at, changes);
+            } else {
+                self.apply_late_report(run.run, &run.close, at, changes);
+            }
+        }
+        CommandReply::Closed { runs: closed }
+    }
+
+    fn close_run(
+        &mut self,
+        run: OpenRun,
+        closed: &ClosedRun,
+        at: WallTime,
+        changes: &mut Vec<Change>,
+    ) {
+        let close = &closed.close;
+        self.indexes.close_run(&run);
+        let task = run.task;
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        job.closed_runs.push(run.run);
+        if let Some(checkpoint) = &closed.checkpoint {
+            job.set_checkpoint(task, checkpoint);
+        }
+        let skips_failure = self.mutation == Some(Mutation::ForgetFailures) && close.is_failure();
+        let counts = is_unfinished(job, task) && !skips_failure;
+        remove_open_run(job, task);
+        let outcome = RunOutcome {
+            task,
+            attempt: run.attempt,
+            close,
+            closed_at: at,
+        };
+        let failed = counts && apply_run_outcome(job, outcome, &self.document.timings);
+        let again = job.startable_meta(task);
+        self.indexes.refresh(task.job, job);
+        self.record_if_lost(&run, close);
+        changes.push(Change::RunClosed {
+            run,
+            close: close.clone(),
+            again,
+        });
+        if counts {
+            self.apply_task_outcome(task, close, failed, at, changes);
+            self.report_gang(task, close, changes);
+        }
+    }
+
+    /// Reports what the closing of one run means for the rest of its gang. Unless
+    /// the run succeeded, the other runs are obsolete; once no run of the gang is
+    /// open, all its tasks may start again.
+    fn report_gang(&self, task: TaskRef, close: &RunClose, changes: &mut Vec<Change>) {
+        let Some(job) = self
+            .jobs
+            .get(&task.job)
+            .filter(|job| job.is_gang(task.step))
+        else {
+            return;
+        };
+        let members: Vec<TaskRef> = job.step_tasks(task.job, task.step).collect();
+        let open = members
+            .iter()
+            .flat_map(|member| self.indexes.runs_of(*member));
+        let open: Vec<RunId> = open.collect();
+        if open.is_empty() {
+            let others = members.into_iter().filter(|member| *member != task);
+            let ready = others.filter_map(|member| job.startable_meta(member));
+            changes.extend(ready.map(Change::TaskReady));
+        } else if *close != RunClose::Ended(Outcome::Done)
+            && self.mutation != Some(Mutation::KeepRestOfGang)
+        {
+            changes.push(Change::RunsObsolete(open));
+        }
+    }
+
+    /// Completes all tasks of a gang of which one has succeeded. Their own runs may
+    /// close later.
+    fn complete_gang(&mut self, task: TaskRef, changes: &mut Vec<Change>) {
+        let Some(job) = self
+            .jobs
+            .get_mut(&task.job)
+            .filter(|job| job.is_gang(task.step))
+        else {
+            return;
+        };
+        let members: Vec<TaskRef> = job.step_tasks(task.job, task.step).collect();
+        for member in members.into_iter().filter(|member| *member != task) {
+            job.change_task(member, |member| member.progress = Progress::Done);
+            changes.push(Change::TaskEnded {
+                task: member,
+                open_runs: Vec::new(),
+            });
+        }
+        self.indexes.refresh(task.job, job);
+    }
+
+    /// Applies the outcome of a task, if it has one now, to its step and job.
+    pub(super) fn apply_task_outcome(
+        &mut self,
+        task: TaskRef,
+        close: &RunClose,
+        failed: bool,
+        at: WallTime,
+        changes: &mut Vec<Change>,
+    ) {
+        if failed {
+            changes.push(self.task_ended(task));
+            let reason = self.failure_reason(task, close);
+            self.end_job(task.job, JobState::Failed, reason, at, changes);
+        } else if self.finishes_task(task, close) {
+            changes.push(self.task_ended(task));
+            self.complete_gang(task, changes);
+            let job = self.jobs.get(&task.job);
+            let step = job.and_then(|job| job.steps.get(usize::from(task.step)));
+            if step.is_some_and(Step::is_done) {
+                self.complete_step(task.job, task.step, at, changes);
+            }
+        }
+    }
+
+    /// Returns whether the closing of a run finishes its task. None does for a task
+    /// of an endless step.
+    fn finishes_task(&self, task: TaskRef, close: &RunClose) -> bool {
+        !self.is_endless(task) && *close == RunClose::Ended(Outcome::Done)
+    }
+
+    fn failure_reason(&self, at: TaskRef, close: &RunClose) -> Option<String> {
+        let TaskEntry { spec, task, .. } = self.jobs.get(&at.job)?.task(at)?;
+        let last = match close {
+            RunClose::Ended(Outcome::Failed(reason)) => reason.as_str(),
+            RunClose::TimedOut => "it ran past its time limit",
+            RunClose::Ended(Outcome::Done | Outcome::Stopped)
+            | RunClose::Lost
+            | RunClose::Revoked
+            | RunClose::Rejected => "told late, while it ran again",
+        };
+        let (name, failed) = (&spec.name, task.failed_runs);
+        Some(format!(
+            "task {} of step {name} failed {failed} times, last: {last}",
+            at.task
+        ))
+    }
+}
+
+/// Subtracts one open run from a task.
+fn remove_open_run(job: &mut Job, at: TaskRef) {
+    job.change_task(at, |task| {
+        task.open_runs = task.open_runs.saturating_sub(1);
+    });
+}
--- a/crates/state_machine/src/state/snapshot.rs
+++ b/crates/state_machine/src/state/snapshot.rs
@@ -1,11 +1,11 @@
-//! The whole state as bytes. Only the state proper is written; counters and
-//! indexes are built anew, so that no bytes can make them disagree with it.
+//! Snapshots: the whole state as bytes. Counters and indexes are not stored but
+//! rebuilt, so that no bytes can make them disagree with the state.
 
 use super::StateMachine;
 use super::applied_configurations::AppliedConfigurations;
 use super::job::{Job, Progress};
 use super::submission::{MAX_COPIES, MAX_STEPS, MAX_TASKS};
-use crate::StateMachineError;
+use crate::{SnapshotInconsistency, StateMachineError};
 use configuration::ClusterConfiguration;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
@@ -14,14 +14,14 @@
     ConfigurationVersion, JobNumber, JobSpec, JobState, OpenRun, RunId, RunnerId, TaskRef, WallTime,
 };
 
-/// Version of the bytes; a program reads only its own.
+/// Format version of snapshots; a program reads only its own.
 pub const SNAPSHOT_VERSION: u32 = 4;
 
-/// The version stands before the body, little-endian.
+/// Length of the format version, which precedes the body in little-endian order.
 const VERSION_BYTES: usize = size_of::<u32>();
 
 #[derive(Serialize, Deserialize)]
-struct StoredRecord<'a> {
+struct StoredState<'a> {
     version: ConfigurationVersion,
     document: Cow<'a, ClusterConfiguration>,
     applied_configurations: Cow<'a, AppliedConfigurations>,
@@ -44,7 +44,7 @@
     ended_at: Option<WallTime>,
     closed_runs: Cow<'a, [RunId]>,
     checkpoints: Cow<'a, BTreeMap<(u16, u32), String>>,
-    /// Only tasks that are no longer as they were at the submission.
+    /// Only tasks that have changed since the submission.
     tasks: Vec<StoredTask>,
 }
 
@@ -60,9 +60,13 @@
 }
 
 impl StateMachine {
-    /// All state as bytes with a format version.
+    /// Returns the state as bytes with the format version.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`StateMachineError::Snapshot`] when the state cannot be encoded.
     pub fn snapshot(&self) -> Result<Vec<u8>, StateMachineError> {
-        let stored = StoredRecord {
+        let stored = StoredState {
             version: self.version,
             document: Cow::Borrowed(&self.document),
             applied_configurations: Cow::Borrowed(&self.applied_configurations),
@@ -81,13 +85,18 @@
         postcard::to_extend(&stored, head).map_err(StateMachineError::Snapshot)
     }
 
-    /// A record from a snapshot's bytes.
+    /// Restores a state from the bytes of a snapshot.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error for bytes of another format version, bytes that are not a
+    /// snapshot, and a snapshot whose parts contradict each other.
     pub fn restore(bytes: &[u8]) -> Result<Self, StateMachineError> {
         let body = check_version(bytes)?;
         let (stored, rest) =
-            postcard::take_from_bytes::<StoredRecord>(body).map_err(StateMachineError::Snapshot)?;
+            postcard::take_from_bytes::<StoredState>(body).map_err(StateMachineError::Snapshot)?;
         if !rest.is_empty() {
-            return Err(StateMachineError::Inconsistent("bytes follow the snapshot"));
+            return Err(SnapshotInconsistency::TrailingBytes.into());
         }
         let mut state_machine = Self {
             version: stored.version,
@@ -103,14 +112,10 @@
             .applied_configurations
             .fits(state_machine.version)
         {
-            return Err(StateMachineError::Inconsistent(
-                "the taken configurations do not fit the version",
-            ));
+            return Err(SnapshotInconsistency::AppliedConfigurations.into());
         }
         if state_machine.last_number.0 == u64::MAX {
-            return Err(StateMachineError::Inconsistent(
-                "there are no more job numbers",
-            ));
+            return Err(SnapshotInconsistency::JobNumbersExhausted.into());
         }
         for job in stored.jobs {
             state_machine.restore_job(job)?;
@@ -130,20 +135,17 @@
             let job = self.jobs.get(&task.job);
             job.is_some_and(|job| job.closed_runs.contains(run) && job.task(*task).is_some())
         };
-        match self.lost_runs.iter().all(|(run, task)| closed(run, task)) {
-            true => Ok(()),
-            false => Err(StateMachineError::Inconsistent(
-                "a lost run is no closed run of its job",
-            )),
+        if self.lost_runs.iter().all(|(run, task)| closed(run, task)) {
+            Ok(())
+        } else {
+            Err(SnapshotInconsistency::LostRun.into())
         }
     }
 
     fn restore_job(&mut self, stored: StoredJob) -> Result<(), StateMachineError> {
         let number = stored.number;
         if number > self.last_number || self.jobs.contains_key(&number) {
-            return Err(StateMachineError::Inconsistent(
-                "a job has an impossible number",
-            ));
+            return Err(SnapshotInconsistency::JobNumber.into());
         }
         let mut job = Job::new(
             self.share_names(stored.spec.into_owned())?,
@@ -156,9 +158,7 @@
         job.closed_runs = stored.closed_runs.into_owned();
         job.checkpoints = stored.checkpoints.into_owned();
         if job.state.is_final() != job.ended_at.is_some() {
-            return Err(StateMachineError::Inconsistent(
-                "a job's end does not fit its state",
-            ));
+            return Err(SnapshotInconsistency::JobEnd.into());
         }
         for task in stored.tasks {
             restore_task(number, &mut job, &task)?;
@@ -170,14 +170,12 @@
         Ok(())
     }
 
-    /// Bounds the job before anything is built from it, and shares its names
-    /// with the configuration as submit does.
+    /// Checks the size of a job before anything is built from it, and shares its names
+    /// with the configuration as a submission does.
     fn share_names(&self, mut spec: JobSpec) -> Result<JobSpec, StateMachineError> {
         let tasks: u64 = spec.steps.iter().map(|step| u64::from(step.tasks)).sum();
         if spec.steps.len() > MAX_STEPS || tasks > MAX_TASKS {
-            return Err(StateMachineError::Inconsistent(
-                "a job is larger than allowed",
-            ));
+            return Err(SnapshotInconsistency::JobTooLarge.into());
         }
         if let Some((tenant, _)) = self.document.tenants.get_key_value(&spec.tenant) {
             spec.tenant = tenant.clone();
@@ -189,18 +187,13 @@
     }
 
     fn restore_run(&mut self, run: OpenRun) -> Result<(), StateMachineError> {
-        let unknown_task = StateMachineError::Inconsistent("an open run has no task");
-        let Some(job) = self.jobs.get_mut(&run.task.job) else {
-            return Err(unknown_task);
-        };
-        let Some((_, _, task)) = job.task(run.task) else {
-            return Err(unknown_task);
-        };
-        let one_more_fits = u32::from(task.open_runs) < MAX_COPIES;
+        let job = self.jobs.get_mut(&run.task.job);
+        let job = job.ok_or(SnapshotInconsistency::RunWithoutTask)?;
+        let entry = job.task(run.task);
+        let entry = entry.ok_or(SnapshotInconsistency::RunWithoutTask)?;
+        let one_more_fits = u32::from(entry.task.open_runs) < MAX_COPIES;
         if !one_more_fits || self.open_runs.contains_key(&run.run) {
-            return Err(StateMachineError::Inconsistent(
-                "a task has too many open runs",
-            ));
+            return Err(SnapshotInconsistency::TooManyOpenRuns.into());
         }
         job.change_task(run.task, |task| task.open_runs += 1);
         self.indexes.insert_run(&run);
@@ -210,12 +203,9 @@
 }
 
 fn check_version(bytes: &[u8]) -> Result<&[u8], StateMachineError> {
-    let (head, body) =
-        bytes
-            .split_first_chunk::<VERSION_BYTES>()
-            .ok_or(StateMachineError::Inconsistent(
-                "the snapshot has no version",
-            ))?;
+    let (head, body) = bytes
+        .split_first_chunk::<VERSION_BYTES>()
+        .ok_or(SnapshotInconsistency::NoVersion)?;
     let found = u32::from_le_bytes(*head);
     if found != SNAPSHOT_VERSION {
         return Err(StateMachineError::Version {
@@ -243,7 +233,7 @@
 }
 
 fn store_task(job: &Job, at: TaskRef) -> Option<StoredTask> {
-    let (_, _, task) = job.task(at)?;
+    let task = job.task(at)?.task;
     let untouched = task.progress == Progress::Unfinished && task.attempts == 0;
     (!untouched).then_some(StoredTask {
         step: at.step,
@@ -267,7 +257,7 @@
         task: stored.task,
     };
     if job.task(at).is_none() {
-        return Err(StateMachineError::Inconsistent("a job has an unknown task"));
+        return Err(SnapshotInconsistency::UnknownTask.into());
     }
     job.change_task(at, |task| {
         task.progress = stored.progress;
--- a/crates/state_machine/src/state/submission.rs
+++ b/crates/state_machine/src/state/submission.rs
@@ -1,158 +1,230 @@
-//! Checks of a job at its submission: a job that can never succeed is rejected
-//! with the reason.
+//! Validation of jobs at their submission: a job that can never succeed is
+//! rejected with the reason.
 
 use configuration::ClusterConfiguration;
 use std::collections::BTreeSet;
-use types::{JobSpec, Milliseconds, Resources, StepName, StepSpec};
+use thiserror::Error;
+use types::{
+    JobSpec, LicenceName, Milliseconds, QueueName, Resources, StepName, StepSpec, TenantId,
+};
 
-/// Most steps of a job.
+/// Maximum number of steps of a job.
 pub const MAX_STEPS: usize = 1_024;
-/// Most tasks of a job over all its steps.
+/// Maximum number of tasks of a job over all its steps.
 pub const MAX_TASKS: u64 = 10_000;
-/// Most copies of one task that may run at once.
+/// Maximum number of copies of one task that may run at once.
 pub const MAX_COPIES: u32 = 8;
-/// Most failed runs a task may be allowed.
+/// Maximum number of failed runs that a step may allow each task.
 pub const MAX_ALLOWED_FAILURES: u32 = 100;
-/// Longest time limit of a run: seven days.
+/// Maximum time limit of a run: seven days.
 pub const MAX_TIME_LIMIT: Milliseconds = Milliseconds::from_seconds(7 * 24 * 60 * 60);
-/// Longest payload of a step, in bytes.
+/// Maximum length of the payload of a step, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 64 * 1024;
-/// Most labels a step may ask for.
+/// Maximum number of labels that a step may require.
 pub const MAX_LABELS: usize = 32;
-/// Longest key or value of a label, in bytes.
+/// Maximum length of the key or value of a label, in bytes.
 pub const MAX_LABEL_BYTES: usize = 128;
 
-/// The first thing wrong with a job. The caller has checked that its tenant
-/// and queue are configured.
-pub(crate) fn find_problem(spec: &JobSpec, document: &ClusterConfiguration) -> Option<String> {
-    check_shape(spec)
-        .and_then(|()| spec.steps.iter().try_for_each(check_step))
-        .and_then(|()| check_order(&spec.steps))
-        .and_then(|()| check_capacity(spec, document))
-        .err()
+/// Why a job can never succeed. Callers see the messages.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub(crate) enum JobError {
+    /// The number of steps is zero or above [`MAX_STEPS`].
+    #[error("a job has 1 to {MAX_STEPS} steps, this one has {steps}")]
+    StepCount { steps: usize },
+    /// The number of tasks is above [`MAX_TASKS`].
+    #[error("a job has at most {MAX_TASKS} tasks, this one has {tasks}")]
+    TooManyTasks { tasks: u64 },
+    /// A step has no tasks.
+    #[error("step {step} has no tasks")]
+    NoTasks { step: StepName },
+    /// The number of copies is zero or above [`MAX_COPIES`].
+    #[error("step {step} must allow 1 to {MAX_COPIES} copies")]
+    CopyCount { step: StepName },
+    /// The allowed failures are above [`MAX_ALLOWED_FAILURES`].
+    #[error("step {step} may allow at most {MAX_ALLOWED_FAILURES} failures")]
+    TooManyAllowedFailures { step: StepName },
+    /// A gang allows copies.
+    #[error("step {step} is a gang, so its tasks have one copy each")]
+    GangWithCopies { step: StepName },
+    /// `max_per_runner` is zero.
+    #[error("step {step} may run nowhere: max_per_runner must be at least 1")]
+    NoRunsPerRunner { step: StepName },
+    /// The time limit is zero or above [`MAX_TIME_LIMIT`].
+    #[error("the time limit of step {step} must be 1 ms to {MAX_TIME_LIMIT}")]
+    TimeLimit { step: StepName },
+    /// A task needs no slot.
+    #[error("a task of step {step} needs at least one slot")]
+    NoSlots { step: StepName },
+    /// The payload is longer than [`MAX_PAYLOAD_BYTES`].
+    #[error("the payload of step {step} is longer than {MAX_PAYLOAD_BYTES} bytes")]
+    PayloadTooLong { step: StepName },
+    /// The labels exceed [`MAX_LABELS`] or [`MAX_LABEL_BYTES`].
+    #[error("step {step} may ask for at most {MAX_LABELS} labels of {MAX_LABEL_BYTES} bytes")]
+    Labels { step: StepName },
+    /// Two steps have the same name.
+    #[error("two steps are named {step}")]
+    DuplicateStep { step: StepName },
+    /// A step depends on one that does not exist.
+    #[error("step {step} comes after {dependency}, which does not exist")]
+    UnknownDependency {
+        step: StepName,
+        dependency: StepName,
+    },
+    /// A step names a dependency twice.
+    #[error("step {step} names {dependency} twice")]
+    DuplicateDependency {
+        step: StepName,
+        dependency: StepName,
+    },
+    /// A step depends on itself through others.
+    #[error("step {step} waits for itself through a cycle")]
+    DependencyCycle { step: StepName },
+    /// A step needs a licence that is not configured.
+    #[error("step {step} needs the licence {licence}, which does not exist")]
+    UnknownLicence {
+        step: StepName,
+        licence: LicenceName,
+    },
+    /// A task is larger than every runner of the queue's pool.
+    #[error("a task of step {step} fits on no runner of queue {queue}")]
+    LargerThanRunner { step: StepName, queue: QueueName },
+    /// A task is larger than the tenant's resource limit.
+    #[error("a task of step {step} exceeds the ceiling of tenant {tenant}")]
+    AboveResourceLimit { step: StepName, tenant: TenantId },
 }
 
-fn require(good: bool, problem: impl FnOnce() -> String) -> Result<(), String> {
-    if good { Ok(()) } else { Err(problem()) }
+/// Validates a job whose tenant and queue are configured.
+///
+/// # Errors
+///
+/// Returns the first [`JobError`] that the job has.
+pub(crate) fn validate_job(
+    spec: &JobSpec,
+    document: &ClusterConfiguration,
+) -> Result<(), JobError> {
+    check_size(spec)?;
+    spec.steps.iter().try_for_each(check_step)?;
+    check_dependencies(&spec.steps)?;
+    check_capacity(spec, document)
 }
 
-fn check_shape(spec: &JobSpec) -> Result<(), String> {
+/// Returns the error unless the condition holds.
+fn require(condition: bool, error: impl FnOnce() -> JobError) -> Result<(), JobError> {
+    if condition { Ok(()) } else { Err(error()) }
+}
+
+fn check_size(spec: &JobSpec) -> Result<(), JobError> {
     let steps = spec.steps.len();
-    require((1..=MAX_STEPS).contains(&steps), || {
-        format!("a job has 1 to {MAX_STEPS} steps, this one has {steps}")
+    require((1..=MAX_STEPS).contains(&steps), || JobError::StepCount {
+        steps,
     })?;
     let tasks: u64 = spec.steps.iter().map(|step| u64::from(step.tasks)).sum();
-    require(tasks <= MAX_TASKS, || {
-        format!("a job has at most {MAX_TASKS} tasks, this one has {tasks}")
-    })
+    require(tasks <= MAX_TASKS, || JobError::TooManyTasks { tasks })
 }
 
-fn check_step(step: &StepSpec) -> Result<(), String> {
-    let name = &step.name;
-    require(step.tasks >= 1, || format!("step {name} has no tasks"))?;
-    require((1..=MAX_COPIES).contains(&step.max_copies), || {
-        format!("step {name} must allow 1 to {MAX_COPIES} copies")
+fn check_step(spec: &StepSpec) -> Result<(), JobError> {
+    let step = || spec.name.clone();
+    let rules = &spec.rules;
+    require(spec.tasks >= 1, || JobError::NoTasks { step: step() })?;
+    require((1..=MAX_COPIES).contains(&spec.max_copies), || {
+        JobError::CopyCount { step: step() }
     })?;
-    require(step.allowed_failures <= MAX_ALLOWED_FAILURES, || {
-        format!("step {name} may allow at most {MAX_ALLOWED_FAILURES} failures")
+    require(spec.allowed_failures <= MAX_ALLOWED_FAILURES, || {
+        JobError::TooManyAllowedFailures { step: step() }
     })?;
-    let rules = &step.rules;
-    require(!rules.gang || step.max_copies == 1, || {
-        format!("step {name} is a gang, so its tasks have one copy each")
+    require(!rules.gang || spec.max_copies == 1, || {
+        JobError::GangWithCopies { step: step() }
     })?;
     require(rules.max_per_runner != Some(0), || {
-        format!("step {name} may run nowhere: max_per_runner must be at least 1")
+        JobError::NoRunsPerRunner { step: step() }
     })?;
-    let limit = step.time_limit;
-    require(limit.0 > 0 && limit <= MAX_TIME_LIMIT, || {
-        format!("the time limit of step {name} must be 1 ms to {MAX_TIME_LIMIT}")
+    require((1..=MAX_TIME_LIMIT.0).contains(&spec.time_limit.0), || {
+        JobError::TimeLimit { step: step() }
     })?;
-    require(step.resources.slots >= 1, || {
-        format!("a task of step {name} needs at least one slot")
+    require(spec.resources.slots >= 1, || JobError::NoSlots {
+        step: step(),
     })?;
-    require(step.payload.len() <= MAX_PAYLOAD_BYTES, || {
-        format!("the payload of step {name} is longer than {MAX_PAYLOAD_BYTES} bytes")
+    require(spec.payload.len() <= MAX_PAYLOAD_BYTES, || {
+        JobError::PayloadTooLong { step: step() }
     })?;
-    let bounded = |text: &String| text.len() <= MAX_LABEL_BYTES;
-    let labels = &step.labels;
-    require(
-        labels.len() <= MAX_LABELS && labels.iter().all(|(k, v)| bounded(k) && bounded(v)),
-        || {
-            format!(
-                "step {name} may ask for at most {MAX_LABELS} labels of {MAX_LABEL_BYTES} bytes"
-            )
-        },
-    )
+    require(has_valid_labels(spec), || JobError::Labels { step: step() })
+}
+
+fn has_valid_labels(spec: &StepSpec) -> bool {
+    let is_short = |text: &String| text.len() <= MAX_LABEL_BYTES;
+    let mut labels = spec.labels.iter();
+    spec.labels.len() <= MAX_LABELS && labels.all(|(key, value)| is_short(key) && is_short(value))
 }
 
-fn check_order(steps: &[StepSpec]) -> Result<(), String> {
+fn check_dependencies(steps: &[StepSpec]) -> Result<(), JobError> {
     let mut names: BTreeSet<&StepName> = BTreeSet::new();
     for step in steps {
-        require(names.insert(&step.name), || {
-            format!("two steps are named {}", step.name)
+        require(names.insert(&step.name), || JobError::DuplicateStep {
+            step: step.name.clone(),
         })?;
     }
     for step in steps {
-        let mut before = BTreeSet::new();
-        for after in &step.after {
-            require(names.contains(after), || {
-                format!(
-                    "step {} comes after {after}, which does not exist",
-                    step.name
-                )
+        let mut seen = BTreeSet::new();
+        for dependency in &step.after {
+            require(names.contains(dependency), || JobError::UnknownDependency {
+                step: step.name.clone(),
+                dependency: dependency.clone(),
             })?;
-            require(before.insert(after), || {
-                format!("step {} names {after} twice", step.name)
+            require(seen.insert(dependency), || JobError::DuplicateDependency {
+                step: step.name.clone(),
+                dependency: dependency.clone(),
             })?;
         }
     }
     check_cycle(steps)
 }
 
-/// Takes away steps whose predecessors are gone; what stays is on a cycle or
-/// behind one.
-fn check_cycle(steps: &[StepSpec]) -> Result<(), String> {
-    let mut left: Vec<&StepSpec> = steps.iter().collect();
-    let mut gone: BTreeSet<&StepName> = BTreeSet::new();
+/// Removes steps whose dependencies are removed, again and again; those that
+/// remain are on a cycle or depend on one.
+fn check_cycle(steps: &[StepSpec]) -> Result<(), JobError> {
+    let mut remaining: Vec<&StepSpec> = steps.iter().collect();
+    let mut removed: BTreeSet<&StepName> = BTreeSet::new();
     loop {
-        let (free, blocked): (Vec<_>, Vec<_>) = left
+        let (unblocked, blocked): (Vec<_>, Vec<_>) = remaining
             .into_iter()
-            .partition(|step| step.after.iter().all(|name| gone.contains(name)));
+            .partition(|step| step.after.iter().all(|name| removed.contains(name)));
         let Some(first) = blocked.first() else {
             return Ok(());
         };
-        require(!free.is_empty(), || {
-            format!("step {} waits for itself through a cycle", first.name)
+        require(!unblocked.is_empty(), || JobError::DependencyCycle {
+            step: first.name.clone(),
         })?;
-        gone.extend(free.into_iter().map(|step| &step.name));
-        left = blocked;
+        removed.extend(unblocked.into_iter().map(|step| &step.name));
+        remaining = blocked;
     }
 }
 
-fn check_capacity(spec: &JobSpec, document: &ClusterConfiguration) -> Result<(), String> {
+fn check_capacity(spec: &JobSpec, document: &ClusterConfiguration) -> Result<(), JobError> {
     let queue = document.queues.get(&spec.queue);
     let pool = queue.and_then(|queue| document.pools.get(&queue.pool));
     let largest = pool.map_or(Resources::ZERO, |pool| pool.largest_runner);
     let tenant = document.tenants.get(&spec.tenant);
     let resource_limit = tenant.map_or(Resources::ZERO, |tenant| tenant.resource_limit);
     for step in &spec.steps {
-        let name = &step.name;
         if let Some(licence) = &step.rules.licence {
             require(document.licences.contains_key(licence), || {
-                format!("step {name} needs the licence {licence}, which does not exist")
+                JobError::UnknownLicence {
+                    step: step.name.clone(),
+                    licence: licence.clone(),
+                }
             })?;
         }
         require(step.resources.fits_in(&largest), || {
-            format!(
-                "a task of step {name} fits on no runner of queue {}",
-                spec.queue
-            )
+            JobError::LargerThanRunner {
+                step: step.name.clone(),
+                queue: spec.queue.clone(),
+            }
         })?;
         require(step.resources.fits_in(&resource_limit), || {
-            format!(
-                "a task of step {name} exceeds the ceiling of tenant {}",
-                spec.tenant
-            )
+            JobError::AboveResourceLimit {
+                step: step.name.clone(),
+                tenant: spec.tenant.clone(),
+            }
         })?;
     }
     Ok(())
--- a/crates/state_machine/src/state/usage.rs
+++ b/crates/state_machine/src/state/usage.rs
@@ -1,9 +1,9 @@
-//! Sums of what open runs hold. Wider than [`Resources`], so that adding and
-//! taking away always meet again.
+//! Sums of the resources of open runs. They are wider than [`Resources`], so that
+//! what was added can be subtracted exactly.
 
 use types::Resources;
 
-/// Sum over many runs.
+/// Sum of the resources of open runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct Usage {
     slots: u64,
@@ -24,7 +24,7 @@
 }
 
 impl Usage {
-    /// With one more run.
+    /// Returns the sum with one more run.
     pub fn plus(self, amount: Resources) -> Self {
         let other = Self::from(amount);
         Self {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// With one run less.
+    /// Returns the sum without one of its runs.
     pub fn minus(self, amount: Resources) -> Self {
         let other = Self::from(amount);
         Self {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Returns whether at most `resource_limit` in every kind.
+    /// Returns whether the sum is within `resource_limit` in every kind of resource.
     pub fn fits_in(self, resource_limit: Resources) -> bool {
         let resource_limit = Self::from(resource_limit);
         self.slots <= resource_limit.slots
@@ -55,7 +55,7 @@
             && self.gpus <= resource_limit.gpus
     }
 
-    /// As an amount, held at the largest value.
+    /// Returns the sum as resources, saturated at the largest value.
     pub fn amount(self) -> Resources {
         let narrow = |value: u64| u32::try_from(value).unwrap_or(u32::MAX);
         Resources {
--- a/crates/state_machine/tests/gangs.rs
+++ b/crates/state_machine/tests/gangs.rs
@@ -45,7 +45,7 @@
 
 fn useless_in(changes: &[Change]) -> Vec<RunId> {
     let useless = changes.iter().filter_map(|change| match change {
-        Change::RunsUseless(runs) => Some(runs.clone()),
+        Change::RunsObsolete(runs) => Some(runs.clone()),
         _ => None,
     });
     useless.flatten().collect()
--- a/crates/state_machine/tests/golden_snapshot.rs
+++ b/crates/state_machine/tests/golden_snapshot.rs
@@ -494,7 +494,7 @@
     driver.state_machine = restored();
     let lost = (0..=driver.last_run)
         .map(run_id)
-        .filter(|run| driver.state_machine.awaits_late_end(*run))
+        .filter(|run| driver.state_machine.awaits_late_report(*run))
         .collect::<Vec<_>>();
     assert_eq!(lost.len(), 1);
     driver.close(lost[0], DONE);
--- a/crates/state_machine/tests/properties/world.rs
+++ b/crates/state_machine/tests/properties/world.rs
@@ -62,7 +62,7 @@
 
     fn note(&mut self, change: &Change) {
         match change {
-            Change::RunsUseless(_) => {}
+            Change::RunsObsolete(_) => {}
             Change::TaskReady(meta) => {
                 self.copies.insert(meta.task, meta.max_copies);
                 assert!(self.ready.insert(meta.task, meta.clone()).is_none());
@@ -188,12 +188,12 @@
     /// that once.
     fn close_again(&mut self, run: RunId, close: &RunClose) {
         let is_end = matches!(close, RunClose::Ended(_));
-        if is_end && self.first.awaits_late_end(run) {
+        if is_end && self.first.awaits_late_report(run) {
             let open_runs = self.first.open_runs();
             self.close(run, close);
             assert!(self.first.is_closed(run));
             assert_eq!(self.first.open_runs(), open_runs, "it opens nothing");
-            assert!(!self.first.awaits_late_end(run));
+            assert!(!self.first.awaits_late_report(run));
         }
         let before = self.first.clone();
         self.close(run, close);
--- a/crates/state_machine/tests/runs.rs
+++ b/crates/state_machine/tests/runs.rs
@@ -110,11 +110,11 @@
     let runs = tasks.map(|task| driver.reserve(task).unwrap());
     for run in runs {
         driver.close(run, RunClose::Lost);
-        assert!(driver.state_machine.awaits_late_end(run));
+        assert!(driver.state_machine.awaits_late_report(run));
     }
     let changes = driver.close(runs[0], RunClose::Ended(Outcome::Done));
     assert_eq!(ended_in(&changes), [(tasks[0], vec![])]);
-    assert!(!driver.state_machine.awaits_late_end(runs[0]));
+    assert!(!driver.state_machine.awaits_late_report(runs[0]));
     driver.close(runs[1], failed());
     assert_eq!(driver.view("j").steps[0].failed_runs, 1);
     // Told twice, it changes nothing more.
@@ -139,7 +139,7 @@
     let (mut driver, lost, second) = with_lost_run(1);
     let changes = driver.close(lost, DONE);
     assert_eq!(ended_in(&changes), [(task(1, 0, 0), vec![second])]);
-    assert!(!driver.state_machine.awaits_late_end(lost));
+    assert!(!driver.state_machine.awaits_late_report(lost));
     assert_eq!(driver.view("j").state, JobState::Done);
 
     driver.close(second, failed());
--- a/crates/state_machine/tests/submit.rs
+++ b/crates/state_machine/tests/submit.rs
@@ -120,8 +120,8 @@
         let mut spec = job("j", vec![step("s", 1, &[]), step("t", 1, &["s"])]);
         rule(&mut spec);
         match driver.submit(spec).reply {
-            CommandReply::Rejected(CommandRejection::InvalidJob { problem }) => {
-                assert!(problem.contains(text), "{problem:?} lacks {text:?}");
+            CommandReply::Rejected(CommandRejection::InvalidJob { error }) => {
+                assert!(error.contains(text), "{error:?} lacks {text:?}");
             }
             other => panic!("{text}: {other:?}"),
         }
--- /dev/null
+++ b/crates/state_machine/tests/submit_messages.rs
@@ -0,0 +1,93 @@
+//! The full messages that callers get for jobs that can never succeed.
+
+mod support;
+
+use state_machine::CommandReply;
+use support::*;
+use types::{JobSpec, Labels, LicenceName, Milliseconds};
+
+/// Returns the message with which a job of the steps `s` and, after it, `t` is
+/// rejected once `change` has made it invalid.
+fn message(change: impl FnOnce(&mut JobSpec)) -> String {
+    let mut spec = job("j", vec![step("s", 1, &[]), step("t", 1, &["s"])]);
+    change(&mut spec);
+    match Driver::new().submit(spec).reply {
+        CommandReply::Rejected(rejection) => rejection.to_string(),
+        other => panic!("{other:?}"),
+    }
+}
+
+#[test]
+fn messages_on_the_size_of_a_job() {
+    let none = message(|job| job.steps.clear());
+    assert_eq!(none, "a job has 1 to 1024 steps, this one has 0");
+    let tasks = message(|job| job.steps[0].tasks = 10_000);
+    assert_eq!(tasks, "a job has at most 10000 tasks, this one has 10001");
+}
+
+#[test]
+fn messages_on_a_step() {
+    let tasks = message(|job| job.steps[0].tasks = 0);
+    assert_eq!(tasks, "step s has no tasks");
+    let copies = message(|job| job.steps[0].max_copies = 9);
+    assert_eq!(copies, "step s must allow 1 to 8 copies");
+    let failures = message(|job| job.steps[0].allowed_failures = 101);
+    assert_eq!(failures, "step s may allow at most 100 failures");
+    let gang = message(|job| {
+        job.steps[0].rules.gang = true;
+        job.steps[0].max_copies = 2;
+    });
+    let expected = "step s is a gang, so its tasks have one copy each";
+    assert_eq!(gang, expected);
+    let nowhere = message(|job| job.steps[0].rules.max_per_runner = Some(0));
+    let expected = "step s may run nowhere: max_per_runner must be at least 1";
+    assert_eq!(nowhere, expected);
+    let slots = message(|job| job.steps[0].resources.slots = 0);
+    assert_eq!(slots, "a task of step s needs at least one slot");
+    let payload = message(|job| job.steps[0].payload = "x".repeat(65_537));
+    assert_eq!(payload, "the payload of step s is longer than 65536 bytes");
+    let labels = message(|job| {
+        job.steps[0].labels = Labels::from([("k".to_owned(), "v".repeat(129))]);
+    });
+    let expected = "step s may ask for at most 32 labels of 128 bytes";
+    assert_eq!(labels, expected);
+}
+
+#[test]
+fn message_on_the_time_limit() {
+    let max = Milliseconds(604_800_000);
+    for limit in [0, max.0 + 1] {
+        let message = message(|job| job.steps[0].time_limit = Milliseconds(limit));
+        let expected = format!("the time limit of step s must be 1 ms to {max}");
+        assert_eq!(message, expected);
+    }
+}
+
+#[test]
+fn messages_on_the_order_of_steps() {
+    let same = message(|job| job.steps[1].name = step_name("s"));
+    assert_eq!(same, "two steps are named s");
+    let unknown = message(|job| job.steps[1].after = vec![step_name("none")]);
+    let expected = "step t comes after none, which does not exist";
+    assert_eq!(unknown, expected);
+    let twice = message(|job| job.steps[1].after = vec![step_name("s"); 2]);
+    assert_eq!(twice, "step t names s twice");
+    let cycle = message(|job| job.steps[0].after = vec![step_name("t")]);
+    assert_eq!(cycle, "step s waits for itself through a cycle");
+}
+
+#[test]
+fn messages_on_what_the_configuration_lacks() {
+    let licence = message(|job| {
+        job.steps[0].rules.licence = Some(LicenceName::new("l").unwrap());
+    });
+    let expected = "step s needs the licence l, which does not exist";
+    assert_eq!(licence, expected);
+    let runner = message(|job| job.steps[0].resources = slots(5));
+    assert_eq!(runner, "a task of step s fits on no runner of queue q");
+    let limit = message(|job| {
+        job.tenant = tenant("b");
+        job.steps[0].resources = slots(3);
+    });
+    assert_eq!(limit, "a task of step s exceeds the ceiling of tenant b");
+}
