--- a/crates/coordinator/src/leader/applied_entries.rs
+++ b/crates/coordinator/src/leader/applied_entries.rs
@@ -121,7 +121,7 @@
                     self.runs.request_stop(run.run);
                 }
             }
-            Change::RunsUseless(runs) => {
+            Change::RunsObsolete(runs) => {
                 for run in runs {
                     self.runs.request_stop(run);
                 }
--- a/crates/coordinator/src/leader/heartbeats.rs
+++ b/crates/coordinator/src/leader/heartbeats.rs
@@ -148,7 +148,7 @@
         let late = report
             .ended
             .iter()
-            .filter(|ended| state_machine.awaits_late_end(ended.run));
+            .filter(|ended| state_machine.awaits_late_report(ended.run));
         for ended in late {
             self.proposals.add_close(ClosedRun {
                 run: ended.run,
@@ -166,7 +166,7 @@
         report: &RunnerReport,
     ) {
         let is_closed = |run: &RunId| state_machine.open_run(*run).is_none();
-        let is_recorded = |run: &RunId| is_closed(run) && !state_machine.awaits_late_end(*run);
+        let is_recorded = |run: &RunId| is_closed(run) && !state_machine.awaits_late_report(*run);
         let ended = report.ended.iter().map(|ended| ended.run);
         let active = report.active.iter().map(|active| active.run);
         let stop: BTreeSet<RunId> = active.filter(is_closed).collect();
