--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,11 +1,14 @@
-//! The daemons' clocks, read by their shells and handed to the cores.
+//! The clocks of the machine, which shells read and pass to the cores.
 
 use nix::time::{ClockId, clock_gettime};
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use types::{Monotonic, Now, WallTime};
 
-/// Both clocks. The monotonic one counts through a freeze of the machine.
+/// Reads the monotonic clock and the wall clock, in milliseconds.
+///
+/// The monotonic clock is `CLOCK_BOOTTIME`, which also counts the time during
+/// which the machine is suspended.
 pub fn now() -> Now {
     Now {
         monotonic: Monotonic(milliseconds(monotonic())),
@@ -14,8 +17,8 @@
 }
 
 fn monotonic() -> Duration {
-    // Where the kernel rejects the boot clock, time since the first call does
-    // for everything but a freeze.
+    // The fallback, for a kernel without the boot clock, does not count the
+    // time during which the machine is suspended.
     static START: OnceLock<Instant> = OnceLock::new();
     read(ClockId::CLOCK_BOOTTIME).unwrap_or_else(|| START.get_or_init(Instant::now).elapsed())
 }
@@ -26,7 +29,7 @@
         .unwrap_or_default()
 }
 
-/// A clock's reading; none on an error or before its zero.
+/// Reads a clock. Returns `None` on an error, or when its time is negative.
 fn read(clock: ClockId) -> Option<Duration> {
     let time = clock_gettime(clock).ok()?;
     let seconds = u64::try_from(time.tv_sec()).ok()?;
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,25 +1,29 @@
-//! Messages between daemons and the framed, authenticated transport that
+//! Messages between daemons, and the framed, authenticated TCP transport that
 //! carries them.
 //!
 //! Every message between processes is a variant of [`PeerMessage`]. The
-//! transport promises little on purpose: a message arrives at most once a
-//! send, or not at all, in any order over reconnects. The cores above live
-//! with loss; the simulation gives them the same.
+//! transport guarantees at-most-once delivery and nothing more: a message may be
+//! lost, and messages may be reordered when a connection is re-established. The
+//! cores handle both, and the simulation tests them with the same guarantees.
 
 pub mod clock;
+pub mod decision;
+pub mod membership;
 pub mod message;
-pub mod relay;
+pub mod reply;
 pub mod request;
+pub mod runner;
+pub mod session;
 pub mod tcp;
+pub mod view;
 
-pub use message::{
-    AgentReport, Bootstrap, Envelope, KeepAlive, Members, NamedRun, OrderResult, PeerMessage,
-    RunnerUpdate, SessionLease,
-};
-pub use relay::Relay;
-pub use request::{
-    DecisionEntry, DecisionEvent, JobFilter, LicenceView, MemberView, Operation, OperationReply,
-    QueueView, Rejection, RejectionCode, Reply, Request, RequestId, TenantView,
-};
+pub use decision::{DecisionEntry, DecisionEvent};
+pub use membership::{Bootstrap, Members};
+pub use message::{Envelope, PeerMessage, Relay};
+pub use reply::{OperationReply, Rejection, RejectionCode};
+pub use request::{JobFilter, Operation, Reply, Request, RequestId};
+pub use runner::{AgentReport, NamedRun, OrderResult, RunnerUpdate};
+pub use session::{KeepAlive, SessionLease};
 pub use tcp::inbox::{Arrival, Inbox, Lane};
 pub use tcp::{ClusterKey, PROTOCOL_VERSION, Transport, TransportError, TransportOptions};
+pub use view::{LicenceView, MemberView, QueueView, TenantView};
--- a/crates/transport/src/message.rs
+++ b/crates/transport/src/message.rs
@@ -1,87 +1,102 @@
-//! Every message between daemons.
+//! The messages that daemons send each other.
+//!
+//! Postcard numbers variants and fields by their order here, so neither may
+//! move; a change of either needs a new [`PROTOCOL_VERSION`](crate::PROTOCOL_VERSION).
 
-use crate::{Relay, Reply, Request};
+use crate::membership::{Bootstrap, Members};
+use crate::request::{Reply, Request};
+use crate::runner::{AgentReport, OrderResult, RunnerUpdate};
+use crate::session::{KeepAlive, SessionLease};
 use configuration::ClusterConfiguration;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
-use types::{
-    Address, ClusterId, ConfigurationVersion, HeartbeatSequence, Milliseconds, NodeId, OrderAnswer,
-    RunId, RunName, RunnerId, RunnerIncarnation, RunnerOrder, RunnerReport, Term,
-};
+use types::{Address, ClusterId, ConfigurationVersion, NodeId, RunnerOrder, Term};
 
-/// A message with its sender, as a core receives it.
+/// A received message with its sender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The sender; answers go to its socket.
+    /// The sender. Answers go to its socket.
     pub from: Address,
-    /// The member that relayed it, if it came by one; answers go back by it.
+    /// The member that relayed the message, if one did. Answers go back through
+    /// the same member.
     pub via: Option<SocketAddr>,
     /// The message.
     pub body: PeerMessage,
 }
 
-/// A message between daemons.
+/// A message between two daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Who is there? Any role answers with [`PeerMessage::Members`].
+    /// Asks a daemon of any role for the members that it knows. Sent to seeds
+    /// by a daemon that looks for its cluster; answered with
+    /// [`PeerMessage::Members`].
     Discover,
-    /// The sender's member view.
+    /// The members that the sender knows, in answer to
+    /// [`PeerMessage::Discover`].
     Members(Members),
-    /// First start of a cluster.
+    /// A step of the first start of a cluster, between its initial coordinators.
     Bootstrap(Bootstrap),
-    /// Consensus traffic of one cluster.
+    /// A Raft message from one coordinator of a cluster to another.
     Raft {
-        /// The cluster; others drop it.
+        /// Cluster of the sender. A coordinator of another cluster drops the
+        /// message.
         cluster: ClusterId,
-        /// The receiver meant; a process with another identity drops it.
+        /// Process that the message is meant for. Another process at the same
+        /// socket drops it.
         to: NodeId,
-        /// The message.
+        /// The Raft message.
         message: consensus::Message,
     },
-    /// Opens and renews a session with the leader.
+    /// Opens or renews a session, from any daemon to the leader.
     KeepAlive(KeepAlive),
     /// The leader's answer to a keep-alive.
     Lease(SessionLease),
-    /// Answer to a keep-alive or request by a coordinator that does not lead.
+    /// Answers a keep-alive or a request sent to a coordinator that is not the
+    /// leader.
     NotLeader {
-        /// The leader it knows.
+        /// Leader that this coordinator knows of, if any.
         leader: Option<Address>,
     },
-    /// A whole configuration, from the leader to a replica that is behind.
+    /// A whole configuration, from the leader to a daemon whose replica is
+    /// behind.
     Configuration {
-        /// Its version.
+        /// Version of the document.
         version: ConfigurationVersion,
         /// The document.
         document: ClusterConfiguration,
     },
     /// A caller's or operator's request, from a gateway to the leader.
     Request(Request),
-    /// Its final answer.
+    /// The final answer to a request, from the leader to the gateway.
     Reply(Reply),
-    /// What an agent's runners reported, to the leader.
+    /// Heartbeats of an agent's runners, from the agent to the leader.
     AgentReport(AgentReport),
-    /// The leader's answers to heartbeats of one runner.
+    /// The leader's answer to the heartbeats of one runner, to its agent.
     RunnerUpdate(RunnerUpdate),
-    /// Orders, from the leader to an agent.
+    /// Orders for runners, from the leader to their agent.
     Orders {
-        /// The leader's term.
+        /// Term of the leader. An agent that has seen a higher one rejects the
+        /// orders.
         term: Term,
-        /// The agent process meant; a restarted one drops them.
+        /// Agent process that the orders are meant for. An agent that has
+        /// restarted since drops them.
         agent: NodeId,
         /// The orders.
         orders: Vec<RunnerOrder>,
     },
-    /// What became of orders, from an agent to the leader.
+    /// Results of orders, from an agent to the leader.
     OrderResults {
-        /// The results.
+        /// One result for each order.
         results: Vec<OrderResult>,
     },
-    /// A message for a member the sender cannot reach itself.
+    /// A message that another member passes on, for a receiver that the sender
+    /// cannot reach itself.
     Relay(Relay),
 }
 
 impl PeerMessage {
-    /// Its kind, as metrics name it.
+    /// Returns the value of the `kind` label under which metrics count the
+    /// message.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Discover => "discover",
@@ -103,122 +118,55 @@
     }
 }
 
-/// A member view.
+/// A message passed on by a member that reaches both its sender and its
+/// receiver.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Members {
-    /// Members known alive, the sender included.
-    pub members: Vec<Address>,
-    /// The leader, if one is known.
-    pub leader: Option<Address>,
-    /// Term of that leader.
-    pub term: Term,
-    /// The cluster, if the sender belongs to one.
-    pub cluster: Option<ClusterId>,
+pub struct Relay {
+    /// Sender of the message.
+    pub origin: Address,
+    /// Socket of the receiver.
+    pub destination: SocketAddr,
+    /// The message. It is never a relay itself: encoding and decoding fail on a
+    /// nested one.
+    #[serde(with = "relay_body")]
+    pub body: Box<PeerMessage>,
 }
 
-/// First start of a cluster: all initial coordinators present and empty.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Bootstrap {
-    /// An empty coordinator says that it is there.
-    Announce {
-        /// Number of initial coordinators from its settings.
-        expected: u32,
-    },
-    /// The one with the lowest identity proposes cluster and voters.
-    Propose {
-        /// The new cluster.
-        cluster: ClusterId,
-        /// All initial coordinators.
-        voters: consensus::Membership,
-    },
-    /// The receiver has synced the proposal to its disk.
-    Accept {
-        /// The cluster meant.
-        cluster: ClusterId,
-    },
-}
+/// Encoding of a relayed message, as a byte string of its own.
+///
+/// The decoder rejects a nested relay by the variant number that the bytes
+/// begin with, before it decodes them. Its recursion is therefore at most one
+/// deep, whatever a peer sends.
+mod relay_body {
+    use super::PeerMessage;
+    use bytes::Bytes;
+    use serde::{Deserialize, Deserializer, Serializer, de, ser};
 
-/// Opens and renews a session with the leader. Gateways, agents and
-/// coordinators that are no members yet send it every session interval. Members
-/// send it too, to report the configuration they have applied.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeepAlive {
-    /// Rises with every keep-alive of one process; echoed in the lease.
-    pub sequence: u64,
-    /// Version of the sender's configuration replica, or of its record.
-    pub configuration: ConfigurationVersion,
-    /// Runners an agent serves.
-    pub runners: Vec<RunnerId>,
-    /// True for a process that is about to stop.
-    pub leaving: bool,
-    /// The cluster the sender belongs to; an empty coordinator has none.
-    pub cluster: Option<ClusterId>,
-}
-
-/// The leader's answer to a keep-alive, given only under its own lease.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SessionLease {
-    /// The leader's term.
-    pub term: Term,
-    /// The leader.
-    pub leader: Address,
-    /// The cluster.
-    pub cluster: ClusterId,
-    /// Echo of the keep-alive: the lease counts from when that was sent.
-    pub sequence: u64,
-    /// Length of the lease.
-    pub lease: Milliseconds,
-    /// Version in force; the document follows if the replica is behind.
-    pub configuration: ConfigurationVersion,
-    /// Live coordinators.
-    pub coordinators: Vec<Address>,
-    /// Live gateways and agents, told now and then; none says nothing.
-    pub others: Vec<Address>,
-}
+    /// Number of [`PeerMessage::Relay`] among the variants of its enum.
+    const RELAY_VARIANT: u32 = 14;
+    const NESTED_RELAY: &str = "a relay inside a relay";
 
-/// Heartbeats of an agent's runners.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AgentReport {
-    /// The newest heartbeat of each runner that has a new one.
-    pub reports: Vec<RunnerReport>,
-}
-
-/// The leader's answer to the heartbeats of one runner.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunnerUpdate {
-    /// The leader's term.
-    pub term: Term,
-    /// The runner.
-    pub runner: RunnerId,
-    /// The incarnation meant.
-    pub incarnation: RunnerIncarnation,
-    /// Heartbeat received; the run lease counts from when it was sent.
-    pub confirmed: HeartbeatSequence,
-    /// Length of the run lease.
-    pub lease: Milliseconds,
-    /// Ended runs that the record has: the runner may drop them.
-    pub recorded: Vec<RunId>,
-    /// Held runs that the record closed: the runner must stop them.
-    pub stop: Vec<RunId>,
-    /// Answers to the runs the agent could not name.
-    pub names: Vec<NamedRun>,
-}
-
-/// A run that an agent could not name, and its identifier.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamedRun {
-    /// As the agent told of it.
-    pub name: RunName,
-    /// Its identifier; none when the record has no such run open, and the
-    /// runner is to stop and forget it.
-    pub run: Option<RunId>,
-}
+    pub(super) fn serialize<S: Serializer>(
+        body: &PeerMessage,
+        serializer: S,
+    ) -> Result<S::Ok, S::Error> {
+        if matches!(body, PeerMessage::Relay(_)) {
+            return Err(ser::Error::custom(NESTED_RELAY));
+        }
+        let bytes = postcard::to_stdvec(body).map_err(ser::Error::custom)?;
+        serializer.serialize_bytes(&bytes)
+    }
 
-/// What became of one order.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OrderResult {
-    /// The order, in short.
-    pub order: RunnerOrder,
-    /// What the runner said, or that it said nothing.
-    pub answer: OrderAnswer,
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(
+        deserializer: D,
+    ) -> Result<Box<PeerMessage>, D::Error> {
+        let bytes = Bytes::deserialize(deserializer)?;
+        let (variant, _) = postcard::take_from_bytes::<u32>(&bytes).map_err(de::Error::custom)?;
+        if variant == RELAY_VARIANT {
+            return Err(de::Error::custom(NESTED_RELAY));
+        }
+        postcard::from_bytes(&bytes)
+            .map(Box::new)
+            .map_err(de::Error::custom)
+    }
 }
--- a/crates/transport/src/tcp/connection.rs
+++ b/crates/transport/src/tcp/connection.rs
@@ -1,7 +1,7 @@
-//! Timings of connections, and the dialling of one.
+//! Establishing connections, and the timeouts that apply to them.
 
 use super::Context;
-use super::handshake::{self, HandshakeError, Proven};
+use super::handshake::{self, Authenticated, HandshakeError};
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,45 +9,49 @@
 use tokio::time::timeout;
 use types::Milliseconds;
 
-/// Longest wait for a connection at the first dial; a cut link or a machine
-/// that is not up yet answers nothing, and what was sent to it is lost.
+/// Connect timeout of the first attempt. A cut link, or a machine that is still
+/// starting, answers nothing, so that a retry succeeds sooner than a longer wait.
 pub(super) const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// The wait doubles with each dial up to this, for links that take long.
-pub(super) const LAST_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest handshake, at both ends.
+/// Maximum connect timeout. The timeout doubles with each attempt up to this, for
+/// links with a high latency.
+pub(super) const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum duration of a handshake, at both ends.
 pub(super) const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for room to write.
+/// Maximum duration of one write.
 pub(super) const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often the listening end acknowledges what it read.
+/// Interval at which the listening end acknowledges the frames that it has read.
 pub(super) const ACKNOWLEDGE_INTERVAL: Duration = Duration::from_millis(500);
-/// A connection on which nothing sent is acknowledged for so long is dead.
+/// Maximum time without progress of the acknowledgements while frames are
+/// unacknowledged. The dialling end closes the connection afterwards.
 pub(super) const ACKNOWLEDGE_TIMEOUT: Milliseconds = Milliseconds(2_500);
-/// The dialling end closes a connection that has carried nothing for so long.
+/// Time without a message after which the dialling end closes the connection.
 pub(super) const IDLE_TIMEOUT: Milliseconds = Milliseconds(30_000);
-/// The listening end gives up later, when the dialling end must be gone.
-pub(super) const ABANDONED_TIMEOUT: Duration = Duration::from_secs(90);
+/// Time without a frame after which the listening end closes the connection. It
+/// exceeds [`IDLE_TIMEOUT`], so that it applies only when the dialling end is gone.
+pub(super) const READ_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// Connects from the listener's IP within `timeout`, and proves both ends.
+/// Connects to `to` from the IP of the listener within `timeout`, and performs the
+/// handshake.
 pub(super) async fn dial(
     context: &Context,
     to: SocketAddr,
     timeout: Duration,
-) -> Result<(TcpStream, Proven), HandshakeError> {
+) -> Result<(TcpStream, Authenticated), HandshakeError> {
     let connecting = connect(context.options.listen, to);
     let mut stream = within(timeout, connecting).await??;
-    let shaking = handshake::dialled(&mut stream, &context.key, &context.own);
-    let proven = within(HANDSHAKE_TIMEOUT, shaking).await??;
-    Ok((stream, proven))
+    let handshake = handshake::connect(&mut stream, &context.key, &context.own);
+    let authenticated = within(HANDSHAKE_TIMEOUT, handshake).await??;
+    Ok((stream, authenticated))
 }
 
-/// Proves both ends of an accepted connection.
+/// Performs the handshake on an accepted connection.
 pub(super) async fn accept(
     context: &Context,
     stream: &mut TcpStream,
-) -> Result<Proven, HandshakeError> {
+) -> Result<Authenticated, HandshakeError> {
     stream.set_nodelay(true)?;
-    let shaking = handshake::accepted(stream, &context.key, &context.own);
-    within(HANDSHAKE_TIMEOUT, shaking).await?
+    let handshake = handshake::accept(stream, &context.key, &context.own);
+    within(HANDSHAKE_TIMEOUT, handshake).await?
 }
 
 async fn connect(listen: SocketAddr, to: SocketAddr) -> io::Result<TcpStream> {
@@ -64,7 +68,8 @@
     Ok(stream)
 }
 
-/// The future's output, or an error of the kind "timed out".
+/// Runs `work` for at most `limit`. A timeout becomes an [`io::Error`] of the kind
+/// `TimedOut`.
 pub(super) async fn within<T>(limit: Duration, work: impl Future<Output = T>) -> io::Result<T> {
     timeout(limit, work)
         .await
--- a/crates/transport/src/tcp/frame.rs
+++ b/crates/transport/src/tcp/frame.rs
@@ -1,12 +1,13 @@
-//! Sealed frames.
+//! Authenticated frames.
 //!
 //! ```text
 //! frame := length:u32 tag[16] body[length]     (little endian)
 //! ```
 //!
-//! The tag is an HMAC under the key of this connection and direction, over
-//! the frame's place in it and its body; so no frame can be changed, left
-//! out, repeated, reordered or brought in from elsewhere.
+//! The tag is a truncated HMAC, under the key of one direction of one
+//! connection, over the sequence number of the frame, its length and its body. A
+//! frame that was changed, dropped, repeated, reordered or taken from another
+//! connection therefore fails verification.
 
 use super::key::{KeyedMac, keyed};
 use hmac::Mac;
@@ -16,10 +17,10 @@
 
 const LENGTH_BYTES: usize = 4;
 const TAG_BYTES: usize = 16;
-/// Bytes of a frame besides its body.
+/// Length of a frame without its body, in bytes.
 pub(super) const OVERHEAD_BYTES: usize = LENGTH_BYTES + TAG_BYTES;
 
-/// Why a frame was not taken; the connection ends then.
+/// A failure to read a frame, after which the connection is closed.
 #[derive(Debug, Error)]
 pub(super) enum FrameError {
     #[error(transparent)]
@@ -30,23 +31,24 @@
     Forged,
 }
 
-/// One direction of a connection, at either end.
+/// The state of one direction of a connection, at either end.
 #[derive(Debug)]
 pub(super) struct Channel {
     mac: KeyedMac,
-    next: u64,
+    next_sequence: u64,
 }
 
 impl Channel {
-    /// A direction under its own key.
+    /// Creates a direction that is keyed with `secret`.
     pub fn new(secret: &[u8]) -> Self {
         Self {
             mac: keyed(secret),
-            next: 0,
+            next_sequence: 0,
         }
     }
 
-    /// Adds a sealed frame to `out`; false when the body is too long to say.
+    /// Appends a frame with this body to `out`. Returns false, and appends nothing,
+    /// if the length of the body does not fit the frame header.
     pub fn seal(&mut self, body: &[u8], out: &mut Vec<u8>) -> bool {
         let Ok(length) = u32::try_from(body.len()) else {
             return false;
@@ -58,7 +60,7 @@
         true
     }
 
-    /// Reads the next frame and verifies it.
+    /// Reads the next frame, of at most `max_bytes`, and returns its verified body.
     pub async fn read(
         &mut self,
         reader: &mut (impl AsyncRead + Unpin),
@@ -75,7 +77,7 @@
             });
         }
         let mut body = Vec::new();
-        // Grows with what arrives, not with what is announced.
+        // The buffer grows with the bytes received, not with the announced length.
         reader
             .take(u64::from(length))
             .read_to_end(&mut body)
@@ -91,10 +93,10 @@
 
     fn next_mac(&mut self, length: u32, body: &[u8]) -> KeyedMac {
         let mut mac = self.mac.clone();
-        mac.update(&self.next.to_le_bytes());
+        mac.update(&self.next_sequence.to_le_bytes());
         mac.update(&length.to_le_bytes());
         mac.update(body);
-        self.next += 1;
+        self.next_sequence += 1;
         mac
     }
 }
--- a/crates/transport/src/tcp/handshake.rs
+++ b/crates/transport/src/tcp/handshake.rs
@@ -1,4 +1,4 @@
-//! Both ends prove that they hold the cluster key.
+//! The handshake, in which both ends prove that they have the cluster key.
 //!
 //! ```text
 //! client: magic version hello(nonce, address)
@@ -7,9 +7,9 @@
 //! server: HMAC(key, "server proof", both hellos)
 //! ```
 //!
-//! The nonces are fresh, so a recorded handshake is worth nothing; the labels
-//! differ, so a proof can't be sent back to where it came from. The server
-//! proves last: a stranger learns nothing that the key went into.
+//! Fresh nonces prevent replay, and the different labels prevent reflection of a
+//! proof to its sender. The server proves last, so a client without the key
+//! receives nothing that was computed with it.
 
 use super::frame::Channel;
 use super::key::{ClusterKey, MAC_BYTES, labelled};
@@ -20,35 +20,37 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use types::Address;
 
-/// Version of handshake, frames and messages. Daemons of different versions
-/// don't talk.
+/// Version of the handshake, the frames and the messages.
+///
+/// Daemons of different versions reject each other's connections.
 pub const PROTOCOL_VERSION: u32 = 3;
 
 const MAGIC: [u8; 4] = *b"CYPD";
 const NONCE_BYTES: usize = 32;
-/// Longest hello; an address is far shorter.
+/// Maximum length of an encoded hello in bytes. An address is far shorter.
 const MAX_HELLO_BYTES: usize = 1024;
 
 const CLIENT_PROOF: &str = "client proof";
 const SERVER_PROOF: &str = "server proof";
 const CLIENT_FRAMES: &str = "client frames";
+const SESSION_KEY: &str = "session";
 const SERVER_FRAMES: &str = "server frames";
 
-/// Why two daemons do not talk.
+/// A handshake that failed.
 #[derive(Debug, Error)]
 pub(super) enum HandshakeError {
     #[error(transparent)]
     Closed(#[from] io::Error),
     #[error("the other end speaks another protocol")]
-    Stranger,
+    UnknownProtocol,
     #[error("the other end speaks protocol version {theirs}, this daemon {PROTOCOL_VERSION}")]
-    Version { theirs: u32 },
+    VersionMismatch { theirs: u32 },
     #[error("the other end's hello makes no sense")]
-    Hello,
+    InvalidHello,
     #[error("the other end does not hold the cluster key")]
     WrongKey,
     #[error("the other end broke off, perhaps since it holds another cluster key")]
-    BrokenOff,
+    Aborted,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -57,47 +59,47 @@
     address: Address,
 }
 
-/// A connection whose two ends have proved themselves.
+/// An authenticated connection: its peer, and a frame channel for each direction.
 #[derive(Debug)]
-pub(super) struct Proven {
-    /// The other end.
+pub(super) struct Authenticated {
+    /// Address that the peer named in its hello.
     pub peer: Address,
-    /// From the daemon that dialled.
+    /// Frames from the dialling end to the listening end.
     pub client_frames: Channel,
-    /// From the daemon that listened.
+    /// Frames from the listening end to the dialling end.
     pub server_frames: Channel,
 }
 
-/// The dialling end.
-pub(super) async fn dialled(
+/// Performs the handshake of the dialling end.
+pub(super) async fn connect(
     stream: &mut (impl AsyncRead + AsyncWrite + Unpin),
     key: &ClusterKey,
     own: &Address,
-) -> Result<Proven, HandshakeError> {
+) -> Result<Authenticated, HandshakeError> {
     let client_hello = encode_hello(own)?;
     write_hello(stream, &client_hello).await?;
     let server_hello = read_hello(stream).await?;
     let transcript = Transcript::new(key, &client_hello, &server_hello);
     stream.write_all(&transcript.proof(CLIENT_PROOF)).await?;
     match transcript.check_proof(stream, SERVER_PROOF).await {
-        Err(HandshakeError::Closed(_)) => return Err(HandshakeError::BrokenOff),
+        Err(HandshakeError::Closed(_)) => return Err(HandshakeError::Aborted),
         result => result?,
     }
-    transcript.proven(&server_hello)
+    transcript.authenticated(&server_hello)
 }
 
-/// The listening end.
-pub(super) async fn accepted(
+/// Performs the handshake of the listening end.
+pub(super) async fn accept(
     stream: &mut (impl AsyncRead + AsyncWrite + Unpin),
     key: &ClusterKey,
     own: &Address,
-) -> Result<Proven, HandshakeError> {
+) -> Result<Authenticated, HandshakeError> {
     let server_hello = encode_hello(own)?;
     let client_hello = match read_hello(stream).await {
-        Err(HandshakeError::Version { theirs }) => {
-            // Lets the other end log the versions as well.
+        Err(HandshakeError::VersionMismatch { theirs }) => {
+            // Tells the peer this version, so that it can log both.
             write_hello(stream, &server_hello).await?;
-            return Err(HandshakeError::Version { theirs });
+            return Err(HandshakeError::VersionMismatch { theirs });
         }
         result => result?,
     };
@@ -105,10 +107,10 @@
     let transcript = Transcript::new(key, &client_hello, &server_hello);
     transcript.check_proof(stream, CLIENT_PROOF).await?;
     stream.write_all(&transcript.proof(SERVER_PROOF)).await?;
-    transcript.proven(&client_hello)
+    transcript.authenticated(&client_hello)
 }
 
-/// Both hellos, under the cluster key.
+/// Both hellos of a handshake, over which the proofs and session keys are computed.
 struct Transcript<'a> {
     key: &'a ClusterKey,
     bytes: Vec<u8>,
@@ -143,15 +145,16 @@
             .map_err(|_| HandshakeError::WrongKey)
     }
 
-    /// The connection's own keys, and the peer that its hello names.
-    fn proven(&self, peer_hello: &[u8]) -> Result<Proven, HandshakeError> {
-        let hello: Hello = postcard::from_bytes(peer_hello).map_err(|_| HandshakeError::Hello)?;
-        let session = self.proof("session");
+    /// Derives the keys of the connection and decodes the hello of the peer.
+    fn authenticated(&self, peer_hello: &[u8]) -> Result<Authenticated, HandshakeError> {
+        let hello: Hello =
+            postcard::from_bytes(peer_hello).map_err(|_| HandshakeError::InvalidHello)?;
+        let session_key = self.proof(SESSION_KEY);
         let channel = |label| {
-            let secret = labelled(&session, label).finalize().into_bytes();
+            let secret = labelled(&session_key, label).finalize().into_bytes();
             Channel::new(&secret)
         };
-        Ok(Proven {
+        Ok(Authenticated {
             peer: hello.address,
             client_frames: channel(CLIENT_FRAMES),
             server_frames: channel(SERVER_FRAMES),
@@ -164,14 +167,14 @@
         nonce: rand::random(),
         address: own.clone(),
     };
-    postcard::to_stdvec(&hello).map_err(|_| HandshakeError::Hello)
+    postcard::to_stdvec(&hello).map_err(|_| HandshakeError::InvalidHello)
 }
 
 async fn write_hello(
     stream: &mut (impl AsyncWrite + Unpin),
     hello: &[u8],
 ) -> Result<(), HandshakeError> {
-    let length = u16::try_from(hello.len()).map_err(|_| HandshakeError::Hello)?;
+    let length = u16::try_from(hello.len()).map_err(|_| HandshakeError::InvalidHello)?;
     let mut bytes = MAGIC.to_vec();
     bytes.extend_from_slice(&PROTOCOL_VERSION.to_le_bytes());
     bytes.extend_from_slice(&length.to_le_bytes());
@@ -184,15 +187,15 @@
     let mut magic = [0u8; MAGIC.len()];
     stream.read_exact(&mut magic).await?;
     if magic != MAGIC {
-        return Err(HandshakeError::Stranger);
+        return Err(HandshakeError::UnknownProtocol);
     }
     let theirs = stream.read_u32_le().await?;
     if theirs != PROTOCOL_VERSION {
-        return Err(HandshakeError::Version { theirs });
+        return Err(HandshakeError::VersionMismatch { theirs });
     }
     let length = usize::from(stream.read_u16_le().await?);
     if length > MAX_HELLO_BYTES {
-        return Err(HandshakeError::Hello);
+        return Err(HandshakeError::InvalidHello);
     }
     let mut hello = vec![0u8; length];
     stream.read_exact(&mut hello).await?;
--- a/crates/transport/src/tcp/inbox.rs
+++ b/crates/transport/src/tcp/inbox.rs
@@ -1,35 +1,35 @@
-//! What has arrived and waits for the daemon's core, most pressing first.
+//! Received messages that wait for the core, in lanes of descending priority.
 //!
-//! A core that is behind for a moment must still hear who leads and who is
-//! alive, or the sessions of all that wait for it end, all come back at once,
-//! and it is further behind than before. So what keeps leases and sessions alive never
-//! waits behind the work, and neither waits behind requests, which can be sent
-//! again or rejected.
+//! A core that is overloaded for a moment must still process leases and
+//! keep-alives. Otherwise the sessions of its peers expire, all of them reconnect
+//! at once, and the overload grows. Messages that keep leases and sessions alive
+//! therefore never wait behind work, and neither waits behind requests, which can
+//! be sent again or rejected.
 
 use crate::{Envelope, PeerMessage};
 use std::time::Instant;
 use tokio::sync::mpsc;
 use types::Milliseconds;
 
-/// Envelopes held of one kind. When work or what keeps leases and sessions alive fills
-/// its places, senders wait.
-const LENGTH: usize = 1_024;
+/// Capacity of one lane, in messages. Senders wait while the lane for liveness or
+/// for work is full.
+const LANE_CAPACITY: usize = 1_024;
 
-/// How pressing a message is, most pressing first.
+/// Priority of a received message, highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lane {
     /// Elections, replication, discovery, sessions and their leases, and the
     /// configuration that they confirm.
     Liveness,
-    /// Heartbeats of runners, orders and all answers.
+    /// Heartbeats of runners, orders, and answers to either or to requests.
     Work,
     /// Requests of callers and operators.
     Requests,
 }
 
 impl Lane {
-    /// Where a message waits. One that is passed on for another daemon waits
-    /// with what it carries.
+    /// Returns the lane of a message. A relay has the lane of the message that it
+    /// carries.
     pub fn of(message: &PeerMessage) -> Self {
         match message {
             PeerMessage::Request(_) => Self::Requests,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Its name in metrics and logs.
+    /// Returns the name of the lane in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Liveness => "liveness",
@@ -60,26 +60,26 @@
     }
 }
 
-/// A message that has arrived.
+/// A received message with the time at which it was received.
 #[derive(Debug)]
 pub struct Arrival {
     /// The message with its sender.
     pub envelope: Envelope,
-    /// Where it waited.
+    /// Lane in which it waited.
     pub lane: Lane,
-    /// When it had been read off its connection.
-    since: Instant,
+    /// Time at which it was read from its connection.
+    received_at: Instant,
 }
 
 impl Arrival {
-    /// How long it has waited up to now.
+    /// Returns the time since the message was received, in milliseconds.
     pub fn waited(&self) -> Milliseconds {
-        let waited = self.since.elapsed().as_millis();
+        let waited = self.received_at.elapsed().as_millis();
         Milliseconds(u64::try_from(waited).unwrap_or(u64::MAX))
     }
 }
 
-/// The receiving end of what has arrived.
+/// The receiving end of the inbox.
 #[derive(Debug)]
 pub struct Inbox {
     liveness: mpsc::Receiver<Arrival>,
@@ -87,44 +87,45 @@
     requests: mpsc::Receiver<Arrival>,
 }
 
-/// The end that connections put messages into.
+/// The sending end of the inbox, which connections share.
 #[derive(Debug, Clone)]
-pub(super) struct Arriving {
+pub(super) struct InboxSender {
     liveness: mpsc::Sender<Arrival>,
     work: mpsc::Sender<Arrival>,
     requests: mpsc::Sender<Arrival>,
 }
 
-/// Both ends.
-pub(super) fn inbox() -> (Arriving, Inbox) {
-    let (liveness, liveness_arrived) = mpsc::channel(LENGTH);
-    let (work, work_arrived) = mpsc::channel(LENGTH);
-    let (requests, requests_arrived) = mpsc::channel(LENGTH);
-    let arriving = Arriving {
+/// Creates an empty inbox and returns both of its ends.
+pub(super) fn channel() -> (InboxSender, Inbox) {
+    let (liveness, liveness_receiver) = mpsc::channel(LANE_CAPACITY);
+    let (work, work_receiver) = mpsc::channel(LANE_CAPACITY);
+    let (requests, requests_receiver) = mpsc::channel(LANE_CAPACITY);
+    let sender = InboxSender {
         liveness,
         work,
         requests,
     };
     let inbox = Inbox {
-        liveness: liveness_arrived,
-        work: work_arrived,
-        requests: requests_arrived,
+        liveness: liveness_receiver,
+        work: work_receiver,
+        requests: requests_receiver,
     };
-    (arriving, inbox)
+    (sender, inbox)
 }
 
-impl Arriving {
-    /// Puts a message in. A request for which there is no place is dropped: the
-    /// connection that it came by must go on, and its gateway sends it again.
+impl InboxSender {
+    /// Adds a message. Waits while its lane is full, except that a request is
+    /// dropped then: its gateway sends it again, and the connection must continue
+    /// to carry messages of the other lanes.
     pub(super) async fn put(&self, envelope: Envelope) {
         let lane = Lane::of(&envelope.body);
         let arrival = Arrival {
             envelope,
             lane,
-            since: Instant::now(),
+            received_at: Instant::now(),
         };
-        // An error means that the daemon listens no more, and is about to end,
-        // or that a request found no place.
+        // An error means that the daemon is about to stop, or that the lane for
+        // requests is full.
         match lane {
             Lane::Liveness => drop(self.liveness.send(arrival).await),
             Lane::Work => drop(self.work.send(arrival).await),
@@ -138,14 +139,14 @@
 }
 
 impl Inbox {
-    /// The most pressing message alone; see [`Inbox::arrival`].
+    /// Receives the next message without its lane; see [`Inbox::arrival`].
     pub async fn recv(&mut self) -> Option<Envelope> {
         let arrival = self.arrival().await?;
         Some(arrival.envelope)
     }
 
-    /// The most pressing message; waits for one. None when the transport has
-    /// ended.
+    /// Waits for a message and returns the one of the highest priority. Returns
+    /// `None` when the transport has stopped.
     pub async fn arrival(&mut self) -> Option<Arrival> {
         tokio::select! {
             biased;
@@ -156,13 +157,14 @@
         }
     }
 
-    /// The most pressing message, if one is there.
+    /// Returns the message of the highest priority without waiting, or `None` if
+    /// there is no message.
     pub fn try_arrival(&mut self) -> Option<Arrival> {
-        let pressing = self.liveness.try_recv().or_else(|_| self.work.try_recv());
-        pressing.or_else(|_| self.requests.try_recv()).ok()
+        let urgent = self.liveness.try_recv().or_else(|_| self.work.try_recv());
+        urgent.or_else(|_| self.requests.try_recv()).ok()
     }
 
-    /// Messages that wait in a lane.
+    /// Returns the number of messages that wait in a lane.
     pub fn waiting(&self, lane: Lane) -> usize {
         match lane {
             Lane::Liveness => self.liveness.len(),
--- a/crates/transport/src/tcp/incoming.rs
+++ b/crates/transport/src/tcp/incoming.rs
@@ -1,10 +1,10 @@
-//! The listening end: takes connections and turns their frames into
-//! envelopes.
+//! The listening end: accepts connections and delivers the messages of their
+//! frames to the inbox.
 
-use super::connection::{ABANDONED_TIMEOUT, ACKNOWLEDGE_INTERVAL, WRITE_TIMEOUT, accept, within};
+use super::connection::{ACKNOWLEDGE_INTERVAL, READ_TIMEOUT, WRITE_TIMEOUT, accept, within};
 use super::frame::{Channel, FrameError};
-use super::handshake::{HandshakeError, Proven};
-use super::inbox::Arriving;
+use super::handshake::{Authenticated, HandshakeError};
+use super::inbox::InboxSender;
 use super::outgoing::Destinations;
 use super::traffic::count_received;
 use super::{Context, stopped};
@@ -19,31 +19,32 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 use types::Address;
 
-/// Connections that have not proved themselves yet; more are closed at once. After
-/// a power loss, and when a leader changes, a whole fleet dials at once; what is
-/// closed dials again and costs more than its proof.
-const MAX_UNPROVEN: usize = 1_024;
-/// Pause after the system rejected to accept, such as for want of descriptors.
+/// Maximum number of connections in the handshake; further ones are closed at once.
+///
+/// After a power loss or a change of leader a whole fleet connects at once, and a
+/// closed peer connects again, which costs more than the handshake.
+const MAX_UNAUTHENTICATED: usize = 1_024;
+/// Pause after a failed accept, for example for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// What all connections that are taken share.
+/// State that all accepted connections share.
 #[derive(Debug, Clone)]
-pub(super) struct Listening {
-    /// Keys, limits and the own address.
+pub(super) struct ListenerContext {
+    /// Key, limits and the daemon's own address.
     pub context: Arc<Context>,
-    /// Told of every daemon that connects.
+    /// Destinations, to record which of them have connected.
     pub destinations: Arc<Destinations>,
-    /// Takes what arrives.
-    pub arriving: Arriving,
+    /// Inbox for received messages.
+    pub inbox: InboxSender,
 }
 
 /// Accepts connections until the transport ends.
 pub(super) async fn listen(
     listener: TcpListener,
-    listening: Listening,
+    shared: ListenerContext,
     mut stop: watch::Receiver<bool>,
 ) {
-    let unproven = Arc::new(Semaphore::new(MAX_UNPROVEN));
+    let unauthenticated = Arc::new(Semaphore::new(MAX_UNAUTHENTICATED));
     loop {
         let accepted = tokio::select! {
             () = stopped(&mut stop) => return,
@@ -57,11 +58,11 @@
                 continue;
             }
         };
-        let Ok(permit) = unproven.clone().try_acquire_owned() else {
+        let Ok(permit) = unauthenticated.clone().try_acquire_owned() else {
             tracing::warn!(peer = %from, "closed connection: too many unauthenticated connections");
             continue;
         };
-        let serving = serve(stream, from, listening.clone(), permit);
+        let serving = serve(stream, from, shared.clone(), permit);
         let mut stop = stop.clone();
         tokio::spawn(async move {
             tokio::select! {
@@ -75,37 +76,37 @@
 async fn serve(
     mut stream: TcpStream,
     from: SocketAddr,
-    listening: Listening,
+    shared: ListenerContext,
     permit: OwnedSemaphorePermit,
 ) {
-    let context = &listening.context;
-    let proven = match accept(context, &mut stream).await {
-        Ok(proven) => proven,
+    let context = &shared.context;
+    let authenticated = match accept(context, &mut stream).await {
+        Ok(authenticated) => authenticated,
         Err(error) => return log_rejection(from, &error),
     };
     drop(permit);
-    let Proven {
+    let Authenticated {
         peer,
         client_frames,
         server_frames,
-    } = proven;
-    listening.destinations.record_contact(peer.socket);
+    } = authenticated;
+    shared.destinations.record_contact(peer.socket);
     let (reader, writer) = stream.into_split();
     let max_bytes = context.options.max_frame_bytes;
-    let accepted = AtomicU64::new(0);
+    let received = AtomicU64::new(0);
     let mut incoming = Incoming {
         peer: &peer,
-        arriving: &listening.arriving,
-        accepted: &accepted,
+        inbox: &shared.inbox,
+        received: &received,
     };
     let reader = tokio::io::BufReader::new(reader);
     let reason = tokio::select! {
-        reason = incoming.take_frames(reader, client_frames, max_bytes) => reason,
-        reason = acknowledge(writer, server_frames, &accepted) => reason,
+        reason = incoming.receive_frames(reader, client_frames, max_bytes) => reason,
+        reason = acknowledge(writer, server_frames, &received) => reason,
     };
     match reason {
         FrameError::Closed(error) => {
-            tracing::debug!(peer = %from, node = %peer.node, %error, "connection closed")
+            tracing::debug!(peer = %from, node = %peer.node, %error, "connection closed");
         }
         error => tracing::warn!(peer = %from, node = %peer.node, %error, "connection closed"),
     }
@@ -114,22 +115,22 @@
 fn log_rejection(from: SocketAddr, error: &HandshakeError) {
     match error {
         HandshakeError::Closed(_) => {
-            tracing::debug!(peer = %from, %error, "connection closed during handshake")
+            tracing::debug!(peer = %from, %error, "connection closed during handshake");
         }
         _ => tracing::warn!(peer = %from, %error, "handshake failed"),
     }
 }
 
-/// The frames of one connection.
+/// The receiving side of one connection.
 struct Incoming<'a> {
     peer: &'a Address,
-    arriving: &'a Arriving,
-    accepted: &'a AtomicU64,
+    inbox: &'a InboxSender,
+    received: &'a AtomicU64,
 }
 
 impl Incoming<'_> {
-    /// Hands on what arrives, until the connection ends.
-    async fn take_frames(
+    /// Receives frames and delivers their messages until the connection ends.
+    async fn receive_frames(
         &mut self,
         mut reader: impl AsyncRead + Unpin,
         mut frames: Channel,
@@ -137,17 +138,17 @@
     ) -> FrameError {
         loop {
             let reading = frames.read(&mut reader, max_bytes);
-            let body = match within(ABANDONED_TIMEOUT, reading).await {
+            let body = match within(READ_TIMEOUT, reading).await {
                 Ok(Ok(body)) => body,
                 Ok(Err(error)) => return error,
                 Err(error) => return error.into(),
             };
-            self.hand_on(&body).await;
-            self.accepted.fetch_add(1, Ordering::Relaxed);
+            self.deliver(&body).await;
+            self.received.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    async fn hand_on(&self, body: &[u8]) {
+    async fn deliver(&self, body: &[u8]) {
         metrics::counter!("cypressdrum_peer_messages_received_total").increment(1);
         let length = body.len();
         let body = match postcard::from_bytes(body) {
@@ -163,20 +164,20 @@
             via: None,
             body,
         };
-        self.arriving.put(envelope).await;
+        self.inbox.put(envelope).await;
     }
 }
 
-/// Tells the dialling end from time to time how many frames were taken.
+/// Sends the number of received frames to the dialling end at an interval.
 async fn acknowledge(
     mut writer: OwnedWriteHalf,
     mut frames: Channel,
-    accepted: &AtomicU64,
+    received: &AtomicU64,
 ) -> FrameError {
     let mut acknowledged = 0;
     loop {
         tokio::time::sleep(ACKNOWLEDGE_INTERVAL).await;
-        let count = accepted.load(Ordering::Relaxed);
+        let count = received.load(Ordering::Relaxed);
         if count == acknowledged {
             continue;
         }
--- a/crates/transport/src/tcp/mod.rs
+++ b/crates/transport/src/tcp/mod.rs
@@ -1,8 +1,9 @@
-//! Framed, authenticated TCP between daemons.
+//! The framed, authenticated TCP transport between daemons.
 //!
-//! A connection carries messages one way, from the daemon that dialled it; the
-//! other end only acknowledges what it read, so that a dead connection is
-//! noticed. Answers go by a connection of their own to the sender's socket.
+//! A connection carries messages in one direction, from the daemon that dialled
+//! it. The listening end only acknowledges the frames that it has read, which lets
+//! the dialling end detect a dead connection. Answers use another connection, to
+//! the sender's socket.
 
 mod connection;
 mod frame;
@@ -27,32 +28,33 @@
 use tokio::sync::watch;
 use types::Address;
 
-/// Where to listen and how much to hold.
+/// Options of the transport.
 #[derive(Debug, Clone)]
 pub struct TransportOptions {
-    /// Socket to listen on; outgoing connections leave from its IP.
+    /// Socket to listen on. Its IP is also the source of outgoing connections.
     pub listen: SocketAddr,
-    /// Messages held for one destination; the oldest go first when it is full.
+    /// Maximum number of messages queued for one destination. When the queue is
+    /// full, the oldest message is dropped.
     pub queue_length: usize,
-    /// Longest message in bytes. A longer one is dropped by its sender; a frame
-    /// that announces more ends the connection.
+    /// Maximum length of an encoded message in bytes. The sender drops a longer
+    /// message; a receiver closes a connection whose frame announces more.
     pub max_frame_bytes: usize,
 }
 
-/// What can go wrong when the transport starts.
+/// A failure to start the transport.
 #[derive(Debug, Error)]
 pub enum TransportError {
-    /// The socket cannot be listened on.
+    /// Binding the listener failed.
     #[error("cannot listen on {listen}: {source}")]
     Listen {
-        /// The socket.
+        /// Socket of the listener.
         listen: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// What all tasks of one transport share.
+/// State that all tasks of one transport share.
 #[derive(Debug)]
 struct Context {
     options: TransportOptions,
@@ -60,43 +62,52 @@
     own: Address,
 }
 
-/// Sends messages to sockets, over one connection each, dialled when needed.
-/// All tasks end when the last clone is dropped.
+/// Sends messages to other daemons, over one connection to each socket, which is
+/// established on demand.
+///
+/// Clones share the connections. All tasks end when the last clone is dropped.
 #[derive(Debug, Clone)]
 pub struct Transport {
     context: Arc<Context>,
     outgoing: Outgoing,
-    /// Every task holds a receiver and ends when it is told, or when the last
-    /// transport is gone.
+    /// Each task has a receiver, and ends when the value is true or the sender is
+    /// dropped.
     stop: Arc<watch::Sender<bool>>,
 }
 
 impl Transport {
-    /// Listens, and gives the stream of what arrives. `own` holds the socket
-    /// that others are to dial; a port of 0 stands for the one listened on.
+    /// Starts listening, and returns the transport with the inbox of received
+    /// messages.
+    ///
+    /// `own` is the address that other daemons connect to. If its port is 0, the
+    /// port of the listener takes its place.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`TransportError::Listen`] if the listener cannot be bound.
     pub async fn start(
         options: TransportOptions,
         key: ClusterKey,
         own: Address,
     ) -> Result<(Self, Inbox), TransportError> {
         let listen = options.listen;
-        let rejected = |source| TransportError::Listen { listen, source };
-        let listener = TcpListener::bind(listen).await.map_err(rejected)?;
-        let bound = listener.local_addr().map_err(rejected)?;
+        let listen_error = |source| TransportError::Listen { listen, source };
+        let listener = TcpListener::bind(listen).await.map_err(listen_error)?;
+        let bound = listener.local_addr().map_err(listen_error)?;
         let mut own = own;
         if own.socket.port() == 0 {
             own.socket.set_port(bound.port());
         }
         let context = Arc::new(Context { options, key, own });
-        let (arriving, inbox) = inbox::inbox();
+        let (sender, inbox) = inbox::channel();
         let (stop, stopped) = watch::channel(false);
         let destinations = Arc::<Destinations>::default();
-        let listening = incoming::Listening {
+        let shared = incoming::ListenerContext {
             context: context.clone(),
             destinations: destinations.clone(),
-            arriving,
+            inbox: sender,
         };
-        tokio::spawn(incoming::listen(listener, listening, stopped));
+        tokio::spawn(incoming::listen(listener, shared, stopped));
         let transport = Self {
             outgoing: Outgoing::new(context.clone(), destinations),
             context,
@@ -105,28 +116,29 @@
         Ok((transport, inbox))
     }
 
-    /// The daemon's own address, as others know it.
+    /// Returns the address of this daemon, as other daemons know it.
     pub fn own(&self) -> &Address {
         &self.context.own
     }
 
-    /// Queues a message. It may be lost; nothing is said then.
+    /// Queues a message for the daemon at `to`. The message may be lost without
+    /// notice.
     pub fn send(&self, to: SocketAddr, message: PeerMessage) {
         if !*self.stop.borrow() {
             self.outgoing.send(to, message, &self.stop);
         }
     }
 
-    /// Closes listener and connections, and waits until all tasks have ended.
-    /// What is queued is lost.
+    /// Closes the listener and all connections, and waits until all tasks have ended.
+    /// Queued messages are lost.
     pub async fn shutdown(&self) {
         self.stop.send_replace(true);
         self.stop.closed().await;
     }
 }
 
-/// Waits until the transport is to end.
+/// Waits until the transport is shut down or dropped.
 async fn stopped(stop: &mut watch::Receiver<bool>) {
-    // An error means that the last transport was dropped.
+    // An error means that the last clone of the transport was dropped.
     let _ = stop.wait_for(|stop| *stop).await;
 }
--- a/crates/transport/src/tcp/outgoing.rs
+++ b/crates/transport/src/tcp/outgoing.rs
@@ -1,11 +1,14 @@
 //! The dialling end: a queue and a task for each destination.
+//!
+//! The task connects while the queue has messages, and ends when the queue has
+//! been empty for the idle timeout.
 
 use super::connection::{
     ACKNOWLEDGE_INTERVAL, ACKNOWLEDGE_TIMEOUT, FIRST_CONNECT_TIMEOUT, IDLE_TIMEOUT,
-    LAST_CONNECT_TIMEOUT, WRITE_TIMEOUT, dial, within,
+    MAX_CONNECT_TIMEOUT, WRITE_TIMEOUT, dial, within,
 };
 use super::frame::{Channel, FrameError, OVERHEAD_BYTES};
-use super::handshake::{HandshakeError, Proven};
+use super::handshake::{Authenticated, HandshakeError};
 use super::queue::{Queue, count_dropped};
 use super::traffic::count_sent;
 use super::{Context, stopped};
@@ -23,15 +26,16 @@
 use tokio::time::{sleep, timeout};
 use types::Monotonic;
 
-/// Shortest and longest pause between two dials.
+/// Minimum pause between two connection attempts.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
+/// Maximum pause between two connection attempts.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// Frames written at once come to about this many bytes.
-const WRITE_BYTES: usize = 256 * 1024;
-/// Bytes of an acknowledgement.
+/// Length in bytes from which a batch of frames is written.
+const BATCH_BYTES: usize = 256 * 1024;
+/// Length of an acknowledgement in bytes: the number of received frames.
 const ACKNOWLEDGEMENT_BYTES: usize = 8;
 
-/// All destinations.
+/// Sends messages to all destinations.
 #[derive(Debug, Clone)]
 pub(super) struct Outgoing {
     context: Arc<Context>,
@@ -39,7 +43,7 @@
     destinations: Arc<Destinations>,
 }
 
-/// What is dialled, or has been lately.
+/// The destinations with messages or a connection, by socket.
 #[derive(Debug, Default)]
 pub(super) struct Destinations {
     queues: Mutex<BTreeMap<SocketAddr, Arc<Queue>>>,
@@ -50,17 +54,17 @@
         self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records that the daemon at a socket has just connected here: it is up, and
-    /// the link is whole.
+    /// Records that the daemon at `socket` has just connected to this one, which
+    /// shows that a connection attempt can succeed.
     pub fn record_contact(&self, socket: SocketAddr) {
         if let Some(queue) = self.lock().get(&socket) {
             queue.record_reachable();
         }
     }
 
-    /// Forgets a destination that has nothing waiting; false if it has. A
-    /// message is queued under the same lock, so none is lost between.
-    fn retire(&self, to: SocketAddr, queue: &Queue) -> bool {
+    /// Removes a destination if its queue is empty, and returns whether it did.
+    /// Messages are queued under the same lock, so none is lost in between.
+    fn remove_if_idle(&self, to: SocketAddr, queue: &Queue) -> bool {
         let mut queues = self.lock();
         let idle = queue.is_empty();
         if idle {
@@ -71,7 +75,11 @@
 }
 
 impl Outgoing {
-    /// Must be called inside the runtime.
+    /// Creates a sender without destinations.
+    ///
+    /// # Panics
+    ///
+    /// Panics outside of a tokio runtime.
     pub fn new(context: Arc<Context>, destinations: Arc<Destinations>) -> Self {
         Self {
             context,
@@ -80,7 +88,7 @@
         }
     }
 
-    /// Queues a message, and starts a task for a new destination.
+    /// Queues a message, and starts the task of a new destination.
     pub fn send(&self, to: SocketAddr, message: PeerMessage, stop: &watch::Sender<bool>) {
         let mut queues = self.destinations.lock();
         if let Some(queue) = queues.get(&to) {
@@ -106,9 +114,9 @@
     }
 }
 
-/// Why a connection ended.
+/// Reason for which the dialling end closes a connection.
 #[derive(Debug, thiserror::Error)]
-enum Ended {
+enum CloseReason {
     #[error("idle")]
     Idle,
     #[error("nothing is acknowledged any more")]
@@ -126,82 +134,91 @@
 }
 
 impl Destination {
-    /// Connects whenever something waits; ends when nothing has for long.
+    /// Connects while messages are queued. Returns when none was queued for the
+    /// idle timeout.
     async fn run(&self) {
         loop {
             let idle = Duration::from_millis(IDLE_TIMEOUT.0);
-            if timeout(idle, self.queue.filled()).await.is_err() {
-                if self.destinations.retire(self.to, &self.queue) {
+            if timeout(idle, self.queue.wait_for_message()).await.is_err() {
+                if self.destinations.remove_if_idle(self.to, &self.queue) {
                     return;
                 }
                 continue;
             }
-            let Some((stream, proven)) = self.connect().await else {
+            let Some((stream, authenticated)) = self.connect().await else {
                 continue;
             };
-            let ended = self.carry(stream, proven).await;
-            tracing::debug!(peer = %self.to, reason = %ended, "connection closed");
-            if !matches!(ended, Ended::Idle) {
+            let reason = self.send_until_closed(stream, authenticated).await;
+            tracing::debug!(peer = %self.to, reason = %reason, "connection closed");
+            if !matches!(reason, CloseReason::Idle) {
                 sleep(jittered(MIN_BACKOFF)).await;
             }
         }
     }
 
-    /// Dials until it works, or until nothing waits any more.
-    async fn connect(&self) -> Option<(TcpStream, Proven)> {
+    /// Attempts to connect until it succeeds. Returns `None` when no message is
+    /// queued any more.
+    async fn connect(&self) -> Option<(TcpStream, Authenticated)> {
         let mut backoff = MIN_BACKOFF;
         let mut timeout = FIRST_CONNECT_TIMEOUT;
         let mut failures = 0u64;
         while !self.queue.is_empty() {
-            match self.dial_or_hear(timeout).await {
+            match self.dial_with_restart(timeout).await {
                 Ok(connection) => return Some(connection),
                 Err(error) if failures == 0 => {
                     tracing::warn!(peer = %self.to, %error, "peer unreachable, retrying");
                 }
                 Err(error) => {
-                    tracing::debug!(peer = %self.to, %error, failures, "connection attempt failed")
+                    tracing::debug!(peer = %self.to, %error, failures, "connection attempt failed");
                 }
             }
             failures += 1;
             tokio::select! {
                 () = sleep(jittered(backoff)) => {}
-                () = self.queue.reachable() => {}
+                () = self.queue.wait_until_reachable() => {}
             }
             backoff = (backoff * 2).min(MAX_BACKOFF);
-            timeout = (timeout * 2).min(LAST_CONNECT_TIMEOUT);
+            timeout = (timeout * 2).min(MAX_CONNECT_TIMEOUT);
         }
         None
     }
 
-    /// Dials, and dials anew when the other end is heard of meanwhile: what
-    /// was sent to it before it was up is lost.
-    async fn dial_or_hear(&self, timeout: Duration) -> Result<(TcpStream, Proven), HandshakeError> {
+    /// Dials, and starts over if the destination connects to this daemon meanwhile:
+    /// packets sent to it before it was up are lost.
+    async fn dial_with_restart(
+        &self,
+        timeout: Duration,
+    ) -> Result<(TcpStream, Authenticated), HandshakeError> {
         tokio::select! {
             dialled = dial(&self.context, self.to, timeout) => dialled,
-            () = self.queue.reachable() => dial(&self.context, self.to, timeout).await,
+            () = self.queue.wait_until_reachable() => dial(&self.context, self.to, timeout).await,
         }
     }
 
-    async fn carry(&self, stream: TcpStream, proven: Proven) -> Ended {
+    async fn send_until_closed(
+        &self,
+        stream: TcpStream,
+        authenticated: Authenticated,
+    ) -> CloseReason {
         let (reader, writer) = stream.into_split();
         let acknowledged = AtomicU64::new(0);
         let mut sender = Sender {
             destination: self,
             writer,
-            frames: proven.client_frames,
+            frames: authenticated.client_frames,
             acknowledged: &acknowledged,
             sent: 0,
         };
         tokio::select! {
-            ended = sender.send_frames() => ended,
-            error = read_acknowledgements(reader, proven.server_frames, &acknowledged) => {
+            reason = sender.send_frames() => reason,
+            error = read_acknowledgements(reader, authenticated.server_frames, &acknowledged) => {
                 error.into()
             }
         }
     }
 }
 
-/// The frames of one connection.
+/// The sending side of one connection.
 struct Sender<'a> {
     destination: &'a Destination,
     writer: OwnedWriteHalf,
@@ -211,24 +228,30 @@
 }
 
 impl Sender<'_> {
-    /// Sends what is queued until the connection is idle or dead.
-    async fn send_frames(&mut self) -> Ended {
+    /// Sends queued messages until the connection is idle or has failed.
+    async fn send_frames(&mut self) -> CloseReason {
         let mut last_sent = clock::now().monotonic;
         let mut progress = Progress {
             acknowledged: 0,
             at: last_sent,
         };
         loop {
-            let filled = timeout(ACKNOWLEDGE_INTERVAL, self.destination.queue.filled()).await;
-            // After a freeze this is the first look at the clock.
+            let queued = timeout(
+                ACKNOWLEDGE_INTERVAL,
+                self.destination.queue.wait_for_message(),
+            )
+            .await;
+            // Read after the wait, so that a suspend of the machine is noticed
+            // before anything is sent.
             let now = clock::now().monotonic;
-            if progress.is_stalled(self.acknowledged.load(Ordering::Relaxed), self.sent, now) {
-                return Ended::Unacknowledged;
+            if progress.record_is_stalled(self.acknowledged.load(Ordering::Relaxed), self.sent, now)
+            {
+                return CloseReason::Unacknowledged;
             }
             if now.since(last_sent) >= IDLE_TIMEOUT {
-                return Ended::Idle;
+                return CloseReason::Idle;
             }
-            if filled.is_ok() {
+            if queued.is_ok() {
                 if let Err(error) = self.send_batch().await {
                     return error.into();
                 }
@@ -240,7 +263,7 @@
     async fn send_batch(&mut self) -> Result<(), FrameError> {
         let mut bytes = Vec::new();
         let mut messages = 0;
-        while bytes.len() < WRITE_BYTES {
+        while bytes.len() < BATCH_BYTES {
             let Some(message) = self.destination.queue.pop() else {
                 break;
             };
@@ -252,7 +275,8 @@
         Ok(())
     }
 
-    /// Adds a message's frame; false when it is dropped.
+    /// Appends the frame of a message to `bytes`. Returns false if the message is
+    /// dropped.
     fn seal(&mut self, message: &PeerMessage, bytes: &mut Vec<u8>) -> bool {
         let to = self.destination.to;
         let max = self.destination.context.options.max_frame_bytes;
@@ -275,14 +299,17 @@
     }
 }
 
-/// When the other end last acknowledged something new.
+/// Progress of the acknowledgements on one connection.
 struct Progress {
     acknowledged: u64,
+    /// Time at which frames were last acknowledged, or none was unacknowledged.
     at: Monotonic,
 }
 
 impl Progress {
-    fn is_stalled(&mut self, acknowledged: u64, sent: u64, now: Monotonic) -> bool {
+    /// Records the current counts, and returns whether the acknowledgements have made
+    /// no progress for longer than the timeout.
+    fn record_is_stalled(&mut self, acknowledged: u64, sent: u64, now: Monotonic) -> bool {
         if acknowledged > self.acknowledged || acknowledged >= sent {
             self.acknowledged = acknowledged;
             self.at = now;
@@ -291,7 +318,7 @@
     }
 }
 
-/// Records acknowledgements until the connection ends.
+/// Reads acknowledgements until the connection ends.
 async fn read_acknowledgements(
     mut reader: OwnedReadHalf,
     mut frames: Channel,
@@ -308,7 +335,7 @@
     }
 }
 
-/// Between half of a pause and the whole of it.
+/// Returns a random duration between half of `pause` and the whole of it.
 fn jittered(pause: Duration) -> Duration {
     pause.mul_f64(rand::random_range(0.5..=1.0))
 }
