--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -5,7 +5,7 @@
 mod results;
 mod runners;
 
-pub use interface::{AgentMutation, AgentOptions, Effect, HeartbeatAnswer, Input};
+pub use interface::{AgentMutation, AgentOptions, Effect, HeartbeatAnswer, Input, NotReady};
 
 use orders::{Accepted, OrderTable};
 use results::ResultBox;
@@ -39,7 +39,7 @@
     results: ResultBox,
     last_input: Monotonic,
     last_report: Option<Monotonic>,
-    readiness: Option<Result<(), String>>,
+    readiness: Option<Result<(), NotReady>>,
     stopping: bool,
     stopped: bool,
 }
@@ -85,7 +85,7 @@
             Input::Peer(envelope) => self.take_message(now, envelope, effects),
             Input::Heartbeat(report) => {
                 self.runners
-                    .heartbeat(report, now.monotonic, self.session_open && !self.stopping)
+                    .heartbeat(report, now.monotonic, self.session_open && !self.stopping);
             }
             Input::Answered { order, answer } => self.take_answer(now, order, answer, effects),
             Input::Stop => self.stopping = true,
@@ -94,7 +94,7 @@
         self.expire(now, effects);
         self.deliver(now, effects);
         self.send_reports(now, effects);
-        self.show_readiness(now, effects);
+        self.report_readiness(now, effects);
         self.stop_when_idle(now, effects);
     }
 
@@ -358,22 +358,27 @@
         send_all(addressed, effects);
     }
 
-    fn show_readiness(&mut self, now: Now, effects: &mut Vec<Effect>) {
-        let readiness = if self.stopping {
-            Err("stopping".to_owned())
-        } else if !self.session_open {
-            Err("no session with the leader".to_owned())
-        } else if self.session.configuration(now).is_none() {
-            Err("the configuration replica is too old".to_owned())
-        } else {
-            Ok(())
-        };
-        if self.readiness.as_ref() != Some(&readiness) {
-            self.readiness = Some(readiness.clone());
+    fn report_readiness(&mut self, now: Now, effects: &mut Vec<Effect>) {
+        let readiness = self.readiness_at(now);
+        if self.readiness != Some(readiness) {
+            self.readiness = Some(readiness);
             effects.push(Effect::Ready(readiness));
         }
     }
 
+    fn readiness_at(&self, now: Now) -> Result<(), NotReady> {
+        if self.stopping {
+            return Err(NotReady::Stopping);
+        }
+        if !self.session_open {
+            return Err(NotReady::NoSession);
+        }
+        if self.session.configuration(now).is_none() {
+            return Err(NotReady::StaleConfiguration);
+        }
+        Ok(())
+    }
+
     /// A polite stop waits for the answers to orders that were delivered; each
     /// of them is bounded by the order timeout.
     fn stop_when_idle(&mut self, now: Now, effects: &mut Vec<Effect>) {
--- a/crates/agent/src/core/interface.rs
+++ b/crates/agent/src/core/interface.rs
@@ -1,6 +1,7 @@
 //! What goes into the core and what comes out.
 
 use std::net::SocketAddr;
+use thiserror::Error;
 use transport::{Envelope, NamedRun, PeerMessage};
 use types::{
     Address, HeartbeatSequence, Milliseconds, OrderAnswer, RunId, RunnerIncarnation, RunnerOrder,
@@ -57,6 +58,20 @@
     Stop,
 }
 
+/// Reason why an agent should get no traffic.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum NotReady {
+    /// The agent was asked to stop.
+    #[error("stopping")]
+    Stopping,
+    /// No session with the leader is open.
+    #[error("no session with the leader")]
+    NoSession,
+    /// The configuration replica is missing or no longer valid.
+    #[error("the configuration replica is too old")]
+    StaleConfiguration,
+}
+
 /// What the shell must do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
@@ -73,8 +88,8 @@
         /// The order.
         order: RunnerOrder,
     },
-    /// Whether this process should count as ready, and why not.
-    Ready(Result<(), String>),
+    /// Report whether the agent should get traffic. Emitted on changes only.
+    Ready(Result<(), NotReady>),
     /// The process may end.
     Stopped,
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,12 +1,14 @@
 //! The node agent role: a core without I/O and its tokio shell.
 //!
-//! One agent a runner machine. It passes its runners' heartbeats to the
-//! leader, carries start, stop and revocation orders, and fences: a term below the
-//! highest seen is rejected, and after a lost session or a freeze it drops its
-//! queue of orders and rejoins before it acts.
+//! Each runner machine has one agent. It passes heartbeats of its runners to the
+//! leader and delivers the leader's orders to them. It rejects orders of a lower
+//! term than the highest it has seen. After a lost session or a suspend of the
+//! machine it drops the orders in its queue and opens a new session first.
 
 pub mod core;
 pub mod shell;
 
-pub use crate::core::{Agent, AgentMutation, AgentOptions, Effect, HeartbeatAnswer, Input};
+pub use crate::core::{
+    Agent, AgentMutation, AgentOptions, Effect, HeartbeatAnswer, Input, NotReady,
+};
 pub use shell::{AgentError, OrderSender, Questions, ShellOptions, run, run_with_order_sender};
--- a/crates/agent/src/shell.rs
+++ b/crates/agent/src/shell.rs
@@ -115,13 +115,13 @@
     let (questions, inbox) = question::channel();
     let agent = Agent::new(core, transport::clock::now());
     let driver = Driver::new(agent, transport.clone(), order_sender, readiness.clone());
-    let (finished, finished_seen) = watch::channel(false);
+    let (finished, mut finished_seen) = watch::channel(false);
     let grace = Duration::from_millis(options.grace.0);
     let closing = grace / CLOSING_PART;
 
     let service = routes(questions, readiness).into_make_service_with_connect_info::<SocketAddr>();
     let serving = axum::serve(listener, service)
-        .with_graceful_shutdown(wait_until_true(finished_seen))
+        .with_graceful_shutdown(async move { transport::stopped(&mut finished_seen).await })
         .into_future();
     let driving = async {
         driver.run(inbox, arriving, stop, grace - closing).await;
@@ -136,8 +136,3 @@
     transport.shutdown().await;
     ended
 }
-
-/// Waits until the value is true, or can never become it any more.
-async fn wait_until_true(mut value: watch::Receiver<bool>) {
-    let _ = value.wait_for(|value| *value).await;
-}
--- a/crates/agent/src/shell/driver.rs
+++ b/crates/agent/src/shell/driver.rs
@@ -3,7 +3,6 @@
 use super::delivery::OrderSender;
 use super::key::authorize;
 use super::question::Question;
-use super::wait_until_true;
 use crate::{Agent, Effect, Input};
 use admin::Readiness;
 use api::runner::OrdersUrl;
@@ -55,10 +54,10 @@
         mut self,
         mut questions: mpsc::Receiver<Question>,
         mut arriving: transport::Inbox,
-        stop: watch::Receiver<bool>,
+        mut stop: watch::Receiver<bool>,
         grace: Duration,
     ) {
-        self.drive(&mut questions, &mut arriving, wait_until_true(stop))
+        self.drive(&mut questions, &mut arriving, transport::stopped(&mut stop))
             .await;
         self.input(Input::Stop);
         let stopping = self.drive(&mut questions, &mut arriving, std::future::pending());
@@ -165,7 +164,7 @@
             }
             Effect::Ready(Err(reason)) => {
                 tracing::info!(%reason, "not ready");
-                self.readiness.set_not_ready(&reason);
+                self.readiness.set_not_ready(&reason.to_string());
             }
             Effect::Stopped => self.stopped = true,
         }
--- a/crates/agent/tests/agent/bench.rs
+++ b/crates/agent/tests/agent/bench.rs
@@ -1,6 +1,6 @@
 //! An agent with a hand-moved clock, one runner and a leader.
 
-use agent::{Agent, AgentMutation, AgentOptions, Effect, Input};
+use agent::{Agent, AgentMutation, AgentOptions, Effect, Input, NotReady};
 use std::net::SocketAddr;
 use transport::{Envelope, OrderResult, PeerMessage, RunnerUpdate, SessionLease};
 use types::{
@@ -93,7 +93,7 @@
     pub effects: Vec<Effect>,
     next_heartbeat: u64,
     newest_hello: Option<u64>,
-    last_readiness: Option<Result<(), String>>,
+    last_readiness: Option<Result<(), NotReady>>,
 }
 
 impl Bench {
@@ -268,7 +268,7 @@
         reports.flatten().collect()
     }
 
-    pub fn readiness(&self) -> Option<Result<(), String>> {
+    pub fn readiness(&self) -> Option<Result<(), NotReady>> {
         self.effects.iter().rev().find_map(|effect| match effect {
             Effect::Ready(readiness) => Some(readiness.clone()),
             _ => None,
--- a/crates/agent/tests/agent/fencing.rs
+++ b/crates/agent/tests/agent/fencing.rs
@@ -1,7 +1,7 @@
 //! Terms, restarts, cuts and freezes.
 
 use crate::bench::{Bench, FREEZE, INTERVAL, LEASE, leader, order, run_id, update};
-use agent::{AgentMutation, Input};
+use agent::{AgentMutation, Input, NotReady};
 use transport::PeerMessage;
 use types::{NodeId, OrderAnswer, OrderSequence, RejectionReason, Term};
 
@@ -105,7 +105,7 @@
     let mut bench = Bench::serving();
     bench.run_to(LEASE);
     let ready = bench.readiness();
-    assert_eq!(ready, Some(Err("no session with the leader".to_owned())));
+    assert_eq!(ready, Some(Err(NotReady::NoSession)));
     bench.order(vec![order(1, 1)]);
     assert!(bench.delivered().is_empty() && bench.results().is_empty());
     bench.open(1);
--- a/crates/agent/tests/agent/heartbeats.rs
+++ b/crates/agent/tests/agent/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of runners, and readiness.
 
 use crate::bench::{Bench, LIFE, leader, report, run_id, runner_id, update};
-use agent::Input;
+use agent::{Input, NotReady};
 use transport::PeerMessage;
 use types::{HeartbeatSequence, Milliseconds, RunnerIncarnation, Term};
 
@@ -91,3 +91,17 @@
     assert_eq!(answer.confirmed, None);
     assert_eq!(answer.term, Term(1));
 }
+
+/// `/readyz` shows these texts.
+#[test]
+fn reasons_have_the_texts_that_readyz_shows() {
+    assert_eq!(NotReady::Stopping.to_string(), "stopping");
+    assert_eq!(
+        NotReady::NoSession.to_string(),
+        "no session with the leader"
+    );
+    assert_eq!(
+        NotReady::StaleConfiguration.to_string(),
+        "the configuration replica is too old"
+    );
+}
--- a/crates/agent/tests/agent/orders.rs
+++ b/crates/agent/tests/agent/orders.rs
@@ -1,7 +1,7 @@
 //! Delivery of orders and what is reported of them.
 
 use crate::bench::{Bench, INTERVAL, ORDER_TIMEOUT, order, report};
-use agent::{Effect, Input};
+use agent::{Effect, Input, NotReady};
 use types::{OrderAnswer, OrderSequence, RejectionReason};
 
 #[test]
@@ -103,7 +103,7 @@
     bench.order(vec![order(1, 1)]);
     bench.input(Input::Stop);
     assert!(!bench.effects.contains(&Effect::Stopped));
-    assert_eq!(bench.readiness(), Some(Err("stopping".to_owned())));
+    assert_eq!(bench.readiness(), Some(Err(NotReady::Stopping)));
     bench.order(vec![order(1, 2)]);
     assert!(bench.delivered().is_empty());
     bench.answer(order(1, 1), OrderAnswer::Revoked);
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -13,7 +13,7 @@
 mod rejection;
 mod waiting;
 
-pub use interface::{Caller, Effect, GatewayOptions, Input, TicketId};
+pub use interface::{Caller, Effect, GatewayOptions, Input, NotReady, TicketId};
 
 use configuration::ClusterConfiguration;
 use rand::{Rng, SeedableRng};
@@ -37,7 +37,7 @@
     waiting: WaitingTable,
     next_request: RequestId,
     random: ChaCha8Rng,
-    readiness: Option<Result<(), String>>,
+    readiness: Option<Result<(), NotReady>>,
     stopping: bool,
     stopped: bool,
 }
@@ -291,21 +291,21 @@
 
     fn report_readiness(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let readiness = self.readiness_at(now);
-        if self.readiness.as_ref() != Some(&readiness) {
-            self.readiness = Some(readiness.clone());
+        if self.readiness != Some(readiness) {
+            self.readiness = Some(readiness);
             effects.push(Effect::Ready(readiness));
         }
     }
 
-    fn readiness_at(&self, now: Now) -> Result<(), String> {
+    fn readiness_at(&self, now: Now) -> Result<(), NotReady> {
         if self.stopping {
-            return Err("stopping".to_owned());
+            return Err(NotReady::Stopping);
         }
         if self.session.configuration(now).is_none() {
-            return Err("no configuration confirmed by a leader lately".to_owned());
+            return Err(NotReady::NoConfiguration);
         }
         if self.session.term(now).is_none() {
-            return Err("no session with a leader".to_owned());
+            return Err(NotReady::NoSession);
         }
         Ok(())
     }
--- a/crates/gateway/src/core/interface.rs
+++ b/crates/gateway/src/core/interface.rs
@@ -1,44 +1,46 @@
-//! What goes into the core and what comes out.
+//! Inputs, effects and options of the core.
 
 use std::net::SocketAddr;
+use thiserror::Error;
 use transport::{Envelope, Operation, OperationReply, PeerMessage, Rejection};
 use types::{Address, Milliseconds};
 
-/// Settings of the core.
+/// Options of the core.
 #[derive(Debug, Clone)]
 pub struct GatewayOptions {
-    /// Who and where this process is.
+    /// Identity, zone and socket of this process.
     pub address: Address,
-    /// Peer sockets of other processes of any role; may be dead, or its own.
+    /// Sockets of other daemons of any role. They may be unreachable, and may include
+    /// the own one.
     pub seeds: Vec<SocketAddr>,
-    /// Time between keep-alives.
+    /// Interval between keep-alives, in milliseconds.
     pub session_interval: Milliseconds,
-    /// A configuration replica counts for this long after the leader's last word.
+    /// Time for which the configuration replica stays valid after the leader
+    /// confirmed it, in milliseconds.
     pub replica_valid: Milliseconds,
-    /// Requests that may wait for the leader at once.
+    /// Maximum number of pending requests.
     pub max_waiting_requests: usize,
-    /// A request is sent again (to another leader, or by a follower) after
-    /// this long without an answer, while its time lasts. Submits, cancels and
-    /// configurations are idempotent, so a second sending is safe.
+    /// Time after which an unanswered request is sent again, in milliseconds. All
+    /// operations are idempotent, so a retry is safe.
     pub resend_after: Milliseconds,
-    /// Seed of draws.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// Number of a waiting HTTP request, given by the shell.
+/// Number that the shell gives to an HTTP request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TicketId(pub u64);
 
-/// Who asks: the bearer token as sent.
+/// The sender of a request, by its bearer token.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Caller {
-    /// `<id>.<secret>`; none when the request had no key.
+    /// Token in the form `<id>.<secret>`. `None` if the request has none.
     pub token: Option<String>,
 }
 
 impl std::fmt::Debug for Caller {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // A token without a dot may be a bare secret: nothing of it is shown.
+        // A token without a dot may be a bare secret, so nothing of it is printed.
         let parts = self
             .token
             .as_deref()
@@ -48,25 +50,25 @@
     }
 }
 
-/// What happens to the core.
+/// An event that the shell passes to the core.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// Time passed.
+    /// The wakeup time has come.
     Tick,
-    /// A message arrived.
+    /// A message of another daemon was received.
     Peer(Envelope),
-    /// A caller or operator asks.
+    /// A request of a caller or operator was received.
     Request {
-        /// Number of the waiting HTTP request.
+        /// Number of the HTTP request.
         ticket: TicketId,
-        /// Who asks.
+        /// Sender of the request.
         caller: Caller,
-        /// How long the caller waits.
+        /// Time until the caller gives up, in milliseconds.
         time_left: Milliseconds,
-        /// What is asked.
+        /// Operation that is requested.
         operation: Operation,
     },
-    /// The caller went away: no answer is wanted any more.
+    /// The caller closed its connection and needs no answer any more.
     Abandoned {
         /// Number of the request.
         ticket: TicketId,
@@ -75,25 +77,39 @@
     Stop,
 }
 
-/// What the shell must do.
+/// Reason why a gateway should get no traffic.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum NotReady {
+    /// The gateway was asked to stop.
+    #[error("stopping")]
+    Stopping,
+    /// The configuration replica is missing or no longer valid.
+    #[error("no configuration confirmed by a leader lately")]
+    NoConfiguration,
+    /// No session with a leader is open.
+    #[error("no session with a leader")]
+    NoSession,
+}
+
+/// An action that the core requires of the shell.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Send a message; it may be lost.
+    /// Send a message, which may be lost.
     Send {
-        /// Where to.
+        /// Socket of the receiver.
         to: SocketAddr,
         /// The message.
         message: PeerMessage,
     },
-    /// The one final answer to a request.
+    /// Answer a request. Emitted once for each request that is not abandoned.
     Respond {
         /// Number of the request.
         ticket: TicketId,
         /// The answer.
         result: Result<OperationReply, Rejection>,
     },
-    /// Whether this process should count as ready, and why not.
-    Ready(Result<(), String>),
-    /// Every request is answered; the process may end.
+    /// Report whether the gateway should get traffic. Emitted on changes only.
+    Ready(Result<(), NotReady>),
+    /// End the process: all requests are answered.
     Stopped,
 }
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -132,12 +132,12 @@
         stop: stop.clone(),
         node: own.node,
     };
-    let (finished, finished_seen) = watch::channel(false);
+    let (finished, mut finished_seen) = watch::channel(false);
     let grace = Duration::from_millis(options.grace.0);
     let closing = grace / CLOSING_PART;
 
     let serving = axum::serve(LimitedListener::new(listener), routes(context))
-        .with_graceful_shutdown(wait_until_true(finished_seen))
+        .with_graceful_shutdown(async move { transport::stopped(&mut finished_seen).await })
         .into_future();
     let driving = async {
         driver.run(inbox, arriving, stop, grace - closing).await;
@@ -151,8 +151,3 @@
     transport.shutdown().await;
     ended
 }
-
-/// Waits until the value is true, or can never become it any more.
-async fn wait_until_true(mut value: watch::Receiver<bool>) {
-    let _ = value.wait_for(|value| *value).await;
-}
--- a/crates/gateway/src/shell/driver.rs
+++ b/crates/gateway/src/shell/driver.rs
@@ -154,6 +154,7 @@
                 self.readiness.set_ready();
             }
             Effect::Ready(Err(reason)) => {
+                let reason = reason.to_string();
                 tracing::info!(reason, "not ready");
                 self.readiness.set_not_ready(&reason);
             }
--- a/crates/gateway/src/shell/http.rs
+++ b/crates/gateway/src/shell/http.rs
@@ -1,15 +1,18 @@
-//! The HTTP interface: routes, and what all handlers share.
+//! The HTTP interface: its routes, and the state that all handlers share.
 
 mod answer;
 mod decisions;
 mod jobs;
 mod operator;
 mod requester;
+mod view;
 
 use crate::shell::requests::Requests;
 use admin::Readiness;
 use answer::{Failure, reject};
+use api::operator::{LicencesBody, MembersBody, QueuesBody, RunnersBody, TenantsBody};
 use api::route;
+use api::version::ConfigurationStatusBody;
 use axum::Router;
 use axum::extract::DefaultBodyLimit;
 use axum::http::StatusCode;
@@ -19,11 +22,12 @@
 use tokio::sync::watch;
 use transport::{Operation, OperationReply, RejectionCode};
 use types::NodeId;
+use view::view;
 
-/// Longest body, in bytes; a longer one gets 413.
+/// Maximum length of a request body, in bytes. A longer one is answered with 413.
 pub const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// What every handler has.
+/// State that all handlers share.
 #[derive(Debug, Clone)]
 pub struct Server {
     requests: Requests,
@@ -32,7 +36,7 @@
 }
 
 impl Server {
-    /// A server that asks through `requests` and names itself `node`.
+    /// Creates the state of the handlers of gateway `node`.
     pub fn new(requests: Requests, node: NodeId, stop: watch::Receiver<bool>) -> Self {
         Self {
             requests,
@@ -41,18 +45,18 @@
         }
     }
 
-    /// Asks, and notes how it went.
+    /// Sends an operation to the core, waits for the reply and records metrics.
     async fn ask(
         &self,
         requester: &Requester,
         operation: Operation,
     ) -> Result<OperationReply, Failure> {
         let name = operation_name(&operation);
-        let begun = Instant::now();
-        let asked = self
+        let started_at = Instant::now();
+        let answer = self
             .requests
-            .ask(requester.caller.clone(), requester.time_left, operation);
-        let answer = asked.await;
+            .ask(requester.caller.clone(), requester.time_left, operation)
+            .await;
         let outcome = match &answer {
             Ok(_) => "ok",
             Err(rejection) => outcome_name(rejection.code),
@@ -64,12 +68,12 @@
         )
         .increment(1);
         metrics::histogram!("cypressdrum_gateway_request_seconds", "operation" => name)
-            .record(begun.elapsed().as_secs_f64());
+            .record(started_at.elapsed().as_secs_f64());
         answer.map_err(Failure::from)
     }
 }
 
-/// All routes of a gateway, the admin ones among them.
+/// Returns all routes of a gateway, those of the admin interface included.
 pub fn router(server: Server, readiness: Readiness) -> Router {
     Router::new()
         .route(route::JOBS, post(jobs::submit).get(jobs::list))
@@ -84,15 +88,15 @@
         )
         .route(
             route::CONFIGURATION_STATUS,
-            get(operator::configuration_status),
+            get(view::<ConfigurationStatusBody>),
         )
-        .route(route::RUNNERS, get(operator::runners))
+        .route(route::RUNNERS, get(view::<RunnersBody>))
         .route(route::RUNNER_DRAIN, post(operator::drain_runner))
         .route(route::RUNNER_LOST, post(operator::declare_runner_lost))
-        .route(route::QUEUES, get(operator::queues))
-        .route(route::TENANTS, get(operator::tenants))
-        .route(route::LICENCES, get(operator::licences))
-        .route(route::MEMBERS, get(operator::members))
+        .route(route::QUEUES, get(view::<QueuesBody>))
+        .route(route::TENANTS, get(view::<TenantsBody>))
+        .route(route::LICENCES, get(view::<LicencesBody>))
+        .route(route::MEMBERS, get(view::<MembersBody>))
         .route(route::DECISIONS, get(decisions::decisions))
         .fallback(unknown_path)
         .method_not_allowed_fallback(unknown_method)
--- a/crates/gateway/src/shell/http/operator.rs
+++ b/crates/gateway/src/shell/http/operator.rs
@@ -1,16 +1,12 @@
-//! Handlers for operators: configuration, runners, views.
+//! Handlers for operators, who change the configuration and the state of runners.
 
 use crate::shell::http::Server;
 use crate::shell::http::answer::{Failure, unexpected};
 use crate::shell::http::requester::{Requester, parse_name};
 use api::BodyError;
 use api::configuration::{ConfigurationBody, ConfigurationUpdateBody};
-use api::operator::{
-    AcceptedBody, DrainBody, LicenceViewBody, LicencesBody, MemberViewBody, MembersBody,
-    QueueViewBody, QueuesBody, RunnerViewBody, RunnersBody, RunsLostBody, TenantViewBody,
-    TenantsBody,
-};
-use api::version::{ConfigurationStatusBody, ConfigurationViewBody, ConfiguredBody};
+use api::operator::{AcceptedBody, DrainBody, RunsLostBody};
+use api::version::{ConfigurationViewBody, ConfiguredBody};
 use axum::Json;
 use axum::body::Bytes;
 use axum::extract::rejection::BytesRejection;
@@ -20,7 +16,7 @@
 use transport::{Operation, OperationReply};
 use types::ConfigurationVersion;
 
-/// `GET /v1/configuration`, from this gateway's replica.
+/// Handles `GET /v1/configuration`, from the replica of this gateway.
 pub async fn configuration(
     State(server): State<Server>,
     requester: Requester,
@@ -36,7 +32,7 @@
     }))
 }
 
-/// `PUT /v1/configuration/{version}`, in JSON or TOML.
+/// Handles `PUT /v1/configuration/{version}`, in JSON or TOML.
 pub async fn put_configuration(
     State(server): State<Server>,
     requester: Requester,
@@ -51,7 +47,7 @@
     configure(&server, &requester, operation).await
 }
 
-/// `PATCH /v1/configuration/{version}`, in JSON or TOML.
+/// Handles `PATCH /v1/configuration/{version}`, in JSON or TOML.
 pub async fn update_configuration(
     State(server): State<Server>,
     requester: Requester,
@@ -81,7 +77,7 @@
     }))
 }
 
-/// A body in TOML, if the media type says so, or in JSON.
+/// Parses a body, as TOML if the media type says so and as JSON otherwise.
 fn parse_body<T: DeserializeOwned>(headers: &HeaderMap, body: &[u8]) -> Result<T, BodyError> {
     let media_type = headers
         .get(header::CONTENT_TYPE)
@@ -94,32 +90,7 @@
     api::parse_toml(text)
 }
 
-/// `GET /v1/configuration/status`.
-pub async fn configuration_status(
-    State(server): State<Server>,
-    requester: Requester,
-) -> Result<Json<ConfigurationStatusBody>, Failure> {
-    let reply = server.ask(&requester, Operation::ListMembers).await?;
-    let OperationReply::Members(members) = reply else {
-        return Err(unexpected());
-    };
-    Ok(Json(ConfigurationStatusBody::from(members)))
-}
-
-/// `GET /v1/runners`.
-pub async fn runners(
-    State(server): State<Server>,
-    requester: Requester,
-) -> Result<Json<RunnersBody>, Failure> {
-    let reply = server.ask(&requester, Operation::ListRunners).await?;
-    let OperationReply::Runners(runners) = reply else {
-        return Err(unexpected());
-    };
-    let runners = runners.into_iter().map(RunnerViewBody::from).collect();
-    Ok(Json(RunnersBody { runners }))
-}
-
-/// `POST /v1/runners/{runner}/drain`.
+/// Handles `POST /v1/runners/{runner}/drain`.
 pub async fn drain_runner(
     State(server): State<Server>,
     requester: Requester,
@@ -137,7 +108,7 @@
     Ok(Json(AcceptedBody { accepted: true }))
 }
 
-/// `POST /v1/runners/{runner}/lost`.
+/// Handles `POST /v1/runners/{runner}/lost`.
 pub async fn declare_runner_lost(
     State(server): State<Server>,
     requester: Requester,
@@ -152,55 +123,3 @@
     let runs = runs.iter().map(ToString::to_string).collect();
     Ok(Json(RunsLostBody { runs }))
 }
-
-/// `GET /v1/queues`.
-pub async fn queues(
-    State(server): State<Server>,
-    requester: Requester,
-) -> Result<Json<QueuesBody>, Failure> {
-    let reply = server.ask(&requester, Operation::ListQueues).await?;
-    let OperationReply::Queues(queues) = reply else {
-        return Err(unexpected());
-    };
-    let queues = queues.into_iter().map(QueueViewBody::from).collect();
-    Ok(Json(QueuesBody { queues }))
-}
-
-/// `GET /v1/licences`.
-pub async fn licences(
-    State(server): State<Server>,
-    requester: Requester,
-) -> Result<Json<LicencesBody>, Failure> {
-    let reply = server.ask(&requester, Operation::ListLicences).await?;
-    let OperationReply::Licences(licences) = reply else {
-        return Err(unexpected());
-    };
-    let licences = licences.into_iter().map(LicenceViewBody::from).collect();
-    Ok(Json(LicencesBody { licences }))
-}
-
-/// `GET /v1/tenants`.
-pub async fn tenants(
-    State(server): State<Server>,
-    requester: Requester,
-) -> Result<Json<TenantsBody>, Failure> {
-    let reply = server.ask(&requester, Operation::ListTenants).await?;
-    let OperationReply::Tenants(tenants) = reply else {
-        return Err(unexpected());
-    };
-    let tenants = tenants.into_iter().map(TenantViewBody::from).collect();
-    Ok(Json(TenantsBody { tenants }))
-}
-
-/// `GET /v1/members`.
-pub async fn members(
-    State(server): State<Server>,
-    requester: Requester,
-) -> Result<Json<MembersBody>, Failure> {
-    let reply = server.ask(&requester, Operation::ListMembers).await?;
-    let OperationReply::Members(members) = reply else {
-        return Err(unexpected());
-    };
-    let members = members.into_iter().map(MemberViewBody::from).collect();
-    Ok(Json(MembersBody { members }))
-}
--- a/crates/gateway/tests/core/bench.rs
+++ b/crates/gateway/tests/core/bench.rs
@@ -1,7 +1,7 @@
 //! One gateway before emulated coordinators, on a clock that the test moves.
 
 use configuration::{ClusterConfiguration, Key, KeyHash, KeyRole};
-use gateway::{Caller, Effect, Gateway, GatewayOptions, Input, TicketId};
+use gateway::{Caller, Effect, Gateway, GatewayOptions, Input, NotReady, TicketId};
 use std::net::SocketAddr;
 use transport::{
     Envelope, KeepAlive, Members, Operation, OperationReply, PeerMessage, Rejection, Reply,
@@ -37,7 +37,7 @@
     /// Requests as coordinators received them, with who did and when.
     pub requests: Vec<(usize, u64, Request)>,
     pub answers: Vec<Answer>,
-    pub readiness: Vec<Result<(), String>>,
+    pub readiness: Vec<Result<(), NotReady>>,
     pub goodbyes: usize,
     pub stopped: bool,
     next_ticket: u64,
--- a/crates/gateway/tests/core/readiness.rs
+++ b/crates/gateway/tests/core/readiness.rs
@@ -1,7 +1,7 @@
 //! Ready only with a valid replica and a leader; a polite stop.
 
 use crate::bench::{Bench, submit, submitted};
-use gateway::Input;
+use gateway::{Input, NotReady};
 use transport::RejectionCode;
 
 #[test]
@@ -52,7 +52,7 @@
     let mut bench = Bench::connected();
     let waiting = bench.ask(5_000, submit("poster", "a"));
     bench.input(Input::Stop);
-    assert_eq!(bench.readiness.last(), Some(&Err("stopping".to_owned())));
+    assert_eq!(bench.readiness.last(), Some(&Err(NotReady::Stopping)));
     let late = bench.ask(5_000, submit("poster", "b"));
     let rejection = bench.rejection(late);
     assert_eq!(rejection.code, RejectionCode::Unavailable);
@@ -73,3 +73,14 @@
     bench.input(Input::Stop);
     assert!(bench.stopped);
 }
+
+/// `/readyz` shows these texts.
+#[test]
+fn reasons_have_the_texts_that_readyz_shows() {
+    assert_eq!(NotReady::Stopping.to_string(), "stopping");
+    assert_eq!(
+        NotReady::NoConfiguration.to_string(),
+        "no configuration confirmed by a leader lately"
+    );
+    assert_eq!(NotReady::NoSession.to_string(), "no session with a leader");
+}
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod request;
 pub mod runner;
 pub mod session;
+pub mod stop;
 pub mod tcp;
 pub mod view;
 
@@ -24,6 +25,7 @@
 pub use request::{JobFilter, Operation, Reply, Request, RequestId};
 pub use runner::{AgentReport, NamedRun, OrderResult, RunnerUpdate};
 pub use session::{KeepAlive, SessionLease};
+pub use stop::stopped;
 pub use tcp::inbox::{Arrival, Inbox, Lane};
 pub use tcp::{ClusterKey, PROTOCOL_VERSION, Transport, TransportError, TransportOptions};
 pub use view::{LicenceView, MemberView, QueueView, TenantView};
--- a/crates/transport/src/tcp/incoming.rs
+++ b/crates/transport/src/tcp/incoming.rs
@@ -1,14 +1,14 @@
 //! The listening end: accepts connections and delivers the messages of their
 //! frames to the inbox.
 
+use super::Context;
 use super::connection::{ACKNOWLEDGE_INTERVAL, READ_TIMEOUT, WRITE_TIMEOUT, accept, within};
 use super::frame::{Channel, FrameError};
 use super::handshake::{Authenticated, HandshakeError};
 use super::inbox::InboxSender;
 use super::outgoing::Destinations;
 use super::traffic::count_received;
-use super::{Context, stopped};
-use crate::Envelope;
+use crate::{Envelope, stopped};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/transport/src/tcp/mod.rs
+++ b/crates/transport/src/tcp/mod.rs
@@ -136,9 +136,3 @@
         self.stop.closed().await;
     }
 }
-
-/// Waits until the transport is shut down or dropped.
-async fn stopped(stop: &mut watch::Receiver<bool>) {
-    // An error means that the last clone of the transport was dropped.
-    let _ = stop.wait_for(|stop| *stop).await;
-}
--- a/crates/transport/src/tcp/outgoing.rs
+++ b/crates/transport/src/tcp/outgoing.rs
@@ -3,6 +3,7 @@
 //! The task connects while the queue has messages, and ends when the queue has
 //! been empty for the idle timeout.
 
+use super::Context;
 use super::connection::{
     ACKNOWLEDGE_INTERVAL, ACKNOWLEDGE_TIMEOUT, FIRST_CONNECT_TIMEOUT, IDLE_TIMEOUT,
     MAX_CONNECT_TIMEOUT, WRITE_TIMEOUT, dial, within,
@@ -11,8 +12,7 @@
 use super::handshake::{Authenticated, HandshakeError};
 use super::queue::{Queue, count_dropped};
 use super::traffic::count_sent;
-use super::{Context, stopped};
-use crate::{PeerMessage, clock};
+use crate::{PeerMessage, clock, stopped};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
