--- a/crates/consensus/examples/commit_rate.rs
+++ b/crates/consensus/examples/commit_rate.rs
@@ -82,7 +82,7 @@
     }
     group.settle(now);
     let begun = Instant::now();
-    for first in (0..commands).step_by(burst as usize) {
+    for first in (0..commands).step_by(usize::try_from(burst).unwrap_or(usize::MAX)) {
         for _ in first..commands.min(first + burst) {
             if let Some(node) = group.nodes.get_mut(&leader) {
                 node.propose(now, vec![7; COMMAND_BYTES]).ok();
--- a/crates/consensus/tests/cluster/checker.rs
+++ b/crates/consensus/tests/cluster/checker.rs
@@ -58,9 +58,10 @@
     pub fn applied(&mut self, entry: &Entry, state: u64) -> Result<(), Violation> {
         let found = (entry.term, state);
         let known = *self.committed.entry(entry.index).or_insert(found);
-        match known == found {
-            true => Ok(()),
-            false => Err(Violation::Divergence),
+        if known == found {
+            Ok(())
+        } else {
+            Err(Violation::Divergence)
         }
     }
 
@@ -116,9 +117,10 @@
             }
         }
         let holders = machines.values().filter(|m| m.holds_lease(now)).count();
-        match holders > 1 {
-            true => Err(Violation::TwoLeases),
-            false => Ok(()),
+        if holders > 1 {
+            Err(Violation::TwoLeases)
+        } else {
+            Ok(())
         }
     }
 
@@ -130,9 +132,10 @@
             let snapshot = m.disk.snapshot.as_ref().map(|s| s.meta.index);
             snapshot >= Some(last) || m.disk.entries.last().is_some_and(|e| e.index >= last)
         };
-        match last == LogIndex(0) || machines.values().any(kept) {
-            true => Ok(()),
-            false => Err(Violation::LostEntry),
+        if last == LogIndex(0) || machines.values().any(kept) {
+            Ok(())
+        } else {
+            Err(Violation::LostEntry)
         }
     }
 }
--- a/crates/consensus/tests/cluster/mod.rs
+++ b/crates/consensus/tests/cluster/mod.rs
@@ -86,7 +86,7 @@
 }
 
 pub fn socket(node: NodeId) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 1_000 + node.0 as u16))
+    SocketAddr::from(([127, 0, 0, 1], 1_000 + u16::try_from(node.0).unwrap()))
 }
 
 pub fn membership(voters: &[u64], learners: &[u64]) -> Membership {
@@ -138,9 +138,10 @@
             next_event: 0,
         };
         for id in 1..=machines {
-            let initial = match id <= voters {
-                true => membership(&ids, &[]),
-                false => Membership::default(),
+            let initial = if id <= voters {
+                membership(&ids, &[])
+            } else {
+                Membership::default()
             };
             let machine = Machine::new(NodeId(id), initial);
             cluster.machines.insert(NodeId(id), machine);
@@ -220,9 +221,10 @@
         let copies = 1 + u64::from(self.random.random_bool(network.duplicate));
         for _ in 0..copies {
             let may_be_slow = network.slow_to.is_none_or(|slow| slow == to);
-            let longest = match may_be_slow && self.random.random_bool(network.slow) {
-                true => network.longest_delay,
-                false => 5,
+            let longest = if may_be_slow && self.random.random_bool(network.slow) {
+                network.longest_delay
+            } else {
+                5
             };
             let at = self.now + self.random.random_range(1..=longest);
             let at = self.over_lossy_link(from, to, at);
--- a/crates/consensus/tests/cluster/script.rs
+++ b/crates/consensus/tests/cluster/script.rs
@@ -28,7 +28,7 @@
 
 /// Runs a cluster under random faults, heals it and has it serve.
 pub fn run_seed(seed: u64, mutation: Option<Mutation>) -> Result<Outcome, Violation> {
-    let voters = VOTERS[seed as usize % VOTERS.len()];
+    let voters = VOTERS[usize::try_from(seed).unwrap() % VOTERS.len()];
     let mut cluster = Cluster::new(seed, voters, MACHINES, mutation);
     cluster.wait_for_leader()?;
     let burst = BURSTS[cluster.random.random_range(0..BURSTS.len())];
--- a/crates/consensus/tests/failover.rs
+++ b/crates/consensus/tests/failover.rs
@@ -43,14 +43,14 @@
 
 #[test]
 fn another_leads_soon_after_a_crash() -> Result<(), Violation> {
-    assert_short(&gaps(|cluster, leader| cluster.crash(leader))?);
+    assert_short(&gaps(cluster::Cluster::crash)?);
     Ok(())
 }
 
 #[test]
 fn another_leads_soon_after_a_cut() -> Result<(), Violation> {
     assert_short(&gaps(|cluster, leader| {
-        cluster.cut_off(leader, true, true)
+        cluster.cut_off(leader, true, true);
     })?);
     Ok(())
 }
@@ -58,7 +58,7 @@
 #[test]
 fn another_leads_soon_after_a_one_way_cut() -> Result<(), Violation> {
     assert_short(&gaps(|cluster, leader| {
-        cluster.cut_off(leader, false, true)
+        cluster.cut_off(leader, false, true);
     })?);
     Ok(())
 }
--- a/crates/consensus/tests/mutations.rs
+++ b/crates/consensus/tests/mutations.rs
@@ -19,9 +19,10 @@
         let leader = cluster.wait_for_leader()?;
         let pause = cluster.random.random_range(500..1_500);
         cluster.run(pause)?;
-        match cluster.leader() == Some(leader) {
-            true => scenario(&mut cluster, leader),
-            false => Ok(()),
+        if cluster.leader() == Some(leader) {
+            scenario(&mut cluster, leader)
+        } else {
+            Ok(())
         }
     };
     SEEDS.filter_map(|seed| run(seed).err()).collect()
@@ -142,9 +143,10 @@
     cluster.run(5_000)?;
     cluster.cuts.clear();
     cluster.run(5_000)?;
-    match cluster.machine(leader).term(0) == before {
-        true => Ok(()),
-        false => Err(Violation::Deposed),
+    if cluster.machine(leader).term(0) == before {
+        Ok(())
+    } else {
+        Err(Violation::Deposed)
     }
 }
 
--- a/crates/coordinator/tests/coordinator/faults.rs
+++ b/crates/coordinator/tests/coordinator/faults.rs
@@ -65,7 +65,7 @@
         0 if cluster.servers.iter().all(|server| server.core.is_some()) => cluster.kill(server),
         1 => cluster.servers[server].frozen = true,
         2 => {
-            cluster.cut.insert(8_000 + server as u16);
+            cluster.cut.insert(8_000 + u16::try_from(server).unwrap());
         }
         3 => cluster.agents[agent].silent = true,
         4 => cluster.agents[agent].restart(now),
--- a/crates/coordinator/tests/coordinator/first_start.rs
+++ b/crates/coordinator/tests/coordinator/first_start.rs
@@ -134,7 +134,7 @@
     cluster.run(8_000);
     let term = cluster.status(leader).unwrap().term;
     cluster.servers.push(crate::test_cluster::Server::from_disk(
-        8_000 + lost as u16,
+        8_000 + u16::try_from(lost).unwrap(),
         store,
     ));
     cluster.start(3);
--- a/crates/coordinator/tests/coordinator/requests.rs
+++ b/crates/coordinator/tests/coordinator/requests.rs
@@ -201,7 +201,7 @@
     let leader = cluster.leader().unwrap();
     let followers = [(leader + 1) % 3, (leader + 2) % 3];
     for follower in followers {
-        cluster.cut.insert(8_000 + follower as u16);
+        cluster.cut.insert(8_000 + u16::try_from(follower).unwrap());
     }
     let id = cluster.ask(Operation::Submit(jobs::job("job")));
     cluster.run(1_500);
@@ -251,7 +251,9 @@
     let mut cluster = TestCluster::served();
     let follower = (cluster.leader().unwrap() + 1) % 3;
     let mut agent = crate::test_cluster::agent::ScriptedAgent::new(1, cluster.now);
-    agent.via = Some(crate::test_cluster::socket(8_000 + follower as u16));
+    agent.via = Some(crate::test_cluster::socket(
+        8_000 + u16::try_from(follower).unwrap(),
+    ));
     cluster.agents.push(agent);
     cluster.run(1_000);
     cluster.submit("job");
--- a/crates/coordinator/tests/coordinator/test_cluster/agent.rs
+++ b/crates/coordinator/tests/coordinator/test_cluster/agent.rs
@@ -137,7 +137,7 @@
             rack: RackName::new("rack").unwrap(),
             labels: BTreeMap::new(),
             capacity: document::slots(8),
-            free: document::slots(8_u32.saturating_sub(self.active.len() as u32)),
+            free: document::slots(8_u32.saturating_sub(u32::try_from(self.active.len()).unwrap())),
             draining: self.draining,
             self_stop: self.self_stop,
             active: active.collect(),
--- a/crates/scheduler/examples/reserve_rate.rs
+++ b/crates/scheduler/examples/reserve_rate.rs
@@ -131,7 +131,7 @@
     let mut open: Vec<Option<RunId>> = vec![None; RUNNERS * 8];
     let places = open.len();
     let begun = Instant::now();
-    for cycle in 0..CYCLES as usize {
+    for cycle in 0..usize::try_from(CYCLES).unwrap_or(usize::MAX) {
         if let Some(run) = open[cycle % places].take() {
             scheduler.remove_run(run);
         }
--- a/crates/scheduler/tests/holds.rs
+++ b/crates/scheduler/tests/holds.rs
@@ -16,7 +16,7 @@
     let mut small_starts = 0;
     for tick in 0..2_000_u64 {
         let now = at(tick * 100);
-        let mut heartbeat = report("r1", tick + 2, 4, 4 - running.len() as u32);
+        let mut heartbeat = report("r1", tick + 2, 4, 4 - u32::try_from(running.len()).unwrap());
         heartbeat.active = running.iter().map(|run| usage(*run)).collect();
         scheduler.heartbeat(&heartbeat, now);
         for reservation in all_placed(scheduler.place(now, 10)) {
--- a/crates/scheduler/tests/model.rs
+++ b/crates/scheduler/tests/model.rs
@@ -82,7 +82,7 @@
 
 impl Reference {
     fn owner(job: u64) -> (&'static str, u32) {
-        TENANTS[job as usize % TENANTS.len()]
+        TENANTS[usize::try_from(job).unwrap() % TENANTS.len()]
     }
 
     fn runs_of(&self, task: TaskRef) -> usize {
--- a/crates/session/src/round.rs
+++ b/crates/session/src/round.rs
@@ -26,9 +26,10 @@
         if now < self.next_round {
             return;
         }
-        let interval = match self.has_lease() {
-            true => self.options.interval,
-            false => Milliseconds(self.options.interval.0 / SEARCH_PART),
+        let interval = if self.has_lease() {
+            self.options.interval
+        } else {
+            Milliseconds(self.options.interval.0 / SEARCH_PART)
         };
         let jitter = Milliseconds(self.random.random_range(0..=interval.0 / JITTER_PART));
         self.next_round = now + interval + jitter;
--- a/crates/session/tests/session/bench.rs
+++ b/crates/session/tests/session/bench.rs
@@ -14,7 +14,7 @@
 pub const OWN: u64 = 50;
 
 pub fn socket(number: u64) -> SocketAddr {
-    SocketAddr::from(([10, 0, 0, 1], 1_000 + number as u16))
+    SocketAddr::from(([10, 0, 0, 1], 1_000 + u16::try_from(number).unwrap()))
 }
 
 pub fn address(number: u64, role: Role) -> Address {
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -3,10 +3,7 @@
 use crate::Mutation;
 use crate::caller::{CallerHost, Waiting};
 use crate::event::{Event, Scheduled};
-use crate::ids::MachineIndex;
-use crate::ids::Micros;
-use crate::ids::ProcessIndex;
-use crate::ids::{DiskState, Incarnation};
+use crate::ids::{DiskState, Incarnation, MachineIndex, Micros, ProcessIndex};
 use crate::machine::Machine;
 use crate::network::Network;
 use crate::operator::OperatorHost;
--- a/crates/simulation/src/cluster_http.rs
+++ b/crates/simulation/src/cluster_http.rs
@@ -3,8 +3,7 @@
 use crate::caller::{CALLER_TIMEOUT_MS, Waiting};
 use crate::cluster::SimulatedCluster;
 use crate::event::Event;
-use crate::ids::Micros;
-use crate::ids::ProcessIndex;
+use crate::ids::{Micros, ProcessIndex};
 use crate::operator::LEAST_SLOTS;
 use crate::plan::Acknowledgement;
 use crate::process::Input;
--- a/crates/simulation/src/cluster_runner.rs
+++ b/crates/simulation/src/cluster_runner.rs
@@ -3,9 +3,7 @@
 
 use crate::cluster::SimulatedCluster;
 use crate::event::Event;
-use crate::ids::Incarnation;
-use crate::ids::Micros;
-use crate::ids::ProcessIndex;
+use crate::ids::{Incarnation, Micros, ProcessIndex};
 use crate::network::per_thousand;
 use crate::process::Input;
 use checker::Event as Seen;
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -2,10 +2,7 @@
 
 use crate::cluster::SimulatedCluster;
 use crate::event::Event;
-use crate::ids::DiskState;
-use crate::ids::MachineIndex;
-use crate::ids::Micros;
-use crate::ids::ProcessIndex;
+use crate::ids::{DiskState, MachineIndex, Micros, ProcessIndex};
 use crate::network::{LossyLinks, NetworkConditions};
 use crate::plan::{Acknowledgement, Behaviour, Fault, MAX_REPAIR_MS};
 use crate::process::{Core, Input, Process};
--- a/crates/simulation/src/runner.rs
+++ b/crates/simulation/src/runner.rs
@@ -1,9 +1,6 @@
 //! Runner hosts: emulated runners on side machines.
 
-use crate::ids::Incarnation;
-use crate::ids::MachineIndex;
-use crate::ids::Micros;
-use crate::ids::ProcessIndex;
+use crate::ids::{Incarnation, MachineIndex, Micros, ProcessIndex};
 use emulator::runner::{Behaviour, Runner, RunnerOptions};
 use types::{RunnerId, RunnerIncarnation};
 
--- a/crates/transport/tests/golden_handshake.rs
+++ b/crates/transport/tests/golden_handshake.rs
@@ -136,7 +136,7 @@
     /// A frame: length, tag over place, length and body, and the body.
     fn frame(&self, direction: &str, place: u64, body: &[u8]) -> Vec<u8> {
         let secret = labelled(&self.proof(SESSION), direction, &[]);
-        let length = (body.len() as u32).to_le_bytes();
+        let length = u32::try_from(body.len()).unwrap().to_le_bytes();
         let tag = hmac(&secret, &[&place.to_le_bytes(), &length, body]);
         [&length, &tag[..TAG_BYTES], body].concat()
     }
--- a/crates/transport/tests/strangers.rs
+++ b/crates/transport/tests/strangers.rs
@@ -126,10 +126,10 @@
         let sender = Daemon::start(10 + attempt, KEY).await;
         let mut proxy = Proxy::start(daemon.socket()).await;
         *proxy.spoil.lock().unwrap() = Some(Spoil::Flip(place));
-        let spoiled = numbered(100 + attempt as u32);
+        let spoiled = numbered(100 + u32::try_from(attempt).unwrap());
         sender.transport.send(proxy.socket, spoiled.clone());
         proxy.ended().await;
-        let later = numbered(200 + attempt as u32);
+        let later = numbered(200 + u32::try_from(attempt).unwrap());
         loop {
             let body = guarded(receive_sending(&mut daemon, &sender, &proxy, &later)).await;
             // A handshake that failed has cost no message.
