--- a/crates/storage/src/frame.rs
+++ b/crates/storage/src/frame.rs
@@ -1,4 +1,4 @@
-//! How files and records are framed.
+//! Framing of files and records.
 //!
 //! ```text
 //! file   := header record*
@@ -7,21 +7,30 @@
 //! ```
 //!
 //! A record's checksum covers the file's number and the record's offset, so a
-//! record found anywhere else does not verify, and neither does a payload
-//! that happens to look like one.
+//! record at any other place does not verify, and neither does a payload that
+//! looks like a record by chance.
 
-use crate::StorageError;
+use crate::error::{BatchError, Damage, StorageError, Unverified};
 
-/// Version of all files this program writes and reads.
+/// Format version of all files that this program writes and reads.
 pub const FORMAT_VERSION: u32 = 1;
-/// Bytes of a file's header.
+/// Length of a file's header, in bytes.
 pub(crate) const HEADER_BYTES: usize = 24;
-/// Bytes before a record's payload.
+/// Length of a record's header, in bytes.
 pub(crate) const RECORD_HEADER_BYTES: usize = 12;
 
+/// Length of a CRC-32 checksum, in bytes.
+const CHECKSUM_BYTES: usize = 4;
+/// Offset of the format version in a file's header.
+const VERSION_OFFSET: usize = 8;
+/// Offset of the payload's length in a record.
+const LENGTH_OFFSET: usize = 4;
+/// Offset of the checksum in a record.
+const CHECKSUM_OFFSET: usize = 8;
+/// First bytes of each record.
 const RECORD_MARK: [u8; 4] = [0xC7, 0x5D, 0x9E, 0x31];
 
-/// What a file is.
+/// Kind of a file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FileKind {
     Log,
@@ -39,22 +48,22 @@
     }
 }
 
-/// What is wrong with a header.
+/// Why a header is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HeaderError {
-    /// Short or not verified: never written whole, or damaged.
-    Broken,
+    /// Short, or its checksum does not match: torn, or damaged.
+    Unverified,
     /// Verified, but of another version.
     Version(u32),
-    /// Verified, but written for another file.
-    Foreign,
+    /// Verified, but of another file.
+    OtherFile,
 }
 
 /// A verified record.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RecordSlice<'a> {
     pub payload: &'a [u8],
-    /// Offset behind it.
+    /// Offset after the record, in bytes.
     pub end: usize,
 }
 
@@ -71,32 +80,37 @@
 
 /// Verifies the header of a file.
 pub(crate) fn check_header(bytes: &[u8], kind: FileKind, number: u64) -> Result<(), HeaderError> {
-    let covered = bytes.get(..HEADER_BYTES - 4).ok_or(HeaderError::Broken)?;
-    let checksum = read_u32(bytes, HEADER_BYTES - 4).ok_or(HeaderError::Broken)?;
+    let covered = bytes
+        .get(..HEADER_BYTES - CHECKSUM_BYTES)
+        .ok_or(HeaderError::Unverified)?;
+    let checksum = read_u32(bytes, HEADER_BYTES - CHECKSUM_BYTES).ok_or(HeaderError::Unverified)?;
     if crc32fast::hash(covered) != checksum {
-        return Err(HeaderError::Broken);
+        return Err(HeaderError::Unverified);
     }
-    let version = read_u32(bytes, 8).ok_or(HeaderError::Broken)?;
+    let version = read_u32(bytes, VERSION_OFFSET).ok_or(HeaderError::Unverified)?;
     if version != FORMAT_VERSION {
         return Err(HeaderError::Version(version));
     }
     if bytes.get(..HEADER_BYTES) != Some(&encode_header(kind, number)) {
-        return Err(HeaderError::Foreign);
+        return Err(HeaderError::OtherFile);
     }
     Ok(())
 }
 
-/// Adds a record that will stand at `offset` of file `number`; false when the
+/// Appends to `out` the record for `offset` of file `number`. Fails if the
 /// payload is too long for a record.
-pub(crate) fn push_record(out: &mut Vec<u8>, number: u64, offset: u64, payload: &[u8]) -> bool {
-    let Ok(length) = u32::try_from(payload.len()) else {
-        return false;
-    };
+pub(crate) fn push_record(
+    out: &mut Vec<u8>,
+    number: u64,
+    offset: u64,
+    payload: &[u8],
+) -> Result<(), BatchError> {
+    let length = u32::try_from(payload.len()).map_err(|_| BatchError::TooLarge)?;
     out.extend_from_slice(&RECORD_MARK);
     out.extend_from_slice(&length.to_le_bytes());
     out.extend_from_slice(&record_checksum(number, offset, payload).to_le_bytes());
     out.extend_from_slice(payload);
-    true
+    Ok(())
 }
 
 /// Reads and verifies the record at `offset`.
@@ -104,26 +118,26 @@
     bytes: &[u8],
     number: u64,
     offset: usize,
-) -> Result<RecordSlice<'_>, &'static str> {
+) -> Result<RecordSlice<'_>, Unverified> {
     let start = offset + RECORD_HEADER_BYTES;
     let mark = bytes.get(offset..offset + RECORD_MARK.len());
-    let length = read_u32(bytes, offset + 4);
-    let checksum = read_u32(bytes, offset + 8);
+    let length = read_u32(bytes, offset + LENGTH_OFFSET);
+    let checksum = read_u32(bytes, offset + CHECKSUM_OFFSET);
     let (Some(mark), Some(length), Some(checksum)) = (mark, length, checksum) else {
-        return Err("the record's header is cut off");
+        return Err(Unverified::RecordHeaderCutOff);
     };
     if mark != RECORD_MARK {
-        return Err("no record begins here");
+        return Err(Unverified::NoRecordMark);
     }
     let end = start.saturating_add(length as usize);
-    let payload = bytes.get(start..end).ok_or("the record is cut off")?;
+    let payload = bytes.get(start..end).ok_or(Unverified::RecordCutOff)?;
     if record_checksum(number, offset as u64, payload) != checksum {
-        return Err("the record's checksum does not match");
+        return Err(Unverified::Checksum);
     }
     Ok(RecordSlice { payload, end })
 }
 
-/// Offset of the first verified record behind `offset`.
+/// Offset of the first verified record after `offset`.
 pub(crate) fn find_record_after(bytes: &[u8], number: u64, offset: usize) -> Option<usize> {
     let tail = bytes.get(offset + 1..)?;
     tail.windows(RECORD_MARK.len())
@@ -133,14 +147,18 @@
         .find(|candidate| read_record(bytes, number, *candidate).is_ok())
 }
 
-/// A whole file of one record: a snapshot or an identity. None when the
-/// payload is too long.
-pub(crate) fn encode_single(kind: FileKind, number: u64, payload: &[u8]) -> Option<Vec<u8>> {
+/// Encodes a file of one record: a snapshot or an identity.
+pub(crate) fn encode_single(
+    kind: FileKind,
+    number: u64,
+    payload: &[u8],
+) -> Result<Vec<u8>, BatchError> {
     let mut bytes = encode_header(kind, number);
-    push_record(&mut bytes, number, HEADER_BYTES as u64, payload).then_some(bytes)
+    push_record(&mut bytes, number, HEADER_BYTES as u64, payload)?;
+    Ok(bytes)
 }
 
-/// The payload of a file of one record, which must be whole.
+/// Verifies a file of one record and returns the payload.
 pub(crate) fn decode_single<'a>(
     file: &str,
     bytes: &'a [u8],
@@ -151,13 +169,16 @@
     let record = read_record(bytes, number, HEADER_BYTES)
         .map_err(|reason| StorageError::damaged(file, HEADER_BYTES, reason))?;
     if record.end != bytes.len() {
-        let reason = "there are bytes behind the record";
-        return Err(StorageError::damaged(file, record.end, reason));
+        return Err(StorageError::damaged(
+            file,
+            record.end,
+            Damage::TrailingBytes,
+        ));
     }
     Ok(record.payload)
 }
 
-/// The error for a header that had to be whole.
+/// The error for a header that cannot be torn.
 pub(crate) fn header_error(file: &str, reason: HeaderError) -> StorageError {
     match reason {
         HeaderError::Version(found) => StorageError::Version {
@@ -165,10 +186,8 @@
             found,
             supported: FORMAT_VERSION,
         },
-        HeaderError::Broken => StorageError::damaged(file, 0, "the header is not whole"),
-        HeaderError::Foreign => {
-            StorageError::damaged(file, 0, "the header belongs to another file")
-        }
+        HeaderError::Unverified => StorageError::damaged(file, 0, Unverified::Header),
+        HeaderError::OtherFile => StorageError::damaged(file, 0, Damage::HeaderOfOtherFile),
     }
 }
 
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,19 +1,28 @@
-//! Durable log segments, snapshots and identity over a [`Disk`] seam.
+//! Durable log segments, snapshots and identity over a [`Disk`].
 //!
-//! Files live flat under one data folder and count only once they are synced.
-//! The log is append-only segments of records, each with length, checksum and
-//! format version; a snapshot is written beside the old one and renamed. A
-//! torn tail is cut at open, damage in the middle is rejected.
+//! All files are in one data folder without subfolders, and count only once
+//! they are synced. The log consists of append-only segments. A segment is a
+//! header with the format version and a sequence of records with length and
+//! checksum; each record is one batch, and the first one of a segment has a
+//! checkpoint. Snapshot and identity are written to a temporary file and
+//! renamed. [`Store::open`] truncates a torn tail and rejects other damage.
 //!
-//! What a reader of a damaged disk can rely on: every batch that
-//! [`Store::write`] acknowledged is there, or the open is rejected, with one
-//! exception. Damage to the very last record of the log, or a log cut short,
-//! cannot be told from a write that power loss tore; the open then reports
-//! [`Opened::truncated_bytes`] (zero if the cut falls between two records).
+//! Guarantee on a damaged disk: each batch that [`Store::write`] acknowledged
+//! is present, or the open is rejected, with one exception. Damage to the very
+//! last record of the log, or a truncated log, cannot be distinguished from a
+//! write that was torn by power loss; the open then reports
+//! [`Opened::truncated_bytes`] (zero if the log ends between two records).
+//!
+//! Layers, from the bottom: `disk` with its implementations `real` and
+//! `memory`; `folder`; `name` and `frame`; `log`; `segment`; `recovery`; and
+//! on top `store`.
 
+mod convert;
 pub mod disk;
 pub mod error;
+mod folder;
 mod frame;
+mod identity;
 mod log;
 pub mod memory;
 mod name;
@@ -23,8 +32,9 @@
 pub mod store;
 
 pub use disk::Disk;
-pub use error::StorageError;
+pub use error::{BatchError, Damage, DiskOperation, StorageError, Unverified};
 pub use frame::FORMAT_VERSION;
+pub use identity::Identity;
 pub use memory::MemoryDisk;
 pub use real::RealDisk;
-pub use store::{Batch, Identity, Opened, Store, StoreOptions};
+pub use store::{Batch, Opened, Store, StoreOptions};
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -1,37 +1,38 @@
-//! What the log's records say, and what the store remembers of them.
+//! Content of the log's records, and the state that they add up to.
 
+use crate::convert::to_usize;
 use consensus::{Entry, HardState, Snapshot};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use types::{LogIndex, Term};
 
-/// Which snapshot file is in force.
+/// Reference to the snapshot file in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct SnapshotMark {
+pub(crate) struct SnapshotReference {
     /// Number of the file.
     pub file: u64,
-    /// Last index it covers.
+    /// Last index that the snapshot covers.
     pub index: LogIndex,
     /// Term of that index.
     pub term: Term,
 }
 
-/// First record of each segment: all that older segments would be needed for,
-/// but their live entries.
+/// State at the begin of a segment, in its first record. With it older segments
+/// are needed only for their live entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Checkpoint {
     /// Hard state in force.
     pub hard_state: HardState,
     /// Snapshot in force.
-    pub snapshot: Option<SnapshotMark>,
-    /// Oldest segment that holds live entries; older ones are leftovers.
+    pub snapshot: Option<SnapshotReference>,
+    /// Oldest segment with live entries; older ones are obsolete.
     pub first_segment: u64,
-    /// Length of the segment before this one, so that one cut short between
-    /// two records is noticed.
+    /// Length of the previous segment in bytes, which shows if that segment is
+    /// truncated between two records.
     pub previous_bytes: u64,
 }
 
-/// One batch, as it stands in the log: whole or not at all.
+/// One batch in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub(crate) struct Record {
     pub checkpoint: Option<Checkpoint>,
@@ -39,62 +40,64 @@
     pub entries: Vec<Entry>,
 }
 
-/// A [`Record`] to be encoded; the same fields in the same order.
+/// A [`Record`] to encode: the same fields in the same order, with borrowed
+/// entries.
 #[derive(Debug, Clone, Copy, Serialize)]
-pub(crate) struct RecordParts<'a> {
+pub(crate) struct RecordRef<'a> {
     pub checkpoint: Option<Checkpoint>,
     pub hard_state: Option<HardState>,
     pub entries: &'a [Entry],
 }
 
-/// Where a live entry stands.
+/// Term of a live entry, and the segment that contains it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct EntryLocation {
     pub term: Term,
     pub segment: u64,
 }
 
-/// Hard state, snapshot and places of the live entries behind it. Later
-/// entries never stand in earlier segments, since an overwrite revocations all that
-/// follow it.
+/// Hard state, snapshot in force, and locations of the live entries after it.
+/// Later entries are never in earlier segments, since an append overwrites all
+/// entries from its first index on.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(crate) struct LogState {
     pub hard_state: HardState,
-    pub snapshot: Option<SnapshotMark>,
+    pub snapshot: Option<SnapshotReference>,
     pub locations: VecDeque<EntryLocation>,
 }
 
 impl LogState {
-    /// Last index the snapshot covers, or zero.
+    /// Last index that the snapshot covers, or 0.
     pub fn base(&self) -> u64 {
-        self.snapshot.map_or(0, |mark| mark.index.0)
+        self.snapshot.map_or(0, |snapshot| snapshot.index.0)
     }
 
-    /// Last index of the log.
+    /// Index of the last entry, or of the snapshot.
     pub fn last_index(&self) -> u64 {
         self.base() + self.locations.len() as u64
     }
 
-    /// Whether a snapshot is newer than, or a rewrite of, the one in force.
-    pub fn takes(&self, snapshot: &Snapshot) -> bool {
+    /// Returns whether a snapshot is not older than the one in force.
+    pub fn accepts_snapshot(&self, snapshot: &Snapshot) -> bool {
         snapshot.meta.index.0 >= self.base()
     }
 
-    /// Puts a snapshot in force. The log behind it stays if it holds the
-    /// snapshot's last index with its term, else the whole log goes.
-    pub fn install(&mut self, mark: SnapshotMark) {
-        let covered = mark.index.0.saturating_sub(self.base());
-        if self.contains(mark.index, mark.term) {
-            let covered = (covered as usize).min(self.locations.len());
+    /// Puts a snapshot in force. The entries after it remain if the log has the
+    /// snapshot's last index with its term; otherwise the whole log is dropped.
+    pub fn install(&mut self, snapshot: SnapshotReference) {
+        if self.contains(snapshot.index, snapshot.term) {
+            let covered = to_usize(snapshot.index.0.saturating_sub(self.base()));
+            let covered = covered.min(self.locations.len());
             self.locations.drain(..covered);
         } else {
             self.locations.clear();
         }
-        self.snapshot = Some(mark);
+        self.snapshot = Some(snapshot);
     }
 
-    /// Whether entries join the log as it will be with a snapshot in force.
-    pub fn joins(&self, snapshot: Option<&Snapshot>, entries: &[Entry]) -> bool {
+    /// Returns whether entries follow the log, once the given snapshot is in
+    /// force.
+    pub fn can_append(&self, snapshot: Option<&Snapshot>, entries: &[Entry]) -> bool {
         let Some(first) = entries.first().map(|entry| entry.index.0) else {
             return true;
         };
@@ -106,14 +109,14 @@
         first > base && first <= last + 1 && are_consecutive(entries, first)
     }
 
-    /// Records entries written to a segment; those from the first one on go.
-    /// They must join the log.
+    /// Records entries that are written to a segment. They replace those from
+    /// the first one's index on, and must satisfy [`LogState::can_append`].
     pub fn append(&mut self, entries: &[Entry], segment: u64) {
         let Some(first) = entries.first() else {
             return;
         };
         let retained = first.index.0.saturating_sub(self.base() + 1);
-        self.locations.truncate(retained as usize);
+        self.locations.truncate(to_usize(retained));
         let locations = entries.iter().map(|entry| EntryLocation {
             term: entry.term,
             segment,
@@ -121,7 +124,7 @@
         self.locations.extend(locations);
     }
 
-    /// Oldest segment with live entries; `newest` when there are none.
+    /// Oldest segment with live entries; `newest` if there are none.
     pub fn first_segment(&self, newest: u64) -> u64 {
         self.locations
             .front()
@@ -129,18 +132,22 @@
     }
 
     fn contains(&self, index: LogIndex, term: Term) -> bool {
-        if self.snapshot.is_some_and(|mark| mark.index == index) {
-            return self.snapshot.is_some_and(|mark| mark.term == term);
+        if let Some(snapshot) = self.snapshot
+            && snapshot.index == index
+        {
+            return snapshot.term == term;
         }
         let Some(position) = index.0.checked_sub(self.base() + 1) else {
             return false;
         };
-        let location = self.locations.get(position as usize);
+        let location = self.locations.get(to_usize(position));
         location.is_some_and(|location| location.term == term)
     }
 }
 
 fn are_consecutive(entries: &[Entry], first: u64) -> bool {
     let indexes = entries.iter().map(|entry| entry.index.0);
-    indexes.zip(first..).all(|(index, wanted)| index == wanted)
+    indexes
+        .zip(first..)
+        .all(|(index, expected)| index == expected)
 }
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -1,32 +1,34 @@
-//! A disk in memory that loses what was not synced, for simulation and tests.
+//! A disk in memory that loses unsynced data in a crash, for simulation and
+//! tests.
 //!
-//! Written and synced are kept apart for the bytes of each file and for the
-//! names in the folder. A crash may keep any prefix of a file's unsynced
-//! bytes, spoil its end, and keep or lose each unsynced change of a name.
-//! Content is shared between clones until one of them writes.
+//! It distinguishes written from synced state, for the bytes of each file and
+//! for the names in the folder. A crash may keep any prefix of a file's
+//! unsynced bytes, corrupt its end, and keep or lose each unsynced change of a
+//! name. Clones share content until one of them writes.
 
 use crate::Disk;
+use crate::convert::to_usize;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::sync::Arc;
 
-/// One file is spoiled in this many crashes with unsynced bytes.
-const SPOIL_ONE_IN: u32 = 3;
-/// Most bytes spoiled at the end of what a crash keeps.
-const MAX_SPOILED_BYTES: usize = 64;
+/// One in this many files with unsynced bytes is corrupted in a crash.
+const CORRUPT_ONE_IN: u32 = 3;
+/// Most bytes corrupted at the end of the bytes that a crash keeps.
+const MAX_CORRUPTED_BYTES: usize = 64;
 
 #[derive(Debug, Clone, Default)]
 struct File {
-    /// Content as read back.
+    /// Content that a read returns.
     bytes: Arc<Vec<u8>>,
-    /// Bytes from the start that a crash keeps, unless `replaced` is set.
+    /// Number of bytes from the start that are synced, unless `replaced` is set.
     synced: usize,
-    /// Synced content that was overwritten or cut since.
+    /// Synced content that was overwritten or truncated since.
     replaced: Option<Arc<Vec<u8>>>,
 }
 
-/// A change of names that the folder's sync makes durable.
+/// A change of names that becomes durable with the sync of the folder.
 #[derive(Debug, Clone)]
 enum NameChange {
     Create { name: String, file: u64 },
@@ -53,8 +55,8 @@
         Self::default()
     }
 
-    /// Loses power: what was not synced is kept or lost by the draws of `rng`.
-    /// Injected errors end.
+    /// Loses power: `rng` decides which unsynced changes are kept. Injected
+    /// errors end.
     pub fn crash(&mut self, rng: &mut impl Rng) {
         let changes = std::mem::take(&mut self.unsynced_names);
         for change in changes {
@@ -68,7 +70,7 @@
         self.restart();
     }
 
-    /// Loses power and everything that was not synced.
+    /// Loses power and all unsynced changes.
     pub fn crash_losing_unsynced(&mut self) {
         for file in self.files.values_mut() {
             file.keep_synced();
@@ -76,7 +78,7 @@
         self.restart();
     }
 
-    /// Loses power right after everything reached the disk by itself.
+    /// Loses power after all unsynced changes have reached the disk.
     pub fn crash_keeping_unsynced(&mut self) {
         self.synced_names = self.names.clone();
         for file in self.files.values_mut() {
@@ -85,29 +87,34 @@
         self.restart();
     }
 
-    /// Replaces the disk by an empty one.
+    /// Replaces the disk with an empty one.
     pub fn wipe(&mut self) {
         *self = Self::default();
     }
 
-    /// Changes asked for so far: writes, syncs, renames, removals.
+    /// Number of changes so far, failed ones included: writes, syncs, renames,
+    /// removals.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Lets every change from the given one on fail, until the next crash. A
-    /// write or append that fails first leaves half of its bytes.
+    /// Makes every change from number `change` on fail, until the next crash. If
+    /// the first one is a write or append, it writes half of its bytes.
     pub fn fail_from(&mut self, change: u64) {
         self.fail_from = Some(change);
     }
 
-    /// Bounds the bytes of all files together; a write past it leaves what
-    /// fits, and fails.
+    /// Limits the total size of all files, in bytes. A write beyond the limit
+    /// writes the bytes that fit, and fails.
     pub fn set_capacity(&mut self, bytes: Option<u64>) {
         self.capacity = bytes;
     }
 
-    /// Changes a file's synced content, as damage would.
+    /// Changes a file's synced content, to simulate damage.
+    ///
+    /// # Errors
+    ///
+    /// [`io::ErrorKind::NotFound`] if the file does not exist.
     pub fn damage(&mut self, name: &str, change: impl FnOnce(&mut Vec<u8>)) -> io::Result<()> {
         let file = self.file_mut(name)?;
         change(Arc::make_mut(&mut file.bytes));
@@ -118,11 +125,11 @@
     fn restart(&mut self) {
         self.unsynced_names.clear();
         self.names = self.synced_names.clone();
-        self.drop_nameless();
+        self.drop_unnamed_files();
         self.fail_from = None;
     }
 
-    fn drop_nameless(&mut self) {
+    fn drop_unnamed_files(&mut self) {
         let mut named: BTreeSet<u64> = self.names.values().copied().collect();
         named.extend(self.synced_names.values());
         for change in &self.unsynced_names {
@@ -162,40 +169,48 @@
         file
     }
 
-    /// Counts a change; false when it is to fail.
-    fn begin(&mut self) -> bool {
+    /// Counts a change, and fails if an error is injected for it.
+    fn begin_change(&mut self) -> io::Result<()> {
         let change = self.changes;
         self.changes += 1;
-        self.fail_from.is_none_or(|first| change < first)
-    }
-
-    fn begin_file_write(&mut self) -> io::Result<()> {
-        if self.begin() {
-            Ok(())
-        } else {
-            Err(injected())
+        if self.fail_from.is_some_and(|first| change >= first) {
+            return Err(injected());
         }
+        Ok(())
     }
 
-    /// How many of `wanted` new bytes can be written, and the error if not all.
-    fn admit(&mut self, wanted: usize, freed: usize) -> (usize, io::Result<()>) {
-        let first_failure = self.fail_from == Some(self.changes);
-        if !self.begin() {
-            let half = if first_failure { wanted / 2 } else { 0 };
-            return (half, Err(injected()));
+    /// Begins to write `requested` bytes in place of `freed` ones.
+    fn begin_write(&mut self, requested: usize, freed: usize) -> WriteOutcome {
+        let is_first_failure = self.fail_from == Some(self.changes);
+        if let Err(error) = self.begin_change() {
+            let written = if is_first_failure { requested / 2 } else { 0 };
+            return WriteOutcome {
+                written,
+                result: Err(error),
+            };
         }
-        let Some(capacity) = self.capacity else {
-            return (wanted, Ok(()));
-        };
         let used: usize = self.files.values().map(|file| file.bytes.len()).sum();
-        let free = (capacity as usize).saturating_sub(used - freed);
-        if wanted <= free {
-            return (wanted, Ok(()));
+        let capacity = self.capacity.map_or(usize::MAX, to_usize);
+        let free = capacity.saturating_sub(used - freed);
+        if requested <= free {
+            return WriteOutcome {
+                written: requested,
+                result: Ok(()),
+            };
+        }
+        WriteOutcome {
+            written: free,
+            result: Err(io::ErrorKind::StorageFull.into()),
         }
-        (free, Err(io::ErrorKind::StorageFull.into()))
     }
 }
 
+/// Number of bytes that a write changes, and its result.
+struct WriteOutcome {
+    written: usize,
+    result: io::Result<()>,
+}
+
 impl File {
     fn sync(&mut self) {
         self.synced = self.bytes.len();
@@ -213,7 +228,7 @@
         self.sync();
     }
 
-    /// Puts other content in place; the synced one may come back.
+    /// Replaces the content. A crash may restore the synced content.
     fn replace(&mut self, bytes: Vec<u8>) {
         let old = std::mem::replace(&mut self.bytes, Arc::new(bytes));
         if self.replaced.is_none() {
@@ -237,17 +252,17 @@
             let synced = self.synced;
             let bytes = Arc::make_mut(&mut self.bytes);
             bytes.truncate(retained);
-            if rng.random_ratio(1, SPOIL_ONE_IN) {
-                spoil_end(bytes, synced, rng);
+            if rng.random_ratio(1, CORRUPT_ONE_IN) {
+                corrupt_end(bytes, synced, rng);
             }
         }
         self.sync();
     }
 }
 
-/// Overwrites the last unsynced bytes with noise.
-fn spoil_end(bytes: &mut [u8], synced: usize, rng: &mut impl Rng) {
-    let start = synced.max(bytes.len().saturating_sub(MAX_SPOILED_BYTES));
+/// Overwrites the last unsynced bytes with random bytes or zeros.
+fn corrupt_end(bytes: &mut [u8], synced: usize, rng: &mut impl Rng) {
+    let start = synced.max(bytes.len().saturating_sub(MAX_CORRUPTED_BYTES));
     let Some(end) = bytes.get_mut(start..) else {
         return;
     };
@@ -294,44 +309,44 @@
 
     fn write(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
         let freed = self.file(file).map_or(0, |file| file.bytes.len());
-        let (admitted, result) = self.admit(bytes.len(), freed);
-        let written = bytes.iter().take(admitted).copied().collect();
+        let outcome = self.begin_write(bytes.len(), freed);
+        let written = bytes.iter().take(outcome.written).copied().collect();
         self.file_or_new(file).replace(written);
-        result
+        outcome.result
     }
 
     fn append(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
-        let (admitted, result) = self.admit(bytes.len(), 0);
+        let outcome = self.begin_write(bytes.len(), 0);
         let file = self.file_or_new(file);
-        Arc::make_mut(&mut file.bytes).extend(bytes.iter().take(admitted));
-        result
+        Arc::make_mut(&mut file.bytes).extend(bytes.iter().take(outcome.written));
+        outcome.result
     }
 
     fn truncate(&mut self, file: &str, length: u64) -> io::Result<()> {
-        self.begin_file_write()?;
+        self.begin_change()?;
         let file = self.file_mut(file)?;
         let mut bytes = file.bytes.as_ref().clone();
-        bytes.truncate(length as usize);
+        bytes.truncate(to_usize(length));
         file.replace(bytes);
         Ok(())
     }
 
     fn sync_file(&mut self, file: &str) -> io::Result<()> {
-        self.begin_file_write()?;
+        self.begin_change()?;
         self.file_mut(file)?.sync();
         Ok(())
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        self.begin_file_write()?;
+        self.begin_change()?;
         self.synced_names = self.names.clone();
         self.unsynced_names.clear();
-        self.drop_nameless();
+        self.drop_unnamed_files();
         Ok(())
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.begin_file_write()?;
+        self.begin_change()?;
         let file = self.names.remove(from).ok_or_else(not_found)?;
         self.names.insert(to.to_owned(), file);
         self.unsynced_names.push(NameChange::Rename {
@@ -343,7 +358,7 @@
     }
 
     fn remove(&mut self, file: &str) -> io::Result<()> {
-        self.begin_file_write()?;
+        self.begin_change()?;
         self.names.remove(file).ok_or_else(not_found)?;
         self.unsynced_names.push(NameChange::Remove {
             name: file.to_owned(),
--- a/crates/storage/src/name.rs
+++ b/crates/storage/src/name.rs
@@ -1,6 +1,10 @@
 //! Names of the files in a data folder.
 
-/// The identity.
+/// Number of the first segment of an empty folder.
+pub(crate) const FIRST_SEGMENT: u64 = 1;
+/// Number in the header of the identity file.
+pub(crate) const IDENTITY_NUMBER: u64 = 0;
+/// Name of the identity file.
 pub(crate) const IDENTITY_FILE: &str = "identity";
 
 const LOG_PREFIX: &str = "log-";
@@ -8,39 +12,41 @@
 const TEMPORARY_SUFFIX: &str = ".tmp";
 const NUMBER_DIGITS: usize = 20;
 
-/// Name of a segment.
+/// Name of a segment file.
 pub(crate) fn segment_file(number: u64) -> String {
     format!("{LOG_PREFIX}{number:0NUMBER_DIGITS$}")
 }
 
-/// Name of a snapshot.
+/// Name of a snapshot file.
 pub(crate) fn snapshot_file(number: u64) -> String {
     format!("{SNAPSHOT_PREFIX}{number:0NUMBER_DIGITS$}")
 }
 
-/// Name under which a file is written before it takes its own.
+/// Name under which a file is written before it is renamed to `file`.
 pub(crate) fn temporary_file(file: &str) -> String {
     format!("{file}{TEMPORARY_SUFFIX}")
 }
 
-/// What a name stands for.
+/// Kind of a file, as its name says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FileName {
     Segment(u64),
     Snapshot(u64),
     Identity,
-    /// Left by an interrupted write.
+    /// Temporary file of an interrupted write.
     Temporary,
-    /// None of the store's.
+    /// Not a file of the store.
     Other,
 }
 
-/// Reads a name.
+/// Finds the kind of a file.
 pub(crate) fn parse_name(name: &str) -> FileName {
-    if let Some(whole) = name.strip_suffix(TEMPORARY_SUFFIX) {
-        return match parse_name(whole) {
+    if let Some(final_name) = name.strip_suffix(TEMPORARY_SUFFIX) {
+        return match parse_name(final_name) {
             FileName::Other | FileName::Temporary => FileName::Other,
-            _ => FileName::Temporary,
+            FileName::Segment(_) | FileName::Snapshot(_) | FileName::Identity => {
+                FileName::Temporary
+            }
         };
     }
     if name == IDENTITY_FILE {
@@ -56,6 +62,6 @@
 }
 
 fn parse_number(digits: &str) -> Option<u64> {
-    let plain = digits.len() == NUMBER_DIGITS && digits.bytes().all(|b| b.is_ascii_digit());
-    plain.then(|| digits.parse().ok()).flatten()
+    let is_plain = digits.len() == NUMBER_DIGITS && digits.bytes().all(|b| b.is_ascii_digit());
+    is_plain.then(|| digits.parse().ok()).flatten()
 }
--- a/crates/storage/src/real.rs
+++ b/crates/storage/src/real.rs
@@ -1,41 +1,42 @@
-//! A folder of the operating system, through the standard library.
+//! A folder of the operating system.
 
+use crate::error::DiskOperation;
 use crate::{Disk, StorageError};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// File whose lock keeps a second process out of the folder.
+/// File whose lock excludes a second process from the folder.
 const LOCK_FILE: &str = "lock";
 
-/// A folder of the operating system. It is locked while this value incarnations, so
-/// that two daemons never write the same folder.
+/// A folder of the operating system. It is locked while this value exists, so
+/// that two daemons never write to the same folder.
 #[derive(Debug)]
 pub struct RealDisk {
     folder: PathBuf,
     /// The file appended to last, kept open: the log's newest segment.
-    appending: Option<(String, File)>,
+    append_file: Option<OpenFile>,
     _lock: File,
 }
 
 impl RealDisk {
-    /// Opens the folder, creating it and its missing parents durably. Fails
-    /// when another process has it open.
+    /// Opens the folder, and creates it and its missing parents durably.
+    ///
+    /// # Errors
+    ///
+    /// [`StorageError::Disk`] if the folder cannot be created, or if another
+    /// process has locked it.
     pub fn open(path: impl AsRef<Path>) -> Result<Self, StorageError> {
         let folder = path.as_ref();
-        let failed = |action| {
+        let failed = |operation| {
             let file = folder.display().to_string();
-            move |source| StorageError::Disk {
-                action,
-                file,
-                source,
-            }
+            move |source| StorageError::disk(operation, &file, source)
         };
-        create_folder(folder).map_err(failed("create"))?;
-        let lock = lock_folder(folder).map_err(failed("lock"))?;
+        create_folder(folder).map_err(failed(DiskOperation::Create))?;
+        let lock = lock_folder(folder).map_err(failed(DiskOperation::Lock))?;
         Ok(Self {
             folder: folder.to_owned(),
-            appending: None,
+            append_file: None,
             _lock: lock,
         })
     }
@@ -44,30 +45,40 @@
         self.folder.join(file)
     }
 
-    /// Closes the kept handle when the name it stands for changes hands.
-    fn release(&mut self, file: &str) {
+    /// Closes the open file if it has this name, before the name changes.
+    fn close(&mut self, file: &str) {
         if self
-            .appending
+            .append_file
             .as_ref()
-            .is_some_and(|(name, _)| name == file)
+            .is_some_and(|open| open.name == file)
         {
-            self.appending = None;
+            self.append_file = None;
         }
     }
 
-    fn appending(&mut self, file: &str) -> io::Result<&mut File> {
-        let retained = match self.appending.take() {
-            Some((name, handle)) if name == file => handle,
-            _ => OpenOptions::new()
-                .create(true)
-                .append(true)
-                .open(self.path(file))?,
+    /// Opens the file for appending, unless it is open.
+    fn open_for_append(&mut self, file: &str) -> io::Result<&mut File> {
+        let open = match self.append_file.take() {
+            Some(open) if open.name == file => open,
+            _ => OpenFile {
+                name: file.to_owned(),
+                handle: OpenOptions::new()
+                    .create(true)
+                    .append(true)
+                    .open(self.path(file))?,
+            },
         };
-        let (_, handle) = self.appending.insert((file.to_owned(), retained));
-        Ok(handle)
+        Ok(&mut self.append_file.insert(open).handle)
     }
 }
 
+/// A file that is open for appending.
+#[derive(Debug)]
+struct OpenFile {
+    name: String,
+    handle: File,
+}
+
 /// Creates a folder with its parents and syncs each new name.
 fn create_folder(folder: &Path) -> io::Result<()> {
     if folder.is_dir() {
@@ -80,9 +91,9 @@
     };
     create_folder(parent)?;
     match fs::create_dir(folder) {
-        // Another process made it since the look above.
+        // Another process has created it in the meantime.
         Err(error) if error.kind() == io::ErrorKind::AlreadyExists && folder.is_dir() => {}
-        made => made?,
+        result => result?,
     }
     File::open(parent)?.sync_all()
 }
@@ -105,7 +116,7 @@
             if !entry.file_type()?.is_file() {
                 continue;
             }
-            // A name that is no text is none of ours.
+            // A name that is not UTF-8 is not a file of the store.
             if let Ok(name) = entry.file_name().into_string() {
                 names.push(name);
             }
@@ -119,12 +130,12 @@
     }
 
     fn write(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
-        self.release(file);
+        self.close(file);
         File::create(self.path(file))?.write_all(bytes)
     }
 
     fn append(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
-        self.appending(file)?.write_all(bytes)
+        self.open_for_append(file)?.write_all(bytes)
     }
 
     fn truncate(&mut self, file: &str, length: u64) -> io::Result<()> {
@@ -133,8 +144,8 @@
     }
 
     fn sync_file(&mut self, file: &str) -> io::Result<()> {
-        match &self.appending {
-            Some((name, handle)) if name == file => handle.sync_data(),
+        match &self.append_file {
+            Some(open) if open.name == file => open.handle.sync_data(),
             _ => File::open(self.path(file))?.sync_all(),
         }
     }
@@ -144,13 +155,13 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.release(from);
-        self.release(to);
+        self.close(from);
+        self.close(to);
         fs::rename(self.path(from), self.path(to))
     }
 
     fn remove(&mut self, file: &str) -> io::Result<()> {
-        self.release(file);
+        self.close(file);
         fs::remove_file(self.path(file))
     }
 }
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -1,59 +1,67 @@
-//! Reading a whole data folder. Nothing on the disk is changed here, so a
-//! folder that is rejected stays as it was found.
+//! Reads a whole data folder. Recovery changes nothing on the disk, so a folder
+//! that is rejected remains as it is.
 
+use crate::convert::to_usize;
+use crate::error::Damage;
+use crate::folder::{list, read, read_if_present};
 use crate::frame::{FileKind, decode_single};
-use crate::log::{Checkpoint, EntryLocation, LogState, SnapshotMark};
-use crate::name::{FileName, IDENTITY_FILE, parse_name, segment_file, snapshot_file};
+use crate::log::{Checkpoint, EntryLocation, LogState, SnapshotReference};
+use crate::name::{
+    FIRST_SEGMENT, FileName, IDENTITY_FILE, IDENTITY_NUMBER, parse_name, segment_file,
+    snapshot_file,
+};
 use crate::segment::{Segment, read_segment};
 use crate::{Disk, Identity, StorageError};
 use consensus::{Entry, Recovered, Snapshot};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Number of the first segment of an empty folder.
-pub(crate) const FIRST_SEGMENT: u64 = 1;
-/// Number in the identity's header.
-pub(crate) const IDENTITY_NUMBER: u64 = 0;
-
-/// What a folder holds.
+/// Content of a data folder.
 #[derive(Debug, Default)]
 pub(crate) struct Recovery {
     pub identity: Option<Identity>,
     pub recovered: Recovered,
     pub state: LogState,
-    /// The segment to go on with, and its verified bytes; none when the folder
-    /// is new.
+    /// The segment to continue; none if the folder is new.
     pub last: Option<LastSegment>,
-    /// Files to remove: temporary ones, segments and snapshots not in force.
-    pub leftovers: Vec<String>,
-    /// Bytes of torn tail.
+    /// Files to remove: temporary files, and segments and snapshots that are
+    /// not in force.
+    pub obsolete_files: Vec<String>,
+    /// Length of the torn tail, in bytes.
     pub truncated_bytes: u64,
 }
 
-/// The newest segment.
+/// The newest segment, with its verified bytes.
 #[derive(Debug)]
 pub(crate) struct LastSegment {
     pub number: u64,
     pub bytes: Vec<u8>,
 }
 
-/// The names found, by kind.
+/// An entry that no later one overwrites, and its segment.
+#[derive(Debug)]
+struct LiveEntry {
+    entry: Entry,
+    segment: u64,
+}
+
+/// Files in the folder, by kind.
 #[derive(Debug, Default)]
 struct Names {
     segments: BTreeSet<u64>,
     snapshots: BTreeSet<u64>,
     temporary: Vec<String>,
-    identity: bool,
+    has_identity: bool,
 }
 
-/// Reads a folder; see [`crate::segment`] for what counts as damage.
+/// Reads a data folder; [`crate::segment`] defines what counts as damage.
 pub(crate) fn recover(disk: &impl Disk) -> Result<Recovery, StorageError> {
-    let names = list(disk)?;
+    let names = list_names(disk)?;
     let mut recovery = Recovery {
         identity: read_identity(disk, &names)?,
         ..Recovery::default()
     };
     let Some((last, checkpoint)) = find_last(disk, &names, &mut recovery)? else {
-        recovery.leftovers.extend(names.temporary);
+        recovery.obsolete_files.extend(names.temporary);
         return Ok(recovery);
     };
     let last_number = last.number;
@@ -64,20 +72,21 @@
     check_lengths(&segments)?;
     replay(segments, &mut recovery)?;
     require_identity(&recovery)?;
-    record_leftovers(names, checkpoint, &mut recovery);
+    record_obsolete_files(names, checkpoint, &mut recovery);
     Ok(recovery)
 }
 
-fn list(disk: &impl Disk) -> Result<Names, StorageError> {
+fn list_names(disk: &impl Disk) -> Result<Names, StorageError> {
     let mut names = Names::default();
-    let listed = disk
-        .list()
-        .map_err(|source| StorageError::disk("list", "the data folder", source))?;
-    for name in listed {
+    for name in list(disk)? {
         match parse_name(&name) {
-            FileName::Segment(number) => drop(names.segments.insert(number)),
-            FileName::Snapshot(number) => drop(names.snapshots.insert(number)),
-            FileName::Identity => names.identity = true,
+            FileName::Segment(number) => {
+                names.segments.insert(number);
+            }
+            FileName::Snapshot(number) => {
+                names.snapshots.insert(number);
+            }
+            FileName::Identity => names.has_identity = true,
             FileName::Temporary => names.temporary.push(name),
             FileName::Other => {}
         }
@@ -85,32 +94,27 @@
     Ok(names)
 }
 
-fn read(disk: &impl Disk, file: &str) -> Result<Vec<u8>, StorageError> {
-    disk.read(file)
-        .map_err(|source| StorageError::disk("read", file, source))
-}
-
 fn read_identity(disk: &impl Disk, names: &Names) -> Result<Option<Identity>, StorageError> {
-    if !names.identity {
+    if !names.has_identity {
         return Ok(None);
     }
     let bytes = read(disk, IDENTITY_FILE)?;
     let payload = decode_single(IDENTITY_FILE, &bytes, FileKind::Identity, IDENTITY_NUMBER)?;
     let identity = postcard::from_bytes(payload)
-        .map_err(|error| StorageError::damaged(IDENTITY_FILE, 0, error.to_string()))?;
+        .map_err(|error| StorageError::damaged(IDENTITY_FILE, 0, Damage::Decode(error)))?;
     Ok(Some(identity))
 }
 
-/// Finds the newest segment whose first record is whole. One behind it may be
-/// the start of a rotation that never ended, and is left out; it must have a
-/// predecessor, since that is removed only after the rotation was synced.
+/// Finds the newest segment whose first record verifies. A segment after it may
+/// be from a rotation that was interrupted, and is obsolete; it must have a
+/// predecessor, which is removed only after the rotation is synced.
 fn find_last(
     disk: &impl Disk,
     names: &Names,
     recovery: &mut Recovery,
 ) -> Result<Option<(Segment, Checkpoint)>, StorageError> {
     let Some(number) = names.segments.last().copied() else {
-        require_new(names, FIRST_SEGMENT, "the log is missing")?;
+        require_new(names, FIRST_SEGMENT, Damage::LogMissing)?;
         return Ok(None);
     };
     let bytes = read(disk, &segment_file(number))?;
@@ -120,17 +124,17 @@
         return Ok(Some((segment, checkpoint)));
     }
     recovery.truncated_bytes = bytes.len() as u64;
-    recovery.leftovers.push(segment_file(number));
+    recovery.obsolete_files.push(segment_file(number));
     let previous = number.wrapping_sub(1);
     if !names.segments.contains(&previous) {
-        require_new(names, number, "the first record is not whole")?;
+        require_new(names, number, Damage::FirstRecord)?;
         return Ok(None);
     }
     let bytes = read(disk, &segment_file(previous))?;
     let segment = read_segment(previous, &bytes)?.require_complete()?;
     let Some(checkpoint) = first_checkpoint(&segment) else {
         let file = segment_file(previous);
-        return Err(StorageError::damaged(&file, 0, "there is no record"));
+        return Err(StorageError::damaged(&file, 0, Damage::NoRecord));
     };
     keep_last(&segment, bytes, recovery);
     Ok(Some((segment, checkpoint)))
@@ -149,26 +153,27 @@
     segment.records.first()?.checkpoint
 }
 
-/// A folder without a whole segment is new only if it holds nothing else: the
-/// first segment is synced before anything is written.
-fn require_new(names: &Names, segment: u64, reason: &str) -> Result<(), StorageError> {
-    let alone = names.segments.len() <= 1 && names.snapshots.is_empty() && !names.identity;
-    if alone && segment == FIRST_SEGMENT {
+/// Rejects a folder without a verified segment unless it is new, without any
+/// other file: the first segment is synced before anything else is written.
+fn require_new(names: &Names, segment: u64, damage: Damage) -> Result<(), StorageError> {
+    let is_only_file =
+        names.segments.len() <= 1 && names.snapshots.is_empty() && !names.has_identity;
+    if is_only_file && segment == FIRST_SEGMENT {
         return Ok(());
     }
-    Err(StorageError::damaged(&segment_file(segment), 0, reason))
+    Err(StorageError::damaged(&segment_file(segment), 0, damage))
 }
 
-/// Without an identity the folder may hold no more than the first segment of a
-/// new one, whose only record says nothing.
+/// Rejects a folder without an identity unless it is new: with the first
+/// segment at most, which records only the default state.
 fn require_identity(recovery: &Recovery) -> Result<(), StorageError> {
     let first = recovery.last.as_ref();
     let is_first = first.is_none_or(|last| last.number == FIRST_SEGMENT);
     let is_new = is_first && recovery.recovered == Recovered::default();
-    match recovery.identity.is_some() || is_new {
-        true => Ok(()),
-        false => Err(StorageError::IdentityMissing),
+    if recovery.identity.is_none() && !is_new {
+        return Err(StorageError::IdentityMissing);
     }
+    Ok(())
 }
 
 fn read_earlier(
@@ -181,7 +186,7 @@
     for number in first..last {
         let file = segment_file(number);
         if !names.segments.contains(&number) {
-            return Err(StorageError::damaged(&file, 0, "the segment is missing"));
+            return Err(StorageError::damaged(&file, 0, Damage::SegmentMissing));
         }
         let bytes = read(disk, &file)?;
         segments.push(read_segment(number, &bytes)?.require_complete()?);
@@ -189,15 +194,17 @@
     Ok(segments)
 }
 
-/// Each segment must be as long as the next one's checkpoint says.
+/// Rejects a segment whose length differs from the one that the next checkpoint
+/// records.
 fn check_lengths(segments: &[Segment]) -> Result<(), StorageError> {
     let pairs = segments.iter().zip(segments.iter().skip(1));
     for (segment, next) in pairs {
         let expected = first_checkpoint(next).map(|checkpoint| checkpoint.previous_bytes);
         if expected != Some(segment.verified_bytes as u64) {
             let file = segment_file(segment.number);
-            let reason = "the segment is not as long as the next one says";
-            return Err(StorageError::damaged(&file, segment.verified_bytes, reason));
+            let found = segment.verified_bytes;
+            let damage = Damage::SegmentLength { expected, found };
+            return Err(StorageError::damaged(&file, found, damage));
         }
     }
     Ok(())
@@ -205,32 +212,26 @@
 
 fn read_snapshot(
     disk: &impl Disk,
-    mark: Option<SnapshotMark>,
+    reference: Option<SnapshotReference>,
 ) -> Result<Option<Snapshot>, StorageError> {
-    let Some(mark) = mark else {
+    let Some(reference) = reference else {
         return Ok(None);
     };
-    let file = snapshot_file(mark.file);
-    let bytes = match disk.read(&file) {
-        Ok(bytes) => bytes,
-        Err(source) if source.kind() == std::io::ErrorKind::NotFound => {
-            return Err(StorageError::damaged(&file, 0, "the snapshot is missing"));
-        }
-        Err(source) => return Err(StorageError::disk("read", &file, source)),
-    };
-    let payload = decode_single(&file, &bytes, FileKind::Snapshot, mark.file)?;
-    let snapshot: Snapshot = postcard::from_bytes(payload)
-        .map_err(|error| StorageError::damaged(&file, 0, error.to_string()))?;
-    if snapshot.meta.index != mark.index || snapshot.meta.term != mark.term {
-        let reason = "the snapshot is not the one that the log names";
-        return Err(StorageError::damaged(&file, 0, reason));
+    let file = snapshot_file(reference.file);
+    let damaged = |damage| StorageError::damaged(&file, 0, damage);
+    let bytes = read_if_present(disk, &file)?.ok_or_else(|| damaged(Damage::SnapshotMissing))?;
+    let payload = decode_single(&file, &bytes, FileKind::Snapshot, reference.file)?;
+    let snapshot: Snapshot =
+        postcard::from_bytes(payload).map_err(|error| damaged(Damage::Decode(error)))?;
+    if snapshot.meta.index != reference.index || snapshot.meta.term != reference.term {
+        return Err(damaged(Damage::SnapshotMismatch));
     }
     Ok(Some(snapshot))
 }
 
-/// Puts the records of all segments together.
+/// Applies the records of all segments in order.
 fn replay(segments: Vec<Segment>, recovery: &mut Recovery) -> Result<(), StorageError> {
-    let mut live: VecDeque<(Entry, u64)> = VecDeque::new();
+    let mut live: VecDeque<LiveEntry> = VecDeque::new();
     for segment in segments {
         let number = segment.number;
         for record in segment.records {
@@ -241,16 +242,22 @@
                 recovery.state.hard_state = hard_state;
             }
             for entry in record.entries {
-                if !join(&mut live, entry, number) {
+                if !push_entry(
+                    &mut live,
+                    LiveEntry {
+                        entry,
+                        segment: number,
+                    },
+                ) {
                     let file = segment_file(number);
-                    return Err(StorageError::damaged(&file, 0, "entries are missing"));
+                    return Err(StorageError::damaged(&file, 0, Damage::EntryGap));
                 }
             }
         }
     }
     drop_covered(&mut live, recovery.state.base())?;
     recovery.recovered.hard_state = recovery.state.hard_state;
-    for (entry, segment) in live {
+    for LiveEntry { entry, segment } in live {
         let term = entry.term;
         recovery
             .state
@@ -261,45 +268,50 @@
     Ok(())
 }
 
-/// Adds an entry, voiding those from its index on; false if it leaves a hole.
-fn join(live: &mut VecDeque<(Entry, u64)>, entry: Entry, segment: u64) -> bool {
-    if let Some((first, _)) = live.front() {
-        let retained = entry.index.0.saturating_sub(first.index.0);
+/// Appends an entry, which overwrites those from its index on. Returns false if
+/// it would leave a gap.
+fn push_entry(live: &mut VecDeque<LiveEntry>, new: LiveEntry) -> bool {
+    if let Some(first) = live.front() {
+        let retained = new.entry.index.0.saturating_sub(first.entry.index.0);
         if retained > live.len() as u64 {
             return false;
         }
-        live.truncate(retained as usize);
+        live.truncate(to_usize(retained));
     }
-    live.push_back((entry, segment));
+    live.push_back(new);
     true
 }
 
-/// Drops what the snapshot covers; the rest must join it.
-fn drop_covered(live: &mut VecDeque<(Entry, u64)>, base: u64) -> Result<(), StorageError> {
-    while live.front().is_some_and(|(entry, _)| entry.index.0 <= base) {
+/// Drops the entries up to `base`, which the snapshot covers. Rejects a gap
+/// after it.
+fn drop_covered(live: &mut VecDeque<LiveEntry>, base: u64) -> Result<(), StorageError> {
+    while live.front().is_some_and(|live| live.entry.index.0 <= base) {
         live.pop_front();
     }
-    match live.front() {
-        Some((entry, segment)) if entry.index.0 != base + 1 => {
-            let reason = format!("entries from {} to {} are missing", base + 1, entry.index);
-            Err(StorageError::damaged(&segment_file(*segment), 0, reason))
-        }
-        _ => Ok(()),
-    }
+    let first = base + 1;
+    let Some(live) = live.front().filter(|live| live.entry.index.0 != first) else {
+        return Ok(());
+    };
+    let damage = Damage::EntriesAfterSnapshot {
+        first,
+        next: live.entry.index.0,
+    };
+    let file = segment_file(live.segment);
+    Err(StorageError::damaged(&file, 0, damage))
 }
 
-fn record_leftovers(names: Names, checkpoint: Checkpoint, recovery: &mut Recovery) {
+fn record_obsolete_files(names: Names, checkpoint: Checkpoint, recovery: &mut Recovery) {
     let segments = names.segments.range(..checkpoint.first_segment);
     recovery
-        .leftovers
+        .obsolete_files
         .extend(segments.map(|number| segment_file(*number)));
-    let in_force = checkpoint.snapshot.map(|mark| mark.file);
+    let in_force = checkpoint.snapshot.map(|snapshot| snapshot.file);
     let snapshots = names
         .snapshots
         .iter()
         .filter(|number| Some(**number) != in_force);
     recovery
-        .leftovers
+        .obsolete_files
         .extend(snapshots.map(|number| snapshot_file(*number)));
-    recovery.leftovers.extend(names.temporary);
+    recovery.obsolete_files.extend(names.temporary);
 }
--- a/crates/storage/src/segment.rs
+++ b/crates/storage/src/segment.rs
@@ -1,70 +1,70 @@
-//! Reading one segment of the log, and telling a torn tail from damage.
+//! Reads one segment of the log, and distinguishes a torn tail from damage.
 //!
 //! Each batch is one record, written by one append and synced before the next
 //! one is written. So at most the last record of the last segment can be
 //! unsynced, and a record that verifies proves that all before it were synced:
 //!
-//! - A bad record with a verified one anywhere behind it is damage.
-//! - A bad record with nothing verified behind it, in the last segment, is
-//!   taken for a torn tail. Damage to the very last synced record, or a file
-//!   cut short at or inside its tail, looks the same and cannot be told apart;
-//!   a quorum of other disks has to make up for it.
-//! - Anything bad in an earlier segment is damage.
+//! - Bytes that do not verify, with a verified record anywhere after them, are
+//!   damage.
+//! - Bytes that do not verify at the end of the newest segment count as a torn
+//!   tail. Damage to the last synced record, or a file truncated at or within
+//!   it, looks the same; the quorum of the other nodes makes up for it.
+//! - Bytes that do not verify in an earlier segment are damage.
 
-use crate::StorageError;
+use crate::error::{Damage, StorageError, Unverified};
 use crate::frame::{
     FileKind, HEADER_BYTES, HeaderError, check_header, find_record_after, header_error, read_record,
 };
 use crate::log::Record;
 use crate::name::segment_file;
 
-/// A segment that was read.
+/// Content of a segment.
 #[derive(Debug)]
 pub(crate) struct Segment {
     pub number: u64,
     pub records: Vec<Record>,
-    /// Bytes that verified, from the start.
+    /// Number of bytes that verify, from the start.
     pub verified_bytes: usize,
-    /// What is wrong with the bytes behind them, if there are any.
-    pub torn: Option<&'static str>,
+    /// Why the bytes after them do not verify, if there are any.
+    pub torn_tail: Option<Unverified>,
 }
 
 impl Segment {
-    /// The segment, if it has a checkpoint and is whole to its last byte.
+    /// Returns the segment if it has a checkpoint and verifies to its last byte.
     pub fn require_complete(self) -> Result<Self, StorageError> {
-        let reason = match self.torn {
-            Some(reason) => reason,
-            None if self.records.is_empty() => "there is no record",
+        let damage = match self.torn_tail {
+            Some(cause) => Damage::Unverified(cause),
+            None if self.records.is_empty() => Damage::NoRecord,
             None => return Ok(self),
         };
         let file = segment_file(self.number);
-        Err(StorageError::damaged(&file, self.verified_bytes, reason))
+        Err(StorageError::damaged(&file, self.verified_bytes, damage))
     }
 }
 
-/// Reads a segment. A tail that may be torn is reported in
-/// [`Segment::torn`]; what cannot be a torn tail is rejected.
+/// Reads a segment. Reports a tail that may be torn in [`Segment::torn_tail`],
+/// and rejects other damage.
 pub(crate) fn read_segment(number: u64, bytes: &[u8]) -> Result<Segment, StorageError> {
     let file = segment_file(number);
     let mut segment = Segment {
         number,
         records: Vec::new(),
         verified_bytes: 0,
-        torn: None,
+        torn_tail: None,
     };
     match check_header(bytes, FileKind::Log, number) {
         Ok(()) => segment.verified_bytes = HEADER_BYTES,
-        Err(HeaderError::Broken) => segment.torn = Some("the header is not whole"),
+        Err(HeaderError::Unverified) => segment.torn_tail = Some(Unverified::Header),
         Err(reason) => return Err(header_error(&file, reason)),
     }
-    while segment.torn.is_none() && segment.verified_bytes < bytes.len() {
+    while segment.torn_tail.is_none() && segment.verified_bytes < bytes.len() {
         match read_record(bytes, number, segment.verified_bytes) {
             Ok(record) => {
                 let decoded = decode(&file, segment.verified_bytes, record.payload)?;
                 segment.records.push(decoded);
                 segment.verified_bytes = record.end;
             }
-            Err(reason) => segment.torn = Some(reason),
+            Err(cause) => segment.torn_tail = Some(cause),
         }
     }
     reject_damage(&file, &segment, bytes)?;
@@ -74,17 +74,20 @@
 fn reject_damage(file: &str, segment: &Segment, bytes: &[u8]) -> Result<(), StorageError> {
     let first = segment.records.first();
     if first.is_some_and(|record| record.checkpoint.is_none()) {
-        let reason = "the first record is no checkpoint";
-        return Err(StorageError::damaged(file, HEADER_BYTES, reason));
+        return Err(StorageError::damaged(
+            file,
+            HEADER_BYTES,
+            Damage::NoCheckpoint,
+        ));
     }
-    let Some(reason) = segment.torn else {
+    let Some(cause) = segment.torn_tail else {
         return Ok(());
     };
     match find_record_after(bytes, segment.number, segment.verified_bytes) {
         None => Ok(()),
-        Some(next) => {
-            let reason = format!("{reason}, yet a whole record follows at byte {next}");
-            Err(StorageError::damaged(file, segment.verified_bytes, reason))
+        Some(next_record) => {
+            let damage = Damage::BeforeRecord { cause, next_record };
+            Err(StorageError::damaged(file, segment.verified_bytes, damage))
         }
     }
 }
@@ -92,11 +95,7 @@
 fn decode(file: &str, offset: usize, payload: &[u8]) -> Result<Record, StorageError> {
     match postcard::take_from_bytes(payload) {
         Ok((record, [])) => Ok(record),
-        Ok(_) => Err(StorageError::damaged(
-            file,
-            offset,
-            "the record is longer than its content",
-        )),
-        Err(error) => Err(StorageError::damaged(file, offset, error.to_string())),
+        Ok(_) => Err(StorageError::damaged(file, offset, Damage::TrailingPayload)),
+        Err(error) => Err(StorageError::damaged(file, offset, Damage::Decode(error))),
     }
 }
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,61 +1,48 @@
 //! The store of one coordinator.
 //!
 //! A batch is one record in the newest segment and one sync. A batch with a
-//! snapshot first makes the snapshot's file durable, then opens a new segment
-//! whose first record names it: with the sync of that segment the snapshot is
-//! in force, and only then the old files go. Each segment's first record also
-//! repeats the hard state, so that dropping older segments never loses it.
+//! snapshot first makes the snapshot's file durable, then begins a new segment
+//! whose checkpoint names it: with the sync of that segment the snapshot is in
+//! force, and only then the obsolete files are removed. Each checkpoint also
+//! repeats the hard state, so that the removal of older segments never loses
+//! it.
 
+use crate::error::BatchError;
+use crate::folder;
 use crate::frame::{
     FileKind, HEADER_BYTES, RECORD_HEADER_BYTES, encode_header, encode_single, push_record,
 };
-use crate::log::{Checkpoint, LogState, RecordParts, SnapshotMark};
-use crate::name::{IDENTITY_FILE, segment_file, snapshot_file, temporary_file};
-use crate::recovery::{FIRST_SEGMENT, IDENTITY_NUMBER, LastSegment, recover};
-use crate::{Disk, StorageError};
-use consensus::{Entry, HardState, Membership, Payload, Recovered, Snapshot};
-use serde::{Deserialize, Serialize};
-use std::io::ErrorKind;
-use types::{ClusterId, NodeId};
+use crate::log::{Checkpoint, LogState, RecordRef, SnapshotReference};
+use crate::name::{FIRST_SEGMENT, IDENTITY_FILE, IDENTITY_NUMBER, segment_file, snapshot_file};
+use crate::recovery::{LastSegment, recover};
+use crate::{Disk, Identity, StorageError};
+use consensus::{Entry, HardState, Payload, Recovered, Snapshot};
+use serde::Serialize;
 
-/// Most bytes of commands in one batch, and of data in one snapshot.
+/// Largest size of the commands in one batch, and of the data in one snapshot,
+/// in bytes.
 const MAX_PAYLOAD_BYTES: usize = 1 << 30;
 
-const TOO_LARGE: StorageError = StorageError::InvalidBatch {
-    reason: "it is too large for one record",
-};
-
-/// Who this disk belongs to. Made at the first start, with the cluster and
-/// its initial voters added once all initial coordinators agreed.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Identity {
-    /// The daemon's identity.
-    pub node: NodeId,
-    /// The cluster, once it belongs to one.
-    pub cluster: Option<ClusterId>,
-    /// Voters agreed at the cluster's first start; empty for a later joiner.
-    pub initial: Membership,
-}
-
-/// What one call writes, with one sync of the log. After a crash a batch is
-/// there whole or not at all.
+/// Changes that one call writes, with one sync of the log. After a crash a
+/// batch is present as a whole or not at all.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Batch {
     /// New hard state.
     pub hard_state: Option<HardState>,
-    /// A snapshot that replaces everything up to its index. When the log does
-    /// not hold that index with that term, the whole log goes. One older than
-    /// the snapshot in force is passed over.
+    /// A snapshot that replaces the log up to its index, or the whole log if the
+    /// log has no entry with that index and term. A snapshot older than the one
+    /// in force is ignored.
     pub snapshot: Option<Snapshot>,
-    /// Entries; those already written from the first one's index on are revocation.
+    /// Entries to append; they overwrite the entries written earlier from the
+    /// first one's index on.
     pub entries: Vec<Entry>,
 }
 
 /// Limits of a store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreOptions {
-    /// A segment that has reached this many bytes gets no further batch; it is
-    /// longer only if a single batch is.
+    /// Size in bytes from which on a segment gets no further batch. The last
+    /// batch of a segment may exceed it.
     pub segment_bytes: u64,
 }
 
@@ -67,16 +54,16 @@
     }
 }
 
-/// An open store and what it held.
+/// An open store and the state recovered from it.
 #[derive(Debug)]
 pub struct Opened<D: Disk> {
     /// The store, ready for batches.
     pub store: Store<D>,
-    /// The identity, if the disk is not empty.
+    /// The identity, if one is saved.
     pub identity: Option<Identity>,
-    /// State to hand to [`consensus::Node::new`].
+    /// State for [`consensus::Node::new`].
     pub recovered: Recovered,
-    /// Bytes of torn tail that were cut.
+    /// Length of the torn tail that was truncated, in bytes.
     pub truncated_bytes: u64,
 }
 
@@ -86,26 +73,41 @@
     disk: D,
     options: StoreOptions,
     state: LogState,
-    /// The newest segment's number and length.
+    /// Number of the newest segment.
     segment: u64,
+    /// Length of the newest segment, in bytes.
     segment_length: u64,
-    /// Oldest segment and newest snapshot file on the disk.
+    /// Number of the oldest segment on the disk.
     oldest_segment: u64,
+    /// Number of the newest snapshot file on the disk.
     snapshot_on_disk: Option<u64>,
-    /// Set while a write is under way; stays set when it fails.
+    /// Set while a write is in progress; stays set if it fails.
     failed: bool,
 }
 
 impl<D: Disk> Store<D> {
-    /// Reads all files, cuts a torn tail, rejects damage elsewhere.
+    /// Opens the store: reads all files, truncates a torn tail and rejects other
+    /// damage.
     ///
-    /// The newest segment is written anew and synced before this returns:
-    /// after a failed sync the system may show bytes that the disk never got.
+    /// The newest segment is rewritten and synced before this returns: after a
+    /// failed sync the operating system may show bytes that never reached the
+    /// disk.
+    ///
+    /// # Errors
+    ///
+    /// * [`StorageError::Damaged`], [`StorageError::Version`] and
+    ///   [`StorageError::IdentityMissing`] if the folder is rejected; it is then
+    ///   unchanged.
+    /// * [`StorageError::Disk`] if an operation on the disk fails.
     pub fn open(disk: D) -> Result<Opened<D>, StorageError> {
         Self::open_with(disk, StoreOptions::default())
     }
 
-    /// As [`Store::open`], with other limits.
+    /// As [`Store::open`], with the given limits.
+    ///
+    /// # Errors
+    ///
+    /// As [`Store::open`].
     pub fn open_with(disk: D, options: StoreOptions) -> Result<Opened<D>, StorageError> {
         let recovery = recover(&disk)?;
         let mut store = Self {
@@ -114,18 +116,19 @@
             segment: FIRST_SEGMENT,
             segment_length: 0,
             oldest_segment: FIRST_SEGMENT,
-            snapshot_on_disk: recovery.state.snapshot.map(|mark| mark.file),
+            snapshot_on_disk: recovery.state.snapshot.map(|snapshot| snapshot.file),
             state: recovery.state,
             failed: false,
         };
         match recovery.last {
-            Some(last) => store.renew_segment(&last)?,
+            Some(last) => store.rewrite_segment(&last)?,
             None => store.begin_segment(FIRST_SEGMENT, &[])?,
         }
         store.oldest_segment = store.state.first_segment(store.segment);
-        let leftovers = recovery.leftovers.into_iter();
         let current = segment_file(store.segment);
-        store.remove_all(leftovers.filter(|file| *file != current).collect())?;
+        let mut obsolete = recovery.obsolete_files;
+        obsolete.retain(|file| *file != current);
+        folder::remove_files(&mut store.disk, &obsolete)?;
         Ok(Opened {
             store,
             identity: recovery.identity,
@@ -134,30 +137,40 @@
         })
     }
 
-    /// Writes the identity beside the old one, renames and syncs.
+    /// Replaces the identity atomically and syncs it.
+    ///
+    /// # Errors
+    ///
+    /// As [`Store::write`].
     pub fn save_identity(&mut self, identity: &Identity) -> Result<(), StorageError> {
         let payload = encode(identity)?;
-        let bytes =
-            encode_single(FileKind::Identity, IDENTITY_NUMBER, &payload).ok_or(TOO_LARGE)?;
+        let bytes = encode_single(FileKind::Identity, IDENTITY_NUMBER, &payload)?;
         self.begin_write()?;
-        self.replace_file(IDENTITY_FILE, &bytes)?;
+        folder::replace_file(&mut self.disk, IDENTITY_FILE, &bytes)?;
         self.failed = false;
         Ok(())
     }
 
-    /// Writes a batch; on return it is synced. After an error of the disk the
-    /// batch may or may not be found at the next open, and all calls are
-    /// rejected until then.
+    /// Writes a batch and syncs it.
+    ///
+    /// # Errors
+    ///
+    /// * [`StorageError::InvalidBatch`] if the batch does not follow the log or
+    ///   is too large; nothing is written.
+    /// * [`StorageError::Disk`] if an operation on the disk fails: the batch may
+    ///   or may not be present at the next open.
+    /// * [`StorageError::Failed`] for every call after a failed write.
     pub fn write(&mut self, batch: &Batch) -> Result<(), StorageError> {
-        self.require_sound()?;
-        let snapshot = batch.snapshot.as_ref().filter(|new| self.state.takes(new));
+        self.require_usable()?;
+        let snapshot = batch.snapshot.as_ref();
+        let snapshot = snapshot.filter(|new| self.state.accepts_snapshot(new));
         if batch.hard_state.is_none() && snapshot.is_none() && batch.entries.is_empty() {
             return Ok(());
         }
-        self.check(snapshot, &batch.entries)?;
+        self.validate(snapshot, &batch.entries)?;
         self.begin_write()?;
-        let full = self.segment_length >= self.options.segment_bytes;
-        let rotates = snapshot.is_some() || full;
+        let is_full = self.segment_length >= self.options.segment_bytes;
+        let rotates = snapshot.is_some() || is_full;
         let segment = self.segment + u64::from(rotates);
         if let Some(snapshot) = snapshot {
             self.install(snapshot, segment)?;
@@ -168,7 +181,7 @@
         self.state.append(&batch.entries, segment);
         if rotates {
             self.begin_segment(segment, &batch.entries)?;
-            self.remove_old()?;
+            self.remove_obsolete()?;
         } else {
             self.append_record(batch)?;
         }
@@ -176,47 +189,45 @@
         Ok(())
     }
 
-    /// Gives the disk back, for tests that crash and reopen it.
+    /// Returns the disk, for tests that crash and reopen it.
     pub fn into_disk(self) -> D {
         self.disk
     }
 
     /// Rejects a batch before anything is written.
-    fn check(&self, snapshot: Option<&Snapshot>, entries: &[Entry]) -> Result<(), StorageError> {
-        if !self.state.joins(snapshot, entries) {
-            return Err(StorageError::InvalidBatch {
-                reason: "its entries do not follow the log",
-            });
+    fn validate(&self, snapshot: Option<&Snapshot>, entries: &[Entry]) -> Result<(), StorageError> {
+        if !self.state.can_append(snapshot, entries) {
+            return Err(BatchError::Gap.into());
         }
         let entry_bytes: usize = entries.iter().map(command_bytes).sum();
         let snapshot_bytes = snapshot.map_or(0, |snapshot| snapshot.data.len());
         if entry_bytes.max(snapshot_bytes) > MAX_PAYLOAD_BYTES {
-            return Err(TOO_LARGE);
+            return Err(BatchError::TooLarge.into());
         }
         Ok(())
     }
 
-    /// Begins to change files; whoever ends without an error clears `failed`.
+    /// Marks the store as failed until the write has succeeded.
     fn begin_write(&mut self) -> Result<(), StorageError> {
-        self.require_sound()?;
+        self.require_usable()?;
         self.failed = true;
         Ok(())
     }
 
-    fn require_sound(&self) -> Result<(), StorageError> {
+    fn require_usable(&self) -> Result<(), StorageError> {
         if self.failed {
             return Err(StorageError::Failed);
         }
         Ok(())
     }
 
-    /// Makes a snapshot's file durable; the segment of the same number puts it
-    /// in force.
+    /// Makes a snapshot's file durable. The checkpoint of the segment of the
+    /// same number puts it in force.
     fn install(&mut self, snapshot: &Snapshot, number: u64) -> Result<(), StorageError> {
         let payload = encode(snapshot)?;
-        let bytes = encode_single(FileKind::Snapshot, number, &payload).ok_or(TOO_LARGE)?;
-        self.replace_file(&snapshot_file(number), &bytes)?;
-        self.state.install(SnapshotMark {
+        let bytes = encode_single(FileKind::Snapshot, number, &payload)?;
+        folder::replace_file(&mut self.disk, &snapshot_file(number), &bytes)?;
+        self.state.install(SnapshotReference {
             file: number,
             index: snapshot.meta.index,
             term: snapshot.meta.term,
@@ -224,27 +235,21 @@
         Ok(())
     }
 
-    /// Adds a batch to the newest segment and syncs it.
+    /// Appends a batch to the newest segment and syncs it.
     fn append_record(&mut self, batch: &Batch) -> Result<(), StorageError> {
-        let payload = encode(&RecordParts {
+        let payload = encode(&RecordRef {
             checkpoint: None,
             hard_state: batch.hard_state,
             entries: &batch.entries,
         })?;
         let mut bytes = Vec::with_capacity(payload.len() + RECORD_HEADER_BYTES);
-        if !push_record(&mut bytes, self.segment, self.segment_length, &payload) {
-            return Err(TOO_LARGE);
-        }
-        let file = segment_file(self.segment);
-        self.disk
-            .append(&file, &bytes)
-            .map_err(|source| StorageError::disk("append to", &file, source))?;
-        self.sync_file(&file)?;
+        push_record(&mut bytes, self.segment, self.segment_length, &payload)?;
+        folder::append_to_file(&mut self.disk, &segment_file(self.segment), &bytes)?;
         self.segment_length += bytes.len() as u64;
         Ok(())
     }
 
-    /// The checkpoint that opens segment `number`, the next one.
+    /// The checkpoint of the next segment, `number`.
     fn checkpoint(&self, number: u64) -> Checkpoint {
         Checkpoint {
             hard_state: self.state.hard_state,
@@ -254,93 +259,47 @@
         }
     }
 
-    /// Starts a segment with a checkpoint and, in the same record, entries.
+    /// Begins a segment with a checkpoint and, in the same record, entries.
     fn begin_segment(&mut self, number: u64, entries: &[Entry]) -> Result<(), StorageError> {
-        let payload = encode(&RecordParts {
+        let payload = encode(&RecordRef {
             checkpoint: Some(self.checkpoint(number)),
             hard_state: None,
             entries,
         })?;
         let mut bytes = encode_header(FileKind::Log, number);
-        if !push_record(&mut bytes, number, HEADER_BYTES as u64, &payload) {
-            return Err(TOO_LARGE);
-        }
-        let file = segment_file(number);
-        self.write_file(&file, &bytes)?;
-        self.sync_folder()?;
+        push_record(&mut bytes, number, HEADER_BYTES as u64, &payload)?;
+        folder::write_file(&mut self.disk, &segment_file(number), &bytes)?;
+        folder::sync_folder(&mut self.disk)?;
         self.segment = number;
         self.segment_length = bytes.len() as u64;
         Ok(())
     }
 
-    /// Writes the verified bytes of the newest segment anew.
-    fn renew_segment(&mut self, last: &LastSegment) -> Result<(), StorageError> {
-        self.replace_file(&segment_file(last.number), &last.bytes)?;
+    /// Rewrites the verified bytes of the newest segment.
+    fn rewrite_segment(&mut self, last: &LastSegment) -> Result<(), StorageError> {
+        folder::replace_file(&mut self.disk, &segment_file(last.number), &last.bytes)?;
         self.segment = last.number;
         self.segment_length = last.bytes.len() as u64;
         Ok(())
     }
 
-    /// Removes what the newest segment's checkpoint made superfluous.
-    fn remove_old(&mut self) -> Result<(), StorageError> {
+    /// Removes the files that the newest segment's checkpoint made obsolete.
+    fn remove_obsolete(&mut self) -> Result<(), StorageError> {
         let first = self.state.first_segment(self.segment);
-        let mut old: Vec<String> = (self.oldest_segment..first).map(segment_file).collect();
-        let in_force = self.state.snapshot.map(|mark| mark.file);
-        if let Some(number) = self
-            .snapshot_on_disk
-            .filter(|on_disk| Some(*on_disk) != in_force)
+        let mut obsolete: Vec<String> = (self.oldest_segment..first).map(segment_file).collect();
+        let in_force = self.state.snapshot.map(|snapshot| snapshot.file);
+        if let Some(on_disk) = self.snapshot_on_disk
+            && Some(on_disk) != in_force
         {
-            old.push(snapshot_file(number));
+            obsolete.push(snapshot_file(on_disk));
         }
         self.oldest_segment = first;
         self.snapshot_on_disk = in_force;
-        self.remove_all(old)
-    }
-
-    fn remove_all(&mut self, files: Vec<String>) -> Result<(), StorageError> {
-        if files.is_empty() {
-            return Ok(());
-        }
-        for file in &files {
-            match self.disk.remove(file) {
-                // A temporary file may have been used and renamed since.
-                Err(source) if source.kind() == ErrorKind::NotFound => {}
-                result => result.map_err(|source| StorageError::disk("remove", file, source))?,
-            }
-        }
-        self.sync_folder()
-    }
-
-    /// Puts a file in the place of another so that either is there whole.
-    fn replace_file(&mut self, file: &str, bytes: &[u8]) -> Result<(), StorageError> {
-        let temporary = temporary_file(file);
-        self.write_file(&temporary, bytes)?;
-        self.disk
-            .rename(&temporary, file)
-            .map_err(|source| StorageError::disk("rename to", file, source))?;
-        self.sync_folder()
-    }
-
-    fn write_file(&mut self, file: &str, bytes: &[u8]) -> Result<(), StorageError> {
-        self.disk
-            .write(file, bytes)
-            .map_err(|source| StorageError::disk("write", file, source))?;
-        self.sync_file(file)
-    }
-
-    fn sync_file(&mut self, file: &str) -> Result<(), StorageError> {
-        self.disk
-            .sync_file(file)
-            .map_err(|source| StorageError::disk("sync", file, source))
-    }
-
-    fn sync_folder(&mut self) -> Result<(), StorageError> {
-        self.disk
-            .sync_folder()
-            .map_err(|source| StorageError::disk("sync", "the data folder", source))
+        folder::remove_files(&mut self.disk, &obsolete)
     }
 }
 
+/// Size of an entry's command, in bytes.
 fn command_bytes(entry: &Entry) -> usize {
     match &entry.payload {
         Payload::Command(command) => command.len(),
@@ -349,7 +308,5 @@
 }
 
 fn encode(value: &impl Serialize) -> Result<Vec<u8>, StorageError> {
-    postcard::to_stdvec(value).map_err(|_| StorageError::InvalidBatch {
-        reason: "it cannot be encoded",
-    })
+    postcard::to_stdvec(value).map_err(|error| BatchError::Encode(error).into())
 }
--- /dev/null
+++ b/crates/storage/tests/errors.rs
@@ -0,0 +1,115 @@
+//! The texts of errors, which operators read in the log.
+
+use storage::{BatchError, Damage, DiskOperation, FORMAT_VERSION, StorageError, Unverified};
+
+fn damaged(damage: impl Into<Damage>) -> String {
+    let error = StorageError::Damaged {
+        file: "log-1".to_owned(),
+        offset: 24,
+        damage: damage.into(),
+    };
+    let text = error.to_string();
+    let rest = text.strip_prefix("log-1 is damaged at byte 24: ");
+    let cause = rest.and_then(|rest| rest.strip_suffix("; refusing to start from it"));
+    cause.unwrap_or_default().to_owned()
+}
+
+#[test]
+fn every_damage_has_its_text() {
+    let texts = [
+        (Unverified::Header.into(), "the header is not whole"),
+        (
+            Unverified::RecordHeaderCutOff.into(),
+            "the record's header is cut off",
+        ),
+        (Unverified::NoRecordMark.into(), "no record begins here"),
+        (Unverified::RecordCutOff.into(), "the record is cut off"),
+        (
+            Unverified::Checksum.into(),
+            "the record's checksum does not match",
+        ),
+        (
+            Damage::BeforeRecord {
+                cause: Unverified::Checksum,
+                next_record: 99,
+            },
+            "the record's checksum does not match, yet a whole record follows at byte 99",
+        ),
+        (
+            Damage::HeaderOfOtherFile,
+            "the header belongs to another file",
+        ),
+        (Damage::TrailingBytes, "there are bytes behind the record"),
+        (
+            Damage::TrailingPayload,
+            "the record is longer than its content",
+        ),
+        (Damage::LogMissing, "the log is missing"),
+        (Damage::FirstRecord, "the first record is not whole"),
+        (Damage::NoRecord, "there is no record"),
+        (Damage::NoCheckpoint, "the first record is no checkpoint"),
+        (Damage::SegmentMissing, "the segment is missing"),
+        (
+            Damage::SegmentLength {
+                expected: Some(1),
+                found: 2,
+            },
+            "the segment is not as long as the next one says",
+        ),
+        (Damage::SnapshotMissing, "the snapshot is missing"),
+        (
+            Damage::SnapshotMismatch,
+            "the snapshot is not the one that the log names",
+        ),
+        (Damage::EntryGap, "entries are missing"),
+        (
+            Damage::EntriesAfterSnapshot { first: 5, next: 8 },
+            "entries from 5 to 8 are missing",
+        ),
+    ];
+    for (damage, text) in texts {
+        assert_eq!(damaged(damage), text);
+    }
+}
+
+#[test]
+fn other_errors_have_their_texts() {
+    let disk = |operation| StorageError::Disk {
+        operation,
+        file: "identity".to_owned(),
+        source: std::io::Error::other("reason"),
+    };
+    let operations = [
+        (DiskOperation::Create, "create"),
+        (DiskOperation::Lock, "lock"),
+        (DiskOperation::List, "list"),
+        (DiskOperation::Read, "read"),
+        (DiskOperation::Write, "write"),
+        (DiskOperation::Append, "append to"),
+        (DiskOperation::Sync, "sync"),
+        (DiskOperation::Rename, "rename to"),
+        (DiskOperation::Remove, "remove"),
+    ];
+    for (operation, verb) in operations {
+        let expected = format!("{verb} identity: reason");
+        assert_eq!(disk(operation).to_string(), expected);
+    }
+    let batch = |reason| StorageError::InvalidBatch { reason }.to_string();
+    assert_eq!(
+        batch(BatchError::Gap),
+        "the batch cannot be written: its entries do not follow the log"
+    );
+    assert_eq!(
+        batch(BatchError::TooLarge),
+        "the batch cannot be written: it is too large for one record"
+    );
+    let version = StorageError::Version {
+        file: "log-1".to_owned(),
+        found: 7,
+        supported: FORMAT_VERSION,
+    };
+    assert_eq!(
+        version.to_string(),
+        "log-1 has format version 7, this program reads 1"
+    );
+}
--- a/crates/storage/tests/real_disk.rs
+++ b/crates/storage/tests/real_disk.rs
@@ -5,7 +5,7 @@
 
 use common::{history, identity, open, states};
 use std::path::PathBuf;
-use storage::{Disk, RealDisk, StorageError};
+use storage::{Disk, DiskOperation, RealDisk, StorageError};
 
 fn fresh_folder(name: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -37,7 +37,10 @@
     let second = RealDisk::open(&folder);
     assert!(matches!(
         second,
-        Err(StorageError::Disk { action: "lock", .. })
+        Err(StorageError::Disk {
+            operation: DiskOperation::Lock,
+            ..
+        })
     ));
     drop(first);
     RealDisk::open(&folder).unwrap();
