--- a/crates/coordinator/src/core/replication.rs
+++ b/crates/coordinator/src/core/replication.rs
@@ -3,11 +3,10 @@
 use super::Coordinator;
 use crate::effect::Effect;
 use crate::options::Mutation;
-use crate::replica::Replica;
-use crate::replica::snapshots::SnapshotSchedule;
+use crate::replica::{Replica, ReplicaOptions};
 use crate::sender::Sender;
 use consensus::message::Outgoing;
-use consensus::{Message, Node, Recovered};
+use consensus::{Message, Recovered};
 use rand::Rng;
 use transport::PeerMessage;
 use types::{ClusterId, Monotonic, NodeId, Now};
@@ -18,26 +17,21 @@
         let Some(proposal) = self.identification.saved_proposal() else {
             return;
         };
-        let own = self.own.node;
-        let options = self.options.consensus.clone();
-        let seed = self.random.random();
-        let read = recovered.snapshot.as_ref();
-        let bytes = read.map_or(0, |snapshot| snapshot.data.len() as u64);
-        let schedule = SnapshotSchedule::new(self.options.snapshot_every, own, bytes);
-        let replica = Replica::new(
-            proposal.cluster,
-            schedule,
-            proposal.voters,
-            recovered,
-            |initial, recovered| Node::new(own, options, initial, recovered, seed, now),
-        );
-        match replica {
-            Ok(mut replica) => {
-                if let Some(Mutation::StateMachine(mutation)) = self.options.mutation {
-                    replica.set_mutation(mutation);
-                }
-                self.replica = Some(replica);
-            }
+        let mutation = match self.options.mutation {
+            Some(Mutation::StateMachine(mutation)) => Some(mutation),
+            _ => None,
+        };
+        let options = ReplicaOptions {
+            cluster: proposal.cluster,
+            node: self.own.node,
+            initial: proposal.voters,
+            consensus: self.options.consensus.clone(),
+            seed: self.random.random(),
+            snapshot_every: self.options.snapshot_every,
+            mutation,
+        };
+        match Replica::new(options, recovered, now) {
+            Ok(replica) => self.replica = Some(replica),
             Err(error) => self.stop_serving(error),
         }
     }
--- a/crates/coordinator/src/leader/membership.rs
+++ b/crates/coordinator/src/leader/membership.rs
@@ -89,6 +89,7 @@
             .retain(|node, _| membership.socket(*node).is_some());
     }
 
+    /// The configuration that a member last said to have applied, if it did.
     pub(super) fn get(&self, node: NodeId) -> Option<ConfigurationVersion> {
         self.by_node.get(&node).copied()
     }
@@ -155,12 +156,12 @@
         let voters = &self.status.membership.voters;
         let others = || voters.iter().filter(|(node, _)| **node != self.own);
         let replaced = others().find(|(_, voter)| *voter == socket);
-        let most_unresponsive = || {
+        let longest_unresponsive = || {
             others()
                 .filter(|(node, _)| self.unresponsive_time(**node) > self.replace_voter_after)
                 .max_by_key(|(node, _)| self.unresponsive_time(**node))
         };
-        let (dead, _) = replaced.or_else(most_unresponsive)?;
+        let (dead, _) = replaced.or_else(longest_unresponsive)?;
         Some(*dead)
     }
 
--- a/crates/coordinator/src/leader/placement.rs
+++ b/crates/coordinator/src/leader/placement.rs
@@ -51,6 +51,7 @@
         self.requested = true;
     }
 
+    /// Returns whether something has changed since the last placement.
     pub(super) fn is_requested(&self) -> bool {
         self.requested
     }
--- a/crates/coordinator/src/leader/proposals.rs
+++ b/crates/coordinator/src/leader/proposals.rs
@@ -24,6 +24,7 @@
 }
 
 impl Proposal {
+    /// The command to encode into the log.
     pub(crate) fn command(&self) -> &Command {
         &self.command
     }
--- a/crates/coordinator/src/leader/rebuild.rs
+++ b/crates/coordinator/src/leader/rebuild.rs
@@ -23,6 +23,7 @@
 }
 
 impl RebuildCursor {
+    /// Returns whether the scheduler has all ready tasks.
     pub(super) fn is_done(self) -> bool {
         self == Self::Done
     }
--- a/crates/coordinator/src/leader/request_table.rs
+++ b/crates/coordinator/src/leader/request_table.rs
@@ -85,6 +85,7 @@
         self.requests.retain(|_, request| request.deadline > now);
     }
 
+    /// Number of requests that wait.
     pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
--- a/crates/coordinator/src/leader/run_tracker.rs
+++ b/crates/coordinator/src/leader/run_tracker.rs
@@ -61,6 +61,7 @@
         &self.open
     }
 
+    /// What is known about its start.
     pub(super) fn phase(&self) -> Phase {
         self.phase
     }
@@ -80,6 +81,7 @@
         self.closing
     }
 
+    /// The progress that its runner reports; none where it reports none.
     pub(super) fn progress(&self) -> Option<ProgressHistory> {
         self.progress
     }
@@ -126,14 +128,17 @@
         }
     }
 
+    /// The open run of this identifier.
     pub(super) fn get(&self, run: RunId) -> Option<&TrackedRun> {
         self.runs.get(&run)
     }
 
+    /// Number of open runs.
     pub(super) fn len(&self) -> usize {
         self.runs.len()
     }
 
+    /// All open runs, by identifier.
     pub(super) fn iter(&self) -> impl Iterator<Item = &TrackedRun> {
         self.runs.values()
     }
--- a/crates/coordinator/src/leader/runner_registry.rs
+++ b/crates/coordinator/src/leader/runner_registry.rs
@@ -25,6 +25,7 @@
         &self.agent
     }
 
+    /// The incarnation that sent the newest heartbeat.
     pub(super) fn incarnation(&self) -> RunnerIncarnation {
         self.incarnation
     }
@@ -75,6 +76,7 @@
 }
 
 impl RunnerRegistry {
+    /// The runner as of its newest heartbeat, if one was received.
     pub(super) fn get(&self, runner: &RunnerId) -> Option<&RunnerState> {
         self.runners.get(runner)
     }
@@ -84,6 +86,7 @@
         self.runners.contains_key(runner)
     }
 
+    /// Number of runners that sent a heartbeat.
     pub(super) fn len(&self) -> usize {
         self.runners.len()
     }
--- a/crates/coordinator/src/leader/sessions.rs
+++ b/crates/coordinator/src/leader/sessions.rs
@@ -92,6 +92,7 @@
         session.is_some_and(|session| now.since(session.last_seen) <= self.lease)
     }
 
+    /// Number of sessions.
     pub(super) fn len(&self) -> usize {
         self.sessions.len()
     }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -82,9 +82,7 @@
 //!    lease; when the role is lost, pending requests are answered as uncertain
 //!    and the leader is dropped.
 
-pub mod core;
-pub mod shell;
-
+mod core;
 mod effect;
 mod identity;
 mod leader;
@@ -92,6 +90,7 @@
 mod readiness;
 mod replica;
 mod sender;
+mod shell;
 
 pub use crate::core::Coordinator;
 pub use effect::{Effect, Input};
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -50,6 +50,23 @@
     pub(crate) applied: Result<Vec<AppliedEntry>, ReplicaError>,
 }
 
+/// What a replica is built with, beside what the disk held.
+pub(crate) struct ReplicaOptions {
+    pub(crate) cluster: ClusterId,
+    /// Identity of this member.
+    pub(crate) node: NodeId,
+    /// First voters of the cluster; empty where this process joined.
+    pub(crate) initial: Membership,
+    /// Timings of consensus.
+    pub(crate) consensus: consensus::Options,
+    /// Seed of the election timeouts.
+    pub(crate) seed: u64,
+    /// Least number of entries between two snapshots.
+    pub(crate) snapshot_every: u64,
+    /// A fault built into the state machine, for the simulation.
+    pub(crate) mutation: Option<state_machine::mutation::Mutation>,
+}
+
 /// One copy of the replicated state.
 pub(crate) struct Replica {
     cluster: ClusterId,
@@ -69,25 +86,40 @@
     ///
     /// Returns an error if the snapshot on disk does not decode.
     pub(crate) fn new(
-        cluster: ClusterId,
-        schedule: SnapshotSchedule,
-        initial: Membership,
+        options: ReplicaOptions,
         recovered: Recovered,
-        node: impl FnOnce(Membership, Recovered) -> Node,
+        now: Monotonic,
     ) -> Result<Self, ReplicaError> {
-        let (state_machine, applied) = match &recovered.snapshot {
+        let read_bytes = recovered.snapshot.as_ref().map(|read| read.data.len());
+        let schedule = SnapshotSchedule::new(
+            options.snapshot_every,
+            options.node,
+            read_bytes.unwrap_or_default() as u64,
+        );
+        let (mut state_machine, applied) = match &recovered.snapshot {
             Some(snapshot) => (restore(snapshot)?, snapshot.meta.clone()),
             None => {
                 let applied = SnapshotMeta {
-                    membership: initial.clone(),
+                    membership: options.initial.clone(),
                     ..SnapshotMeta::default()
                 };
                 (StateMachine::new(), applied)
             }
         };
+        if options.mutation.is_some() {
+            state_machine.set_mutation(options.mutation);
+        }
+        let node = Node::new(
+            options.node,
+            options.consensus,
+            options.initial,
+            recovered,
+            options.seed,
+            now,
+        );
         Ok(Self {
-            cluster,
-            node: node(initial, recovered),
+            cluster: options.cluster,
+            node,
             state_machine,
             applied,
             schedule,
@@ -107,11 +139,6 @@
         &self.state_machine
     }
 
-    /// Builds a fault into the state machine, for the simulation.
-    pub(crate) fn set_mutation(&mut self, mutation: state_machine::mutation::Mutation) {
-        self.state_machine.set_mutation(Some(mutation));
-    }
-
     /// The status of the consensus node.
     pub(crate) fn status(&self, now: Monotonic) -> Status {
         self.node.status(now)
--- a/crates/coordinator/src/shell.rs
+++ b/crates/coordinator/src/shell.rs
@@ -13,7 +13,7 @@
 use crate::options::CoordinatorOptions;
 use crate::readiness::Readiness;
 use crate::shell::disk::{DiskJob, DiskThread};
-use crate::shell::load::{Load, whole_milliseconds};
+use crate::shell::load::{Load, as_milliseconds};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -242,7 +242,7 @@
         let took = begun.elapsed();
         if took >= SLOW_STEP {
             tracing::warn!(
-                elapsed_ms = whole_milliseconds(took),
+                elapsed_ms = as_milliseconds(took),
                 inputs = count,
                 "slow core step"
             );
--- a/crates/coordinator/src/shell/load.rs
+++ b/crates/coordinator/src/shell/load.rs
@@ -57,8 +57,8 @@
     lag: Lag,
 }
 
-/// Whole milliseconds of a duration.
-pub(crate) fn whole_milliseconds(duration: Duration) -> u64 {
+/// Converts a duration to milliseconds, rounded down.
+pub(crate) fn as_milliseconds(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
@@ -77,7 +77,7 @@
 
     /// The recent lag of the loop.
     pub(crate) fn lag(&self) -> Milliseconds {
-        Milliseconds(whole_milliseconds(self.lag.now()))
+        Milliseconds(as_milliseconds(self.lag.now()))
     }
 
     /// Records a timer that fired so late.
@@ -109,7 +109,7 @@
         if self.max_wait >= BEHIND_AFTER {
             tracing::warn!(
                 max_wait_ms = self.max_wait.0,
-                max_step_ms = whole_milliseconds(self.max_step),
+                max_step_ms = as_milliseconds(self.max_step),
                 steps = self.steps,
                 inputs = self.inputs,
                 liveness = inbox.waiting(Lane::Liveness),
