--- a/crates/scheduler/src/draw.rs
+++ b/crates/scheduler/src/draw.rs
@@ -9,69 +9,66 @@
 use crate::view::View;
 use rand::Rng;
 
-/// The state of one pull's draws within one priority.
+/// The state of one pull's draws among the queues of one priority.
 #[derive(Debug, Clone)]
 pub(crate) struct DrawState {
-    priority: u8,
     kind: RunKind,
-    pool: PoolIndex,
-    /// Number of lists drawn, by position of the queue in its pool.
-    drawn: Vec<usize>,
+    queues: Vec<QueueDraws>,
+}
+
+/// The draws from one queue.
+#[derive(Debug, Clone, Copy)]
+struct QueueDraws {
+    queue: QueueIndex,
+    /// Number of lists that may be drawn, drawn ones included.
+    drawable: usize,
+    drawn: usize,
+}
+
+impl QueueDraws {
+    fn remaining(&self) -> usize {
+        self.drawable - self.drawn
+    }
 }
 
 impl View {
     /// Starts the draws of a pull among queues of one priority.
     pub(crate) fn start_draw(&self, priority: u8, kind: RunKind, pool: PoolIndex) -> DrawState {
-        DrawState {
-            priority,
-            kind,
-            pool,
-            drawn: vec![0; self.pools[pool].queues.len()],
-        }
+        let queues = self.pools[pool].queues.iter().copied();
+        let queues = queues
+            .filter(|queue| self.queues[*queue].priority == priority)
+            .map(|queue| QueueDraws {
+                queue,
+                drawable: self.queues[queue].drawable_count(kind),
+                drawn: 0,
+            })
+            .collect();
+        DrawState { kind, queues }
     }
 
-    /// Draws the next list; returns `None` when none remains.
+    /// Draws the next list; returns `None` when none remains. The runnable sets
+    /// must not change between the draws of one pull.
     pub(crate) fn draw_list(&mut self, state: &mut DrawState) -> Option<ListIndex> {
-        let remaining = self.remaining_by_queue(state);
-        let total: usize = remaining.iter().map(|(_, remaining)| remaining).sum();
-        if total == 0 {
+        let remaining: usize = state.queues.iter().map(QueueDraws::remaining).sum();
+        if remaining == 0 {
             return None;
         }
         match self.options.policy.draw {
             Draw::Oldest => self.take_oldest_list(state),
-            Draw::Uniform => self.draw_uniformly(state, &remaining, total),
+            Draw::Uniform => self.draw_uniformly(state, remaining),
         }
     }
 
-    /// Returns the positions of the queues of the draw's priority in their pool,
-    /// each with its number of lists not drawn yet.
-    fn remaining_by_queue(&self, state: &DrawState) -> Vec<(usize, usize)> {
-        let queues = self.pools[state.pool].queues.iter().enumerate();
-        queues
-            .filter(|(_, queue)| self.queues[**queue].priority == state.priority)
-            .map(|(position, queue)| {
-                let drawable = self.queues[*queue].drawable_count(state.kind);
-                (position, drawable - state.drawn[position])
-            })
-            .collect()
-    }
-
-    fn draw_uniformly(
-        &mut self,
-        state: &mut DrawState,
-        remaining: &[(usize, usize)],
-        total: usize,
-    ) -> Option<ListIndex> {
-        let mut chosen = self.random.random_range(0..total);
-        for &(position, in_queue) in remaining {
-            if chosen >= in_queue {
-                chosen -= in_queue;
+    fn draw_uniformly(&mut self, state: &mut DrawState, remaining: usize) -> Option<ListIndex> {
+        let mut chosen = self.random.random_range(0..remaining);
+        for draws in &mut state.queues {
+            if chosen >= draws.remaining() {
+                chosen -= draws.remaining();
                 continue;
             }
-            let queue = self.pools[state.pool].queues[position];
-            let lists = self.queues[queue].runnable_mut(state.kind);
-            let list = lists.draw(state.drawn[position], &mut self.random);
-            state.drawn[position] += 1;
+            let lists = self.queues[draws.queue].runnable_mut(state.kind);
+            let list = lists.draw(draws.drawn, &mut self.random);
+            draws.drawn += 1;
             return list;
         }
         None
@@ -79,25 +76,23 @@
 
     /// Takes the list whose first task is the oldest among those not drawn yet.
     fn take_oldest_list(&mut self, state: &mut DrawState) -> Option<ListIndex> {
-        let queues = self.pools[state.pool].queues.iter().enumerate();
-        let (_, position, queue, list) = queues
-            .filter(|(_, queue)| {
-                let queue = &self.queues[**queue];
-                queue.priority == state.priority && queue.drawable_count(state.kind) > 0
-            })
-            .flat_map(|(position, queue)| {
-                let lists = self.queues[*queue].runnable(state.kind);
-                let remaining = lists.remaining(state.drawn[position]);
-                remaining.map(move |list| (position, *queue, list))
+        let queues = state.queues.iter().enumerate();
+        let (_, position, list) = queues
+            .filter(|(_, draws)| draws.drawable > 0)
+            .flat_map(|(position, draws)| {
+                let lists = self.queues[draws.queue].runnable(state.kind);
+                let remaining = lists.remaining(draws.drawn);
+                remaining.map(move |list| (position, list))
             })
-            .filter_map(|(position, queue, list)| {
+            .filter_map(|(position, list)| {
                 let first = self.lists[list].startable(state.kind).first()?;
-                Some((first, position, queue, list))
+                Some((first, position, list))
             })
             .min()?;
-        let lists = self.queues[queue].runnable_mut(state.kind);
-        lists.mark_drawn(list, state.drawn[position]);
-        state.drawn[position] += 1;
+        let draws = &mut state.queues[position];
+        let lists = self.queues[draws.queue].runnable_mut(state.kind);
+        lists.mark_drawn(list, draws.drawn);
+        draws.drawn += 1;
         Some(list)
     }
 
@@ -105,7 +100,7 @@
     pub(crate) fn runnable_count(&self, pool: PoolIndex, kind: RunKind) -> u32 {
         let queues = self.pools[pool].queues.iter();
         let count: usize = queues
-            .map(|queue: &QueueIndex| self.queues[*queue].drawable_count(kind))
+            .map(|queue| self.queues[*queue].drawable_count(kind))
             .sum();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
--- a/crates/scheduler/tests/audit.rs
+++ b/crates/scheduler/tests/audit.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_bound_task_is_left_alone_whatever_the_record_says() {
+fn a_bound_task_is_skipped_whatever_the_state_machine_has() {
     let mut scheduler = view(&[meta(1, "a", 1)]);
     scheduler.heartbeat(&report("r1", 1, 4, 4), at(0));
     scheduler.reserve(&runner("r1"), at(0)).unwrap();
--- a/crates/scheduler/tests/holds.rs
+++ b/crates/scheduler/tests/backfill.rs
@@ -1,4 +1,4 @@
-//! Runners kept free for large tasks.
+//! Backfill reservations for tasks that starve.
 
 mod support;
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_hold_ends_when_its_task_is_gone() {
+fn a_backfill_reservation_ends_with_its_task() {
     let mut scheduler = scheduler(&document(&[("large", 100), ("small", 100)]));
     scheduler.heartbeat(&report("r1", 1, 4, 4), at(0));
     scheduler.publish(meta(1, "small", 1), at(0));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn the_pull_that_keeps_its_runner_free_takes_nothing_smaller() {
+fn the_pull_that_reserves_its_own_runner_takes_no_smaller_task() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     scheduler.heartbeat(&report("r1", 1, 4, 4), at(0));
     scheduler.publish(meta(1, "a", 1), at(0));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn placement_keeps_a_runner_free_without_a_lucky_draw() {
+fn placement_reserves_a_runner_whatever_the_draw() {
     let names: Vec<String> = (0..40).map(|number| format!("small-{number}")).collect();
     let mut tenants: Vec<(&str, u32)> = names.iter().map(|name| (name.as_str(), 100)).collect();
     tenants.push(("large", 100));
@@ -95,7 +95,7 @@
     assert_eq!(full.len(), 4);
     scheduler.publish(meta(100, "large", 4), at(0));
     scheduler.heartbeat(&report("r1", 2, 4, 4), at(6_000));
-    // Lists take turns; in a large fleet each call looks at a few.
+    // Lists are reviewed in turn; in a large cluster each call reviews a few.
     for _ in 0..100 {
         assert!(all_placed(scheduler.place(at(6_000), 100)).is_empty());
     }
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_tenth_of_a_pool_may_be_kept_free() {
+fn a_tenth_of_a_pool_may_be_reserved() {
     let larges = ["l1", "l2", "l3"];
     let mut tenants = vec![("small", 1_000)];
     tenants.extend(larges.iter().map(|name| (*name, 100)));
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn among_equal_tasks_no_runner_is_kept_free() {
+fn among_equal_tasks_no_runner_is_reserved() {
     let mut scheduler = scheduler(&document(&[("a", 100), ("b", 100)]));
     scheduler.heartbeat(&report("r1", 1, 1, 1), at(0));
     scheduler.publish(meta(1, "a", 1), at(0));
--- a/crates/scheduler/tests/cost.rs
+++ b/crates/scheduler/tests/cost.rs
@@ -1,5 +1,4 @@
-//! What a placement costs when much waits and little is free, counted in looks:
-//! the same on every machine.
+//! Scan cost of a placement when much waits and little is free.
 
 mod support;
 
@@ -65,25 +64,25 @@
     scheduler
 }
 
-fn looks_of_a_placement(scheduler: &mut Scheduler) -> u64 {
+fn scan_cost_of_a_placement(scheduler: &mut Scheduler) -> u64 {
     let before = scheduler.scan_cost();
     assert!(all_placed(scheduler.place(at(50), 512)).is_empty());
     scheduler.scan_cost() - before
 }
 
 #[test]
-fn a_placement_without_room_costs_a_few_looks_a_runner_whatever_waits() {
-    let few = looks_of_a_placement(&mut loaded(240, 200));
-    let many = looks_of_a_placement(&mut loaded(240, 1_500));
-    // A look at each runner, and reasons of some lists over all of them.
+fn a_placement_without_free_capacity_scans_each_runner_a_few_times_whatever_waits() {
+    let few = scan_cost_of_a_placement(&mut loaded(240, 200));
+    let many = scan_cost_of_a_placement(&mut loaded(240, 1_500));
+    // One scan of each runner, and reasons of some lists over all of them.
     assert!(many <= 30 * 240, "{many}");
-    assert!(many <= 2 * few, "{few} looks, then {many}");
+    assert!(many <= 2 * few, "{few} scans, then {many}");
 }
 
 #[test]
-fn room_that_comes_back_is_used_in_the_same_placement() {
+fn freed_capacity_is_used_in_the_same_placement() {
     let mut scheduler = loaded(240, 1_500);
-    looks_of_a_placement(&mut scheduler);
+    scan_cost_of_a_placement(&mut scheduler);
     let mut freed = full(7);
     freed.sequence = HeartbeatSequence(2);
     freed.free = freed.capacity;
--- a/crates/scheduler/tests/places.rs
+++ b/crates/scheduler/tests/eligibility.rs
@@ -1,5 +1,5 @@
-//! Which of several runners: priority of queues, racks, spreading, and the
-//! runners that a task failed on.
+//! The choice among several runners: priority of queues, racks, the limit of a
+//! step's runs on a runner, and runners that a task failed on.
 
 mod support;
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_task_goes_to_its_rack_although_another_has_more_room() {
+fn a_task_goes_to_its_rack_although_another_has_more_free_capacity() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     scheduler.heartbeat(&in_rack("x", report("large", 1, 9, 9)), at(0));
     scheduler.heartbeat(&in_rack("y", report("small", 1, 1, 1)), at(0));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn one_runner_holds_no_more_of_a_step_than_it_may() {
+fn a_runner_has_at_most_the_allowed_runs_of_a_step() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     scheduler.heartbeat(&report("r1", 1, 9, 9), at(0));
     for index in 0..5 {
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_runner_on_which_much_failed_lately_comes_last_and_is_not_shut_out() {
+fn a_suspect_runner_comes_last_and_still_gets_work() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     scheduler.heartbeat(&report("failing", 1, 9, 9), at(0));
     scheduler.heartbeat(&report("sound", 1, 1, 1), at(0));
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_runner_kept_free_for_a_large_task_holds_no_more_of_its_step_than_it_may() {
+fn a_reserved_runner_has_at_most_the_allowed_runs_of_a_step() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     for index in 0..3 {
         let mut meta = meta(1, "a", 4);
--- a/crates/scheduler/tests/fairness.rs
+++ b/crates/scheduler/tests/fairness.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_lower_ceiling_holds_at_once_and_a_higher_one_frees_at_once() {
+fn a_changed_resource_limit_applies_at_once() {
     let mut scheduler = scheduler(&document(&[("a", 2)]));
     scheduler.heartbeat(&report("r1", 1, 8, 8), at(0));
     for job in 1..=6 {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_smaller_task_starts_where_a_larger_one_would_exceed_the_ceiling() {
+fn a_smaller_task_starts_where_a_larger_one_would_exceed_the_resource_limit() {
     let mut scheduler = scheduler(&document(&[("a", 2)]));
     scheduler.heartbeat(&report("r1", 1, 8, 8), at(0));
     scheduler.publish(meta(1, "a", 1), at(0));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_runner_that_is_gone_does_not_raise_the_shares() {
+fn a_departed_runner_does_not_raise_the_shares() {
     let mut document = document(&[("a", 100), ("b", 100)]);
     for name in ["a", "b"] {
         let half = contract(50, slots(100));
--- a/crates/scheduler/tests/gangs.rs
+++ b/crates/scheduler/tests/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs: placed whole, on runners that together have room.
+//! Gangs: placed as a whole, on runners that fit them together.
 
 mod support;
 
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn nothing_of_a_gang_starts_while_all_of_it_has_no_room() {
+fn no_task_of_a_gang_starts_while_the_whole_gang_does_not_fit() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     scheduler.heartbeat(&report("r1", 1, 2, 2), at(0));
     publish_gang(&mut scheduler, 1, 3, 1);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_gang_above_the_tenant_s_ceiling_waits_as_a_whole() {
+fn a_gang_above_the_tenants_resource_limit_waits_as_a_whole() {
     let mut scheduler = scheduler(&document(&[("a", 2)]));
     scheduler.heartbeat(&report("r1", 1, 8, 8), at(0));
     publish_gang(&mut scheduler, 1, 3, 1);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_gang_that_wants_one_rack_gets_one_if_it_has_room() {
+fn a_gang_of_the_same_rack_rule_gets_one_rack_if_it_fits() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     for (name, rack) in [("r1", "x"), ("r2", "y"), ("r3", "y")] {
         scheduler.heartbeat(&in_rack(rack, report(name, 1, 1, 1)), at(0));
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_gang_that_waits_long_gets_runners_kept_free() {
+fn a_gang_that_starves_gets_backfill_reservations() {
     let mut scheduler = scheduler(&document(&[("a", 100), ("b", 100)]));
     publish_gang(&mut scheduler, 1, 2, 2);
     for job in 2..200 {
--- a/crates/scheduler/tests/ceiling.rs
+++ b/crates/scheduler/tests/headroom.rs
@@ -1,5 +1,5 @@
-//! What of a tenant's resource limit is kept for its more urgent queues: work of a less
-//! urgent one, in whatever pool, must not fill the resource limit up.
+//! Headroom below a tenant's resource limit: work of a less urgent queue, in
+//! whatever pool, must not use what the tenant's more urgent queues need.
 
 mod support;
 
@@ -48,7 +48,7 @@
 
 fn hear_all(scheduler: &mut Scheduler, milliseconds: u64) {
     let sequence = milliseconds + 1;
-    // The runner with more room is pulled for first: that of the less urgent pool.
+    // The runner with more free capacity pulls first: that of the less urgent pool.
     scheduler.heartbeat(&report("quick", sequence, 20, 20), at(milliseconds));
     let large = in_other_pool(report("large", sequence, 64, 64));
     scheduler.heartbeat(&large, at(milliseconds));
@@ -82,13 +82,13 @@
 }
 
 #[test]
-fn room_under_the_ceiling_goes_to_the_more_urgent_queue_of_another_pool() {
+fn headroom_below_the_resource_limit_goes_to_the_more_urgent_queue_of_another_pool() {
     let mut scheduler = fleet(&two_pools(40), SchedulerOptions::default());
     for job in 1..=10 {
         scheduler.publish(in_queue("batch", meta(job, "a", 10)), at(0));
     }
     let running = all_placed(scheduler.place(at(0), 100));
-    assert_eq!(running.len(), 4, "the tenant is at its ceiling");
+    assert_eq!(running.len(), 4, "the tenant is at its limit");
     for job in 21..=23 {
         scheduler.publish(in_queue("urgent", meta(job, "a", 2)), at(10));
     }
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn what_urgent_work_asked_for_lately_stays_free_under_the_ceiling() {
+fn the_recent_demand_of_urgent_work_stays_free_below_the_resource_limit() {
     let mut scheduler = fleet(&two_pools(40), SchedulerOptions::default());
     let urgent = (21..=23).map(|job| in_queue("urgent", meta(job, "a", 2)));
     run_and_end(&mut scheduler, urgent);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_task_that_leaves_room_for_urgent_work_says_so() {
+fn a_task_limited_by_headroom_reports_that_reason() {
     let mut scheduler = fleet(&two_pools(40), SchedulerOptions::default());
     let urgent = (21..=23).map(|job| in_queue("urgent", meta(job, "a", 2)));
     run_and_end(&mut scheduler, urgent);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn no_more_than_the_part_is_kept_and_none_of_the_first_half() {
+fn headroom_is_at_most_the_set_percentage_and_none_of_the_first_half() {
     // Waits for ever: no runner carries its label.
     let mut nowhere = in_queue("urgent", meta(21, "a", 39));
     nowhere.labels.insert("kind".to_owned(), "none".to_owned());
@@ -146,12 +146,12 @@
     assert_eq!(
         jobs_of(&placed),
         [1],
-        "a tenant that holds little leaves nothing"
+        "a tenant that uses little leaves nothing"
     );
 }
 
 #[test]
-fn what_is_kept_is_given_up_when_no_urgent_work_came_for_long() {
+fn headroom_ends_when_no_urgent_work_has_come_for_long() {
     let mut scheduler = fleet(&two_pools(40), SchedulerOptions::default());
     run_and_end(&mut scheduler, [in_queue("urgent", meta(21, "a", 10))]);
     for job in 1..=10 {
@@ -163,11 +163,11 @@
         hear_all(&mut scheduler, second * 1_000);
         later += all_placed(scheduler.place(at(second * 1_000), 100)).len();
     }
-    assert_eq!(later, 2, "the whole ceiling is used");
+    assert_eq!(later, 2, "the whole limit is used");
 }
 
 #[test]
-fn less_urgent_work_is_not_shut_out_for_ever() {
+fn headroom_does_not_starve_less_urgent_work() {
     let options = SchedulerOptions {
         reserve_after: types::Milliseconds(1_000),
         ..SchedulerOptions::default()
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn nothing_is_kept_for_the_urgent_work_of_another_tenant() {
+fn no_headroom_is_left_to_urgent_work_of_another_tenant() {
     let mut scheduler = fleet(&two_pools(40), SchedulerOptions::default());
     run_and_end(&mut scheduler, [in_queue("urgent", meta(21, "b", 10))]);
     for job in 1..=10 {
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn nothing_is_kept_for_a_queue_that_is_no_more_urgent() {
+fn no_headroom_is_left_to_a_queue_of_equal_priority() {
     let mut scheduler = fleet(&two_pools(20), SchedulerOptions::default());
     run_and_end(&mut scheduler, [in_queue("urgent", meta(21, "a", 10))]);
     for job in 1..=10 {
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn without_the_mechanism_the_ceiling_is_filled() {
+fn without_the_headroom_policy_the_resource_limit_is_used_up() {
     let options = SchedulerOptions {
         policy: Policy {
             urgent_headroom: false,
--- a/crates/scheduler/tests/seats.rs
+++ b/crates/scheduler/tests/licences.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_paused_queue_holds_no_seat_back() {
+fn a_paused_queue_reserves_no_seat() {
     let mut document = document_with(1);
     document.queues.get_mut(&queue("live")).unwrap().mode = QueueMode::Paused;
     let mut scheduler = scheduler(&document);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_adopted_run_takes_its_seat() {
+fn an_adopted_run_uses_its_seat() {
     let document = document_with(1);
     let mut first = scheduler(&document);
     hear(&mut first, 1, 0);
--- a/crates/scheduler/tests/model.rs
+++ b/crates/scheduler/tests/model.rs
@@ -117,7 +117,7 @@
         );
         assert!(
             self.now - self.received_at[&runner] <= 1_500,
-            "silent runner"
+            "unresponsive runner"
         );
         let copies = meta.max_copies as usize;
         let task = reservation.task;
@@ -130,9 +130,12 @@
         assert!(self.runs_of(task) <= copies, "more runs than copies");
         assert!(
             self.held_by_tenant(owner) <= resource_limit,
-            "above the ceiling"
+            "above the resource limit"
+        );
+        assert!(
+            self.held_by_runner(&name) <= CAPACITY,
+            "more than the capacity"
         );
-        assert!(self.held_by_runner(&name) <= CAPACITY, "more than the room");
     }
 
     fn heartbeat(&mut self, runner: usize, draining: bool) -> RunnerReport {
--- a/crates/scheduler/tests/room.rs
+++ b/crates/scheduler/tests/runners.rs
@@ -1,4 +1,4 @@
-//! Room, labels, draining, silence, health and new incarnations of runners.
+//! Free capacity, labels, draining, heartbeats, health and incarnations of runners.
 
 mod support;
 
@@ -7,13 +7,13 @@
 use types::*;
 
 #[test]
-fn room_counts_runs_on_their_way_and_is_freed_by_reports() {
+fn free_capacity_counts_unreported_runs_and_heartbeats_free_it() {
     let mut scheduler = scheduler(&document(&[("a", 10)]));
     scheduler.heartbeat(&report("r1", 1, 2, 1), at(0));
     for job in 1..=4 {
         scheduler.publish(meta(job, "a", 1), at(0));
     }
-    // Something the record does not know holds one of the two slots.
+    // Something that the view does not know uses one of the two slots.
     let first = placed(scheduler.reserve(&runner("r1"), at(0))).unwrap();
     assert_eq!(scheduler.reserve(&runner("r1"), at(0)), None);
     let mut next = report("r1", 2, 2, 1);
@@ -21,7 +21,7 @@
     scheduler.heartbeat(&next, at(10));
     assert!(scheduler.reserve(&runner("r1"), at(10)).is_some());
     assert_eq!(scheduler.reserve(&runner("r1"), at(10)), None);
-    // A report of free room does not outweigh open runs.
+    // A heartbeat of free capacity does not outweigh open runs.
     scheduler.heartbeat(&report("r1", 3, 2, 2), at(20));
     assert_eq!(scheduler.reserve(&runner("r1"), at(20)), None);
     // An older heartbeat that comes late changes nothing.
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_ended_run_takes_room_until_the_record_has_closed_it() {
+fn an_ended_run_uses_capacity_until_it_is_closed() {
     let mut scheduler = scheduler(&document(&[("a", 10)]));
     scheduler.heartbeat(&report("r1", 1, 1, 1), at(0));
     scheduler.publish(meta(1, "a", 1), at(0));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_new_life_has_its_own_room_while_old_runs_still_count_for_the_tenant() {
+fn a_new_incarnation_has_its_own_capacity_while_old_runs_still_count_for_the_tenant() {
     let mut scheduler = scheduler(&document(&[("a", 3)]));
     scheduler.heartbeat(&report("r1", 1, 2, 2), at(0));
     for job in 1..=4 {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn no_pull_for_a_draining_silent_or_unheard_runner() {
+fn no_pull_for_a_draining_unresponsive_or_unseen_runner() {
     let mut scheduler = scheduler(&document(&[("a", 10)]));
     scheduler.publish(meta(1, "a", 1), at(0));
     assert_eq!(scheduler.reserve(&runner("r1"), at(0)), None);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn one_bad_job_blames_no_runner_and_at_most_a_third_is_blamed() {
+fn one_failing_job_puts_no_runner_on_probation_and_at_most_a_third_are() {
     let mut scheduler = three_runners();
     for _ in 0..50 {
         scheduler.record_outcome(&runner("r1"), task(1), true, at(0));
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_task_whose_only_runner_leaves_says_so_and_not_that_room_is_short() {
+fn a_task_whose_only_runner_drains_reports_that_and_not_missing_capacity() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     let mut labelled = report("labelled", 1, 9, 9);
     labelled.labels.insert("kind".to_owned(), "b".to_owned());
--- a/crates/scheduler/tests/steps.rs
+++ b/crates/scheduler/tests/steps.rs
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn the_look_ahead_is_bounded_by_needs_not_by_equal_tasks() {
+fn the_scan_depth_counts_shapes_and_not_equal_tasks() {
     let options = SchedulerOptions {
         scan_depth: 1,
         ..SchedulerOptions::default()
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn the_look_ahead_bounds_the_search_for_a_copy_too() {
+fn the_scan_depth_limits_the_scan_for_a_copy_too() {
     let start_copy_of = |scan_depth| {
         let options = SchedulerOptions {
             scan_depth,
--- a/crates/state_machine/tests/configuration.rs
+++ b/crates/state_machine/tests/configuration.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_version_is_taken_once() {
+fn a_version_is_applied_once() {
     let mut driver = Driver::new();
     let known = CommandReply::Configured {
         version: ConfigurationVersion(1),
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn what_an_update_leads_to_is_checked_whole_and_never_half_taken() {
+fn the_result_of_an_update_is_validated_as_a_whole_and_never_applied_in_part() {
     let mut driver = Driver::new();
     let pool = document().pools.into_keys().next().unwrap();
     let mut update = adding("new", 1);
--- a/crates/state_machine/tests/gangs.rs
+++ b/crates/state_machine/tests/gangs.rs
@@ -43,7 +43,7 @@
     }
 }
 
-fn useless_in(changes: &[Change]) -> Vec<RunId> {
+fn obsolete_in(changes: &[Change]) -> Vec<RunId> {
     let useless = changes.iter().filter_map(|change| match change {
         Change::RunsObsolete(runs) => Some(runs.clone()),
         _ => None,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_gang_above_the_ceiling_as_a_whole_is_refused_whole() {
+fn a_gang_above_the_resource_limit_is_rejected_as_a_whole() {
     let mut driver = driver_with(gang(3));
     driver.submit(job("other", vec![step("s", 2, &[])]));
     driver.reserve(task(2, 0, 0)).unwrap();
@@ -99,11 +99,11 @@
 }
 
 #[test]
-fn a_failed_member_makes_the_others_useless_and_counts_once() {
+fn a_failed_run_of_a_gang_makes_the_others_obsolete_and_counts_once() {
     let mut driver = driver_with(gang(2));
     let runs = reserve_all(&mut driver, &[0, 1]).unwrap();
     let changes = driver.close(runs[0], failed());
-    assert_eq!(useless_in(&changes), [runs[1]]);
+    assert_eq!(obsolete_in(&changes), [runs[1]]);
     assert!(driver.ready().is_empty(), "a run of the gang is still open");
     let changes = driver.close(runs[1], failed());
     assert_eq!(ready_in(&changes), [task(1, 0, 0)]);
--- a/crates/state_machine/tests/golden_snapshot.rs
+++ b/crates/state_machine/tests/golden_snapshot.rs
@@ -1,5 +1,5 @@
-//! The snapshot of the record, version 4, keeps its bytes, and the bytes that
-//! an earlier build wrote give a record that answers and goes on as before.
+//! Snapshots of version 4 keep their bytes, and the bytes that an earlier build
+//! wrote restore a state that answers and goes on as before.
 
 mod golden;
 mod support;
@@ -489,7 +489,7 @@
 }
 
 #[test]
-fn the_restored_record_takes_late_ends() {
+fn the_restored_state_applies_late_reports() {
     let mut driver = told();
     driver.state_machine = restored();
     let lost = (0..=driver.last_run)
--- a/crates/state_machine/tests/runs.rs
+++ b/crates/state_machine/tests/runs.rs
@@ -1,4 +1,4 @@
-//! Runs: reservations, ends, failures, copies and cancels.
+//! Runs: reservations, outcomes, failures, copies and cancellations.
 
 mod support;
 
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_late_end_settles_a_lost_run_s_task() {
+fn a_late_report_decides_on_the_task_of_a_lost_run() {
     let mut driver = with_job(vec![step("a", 3, &[])]);
     let tasks = [task(1, 0, 0), task(1, 0, 1), task(1, 0, 2)];
     let runs = tasks.map(|task| driver.reserve(task).unwrap());
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_late_done_end_ends_a_task_that_runs_again() {
+fn a_late_success_finishes_a_task_that_runs_again() {
     let (mut driver, lost, second) = with_lost_run(1);
     let changes = driver.close(lost, DONE);
     assert_eq!(ended_in(&changes), [(task(1, 0, 0), vec![second])]);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_late_failure_past_the_allowed_ones_leaves_the_run_its_chance() {
+fn a_late_failure_beyond_the_allowance_waits_for_the_open_run() {
     let (mut driver, lost, second) = with_lost_run(0);
     driver.close(lost, failed());
     assert_eq!(driver.states("j"), [TaskState::Running]);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn the_first_done_copy_ends_the_task_and_the_others_are_told() {
+fn the_first_successful_copy_finishes_the_task_and_the_others_are_reported() {
     let mut copied = step("s", 1, &[]);
     copied.max_copies = 2;
     let mut driver = with_job(vec![copied, step("t", 1, &["s"])]);
@@ -354,7 +354,7 @@
 }
 
 #[test]
-fn one_runner_holds_no_more_runs_of_a_step_than_the_step_allows() {
+fn a_runner_has_at_most_as_many_runs_of_a_step_as_the_step_allows() {
     let mut spread = step("s", 3, &[]);
     spread.rules.max_per_runner = Some(1);
     let mut driver = Driver::new();
--- a/crates/state_machine/tests/seats.rs
+++ b/crates/state_machine/tests/seats.rs
@@ -1,4 +1,4 @@
-//! Seats of licences: the record's count decides, in the order of the log.
+//! Seats of licences: the state machine's count decides, in the order of the log.
 
 mod support;
 
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_gang_takes_all_its_seats_or_none() {
+fn a_gang_uses_all_its_seats_or_none() {
     let mut gang = licensed("g", 3);
     gang.rules.gang = true;
     let mut driver = Driver::new();
--- a/crates/state_machine/tests/submit.rs
+++ b/crates/state_machine/tests/submit.rs
@@ -1,4 +1,4 @@
-//! Submits: idempotence, rejections and limits.
+//! Submissions: idempotence, rejections and limits.
 
 mod support;
 
--- a/crates/state_machine/tests/support/mod.rs
+++ b/crates/state_machine/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small cluster document, jobs for it, and a record driven by commands.
+//! A small cluster document, jobs for it, and a state machine driven by commands.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use configuration::{
