--- a/crates/settings/src/agent.rs
+++ b/crates/settings/src/agent.rs
@@ -1,17 +1,17 @@
 //! Settings of an agent.
 
-use crate::gateway::read_session_timings;
 use crate::node::read_listener;
 use crate::reader::Reader;
+use crate::session::SessionTimings;
 use crate::{LogLevel, NodeSettings, RoleSettings};
 use std::net::SocketAddr;
 
 /// Settings of an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AgentSettings {
-    /// What all roles have.
+    /// Settings that all roles share.
     pub node: NodeSettings,
-    /// Key `http_listen`: socket for runners; also livez, readyz and metrics.
+    /// Key `http_listen`: listener for runners, and for livez, readyz and metrics.
     pub http_listen: SocketAddr,
     /// Table `timings`.
     pub timings: AgentTimings,
@@ -42,24 +42,25 @@
 /// Table `timings` of an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AgentTimings {
-    /// Time between keep-alives to the leader. Default 400.
+    /// Interval between keep-alives to the leader, in milliseconds. Default 400.
     pub session_interval_ms: u64,
-    /// The configuration replica counts for this long after the leader's last
-    /// word. Default 1800.
+    /// Time for which the configuration replica stays valid after the leader
+    /// confirmed it, in milliseconds. Default 1800.
     pub replica_valid_ms: u64,
-    /// An order without the runner's answer for this long is unknown.
-    /// Default 1000.
+    /// Time after which the result of an unanswered order is unknown, in
+    /// milliseconds. Default 1000.
     pub order_timeout_ms: u64,
-    /// A jump of the clock that counts as a freeze. Default 1000.
+    /// Minimum gap of the clock that counts as a suspend of the machine, in
+    /// milliseconds. Default 1000.
     pub freeze_after_ms: u64,
 }
 
 impl AgentTimings {
     fn read(reader: &mut Reader) -> Self {
-        let (session_interval_ms, replica_valid_ms) = read_session_timings(reader);
+        let session = SessionTimings::read(reader);
         Self {
-            session_interval_ms,
-            replica_valid_ms,
+            session_interval_ms: session.interval_ms,
+            replica_valid_ms: session.replica_valid_ms,
             order_timeout_ms: reader.ranged("timings.order_timeout_ms", 1_000, 20..=60_000),
             freeze_after_ms: reader.ranged("timings.freeze_after_ms", 1_000, 100..=60_000),
         }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod node;
 pub mod reader;
 pub mod secret;
+mod session;
 pub mod source;
 
 pub use agent::{AgentSettings, AgentTimings};
