--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -1,4 +1,4 @@
-//! The agent's core.
+//! The core of an agent: a state machine without I/O.
 
 mod interface;
 mod orders;
@@ -7,8 +7,8 @@
 
 pub use interface::{AgentMutation, AgentOptions, Effect, HeartbeatAnswer, Input, NotReady};
 
-use orders::{Accepted, OrderTable};
-use results::ResultBox;
+use orders::{OrderAdmission, OrderTable};
+use results::RecentResults;
 use runners::{RunnerStatus, RunnerTable};
 use session::{SessionClient, SessionEvent, SessionOptions};
 use std::net::SocketAddr;
@@ -18,16 +18,17 @@
     RunnerOrder, Term,
 };
 
-/// Reports of several runners that arrive within this time go out together.
+/// Minimum time between two reports to the leader. Heartbeats that arrive meanwhile share
+/// a report.
 const REPORT_SPACING: Milliseconds = Milliseconds(20);
 
-/// An agent.
+/// The core of an agent.
 ///
-/// It delivers an order only if all of this holds: its session is open under
-/// the order's term, no higher term has been seen, the order names this
-/// process, and the runner's current incarnation has sent a heartbeat since the
-/// session opened. Anything else is dropped or rejected; the leader then revokes
-/// the run, so a dropped order costs time but never a second start.
+/// It delivers an order only if its session is open under the order's term, it has seen
+/// no higher term, the order is for this process, and the runner's current incarnation
+/// has sent a heartbeat since the session opened. It drops or rejects all other orders.
+/// The leader then revokes the run, so that a dropped order delays a task but never
+/// starts it twice.
 pub struct Agent {
     options: AgentOptions,
     mutation: Option<AgentMutation>,
@@ -36,7 +37,7 @@
     highest_term: Term,
     runners: RunnerTable,
     orders: OrderTable,
-    results: ResultBox,
+    results: RecentResults,
     last_input: Monotonic,
     last_report: Option<Monotonic>,
     readiness: Option<Result<(), NotReady>>,
@@ -45,7 +46,7 @@
 }
 
 impl Agent {
-    /// A fresh agent; it knows nothing and is not ready.
+    /// Creates an agent without a session. It is not ready.
     pub fn new(options: AgentOptions, now: Now) -> Self {
         let session = SessionOptions {
             address: options.address.clone(),
@@ -61,7 +62,7 @@
             highest_term: Term::default(),
             runners: RunnerTable::default(),
             orders: OrderTable::new(options.order_timeout),
-            results: ResultBox::default(),
+            results: RecentResults::default(),
             last_input: now.monotonic,
             last_report: None,
             readiness: None,
@@ -71,23 +72,23 @@
         }
     }
 
-    /// The same agent with a guard left out, for proofs.
+    /// Disables a guard of the agent, to test that checkers detect its absence.
     pub fn with_mutation(mut self, mutation: AgentMutation) -> Self {
         self.mutation = Some(mutation);
         self
     }
 
-    /// Takes one input and appends what is to be done.
+    /// Processes one input and appends the effects to carry out.
     pub fn handle(&mut self, now: Now, input: Input, effects: &mut Vec<Effect>) {
-        self.notice_freeze(now, effects);
+        self.detect_suspend(now, effects);
         match input {
             Input::Tick => {}
-            Input::Peer(envelope) => self.take_message(now, envelope, effects),
+            Input::Peer(envelope) => self.receive_message(now, envelope, effects),
             Input::Heartbeat(report) => {
                 self.runners
                     .heartbeat(report, now.monotonic, self.session_open && !self.stopping);
             }
-            Input::Answered { order, answer } => self.take_answer(now, order, answer, effects),
+            Input::Answered { order, answer } => self.receive_answer(now, order, answer, effects),
             Input::Stop => self.stopping = true,
         }
         self.tick_session(now, effects);
@@ -98,25 +99,26 @@
         self.stop_when_idle(now, effects);
     }
 
-    /// What to tell a runner that just sent a heartbeat. Lists of recorded and
-    /// closed runs are told once: if that answer is lost, the runner's next
-    /// heartbeat names the runs again and the leader repeats itself.
+    /// Returns the answer to a runner's heartbeat.
+    ///
+    /// Lists of recorded and closed runs are returned once. If the answer is lost, the
+    /// runner's next heartbeat contains the runs again, and the leader repeats the lists.
     pub fn heartbeat_answer(&mut self, runner: &RunnerId) -> HeartbeatAnswer {
         let mut answer = self.runners.answer(runner);
         answer.term = self.highest_term;
         answer
     }
 
-    /// The configuration replica's key check needs; none while it is too old.
+    /// Returns the configuration replica, while it is valid.
     pub fn configuration(&self, now: Now) -> Option<&configuration::ClusterConfiguration> {
         self.session
             .configuration(now)
             .map(|(_, document)| document)
     }
 
-    /// When it wants [`Input::Tick`] next.
+    /// Returns the time at which the core needs the next [`Input::Tick`].
     pub fn next_wakeup(&self) -> Monotonic {
-        // Often enough that a quiet agent is not taken for a frozen one.
+        // Frequent enough that an idle agent does not detect a suspend.
         let heartbeat = self.last_input + Milliseconds(self.options.freeze_after.0 / 2);
         let report = self
             .last_report
@@ -127,7 +129,7 @@
         wakeups.into_iter().flatten().fold(first, Monotonic::min)
     }
 
-    fn notice_freeze(&mut self, now: Now, effects: &mut Vec<Effect>) {
+    fn detect_suspend(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let gap = now.monotonic.since(self.last_input);
         self.last_input = now.monotonic;
         if gap < self.options.freeze_after {
@@ -139,11 +141,11 @@
         send_all(out, effects);
     }
 
-    /// Drops what it held for the leader: nothing from before may be acted on.
+    /// Closes the session, and drops the orders and heartbeats received in it.
     fn close_session(&mut self) {
         self.session_open = false;
         self.runners.session_closed();
-        if !self.mutated(AgentMutation::KeepOrdersOverLostSession) {
+        if !self.has_mutation(AgentMutation::KeepOrdersOverLostSession) {
             self.orders.drop_queued();
         }
     }
@@ -152,14 +154,14 @@
         if now.monotonic < self.session.next_wakeup() {
             return;
         }
-        self.runners.forget_unresponsive(now.monotonic);
+        self.runners.remove_unresponsive(now.monotonic);
         let mut out = Vec::new();
         let events = self.session.tick(now, &self.runners.names(), &mut out);
         send_all(out, effects);
-        self.take_session_events(now, events, effects);
+        self.handle_session_events(now, events, effects);
     }
 
-    fn take_session_events(
+    fn handle_session_events(
         &mut self,
         now: Now,
         events: Vec<SessionEvent>,
@@ -170,7 +172,7 @@
                 SessionEvent::Opened { term } => {
                     self.session_open = true;
                     self.raise_term(term);
-                    self.results.keep_only(term);
+                    self.results.retain_term(term);
                     self.send_results(now, self.results.all(), effects);
                 }
                 SessionEvent::Lost => self.close_session(),
@@ -182,37 +184,37 @@
     fn raise_term(&mut self, term: Term) {
         if term > self.highest_term {
             self.highest_term = term;
-            if !self.mutated(AgentMutation::NoTermFence) {
+            if !self.has_mutation(AgentMutation::NoTermFence) {
                 self.orders.raise_term(term);
             }
         }
     }
 
-    fn take_message(&mut self, now: Now, envelope: Envelope, effects: &mut Vec<Effect>) {
+    fn receive_message(&mut self, now: Now, envelope: Envelope, effects: &mut Vec<Effect>) {
         let mut out = Vec::new();
         let (events, rest) = self.session.handle(now, envelope, &mut out);
         send_all(out, effects);
-        self.take_session_events(now, events, effects);
+        self.handle_session_events(now, events, effects);
         let Some(envelope) = rest else { return };
         match &envelope.body {
             PeerMessage::Orders {
                 term,
                 agent,
                 orders,
-            } => self.take_orders(now, &envelope, *term, *agent, orders, effects),
-            PeerMessage::RunnerUpdate(update) => self.take_update(update),
+            } => self.receive_orders(now, &envelope, *term, *agent, orders, effects),
+            PeerMessage::RunnerUpdate(update) => self.apply_update(update),
             _ => {}
         }
     }
 
-    fn take_update(&mut self, update: &RunnerUpdate) {
+    fn apply_update(&mut self, update: &RunnerUpdate) {
         if update.term >= self.highest_term {
             self.raise_term(update.term);
             self.runners.update(update);
         }
     }
 
-    fn take_orders(
+    fn receive_orders(
         &mut self,
         now: Now,
         envelope: &Envelope,
@@ -224,21 +226,21 @@
         if agent != self.options.address.node || self.stopping {
             return;
         }
-        if term < self.highest_term && !self.mutated(AgentMutation::NoTermFence) {
+        if term < self.highest_term && !self.has_mutation(AgentMutation::NoTermFence) {
             self.reject_stale(envelope, orders, effects);
             return;
         }
         self.raise_term(term);
-        if !self.may_take(now, term) {
+        if !self.accepts_orders(now, term) {
             return;
         }
         for order in orders.iter().filter(|order| order.term == term) {
-            self.take_order(now, order, effects);
+            self.receive_order(now, order, effects);
         }
     }
 
     /// Returns whether the session is open under this very term.
-    fn may_take(&self, now: Now, term: Term) -> bool {
+    fn accepts_orders(&self, now: Now, term: Term) -> bool {
         match self.mutation {
             Some(AgentMutation::NoTermFence) => self.session_open,
             Some(AgentMutation::KeepOrdersOverLostSession) => true,
@@ -246,39 +248,39 @@
         }
     }
 
-    fn take_order(&mut self, now: Now, order: &RunnerOrder, effects: &mut Vec<Effect>) {
+    fn receive_order(&mut self, now: Now, order: &RunnerOrder, effects: &mut Vec<Effect>) {
         match self.runners.status(&order.runner, order.incarnation) {
             RunnerStatus::Served if self.is_start_on_draining(order) => {
                 let answer = OrderAnswer::Rejected(RejectionReason::Draining);
-                if self.orders.record(order) == Accepted::New {
-                    self.give_result(now, order.clone(), answer, effects);
+                if self.orders.record(order) == OrderAdmission::New {
+                    self.report_result(now, order.clone(), answer, effects);
                 }
                 return;
             }
             RunnerStatus::Served => {}
             RunnerStatus::Ended => {
                 let answer = OrderAnswer::Rejected(RejectionReason::OtherIncarnation);
-                if self.orders.record(order) == Accepted::New {
-                    self.give_result(now, order.clone(), answer, effects);
+                if self.orders.record(order) == OrderAdmission::New {
+                    self.report_result(now, order.clone(), answer, effects);
                 }
                 return;
             }
-            RunnerStatus::Unheard if self.keeps_orders() => {}
-            RunnerStatus::Unheard => return,
+            RunnerStatus::Unseen if self.keeps_orders_over_lost_session() => {}
+            RunnerStatus::Unseen => return,
         }
-        if self.orders.accept(order, now.monotonic) == Accepted::Full {
-            self.give_result(now, order.clone(), OrderAnswer::Unknown, effects);
+        if self.orders.accept(order, now.monotonic) == OrderAdmission::Full {
+            self.report_result(now, order.clone(), OrderAnswer::Unknown, effects);
         }
     }
 
-    /// The leader may not have heard yet that the runner leaves; this process
-    /// has, and nothing passes it by.
+    /// Returns whether the order starts a run on a runner that is draining. The leader may
+    /// not have received the heartbeat that says so yet.
     fn is_start_on_draining(&self, order: &RunnerOrder) -> bool {
         matches!(order.kind, OrderKind::Start { .. }) && self.runners.is_draining(&order.runner)
     }
 
-    /// Told to the sender alone: it may be a leader that was voted out, and
-    /// the leader of this session has no use for its orders.
+    /// Rejects orders of a former leader. The results go to their sender, since the leader
+    /// of the session did not give these orders.
     fn reject_stale(&self, envelope: &Envelope, orders: &[RunnerOrder], effects: &mut Vec<Effect>) {
         let rejected = |order: &RunnerOrder| OrderResult {
             order: order.clone(),
@@ -290,20 +292,20 @@
         effects.push(Effect::Send { to, message });
     }
 
-    fn take_answer(
+    fn receive_answer(
         &mut self,
         now: Now,
         order: RunnerOrder,
         answer: OrderAnswer,
         effects: &mut Vec<Effect>,
     ) {
-        // Else it was given up as unknown before; the leader is voiding it.
+        // Otherwise the order has expired, and the leader is revoking it.
         if self.orders.answered(&order) {
-            self.give_result(now, order, answer, effects);
+            self.report_result(now, order, answer, effects);
         }
     }
 
-    fn give_result(
+    fn report_result(
         &mut self,
         now: Now,
         order: RunnerOrder,
@@ -311,7 +313,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let result = OrderResult { order, answer };
-        self.results.keep(result.clone(), now.monotonic);
+        self.results.add(result.clone(), now.monotonic);
         if self.session.term(now) == Some(result.order.term) {
             self.send_results(now, vec![result], effects);
         }
@@ -326,16 +328,16 @@
 
     fn expire(&mut self, now: Now, effects: &mut Vec<Effect>) {
         for order in self.orders.expire(now.monotonic) {
-            self.give_result(now, order, OrderAnswer::Unknown, effects);
+            self.report_result(now, order, OrderAnswer::Unknown, effects);
         }
-        self.results.forget_old(now.monotonic);
+        self.results.expire(now.monotonic);
     }
 
     fn deliver(&mut self, now: Now, effects: &mut Vec<Effect>) {
-        if !self.session_open && !self.keeps_orders() {
+        if !self.session_open && !self.keeps_orders_over_lost_session() {
             return;
         }
-        for order in self.orders.deliverable(now.monotonic) {
+        for order in self.orders.take_deliverable(now.monotonic) {
             effects.push(Effect::Deliver { order });
         }
     }
@@ -379,8 +381,8 @@
         Ok(())
     }
 
-    /// A polite stop waits for the answers to orders that were delivered; each
-    /// of them is bounded by the order timeout.
+    /// Stops as soon as all delivered orders are answered, which takes at most the order
+    /// timeout.
     fn stop_when_idle(&mut self, now: Now, effects: &mut Vec<Effect>) {
         if !self.stopping || self.stopped {
             return;
@@ -396,11 +398,11 @@
         effects.push(Effect::Stopped);
     }
 
-    fn keeps_orders(&self) -> bool {
-        self.mutated(AgentMutation::KeepOrdersOverLostSession)
+    fn keeps_orders_over_lost_session(&self) -> bool {
+        self.has_mutation(AgentMutation::KeepOrdersOverLostSession)
     }
 
-    fn mutated(&self, mutation: AgentMutation) -> bool {
+    fn has_mutation(&self, mutation: AgentMutation) -> bool {
         self.mutation == Some(mutation)
     }
 }
--- a/crates/agent/src/core/interface.rs
+++ b/crates/agent/src/core/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into the core and what comes out.
+//! Inputs, effects and options of the core.
 
 use std::net::SocketAddr;
 use thiserror::Error;
@@ -8,43 +8,46 @@
     RunnerReport, Term,
 };
 
-/// Settings of the core.
+/// Options of the core.
 #[derive(Debug, Clone)]
 pub struct AgentOptions {
-    /// Who and where this process is.
+    /// Identity, zone and socket of this process.
     pub address: Address,
-    /// Peer sockets of other processes of any role; may be dead, or its own.
+    /// Sockets of other daemons of any role. They may be unreachable, and may include the
+    /// own one.
     pub seeds: Vec<SocketAddr>,
-    /// Time between keep-alives.
+    /// Interval between keep-alives, in milliseconds.
     pub session_interval: Milliseconds,
-    /// An order without an answer for this long is unknown.
+    /// Time after which the result of an unanswered order is unknown, in milliseconds.
     pub order_timeout: Milliseconds,
-    /// A jump of the clock between two inputs that counts as a freeze.
+    /// Minimum time between two inputs that counts as a suspend of the machine, in
+    /// milliseconds.
     pub freeze_after: Milliseconds,
-    /// A configuration replica counts for this long after the leader's last word.
+    /// Time for which the configuration replica stays valid after the leader confirmed
+    /// it, in milliseconds.
     pub replica_valid: Milliseconds,
-    /// Seed of draws.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// A guard of the agent left out, to prove that a checker notices.
+/// A guard of the agent that a test disables, to prove that checkers detect its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AgentMutation {
-    /// Orders of any term are delivered.
+    /// Deliver orders of any term.
     NoTermFence,
-    /// Orders are kept, and taken, over a lost session or a freeze.
+    /// Keep and accept orders after a lost session or a suspend of the machine.
     KeepOrdersOverLostSession,
 }
 
-/// What happens to the core.
+/// An event that the shell passes to the core.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// Time passed.
+    /// The wakeup time has come.
     Tick,
-    /// A message arrived.
+    /// A message of another daemon was received.
     Peer(Envelope),
-    /// A runner's heartbeat arrived. The answer is [`crate::Agent::heartbeat_answer`],
-    /// asked for right after.
+    /// A heartbeat of a runner was received. [`crate::Agent::heartbeat_answer`] returns
+    /// the answer right after.
     Heartbeat(RunnerReport),
     /// A runner answered an order, or its connection failed
     /// ([`OrderAnswer::Unknown`]).
@@ -72,7 +75,7 @@
     StaleConfiguration,
 }
 
-/// What the shell must do.
+/// An action that the core requires of the shell.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Send a message; it may be lost.
@@ -90,25 +93,26 @@
     },
     /// Report whether the agent should get traffic. Emitted on changes only.
     Ready(Result<(), NotReady>),
-    /// The process may end.
+    /// End the process.
     Stopped,
 }
 
-/// What a runner is told in answer to a heartbeat.
+/// The answer to a runner's heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct HeartbeatAnswer {
-    /// Highest term seen; the runner rejects lower ones.
+    /// Highest term that the agent has seen. The runner rejects lower ones.
     pub term: Term,
-    /// Newest heartbeat of this incarnation the leader confirmed.
+    /// Newest heartbeat of the incarnation that the leader confirmed.
     pub confirmed: Option<HeartbeatSequence>,
-    /// The incarnation the confirmation is for.
+    /// Incarnation of the runner.
     pub incarnation: RunnerIncarnation,
-    /// Run lease, counted from when the confirmed heartbeat was sent.
+    /// Length of the run lease, in milliseconds. It counts from the time at which the
+    /// confirmed heartbeat was sent.
     pub lease: Milliseconds,
-    /// Ended runs the record has.
+    /// Ended runs that are committed as such.
     pub recorded: Vec<RunId>,
-    /// Active runs the record closed: stop them.
+    /// Active runs that are committed as closed. The runner must stop them.
     pub stop: Vec<RunId>,
-    /// Answers to the runs that could not be named.
+    /// Identifiers of the runs that were reported by name only.
     pub names: Vec<NamedRun>,
 }
--- a/crates/agent/src/core/orders.rs
+++ b/crates/agent/src/core/orders.rs
@@ -1,27 +1,27 @@
-//! Orders between their arrival and their answer.
+//! Orders from their receipt to their answer.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use types::{Milliseconds, Monotonic, OrderSequence, RunnerId, RunnerOrder, Term};
 
-/// Orders given to one runner at once; more wait.
+/// Maximum number of unanswered orders of one runner. Further ones are queued.
 const MAX_IN_FLIGHT_PER_RUNNER: usize = 16;
-/// Orders that may wait. A leader orders at most what fits a runner's room.
+/// Maximum number of queued orders.
 const MAX_QUEUED: usize = 4_096;
-/// Numbers remembered for one runner, to notice an order that comes twice.
+/// Maximum number of order sequences stored for one runner, to detect duplicates.
 const MAX_SEEN_PER_RUNNER: usize = 4_096;
 
-/// What became of an order that arrived.
+/// Result of receiving an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Accepted {
-    /// Taken.
+pub enum OrderAdmission {
+    /// The order is accepted.
     New,
-    /// It was taken before, and nothing more is done.
+    /// The order was received before and is ignored.
     Duplicate,
-    /// Too many are waiting; it will never be delivered.
+    /// Too many orders are queued. The order is never delivered.
     Full,
 }
 
-/// An order among those of one term.
+/// Identity of an order.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct OrderKey {
     term: Term,
@@ -39,23 +39,23 @@
     }
 }
 
-/// An order with the time at which it is given up.
+/// An order with the time at which it expires.
 #[derive(Debug)]
-struct Waiting {
+struct PendingOrder {
     order: RunnerOrder,
     deadline: Monotonic,
 }
 
-/// Numbers of one runner's orders in the current term.
+/// Sequences of the orders of one runner in one term.
 #[derive(Debug, Default)]
 struct SeenOrders {
     newest: BTreeSet<OrderSequence>,
-    /// All up to this one count as seen.
+    /// All sequences up to this one count as received.
     floor: Option<OrderSequence>,
 }
 
 impl SeenOrders {
-    /// False when the number was there before.
+    /// Adds a sequence. Returns false if it was received before.
     fn add(&mut self, sequence: OrderSequence) -> bool {
         if self.floor >= Some(sequence) || !self.newest.insert(sequence) {
             return false;
@@ -67,17 +67,17 @@
     }
 }
 
-/// Queue, deliveries in flight, and what has been seen.
+/// The queued, delivered and previously received orders of an agent.
 #[derive(Debug)]
 pub struct OrderTable {
     timeout: Milliseconds,
     seen: BTreeMap<(Term, RunnerId), SeenOrders>,
-    queued: VecDeque<Waiting>,
-    in_flight: BTreeMap<OrderKey, Waiting>,
+    queued: VecDeque<PendingOrder>,
+    in_flight: BTreeMap<OrderKey, PendingOrder>,
 }
 
 impl OrderTable {
-    /// An empty book whose orders are given up after `timeout`.
+    /// Creates an empty table whose orders expire after `timeout`.
     pub fn new(timeout: Milliseconds) -> Self {
         Self {
             timeout,
@@ -87,60 +87,62 @@
         }
     }
 
-    /// Drops what waits under lower terms.
+    /// Drops the queued orders of lower terms.
     pub fn raise_term(&mut self, term: Term) {
         self.seen.retain(|(seen, _), _| *seen >= term);
         self.queued.retain(|waiting| waiting.order.term >= term);
     }
 
-    /// Records an order that will not be delivered.
-    pub fn record(&mut self, order: &RunnerOrder) -> Accepted {
+    /// Records an order as received, without queueing it.
+    pub fn record(&mut self, order: &RunnerOrder) -> OrderAdmission {
         let key = (order.term, order.runner.clone());
         if self.seen.entry(key).or_default().add(order.sequence) {
-            Accepted::New
+            OrderAdmission::New
         } else {
-            Accepted::Duplicate
+            OrderAdmission::Duplicate
         }
     }
 
-    /// Takes an order to be delivered once.
-    pub fn accept(&mut self, order: &RunnerOrder, now: Monotonic) -> Accepted {
-        if self.record(order) == Accepted::Duplicate {
-            return Accepted::Duplicate;
+    /// Queues an order, unless it was received before or the queue is full.
+    pub fn accept(&mut self, order: &RunnerOrder, now: Monotonic) -> OrderAdmission {
+        if self.record(order) == OrderAdmission::Duplicate {
+            return OrderAdmission::Duplicate;
         }
         if self.queued.len() >= MAX_QUEUED {
-            return Accepted::Full;
+            return OrderAdmission::Full;
         }
-        self.queued.push_back(Waiting {
+        self.queued.push_back(PendingOrder {
             order: order.clone(),
             deadline: now + self.timeout,
         });
-        Accepted::New
+        OrderAdmission::New
     }
 
-    /// Takes out the orders that go to their runners now.
-    pub fn deliverable(&mut self, now: Monotonic) -> Vec<RunnerOrder> {
+    /// Removes and returns the queued orders to deliver now, and awaits their answers.
+    pub fn take_deliverable(&mut self, now: Monotonic) -> Vec<RunnerOrder> {
         if self.queued.is_empty() {
             return Vec::new();
         }
-        let mut busy: BTreeMap<RunnerId, usize> = BTreeMap::new();
+        let mut in_flight_by_runner: BTreeMap<RunnerId, usize> = BTreeMap::new();
         for key in self.in_flight.keys() {
-            *busy.entry(key.runner.clone()).or_default() += 1;
+            *in_flight_by_runner.entry(key.runner.clone()).or_default() += 1;
         }
         let mut deliveries = Vec::new();
-        let mut staying = VecDeque::new();
+        let mut remaining = VecDeque::new();
         for waiting in std::mem::take(&mut self.queued) {
-            let in_flight = busy.entry(waiting.order.runner.clone()).or_default();
+            let in_flight = in_flight_by_runner
+                .entry(waiting.order.runner.clone())
+                .or_default();
             if *in_flight >= MAX_IN_FLIGHT_PER_RUNNER {
-                staying.push_back(waiting);
+                remaining.push_back(waiting);
                 continue;
             }
             *in_flight += 1;
             deliveries.push(waiting.order);
         }
-        self.queued = staying;
+        self.queued = remaining;
         for order in &deliveries {
-            let waiting = Waiting {
+            let waiting = PendingOrder {
                 order: order.clone(),
                 deadline: now + self.timeout,
             };
@@ -149,42 +151,42 @@
         deliveries
     }
 
-    /// Takes an answered order out; false when it was not in flight.
+    /// Removes an answered order. Returns false if it was not awaiting an answer.
     pub fn answered(&mut self, order: &RunnerOrder) -> bool {
         self.in_flight.remove(&OrderKey::of(order)).is_some()
     }
 
-    /// Takes out the orders whose time is over, delivered or not.
+    /// Removes and returns the expired orders, delivered or not.
     pub fn expire(&mut self, now: Monotonic) -> Vec<RunnerOrder> {
         let mut expired = Vec::new();
         self.queued.retain(|waiting| {
-            let over = now >= waiting.deadline;
-            if over {
+            let is_expired = now >= waiting.deadline;
+            if is_expired {
                 expired.push(waiting.order.clone());
             }
-            !over
+            !is_expired
         });
         self.in_flight.retain(|_, waiting| {
-            let over = now >= waiting.deadline;
-            if over {
+            let is_expired = now >= waiting.deadline;
+            if is_expired {
                 expired.push(waiting.order.clone());
             }
-            !over
+            !is_expired
         });
         expired
     }
 
-    /// Forgets what was not delivered yet.
+    /// Drops the orders that have not been delivered.
     pub fn drop_queued(&mut self) {
         self.queued.clear();
     }
 
-    /// Number of orders without an answer.
+    /// Returns the number of delivered orders without an answer.
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// When the first order is given up.
+    /// Returns the time at which the next order expires.
     pub fn next_deadline(&self) -> Option<Monotonic> {
         let queued = self.queued.iter();
         let in_flight = self.in_flight.values();
--- a/crates/agent/src/core/runners.rs
+++ b/crates/agent/src/core/runners.rs
@@ -1,4 +1,4 @@
-//! The runners an agent serves.
+//! The runners that an agent serves.
 
 use super::HeartbeatAnswer;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,25 +7,25 @@
     HeartbeatSequence, Milliseconds, Monotonic, RunId, RunnerId, RunnerIncarnation, RunnerReport,
 };
 
-/// Runners one agent serves at most.
+/// Maximum number of runners of one agent.
 const MAX_RUNNERS: usize = 256;
-/// A runner that has sent nothing for this long is no longer served.
-const FORGET_AFTER: Milliseconds = Milliseconds::from_seconds(30);
+/// Time without a heartbeat after which a runner is removed.
+const UNRESPONSIVE_TIMEOUT: Milliseconds = Milliseconds::from_seconds(30);
 
-/// How the runner that an order is for stands.
+/// State of the runner incarnation that an order is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunnerStatus {
-    /// This incarnation has sent a heartbeat since the session opened.
+    /// The incarnation has sent a heartbeat since the session opened.
     Served,
-    /// Nothing was heard of this incarnation since the session opened.
-    Unheard,
-    /// A later incarnation has been heard: this one is over.
+    /// The incarnation has sent no heartbeat since the session opened.
+    Unseen,
+    /// A later incarnation has sent a heartbeat, so this one has ended.
     Ended,
 }
 
-/// A runner's current incarnation.
+/// The current incarnation of a runner.
 #[derive(Debug)]
-struct Entry {
+struct RunnerEntry {
     incarnation: RunnerIncarnation,
     newest: HeartbeatSequence,
     last_seen: Monotonic,
@@ -39,7 +39,7 @@
     draining: bool,
 }
 
-impl Entry {
+impl RunnerEntry {
     fn new(report: &RunnerReport, now: Monotonic) -> Self {
         Self {
             incarnation: report.incarnation,
@@ -57,30 +57,30 @@
     }
 }
 
-/// All runners that sent a heartbeat lately.
+/// The runners that have recently sent a heartbeat.
 #[derive(Debug, Default)]
 pub struct RunnerTable {
-    entries: BTreeMap<RunnerId, Entry>,
+    entries: BTreeMap<RunnerId, RunnerEntry>,
 }
 
 impl RunnerTable {
-    /// Takes a heartbeat. Without a session it is not kept for the leader: the
-    /// leader shall hear first what the runner holds after the session opened.
+    /// Records a heartbeat. It is kept for the leader only while a session is open, so that
+    /// the first report of a session contains only heartbeats sent after it opened.
     pub fn heartbeat(&mut self, report: RunnerReport, now: Monotonic, session_open: bool) {
         let known = self.entries.get(&report.runner);
         if known.is_none() && self.entries.len() >= MAX_RUNNERS {
             return;
         }
-        let order = known.map(|entry| (entry.incarnation, entry.newest));
-        if order > Some((report.incarnation, report.sequence)) {
+        let newest = known.map(|entry| (entry.incarnation, entry.newest));
+        if newest > Some((report.incarnation, report.sequence)) {
             return;
         }
         let entry = self
             .entries
             .entry(report.runner.clone())
-            .or_insert_with(|| Entry::new(&report, now));
+            .or_insert_with(|| RunnerEntry::new(&report, now));
         if entry.incarnation < report.incarnation {
-            *entry = Entry::new(&report, now);
+            *entry = RunnerEntry::new(&report, now);
         }
         entry.newest = report.sequence;
         entry.last_seen = now;
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Takes the leader's answer to a heartbeat of a runner's current incarnation.
+    /// Records the leader's answer to the heartbeats of a runner. An answer for another
+    /// incarnation than the current one is ignored.
     pub fn update(&mut self, update: &RunnerUpdate) {
         let Some(entry) = self.entries.get_mut(&update.runner) else {
             return;
@@ -112,12 +113,13 @@
         }
     }
 
-    /// Returns whether the runner said in its last heartbeat that it leaves.
+    /// Returns whether the runner was draining in its last heartbeat.
     pub fn is_draining(&self, runner: &RunnerId) -> bool {
         self.entries.get(runner).is_some_and(|entry| entry.draining)
     }
 
-    /// What to tell a runner, without the term. Lists are told once.
+    /// Returns the answer to a runner's heartbeat, without the term. Lists are returned
+    /// once.
     pub fn answer(&mut self, runner: &RunnerId) -> HeartbeatAnswer {
         let Some(entry) = self.entries.get_mut(runner) else {
             return HeartbeatAnswer::default();
@@ -133,18 +135,19 @@
         }
     }
 
-    /// How one incarnation of a runner stands.
+    /// Returns the state of one incarnation of a runner.
     pub fn status(&self, runner: &RunnerId, incarnation: RunnerIncarnation) -> RunnerStatus {
         match self.entries.get(runner) {
             Some(entry) if entry.incarnation > incarnation => RunnerStatus::Ended,
             Some(entry) if entry.incarnation == incarnation && entry.seen_in_session => {
                 RunnerStatus::Served
             }
-            _ => RunnerStatus::Unheard,
+            _ => RunnerStatus::Unseen,
         }
     }
 
-    /// Each runner must be heard again before it is served.
+    /// Records that the session was closed. Each runner must send a heartbeat before it is
+    /// served again.
     pub fn session_closed(&mut self) {
         for entry in self.entries.values_mut() {
             entry.seen_in_session = false;
@@ -152,24 +155,24 @@
         }
     }
 
-    /// Drops runners that have been silent for long.
-    pub fn forget_unresponsive(&mut self, now: Monotonic) {
+    /// Removes the runners that have sent no heartbeat for a time.
+    pub fn remove_unresponsive(&mut self, now: Monotonic) {
         self.entries
-            .retain(|_, entry| now.since(entry.last_seen) < FORGET_AFTER);
+            .retain(|_, entry| now.since(entry.last_seen) < UNRESPONSIVE_TIMEOUT);
     }
 
-    /// Returns whether a heartbeat waits for the leader.
+    /// Returns whether a heartbeat is to be reported to the leader.
     pub fn has_unsent(&self) -> bool {
         self.entries.values().any(|entry| entry.unsent.is_some())
     }
 
-    /// Takes out the newest heartbeats that wait for the leader.
+    /// Removes and returns the newest heartbeats that are to be reported.
     pub fn take_unsent(&mut self) -> Vec<RunnerReport> {
         let entries = self.entries.values_mut();
         entries.filter_map(|entry| entry.unsent.take()).collect()
     }
 
-    /// Names of all runners served.
+    /// Returns the names of all runners.
     pub fn names(&self) -> Vec<RunnerId> {
         self.entries.keys().cloned().collect()
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -11,4 +11,4 @@
 pub use crate::core::{
     Agent, AgentMutation, AgentOptions, Effect, HeartbeatAnswer, Input, NotReady,
 };
-pub use shell::{AgentError, OrderSender, Questions, ShellOptions, run, run_with_order_sender};
+pub use shell::{AgentError, CoreHandle, OrderSender, ShellOptions, run, run_with_order_sender};
--- a/crates/agent/src/shell.rs
+++ b/crates/agent/src/shell.rs
@@ -1,10 +1,10 @@
-//! The agent's tokio shell: peer socket, the runner's HTTP, clock.
+//! The tokio shell of an agent: transport, HTTP listener for runners and clock.
 
 mod delivery;
 mod driver;
+mod handle;
 mod http;
 mod key;
-mod question;
 
 use crate::{Agent, AgentOptions};
 use admin::Readiness;
@@ -12,7 +12,7 @@
 use delivery::HttpOrderSender;
 pub use delivery::OrderSender;
 use driver::Driver;
-pub use question::Questions;
+pub use handle::CoreHandle;
 use std::future::IntoFuture;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,46 +20,50 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Part of the grace time kept for closing HTTP connections.
+/// One in this many parts of the grace time is reserved for closing HTTP connections.
 const CLOSING_PART: u32 = 4;
-/// Time for the last messages to leave before the transport closes.
-const FAREWELL: Duration = Duration::from_millis(50);
+/// Time for sending the last messages before the transport is shut down.
+const FLUSH_TIME: Duration = Duration::from_millis(50);
 
-/// What the shell needs beyond the core's settings.
+/// Options of the shell.
 #[derive(Debug, Clone)]
 pub struct ShellOptions {
-    /// Settings of the core.
+    /// Options of the core.
     pub core: AgentOptions,
-    /// Peer listener.
+    /// Options of the transport.
     pub transport: transport::TransportOptions,
-    /// Shared key of the cluster.
+    /// Key that all daemons of the cluster share.
     pub cluster_key: transport::ClusterKey,
-    /// HTTP listener for runners; also livez, readyz and metrics.
+    /// HTTP listener for runners, and for livez, readyz and metrics.
     pub http_listen: SocketAddr,
-    /// Longest time to end after a polite stop.
+    /// Maximum time from the stop signal to the end, in milliseconds.
     pub grace: types::Milliseconds,
 }
 
-/// Why an agent ended.
+/// A failure of an agent.
 #[derive(Debug, Error)]
 pub enum AgentError {
-    /// The peer listener cannot be used.
+    /// The transport cannot be started.
     #[error(transparent)]
     Transport(#[from] transport::TransportError),
-    /// The HTTP listener cannot be used.
+    /// The HTTP listener failed.
     #[error("cannot listen on {listen}: {source}")]
     Http {
-        /// The socket.
+        /// Socket of the listener.
         listen: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The HTTP client for orders cannot be made.
+    /// The HTTP client for orders cannot be created.
     #[error("cannot make the client for orders: {0}")]
     Client(#[from] reqwest::Error),
 }
 
-/// Runs an agent until `stop` turns true.
+/// Runs an agent until `stop` becomes true.
+///
+/// # Errors
+///
+/// Returns an [`AgentError`] if a listener cannot be bound or fails.
 pub async fn run(options: ShellOptions, stop: watch::Receiver<bool>) -> Result<(), AgentError> {
     let listen = options.http_listen;
     let listener = TcpListener::bind(listen)
@@ -68,10 +72,14 @@
     run_on(listener, options, stop).await
 }
 
-/// As [`run`], on an HTTP socket that is bound already.
+/// Runs an agent as [`run`] does, on an HTTP socket that is already bound.
+///
+/// After the stop, the agent accepts no new orders, and within the grace time waits for
+/// the answers to delivered ones. It serves runners until then.
 ///
-/// After the stop no new order is taken; answers to delivered ones are awaited
-/// and passed on, within the grace time. Runners are served until then.
+/// # Errors
+///
+/// Returns an [`AgentError`] if a listener cannot be bound or fails.
 pub async fn run_on(
     listener: TcpListener,
     options: ShellOptions,
@@ -81,14 +89,17 @@
     serve(listener, options, stop, order_sender, http::router).await
 }
 
-/// Runs an agent until `stop` turns true, whose runners speak another
-/// interface than that of the `api` crate: `order_sender` brings them orders, and
-/// `routes` takes what they send.
+/// Runs an agent until `stop` becomes true, for runners with another interface than that of
+/// the `api` crate: `order_sender` sends them orders, and `routes` receives their requests.
+///
+/// # Errors
+///
+/// Returns an [`AgentError`] if a listener cannot be bound or fails.
 pub async fn run_with_order_sender<C: OrderSender>(
     options: ShellOptions,
     stop: watch::Receiver<bool>,
     order_sender: C,
-    routes: impl FnOnce(Questions, Readiness) -> Router,
+    routes: impl FnOnce(CoreHandle, Readiness) -> Router,
 ) -> Result<(), AgentError> {
     let listen = options.http_listen;
     let listener = TcpListener::bind(listen)
@@ -102,7 +113,7 @@
     options: ShellOptions,
     stop: watch::Receiver<bool>,
     order_sender: C,
-    routes: impl FnOnce(Questions, Readiness) -> Router,
+    routes: impl FnOnce(CoreHandle, Readiness) -> Router,
 ) -> Result<(), AgentError> {
     let listen = options.http_listen;
     let mut core = options.core;
@@ -112,20 +123,20 @@
     // A port of 0 in the settings stands for the one that was found.
     core.address = transport.own().clone();
     let readiness = Readiness::starting();
-    let (questions, inbox) = question::channel();
+    let (handle, requests) = handle::channel();
     let agent = Agent::new(core, transport::clock::now());
     let driver = Driver::new(agent, transport.clone(), order_sender, readiness.clone());
     let (finished, mut finished_seen) = watch::channel(false);
     let grace = Duration::from_millis(options.grace.0);
     let closing = grace / CLOSING_PART;
 
-    let service = routes(questions, readiness).into_make_service_with_connect_info::<SocketAddr>();
+    let service = routes(handle, readiness).into_make_service_with_connect_info::<SocketAddr>();
     let serving = axum::serve(listener, service)
         .with_graceful_shutdown(async move { transport::stopped(&mut finished_seen).await })
         .into_future();
     let driving = async {
-        driver.run(inbox, arriving, stop, grace - closing).await;
-        tokio::time::sleep(FAREWELL.min(closing)).await;
+        driver.run(requests, arriving, stop, grace - closing).await;
+        tokio::time::sleep(FLUSH_TIME.min(closing)).await;
         finished.send_replace(true);
         tokio::time::sleep(closing).await;
     };
--- a/crates/agent/src/shell/delivery.rs
+++ b/crates/agent/src/shell/delivery.rs
@@ -1,16 +1,16 @@
-//! Delivery of orders to runners, each sent at most once.
+//! Delivery of orders to runners. Each order is sent at most once.
 
 use api::runner::{OrderAnswerBody, OrderBody, OrdersUrl};
 use reqwest::{Client, Response, StatusCode};
 use std::time::Duration;
 use types::{Milliseconds, Monotonic, OrderAnswer, RunnerOrder};
 
-/// Longest answer of a runner, in bytes.
+/// Maximum length of a runner's answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
-/// Longest time to open a connection to a runner on this machine.
+/// Connect timeout, on the same machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Carries orders over HTTP.
+/// Sends orders to runners over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpOrderSender {
     client: Client,
@@ -18,8 +18,8 @@
 }
 
 impl HttpOrderSender {
-    /// A courier that waits this long for an answer, and gives up an order
-    /// that it could not send for `freeze_after`.
+    /// Creates a sender with a timeout for answers. It does not send an order that the
+    /// core issued longer ago than `freeze_after`.
     pub fn new(timeout: Milliseconds, freeze_after: Milliseconds) -> Result<Self, reqwest::Error> {
         let client = Client::builder()
             .no_proxy()
@@ -46,11 +46,12 @@
     }
 }
 
-/// Brings orders to runners.
+/// Sends orders to runners.
 pub trait OrderSender: Clone + Send + Sync + 'static {
-    /// Sends an order that the core gave out at `issued_at`, and waits for the
-    /// answer. Anything but a readable answer is unknown: the order may or may
-    /// not have arrived, and is never sent again.
+    /// Sends an order that the core issued at `issued_at`, and waits for the answer.
+    ///
+    /// Returns [`OrderAnswer::Unknown`] without a valid answer: the order may or may not
+    /// have arrived, and is never sent again.
     fn deliver(
         &self,
         url: Option<&OrdersUrl>,
@@ -66,7 +67,7 @@
         order: &RunnerOrder,
         issued_at: Monotonic,
     ) -> OrderAnswer {
-        // The process may have been frozen since the core looked at the clock.
+        // The process may have been suspended since the core issued the order.
         let waited = transport::clock::now().monotonic.since(issued_at);
         let answer = match url {
             Some(url) if waited < self.freeze_after => self.send(url, order).await,
@@ -79,7 +80,7 @@
     }
 }
 
-/// The body, unless it is too long or breaks off.
+/// Reads a body. Returns `None` if it is too long or incomplete.
 async fn read_bounded(mut response: Response) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
     while let Some(chunk) = response.chunk().await.ok()? {
--- a/crates/agent/src/shell/driver.rs
+++ b/crates/agent/src/shell/driver.rs
@@ -1,8 +1,8 @@
-//! The task that owns the core: it reads the clock, gives inputs, does effects.
+//! The task that owns the core, passes inputs to it and carries out its effects.
 
 use super::delivery::OrderSender;
+use super::handle::CoreRequest;
 use super::key::authorize;
-use super::question::Question;
 use crate::{Agent, Effect, Input};
 use admin::Readiness;
 use api::runner::OrdersUrl;
@@ -13,18 +13,18 @@
 use transport::Transport;
 use types::{Monotonic, Now, OrderAnswer, RunnerId, RunnerOrder};
 
-/// Runners whose URL is remembered; as many as the core serves. The one heard
-/// longest ago goes first.
+/// Maximum number of runners whose URL is stored, which is the maximum number of runners
+/// of the core. The URL that was received first is dropped first.
 const MAX_URLS: usize = 256;
 
-/// Where a runner takes orders.
+/// URL at which a runner takes orders.
 #[derive(Debug)]
 struct KnownUrl {
     url: OrdersUrl,
     received_at: Monotonic,
 }
 
-/// The core with everything that its effects need.
+/// The core, with the resources that its effects need.
 pub struct Driver<C> {
     agent: Agent,
     transport: Transport,
@@ -36,7 +36,7 @@
 }
 
 impl<C: OrderSender> Driver<C> {
-    /// A driver of a fresh agent.
+    /// Creates a driver of a new agent.
     pub fn new(agent: Agent, transport: Transport, order_sender: C, readiness: Readiness) -> Self {
         Self {
             agent,
@@ -49,27 +49,27 @@
         }
     }
 
-    /// Runs until the core has stopped, at most `grace` after `stop`.
+    /// Runs until the core has stopped, at most until `grace` after `stop` became true.
     pub async fn run(
         mut self,
-        mut questions: mpsc::Receiver<Question>,
+        mut requests: mpsc::Receiver<CoreRequest>,
         mut arriving: transport::Inbox,
         mut stop: watch::Receiver<bool>,
         grace: Duration,
     ) {
-        self.drive(&mut questions, &mut arriving, transport::stopped(&mut stop))
+        self.drive(&mut requests, &mut arriving, transport::stopped(&mut stop))
             .await;
         self.input(Input::Stop);
-        let stopping = self.drive(&mut questions, &mut arriving, std::future::pending());
+        let stopping = self.drive(&mut requests, &mut arriving, std::future::pending());
         if tokio::time::timeout(grace, stopping).await.is_err() {
             tracing::warn!("stopped with orders unanswered");
         }
     }
 
-    /// Gives inputs until the core has stopped or `until` comes.
+    /// Passes inputs to the core until it has stopped or `until` completes.
     async fn drive(
         &mut self,
-        questions: &mut mpsc::Receiver<Question>,
+        requests: &mut mpsc::Receiver<CoreRequest>,
         arriving: &mut transport::Inbox,
         until: impl Future<Output = ()>,
     ) {
@@ -79,9 +79,9 @@
             tokio::select! {
                 () = &mut until => return,
                 Some(envelope) = arriving.recv() => self.input(Input::Peer(envelope)),
-                Some(question) = questions.recv() => self.answer(question),
+                Some(request) = requests.recv() => self.answer(request),
                 Some(delivered) = self.deliveries.join_next() => {
-                    // A delivery that panicked is given up by the core in time.
+                    // The core expires the order of a delivery that panicked.
                     if let Ok((order, answer)) = delivered {
                         self.answered(order, answer);
                     }
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Time until the core wants a tick.
+    /// Returns the time until the core needs a tick.
     fn pause(&self) -> Duration {
         let now = transport::clock::now().monotonic;
         Duration::from_millis(self.agent.next_wakeup().since(now).0)
@@ -106,32 +106,32 @@
         self.input(Input::Answered { order, answer });
     }
 
-    fn answer(&mut self, question: Question) {
-        match question {
-            Question::Authorize { token, answer } => {
+    fn answer(&mut self, request: CoreRequest) {
+        match request {
+            CoreRequest::Authorize { token, answer } => {
                 let configuration = self.agent.configuration(transport::clock::now());
-                // A handler that is gone needs no answer.
+                // An error means that the handler has been dropped.
                 let _ = answer.send(authorize(configuration, token.as_deref()));
             }
-            Question::Heartbeat {
+            CoreRequest::Heartbeat {
                 report,
                 orders_url,
                 answer,
             } => {
                 let runner = report.runner.clone();
                 if let Some(url) = orders_url {
-                    self.remember_url(&runner, url);
+                    self.store_url(&runner, url);
                 }
                 self.input(Input::Heartbeat(report));
                 let _ = answer.send(self.agent.heartbeat_answer(&runner));
             }
-            Question::Updates { runner, answer } => {
+            CoreRequest::Updates { runner, answer } => {
                 let _ = answer.send(self.agent.heartbeat_answer(&runner));
             }
         }
     }
 
-    fn remember_url(&mut self, runner: &RunnerId, url: OrdersUrl) {
+    fn store_url(&mut self, runner: &RunnerId, url: OrdersUrl) {
         let received_at = transport::clock::now().monotonic;
         let known = KnownUrl { url, received_at };
         self.orders_urls.insert(runner.clone(), known);
--- a/crates/agent/src/shell/http.rs
+++ b/crates/agent/src/shell/http.rs
@@ -1,6 +1,6 @@
 //! The HTTP interface for runners.
 
-use super::question::{Questions, rejection};
+use super::handle::{CoreHandle, rejection};
 use crate::HeartbeatAnswer;
 use admin::Readiness;
 use api::rejection::RejectionBody;
@@ -15,55 +15,55 @@
 use transport::{Rejection, RejectionCode};
 use types::{RunId, RunnerId};
 
-/// Longest heartbeat, in bytes; a longer one gets 413.
+/// Maximum length of a heartbeat, in bytes. A longer one is answered with 413.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
 const BEARER: &str = "Bearer ";
 
-/// Routes for runners, the admin ones among them.
-pub fn router(questions: Questions, readiness: Readiness) -> Router {
+/// Returns the routes for runners, those of the admin interface included.
+pub fn router(core: CoreHandle, readiness: Readiness) -> Router {
     Router::new()
         .route(HEARTBEAT_ROUTE, post(heartbeat))
         .layer(DefaultBodyLimit::max(MAX_BODY_BYTES))
-        .with_state(questions)
+        .with_state(core)
         .merge(admin::routes(readiness))
 }
 
 async fn heartbeat(
-    State(questions): State<Questions>,
+    State(core): State<CoreHandle>,
     ConnectInfo(sender): ConnectInfo<SocketAddr>,
     Path(runner): Path<String>,
     headers: HeaderMap,
     body: Bytes,
 ) -> Result<Json<HeartbeatAnswerBody>, Failure> {
-    let answer = take_heartbeat(&questions, sender, runner, &headers, &body).await;
+    let answer = receive_heartbeat(&core, sender, runner, &headers, &body).await;
     let outcome = if answer.is_ok() { "taken" } else { "refused" };
     metrics::counter!("cypressdrum_agent_heartbeats_total", "outcome" => outcome).increment(1);
     Ok(Json(body_of(answer?)))
 }
 
-async fn take_heartbeat(
-    questions: &Questions,
+async fn receive_heartbeat(
+    core: &CoreHandle,
     sender: SocketAddr,
     runner: String,
     headers: &HeaderMap,
     body: &[u8],
 ) -> Result<HeartbeatAnswer, Failure> {
-    questions.authorize(token(headers)).await?;
-    let runner = RunnerId::new(runner).map_err(invalid)?;
-    let body: HeartbeatBody = api::runner::read(body).map_err(invalid)?;
-    let (report, orders_url) = body.into_report(runner).map_err(invalid)?;
+    core.authorize(token(headers)).await?;
+    let runner = RunnerId::new(runner).map_err(|error| invalid(&error))?;
+    let body: HeartbeatBody = api::runner::read(body).map_err(|error| invalid(&error))?;
+    let (report, orders_url) = body.into_report(runner).map_err(|error| invalid(&error))?;
     check_orders_host(&orders_url, sender)?;
-    Ok(questions.heartbeat(report, Some(orders_url)).await?)
+    Ok(core.heartbeat(report, Some(orders_url)).await?)
 }
 
-/// An agent sends orders to its runner's own machine alone, so that no
-/// heartbeat can make it talk to another.
+/// Checks that the URL for orders is on the runner's own machine, so that no heartbeat can
+/// direct the agent's orders elsewhere.
 fn check_orders_host(orders_url: &OrdersUrl, sender: SocketAddr) -> Result<(), Failure> {
     let host = orders_url.socket().ip();
     if host.is_loopback() || host == sender.ip() {
         return Ok(());
     }
-    Err(invalid(format!(
+    Err(invalid(&format!(
         "orders_url: must be on the runner's own machine, {} or a loopback address",
         sender.ip()
     )))
@@ -86,11 +86,11 @@
     }
 }
 
-fn invalid(problem: impl ToString) -> Failure {
-    Failure(rejection(RejectionCode::Invalid, problem.to_string(), None))
+fn invalid(error: &impl ToString) -> Failure {
+    Failure(rejection(RejectionCode::Invalid, error.to_string(), None))
 }
 
-/// A rejection as an HTTP answer.
+/// The HTTP response of a rejected heartbeat.
 #[derive(Debug)]
 struct Failure(Rejection);
 
--- a/crates/agent/src/shell/key.rs
+++ b/crates/agent/src/shell/key.rs
@@ -1,15 +1,17 @@
-//! Who may send heartbeats.
+//! Authorization of heartbeats.
 
-use super::question::rejection;
+use super::handle::rejection;
 use configuration::{ClusterConfiguration, KeyRole, authenticate, requires_keys};
 use transport::{Rejection, RejectionCode};
 use types::Milliseconds;
 
-/// When to come back while the configuration is not known.
+/// Retry time while the configuration is not known.
 const RETRY_AFTER: Milliseconds = Milliseconds(500);
 
-/// Checks a token against the configuration replica; `None` while that is too
-/// old, and then nobody is let in, since a key may have been revoked.
+/// Checks whether a token allows sending heartbeats.
+///
+/// `configuration` is `None` while the replica is not valid. Every token is rejected then,
+/// since its key may have been revoked.
 pub fn authorize(
     configuration: Option<&ClusterConfiguration>,
     token: Option<&str>,
--- a/crates/gateway/src/core/access.rs
+++ b/crates/gateway/src/core/access.rs
@@ -1,15 +1,20 @@
-//! Who may ask for what.
+//! Authorization of requests.
 
+use crate::core::pending::QuotaOwner;
 use crate::core::rejection;
-use crate::core::waiting::RequestOwner;
 use configuration::{ClusterConfiguration, Key, KeyRole, authenticate, requires_keys};
 use state_machine::CancelSelector;
 use transport::{Operation, Rejection};
 use types::TenantId;
 
-/// Checks the key against the document and the operation against the key's
-/// role. Gives the operation as it may be asked: a caller's list is narrowed
-/// to its own tenant.
+/// Checks the key against the configuration, and the operation against the role of
+/// the key. Returns the operation to carry out: a caller's list is restricted to its
+/// own tenant.
+///
+/// # Errors
+///
+/// Returns a [`Rejection`] if the key is unknown or its role does not allow the
+/// operation.
 pub fn authorize(
     document: &ClusterConfiguration,
     token: Option<&str>,
@@ -28,13 +33,13 @@
     }
 }
 
-/// Returns whether the bearer's key stands in the document.
-pub fn is_known(document: &ClusterConfiguration, token: Option<&str>) -> bool {
+/// Returns whether the configuration contains the key, or requires none.
+pub fn is_authenticated(document: &ClusterConfiguration, token: Option<&str>) -> bool {
     !requires_keys(document) || find_key(document, token).is_ok()
 }
 
-/// Whose places a request takes: the one tenant it is about, or the operators'.
-pub fn owner(operation: &Operation) -> RequestOwner {
+/// Returns the quota to which an operation counts.
+pub fn quota_owner(operation: &Operation) -> QuotaOwner {
     let tenant = match operation {
         Operation::Submit(spec) => Some(&spec.tenant),
         Operation::GetJob(key) | Operation::GetJobState(key) | Operation::Explain(key) => {
@@ -50,7 +55,7 @@
     };
     tenant
         .cloned()
-        .map_or(RequestOwner::Operators, RequestOwner::Tenant)
+        .map_or(QuotaOwner::Operators, QuotaOwner::Tenant)
 }
 
 fn find_key<'a>(
--- a/crates/gateway/src/core/rejection.rs
+++ b/crates/gateway/src/core/rejection.rs
@@ -1,21 +1,21 @@
-//! The rejections a gateway gives by itself.
+//! The rejections that a gateway makes without the leader.
 
 use transport::{Rejection, RejectionCode};
 use types::Milliseconds;
 
-/// When to come back while no leader is known or this process stops.
+/// Retry time while no leader is known or the gateway is stopping.
 pub const UNAVAILABLE_RETRY: Milliseconds = Milliseconds(500);
-/// When to send the same again after no answer came in time.
+/// Retry time after a deadline passed without an answer.
 pub const TIMED_OUT_RETRY: Milliseconds = Milliseconds(500);
-/// Shortest time to come back when every place is taken.
+/// Minimum retry time while too many requests are pending.
 pub const OVERLOADED_RETRY: Milliseconds = Milliseconds(500);
 
-/// No leader can be reached.
+/// Rejects a request that was not sent to a leader.
 pub fn unavailable(message: &str) -> Rejection {
     reject(RejectionCode::Unavailable, message, Some(UNAVAILABLE_RETRY))
 }
 
-/// The leader went away before it answered.
+/// Rejects a request whose leader was lost before it answered.
 pub fn leader_lost() -> Rejection {
     reject(
         RejectionCode::TimedOut,
@@ -24,14 +24,14 @@
     )
 }
 
-/// A leader's rejection of a request that had been sent before: it speaks for
-/// the last sending only, an earlier one may still be taken.
+/// Converts a leader's rejection of a request that had been sent before. A temporary
+/// rejection is about the last attempt only; an earlier one may still be carried out.
 pub fn after_resend(rejection: Rejection) -> Rejection {
-    let is_momentary = matches!(
+    let is_temporary = matches!(
         rejection.code,
         RejectionCode::Overloaded | RejectionCode::Unavailable
     );
-    if !is_momentary {
+    if !is_temporary {
         return rejection;
     }
     Rejection {
@@ -44,17 +44,17 @@
     }
 }
 
-/// The key went out of force while the request waited.
+/// Rejects a request whose key was revoked while it was pending.
 pub fn revoked() -> Rejection {
     unauthenticated("the key was revoked while the request waited: it may or may not be taken")
 }
 
-/// Every place that the asker may take is taken.
+/// Rejects a request because too many are pending.
 pub fn overloaded(message: &str, retry_after: Milliseconds) -> Rejection {
     reject(RejectionCode::Overloaded, message, Some(retry_after))
 }
 
-/// The caller's time ran out before the leader answered.
+/// Rejects a request whose deadline has passed.
 pub fn timed_out() -> Rejection {
     reject(
         RejectionCode::TimedOut,
@@ -63,12 +63,12 @@
     )
 }
 
-/// No key, or none that is known.
+/// Rejects a request without a known key.
 pub fn unauthenticated(message: &str) -> Rejection {
     reject(RejectionCode::Unauthenticated, message, None)
 }
 
-/// The key may not do this.
+/// Rejects a request that the key does not allow.
 pub fn forbidden(message: &str) -> Rejection {
     reject(RejectionCode::Forbidden, message, None)
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -9,6 +9,6 @@
 
 pub use crate::core::{Caller, Effect, Gateway, GatewayOptions, Input, NotReady, TicketId};
 pub use shell::{
-    Answer, GatewayError, Replica, Requests, RouteContext, ShellOptions, ShownReplica, run,
+    Answer, GatewayError, Replica, Requests, RouteContext, ShellOptions, ValidReplica, run,
     run_with_routes,
 };
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -1,4 +1,4 @@
-//! The gateway's tokio shell: peer socket, HTTP, clock.
+//! The tokio shell of a gateway: transport, HTTP listener and clock.
 
 mod connection;
 mod driver;
@@ -10,7 +10,7 @@
 use axum::Router;
 use connection::LimitedListener;
 use driver::Driver;
-pub use driver::{Replica, ShownReplica};
+pub use driver::{Replica, ValidReplica};
 use http::Server;
 pub use requests::{Answer, Requests};
 use std::future::IntoFuture;
@@ -21,41 +21,45 @@
 use tokio::sync::watch;
 use types::NodeId;
 
-/// Part of the grace time kept for closing HTTP connections.
+/// One in this many parts of the grace time is reserved for closing HTTP connections.
 const CLOSING_PART: u32 = 4;
 
-/// What the shell needs beyond the core's settings.
+/// Options of the shell.
 #[derive(Debug, Clone)]
 pub struct ShellOptions {
-    /// Settings of the core.
+    /// Options of the core.
     pub core: GatewayOptions,
-    /// Peer listener.
+    /// Options of the transport.
     pub transport: transport::TransportOptions,
-    /// Shared key of the cluster.
+    /// Key that all daemons of the cluster share.
     pub cluster_key: transport::ClusterKey,
-    /// HTTP listener for callers and operators; also livez, readyz, metrics.
+    /// HTTP listener for callers and operators, and for livez, readyz and metrics.
     pub http_listen: SocketAddr,
-    /// Longest time to end after a polite stop.
+    /// Maximum time from the stop signal to the end, in milliseconds.
     pub grace: types::Milliseconds,
 }
 
-/// Why a gateway ended.
+/// A failure of a gateway.
 #[derive(Debug, Error)]
 pub enum GatewayError {
-    /// The peer listener cannot be used.
+    /// The transport cannot be started.
     #[error(transparent)]
     Transport(#[from] transport::TransportError),
-    /// The HTTP listener cannot be used.
+    /// The HTTP listener failed.
     #[error("cannot listen on {listen}: {source}")]
     Http {
-        /// The socket.
+        /// Socket of the listener.
         listen: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Runs a gateway until `stop` turns true.
+/// Runs a gateway until `stop` becomes true.
+///
+/// # Errors
+///
+/// Returns a [`GatewayError`] if a listener cannot be bound or fails.
 pub async fn run(options: ShellOptions, stop: watch::Receiver<bool>) -> Result<(), GatewayError> {
     let listen = options.http_listen;
     let listener = TcpListener::bind(listen)
@@ -64,23 +68,27 @@
     run_on(listener, options, stop).await
 }
 
-/// What the routes of a gateway are made from.
+/// What custom routes of a gateway need.
 #[derive(Debug, Clone)]
 pub struct RouteContext {
-    /// Where to ask.
+    /// Channel to the core.
     pub requests: Requests,
     /// The configuration replica.
-    pub replica: watch::Receiver<ShownReplica>,
+    pub replica: watch::Receiver<ValidReplica>,
     /// Whether the gateway should get traffic.
     pub readiness: Readiness,
-    /// Turns true when the gateway is to stop.
+    /// Becomes true when the gateway is to stop.
     pub stop: watch::Receiver<bool>,
-    /// The gateway's identity.
+    /// Identity of the gateway.
     pub node: NodeId,
 }
 
-/// Runs a gateway until `stop` turns true, behind routes of the caller's own in
-/// place of the interface of the `api` crate.
+/// Runs a gateway until `stop` becomes true, with `routes` instead of the HTTP
+/// interface of the `api` crate.
+///
+/// # Errors
+///
+/// Returns a [`GatewayError`] if a listener cannot be bound or fails.
 pub async fn run_with_routes(
     options: ShellOptions,
     stop: watch::Receiver<bool>,
@@ -93,11 +101,15 @@
     serve(listener, options, stop, routes).await
 }
 
-/// As [`run`], on an HTTP socket that is bound already.
+/// Runs a gateway as [`run`] does, on an HTTP socket that is already bound.
+///
+/// After the stop, the gateway rejects new requests and waits for pending ones. When
+/// the grace time is nearly over, it rejects those as well and closes the remaining
+/// connections.
+///
+/// # Errors
 ///
-/// After the stop, waiting requests are finished and new ones rejected; when
-/// the grace time is nearly over, what still waits is rejected as well, and
-/// connections that do not end are cut off.
+/// Returns a [`GatewayError`] if a listener cannot be bound or fails.
 pub async fn run_on(
     listener: TcpListener,
     options: ShellOptions,
@@ -123,8 +135,13 @@
     let readiness = Readiness::starting();
     let (requests, inbox) = requests::channel();
     let gateway = Gateway::new(options.core, transport::clock::now());
-    let (shown, replica) = watch::channel(None);
-    let driver = Driver::new(gateway, transport.clone(), readiness.clone(), shown);
+    let (replica_sender, replica) = watch::channel(None);
+    let driver = Driver::new(
+        gateway,
+        transport.clone(),
+        readiness.clone(),
+        replica_sender,
+    );
     let context = RouteContext {
         requests,
         replica,
--- a/crates/gateway/src/shell/connection.rs
+++ b/crates/gateway/src/shell/connection.rs
@@ -1,4 +1,4 @@
-//! A listener that holds back new connections while too many are open.
+//! A listener with a maximum number of open connections.
 
 use axum::serve::Listener;
 use std::io;
@@ -10,10 +10,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// HTTP connections open at once; further ones wait in the kernel's queue.
+/// Maximum number of open HTTP connections. Further ones wait in the backlog of the
+/// kernel.
 const MAX_CONNECTIONS: usize = 2_048;
 
-/// Accepts while fewer than [`MAX_CONNECTIONS`] are open.
+/// A listener that accepts while fewer than [`MAX_CONNECTIONS`] are open.
 #[derive(Debug)]
 pub struct LimitedListener {
     listener: TcpListener,
@@ -21,7 +22,7 @@
 }
 
 impl LimitedListener {
-    /// Limits a bound listener.
+    /// Wraps a bound listener.
     pub fn new(listener: TcpListener) -> Self {
         Self {
             listener,
@@ -35,7 +36,7 @@
     type Addr = SocketAddr;
 
     async fn accept(&mut self) -> (LimitedStream, SocketAddr) {
-        // The semaphore is never closed, so there is always a place in time.
+        // The semaphore is never closed, so acquiring a permit does not fail.
         let permit = self.permits.clone().acquire_owned().await.ok();
         let (stream, peer) = Listener::accept(&mut self.listener).await;
         if let Err(problem) = stream.set_nodelay(true) {
@@ -53,7 +54,7 @@
     }
 }
 
-/// A connection that gives its place back when it is dropped.
+/// A connection that counts as open until it is dropped.
 #[derive(Debug)]
 pub struct LimitedStream {
     stream: TcpStream,
--- a/crates/gateway/src/shell/driver.rs
+++ b/crates/gateway/src/shell/driver.rs
@@ -1,7 +1,6 @@
-//! The task that owns the core: it reads the clock, hands in what happens and
-//! carries out what comes back.
+//! The task that owns the core, passes inputs to it and carries out its effects.
 
-use crate::shell::requests::{Answer, Inbox, Question};
+use crate::shell::requests::{Answer, CoreRequest, Inbox};
 use crate::{Effect, Gateway, Input, TicketId};
 use admin::Readiness;
 use configuration::ClusterConfiguration;
@@ -13,41 +12,42 @@
 use transport::Transport;
 use types::ConfigurationVersion;
 
-/// Longest sleep: tokio's clock may stand still where the core's counts on.
+/// Maximum sleep. Unlike the clock of the core, the clock of tokio does not count the
+/// time during which the machine is suspended.
 const MAX_SLEEP: Duration = Duration::from_millis(250);
 
 /// A valid configuration replica.
 #[derive(Debug, Clone)]
 pub struct Replica {
-    /// Its version.
+    /// Version of the configuration.
     pub version: ConfigurationVersion,
     /// The document.
     pub document: Arc<ClusterConfiguration>,
 }
 
-/// What routes see of the replica: none while it is not valid.
-pub type ShownReplica = Option<Replica>;
+/// The configuration replica as routes see it. `None` while it is not valid.
+pub type ValidReplica = Option<Replica>;
 
-/// The core with all that its effects need.
+/// The core, with the resources that its effects need.
 pub struct Driver {
     gateway: Gateway,
     transport: Transport,
     readiness: Readiness,
     answers: BTreeMap<TicketId, oneshot::Sender<Answer>>,
-    shown: watch::Sender<ShownReplica>,
+    replica: watch::Sender<ValidReplica>,
     stopped: bool,
 }
 
 impl Driver {
-    /// A driver that has not begun.
+    /// Creates a driver of a new gateway.
     pub fn new(
         gateway: Gateway,
         transport: Transport,
         readiness: Readiness,
-        shown: watch::Sender<ShownReplica>,
+        replica: watch::Sender<ValidReplica>,
     ) -> Self {
         Self {
-            shown,
+            replica,
             gateway,
             transport,
             readiness,
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Runs until the core has stopped after `stop` turned true, or `grace`
-    /// after that. What waits then is dropped, which rejects it.
+    /// Runs until the core has stopped, at most until `grace` after `stop` became true.
+    /// Requests that are pending then are dropped, which rejects them.
     pub async fn run(
         mut self,
         mut inbox: Inbox,
@@ -65,17 +65,17 @@
         mut stop: watch::Receiver<bool>,
         grace: Duration,
     ) {
-        let mut ends_at: Option<Instant> = None;
+        let mut grace_end: Option<Instant> = None;
         self.input(Input::Tick);
-        while !self.stopped && ends_at.is_none_or(|end| Instant::now() < end) {
+        while !self.stopped && grace_end.is_none_or(|end| Instant::now() < end) {
             tokio::select! {
-                () = tokio::time::sleep(self.sleep_length(ends_at)) => self.input(Input::Tick),
+                () = tokio::time::sleep(self.sleep_length(grace_end)) => self.input(Input::Tick),
                 Some(envelope) = arriving.recv() => self.input(Input::Peer(envelope)),
-                Some(question) = inbox.questions.recv() => self.take_question(question),
+                Some(request) = inbox.requests.recv() => self.receive_request(request),
                 Some(ticket) = inbox.abandoned.recv() => self.abandon(ticket),
-                _ = stop.wait_for(|stop| *stop), if ends_at.is_none() => {
+                _ = stop.wait_for(|stop| *stop), if grace_end.is_none() => {
                     tracing::info!("stopping");
-                    ends_at = Some(Instant::now() + grace);
+                    grace_end = Some(Instant::now() + grace);
                     self.input(Input::Stop);
                 }
             }
@@ -86,27 +86,27 @@
         }
     }
 
-    fn sleep_length(&self, ends_at: Option<Instant>) -> Duration {
+    fn sleep_length(&self, grace_end: Option<Instant>) -> Duration {
         let now = transport::clock::now().monotonic;
         let until_wakeup = Duration::from_millis(self.gateway.next_wakeup().since(now).0);
         let sleep = until_wakeup.min(MAX_SLEEP);
-        match ends_at {
+        match grace_end {
             Some(end) => sleep.min(end.saturating_duration_since(Instant::now())),
             None => sleep,
         }
     }
 
-    fn take_question(&mut self, question: Question) {
-        if question.answer.is_closed() {
+    fn receive_request(&mut self, request: CoreRequest) {
+        if request.answer.is_closed() {
             return;
         }
-        self.answers.insert(question.ticket, question.answer);
+        self.answers.insert(request.ticket, request.answer);
         let now = transport::clock::now().monotonic;
         self.input(Input::Request {
-            ticket: question.ticket,
-            caller: question.caller,
-            time_left: question.deadline.since(now),
-            operation: question.operation,
+            ticket: request.ticket,
+            caller: request.caller,
+            time_left: request.deadline.since(now),
+            operation: request.operation,
         });
     }
 
@@ -123,19 +123,23 @@
         for effect in effects {
             self.carry_out(effect);
         }
-        self.show_replica();
+        self.publish_replica();
         metrics::gauge!("cypressdrum_gateway_waiting_requests").set(self.answers.len() as f64);
     }
 
-    /// Shows the routes which configuration counts, if that changed.
-    fn show_replica(&self) {
+    /// Publishes the configuration replica to the routes if its version has changed.
+    fn publish_replica(&self) {
         let now = transport::clock::now();
         let version = self.gateway.configuration_version(now);
-        let changed = |shown: &ShownReplica| shown.as_ref().map(|shown| shown.version) != version;
-        if changed(&self.shown.borrow()) {
+        let published = self
+            .replica
+            .borrow()
+            .as_ref()
+            .map(|replica| replica.version);
+        if published != version {
             let document = self.gateway.configuration(now).cloned().map(Arc::new);
             let replica = version.zip(document);
-            self.shown
+            self.replica
                 .send_replace(replica.map(|(version, document)| Replica { version, document }));
         }
     }
@@ -145,7 +149,7 @@
             Effect::Send { to, message } => self.transport.send(to, message),
             Effect::Respond { ticket, result } => {
                 if let Some(answer) = self.answers.remove(&ticket) {
-                    // An error means that the caller went away meanwhile.
+                    // An error means that the caller has closed its connection.
                     let _ = answer.send(result);
                 }
             }
--- a/crates/gateway/src/shell/http/answer.rs
+++ b/crates/gateway/src/shell/http/answer.rs
@@ -1,4 +1,4 @@
-//! Answers: bodies, status codes and `Retry-After`.
+//! HTTP responses of rejected requests.
 
 use api::BodyError;
 use api::rejection::RejectionBody;
@@ -9,13 +9,13 @@
 use transport::{Rejection, RejectionCode};
 use types::Milliseconds;
 
-/// Challenge of an answer to a request without a known key.
+/// `WWW-Authenticate` challenge in the response to a request without a known key.
 const BEARER: HeaderValue = HeaderValue::from_static("Bearer");
 
-/// When to come back if whoever rejected did not say.
+/// Retry time of a temporary rejection that contains none.
 const DEFAULT_RETRY_AFTER: Milliseconds = Milliseconds(500);
 
-/// An answer that is not a success.
+/// The HTTP response of a rejected request.
 #[derive(Debug)]
 pub struct Failure {
     status: StatusCode,
@@ -23,7 +23,7 @@
 }
 
 impl Failure {
-    /// A rejection under another status than its code's own.
+    /// Creates a response with another status than that of the rejection's code.
     pub fn with_status(status: StatusCode, rejection: Rejection) -> Self {
         Self {
             status,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The rejection as it is shown.
+    /// Returns the body of the response.
     pub fn body(&self) -> &RejectionBody {
         &self.body
     }
@@ -86,7 +86,7 @@
     )
 }
 
-/// A rejection with nothing but a message.
+/// Creates a rejection that has only a code and a message.
 pub fn reject(code: RejectionCode, message: &str) -> Rejection {
     Rejection {
         code,
@@ -96,8 +96,8 @@
     }
 }
 
-/// The leader's answer does not fit the request. Only members of different
-/// versions could come to this.
+/// Creates the response for a reply of the leader that does not belong to the
+/// requested operation, which happens only between different versions.
 pub fn unexpected() -> Failure {
     let message = "the leader's answer does not fit the request";
     Failure::with_status(
--- a/crates/gateway/src/shell/http/decisions.rs
+++ b/crates/gateway/src/shell/http/decisions.rs
@@ -1,9 +1,8 @@
-//! The decision log as JSON lines, once or as it grows.
+//! The decision log as JSON lines, read once or followed.
 //!
-//! Each leader numbers its lines from 1 and keeps the newest. So that a change
-//! of leader is noticed, a poll asks for the last line seen as well: if that
-//! line is gone or belongs to another term, the new leader's log is read from
-//! its beginning.
+//! Each leader numbers its entries from 1 and keeps the newest. To detect a change of
+//! leader, a poll also requests the last entry that was read. If that entry is missing
+//! or belongs to another term, the log of the new leader is read from its beginning.
 
 use crate::shell::http::Server;
 use crate::shell::http::answer::{Failure, unexpected};
@@ -22,7 +21,7 @@
 use std::time::Duration;
 use transport::{DecisionEntry, Operation, OperationReply};
 
-/// Wait after a poll that brought nothing new.
+/// Pause after a poll that returned nothing new.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// `GET /v1/decisions`.
@@ -50,15 +49,15 @@
     Ok(([(header::CONTENT_TYPE, JSON_LINES)], body).into_response())
 }
 
-/// The last line seen.
+/// The last entry that was read.
 #[derive(Debug, Clone, Copy)]
 struct Position {
     number: u64,
-    /// None when the reader did not say.
+    /// Term of the entry. `None` if the client did not give it.
     term: Option<u64>,
 }
 
-/// A reader of the log.
+/// A client that reads the log.
 struct Tail {
     server: Server,
     requester: Requester,
@@ -67,7 +66,7 @@
 }
 
 impl Tail {
-    /// The next lines as bytes; empty when there are none yet.
+    /// Reads the next entries as JSON lines. Returns no bytes if there are none yet.
     async fn poll(&mut self) -> Result<Vec<u8>, Failure> {
         let entries = match self.last.term {
             Some(term) if self.last.number > 0 => self.poll_after_known(term).await?,
@@ -103,7 +102,7 @@
 
 type Chunk = Result<Bytes, Infallible>;
 
-/// The next bytes of a stream that follows; none ends it.
+/// Returns the next bytes of a followed log. `None` ends the stream.
 async fn next_chunk((first, mut tail): (Option<Vec<u8>>, Tail)) -> Option<(Chunk, TailState)> {
     if let Some(bytes) = first.filter(|bytes| !bytes.is_empty()) {
         return Some((Ok(bytes.into()), (None, tail)));
@@ -124,8 +123,8 @@
 
 type TailState = (Option<Vec<u8>>, Tail);
 
-/// How long to wait after a rejection; none when it is for good, as after the
-/// key was revoked.
+/// Returns the pause after a rejection. `None` if the rejection is permanent, for
+/// example because the key was revoked.
 fn retry_wait(failure: &Failure) -> Option<Duration> {
     let body = failure.body();
     match body.code {
--- a/crates/gateway/src/shell/http/requester.rs
+++ b/crates/gateway/src/shell/http/requester.rs
@@ -1,4 +1,4 @@
-//! Who asks and how long they wait, from the headers; names from the path.
+//! Extraction of sender, deadline and names from an HTTP request.
 
 use crate::Caller;
 use crate::shell::http::answer::Failure;
@@ -13,12 +13,12 @@
 
 const BEARER_SCHEME: &str = "bearer";
 
-/// Who asks and how long they wait.
+/// The sender of an HTTP request and the time until it gives up.
 #[derive(Debug, Clone)]
 pub struct Requester {
-    /// The key as sent.
+    /// Sender of the request.
     pub caller: Caller,
-    /// How long the answer may take.
+    /// Time until the sender gives up, in milliseconds.
     pub time_left: Milliseconds,
 }
 
@@ -35,7 +35,8 @@
     }
 }
 
-/// A header that is no bearer token counts as a token that nobody knows.
+/// Returns the bearer token. A header in another form becomes an empty token, which no
+/// key matches.
 fn bearer_token(headers: &HeaderMap) -> Option<String> {
     let value = headers.get(header::AUTHORIZATION)?;
     let text = value.to_str().unwrap_or_default();
@@ -62,7 +63,7 @@
     }
 }
 
-/// A name or number from the path.
+/// Parses a name or number from the path.
 pub fn parse_name<Name: FromStr<Err: Display>>(place: &str, text: &str) -> Result<Name, Failure> {
     text.parse()
         .map_err(|message| Failure::from(BodyError::new(place, message)))
--- a/crates/gateway/src/shell/requests.rs
+++ b/crates/gateway/src/shell/requests.rs
@@ -1,4 +1,4 @@
-//! The way of a request from an HTTP handler to the core and back.
+//! The channel by which HTTP handlers send requests to the core and receive answers.
 
 use crate::{Caller, TicketId};
 use std::sync::Arc;
@@ -7,65 +7,71 @@
 use transport::{Operation, OperationReply, Rejection, RejectionCode};
 use types::{Milliseconds, Monotonic};
 
-/// Requests handed over and not yet seen by the core.
+/// Maximum number of requests that the core has not received yet.
 const QUEUE_LENGTH: usize = 1_024;
-/// When to come back if that queue is full or this process ends.
+/// Retry time of a request that the core did not answer.
 const RETRY_AFTER: Milliseconds = Milliseconds(500);
 
 /// The final answer to a request.
 pub type Answer = Result<OperationReply, Rejection>;
 
-/// A request on its way to the core.
+/// A request for the core.
 #[derive(Debug)]
-pub struct Question {
-    /// Its number.
+pub struct CoreRequest {
+    /// Number of the request.
     pub ticket: TicketId,
-    /// Who asks.
+    /// Sender of the request.
     pub caller: Caller,
-    /// When the caller stops waiting.
+    /// Time at which the caller gives up.
     pub deadline: Monotonic,
-    /// What is asked.
+    /// Operation that is requested.
     pub operation: Operation,
-    /// Where the answer goes; closed when the caller went away.
+    /// Channel for the answer. Closed if the caller has closed its connection.
     pub answer: oneshot::Sender<Answer>,
 }
 
-/// The core's end.
+/// The core's end of the channel.
 #[derive(Debug)]
 pub struct Inbox {
-    /// Requests.
-    pub questions: mpsc::Receiver<Question>,
-    /// Requests whose callers went away. No more than there are requests.
+    /// Requests of handlers.
+    pub requests: mpsc::Receiver<CoreRequest>,
+    /// Requests whose callers closed their connections. Bounded by the number of
+    /// requests.
     pub abandoned: mpsc::UnboundedReceiver<TicketId>,
 }
 
-/// The handlers' end.
+/// The handlers' end of the channel.
 #[derive(Debug, Clone)]
 pub struct Requests {
-    questions: mpsc::Sender<Question>,
+    sender: mpsc::Sender<CoreRequest>,
     abandoned: mpsc::UnboundedSender<TicketId>,
     next_ticket: Arc<AtomicU64>,
 }
 
-/// Both ends.
+/// Creates a channel, and returns both of its ends.
 pub fn channel() -> (Requests, Inbox) {
-    let (questions, questions_seen) = mpsc::channel(QUEUE_LENGTH);
-    let (abandoned, abandoned_seen) = mpsc::unbounded_channel();
+    let (sender, received_requests) = mpsc::channel(QUEUE_LENGTH);
+    let (abandoned, received_abandoned) = mpsc::unbounded_channel();
     let requests = Requests {
-        questions,
+        sender,
         abandoned,
         next_ticket: Arc::default(),
     };
     let inbox = Inbox {
-        questions: questions_seen,
-        abandoned: abandoned_seen,
+        requests: received_requests,
+        abandoned: received_abandoned,
     };
     (requests, inbox)
 }
 
 impl Requests {
-    /// Asks, and waits for the one final answer. Dropping the future tells the
-    /// core that the caller went away.
+    /// Sends a request to the core, and waits for its final answer. If the future is
+    /// dropped, the core abandons the request.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`Rejection`] if the operation was not carried out, or if its outcome
+    /// is unknown.
     pub async fn ask(
         &self,
         caller: Caller,
@@ -73,15 +79,15 @@
         operation: Operation,
     ) -> Answer {
         let ticket = TicketId(self.next_ticket.fetch_add(1, Ordering::Relaxed));
-        let (answer, answered) = oneshot::channel();
-        let question = Question {
+        let (answer, receiver) = oneshot::channel();
+        let request = CoreRequest {
             ticket,
             caller,
             deadline: transport::clock::now().monotonic + time_left,
             operation,
             answer,
         };
-        match self.questions.try_send(question) {
+        match self.sender.try_send(request) {
             Ok(()) => {}
             Err(mpsc::error::TrySendError::Full(_)) => {
                 return Err(reject(
@@ -89,55 +95,58 @@
                     "this gateway is overloaded",
                 ));
             }
-            Err(mpsc::error::TrySendError::Closed(_)) => return Err(ending()),
+            Err(mpsc::error::TrySendError::Closed(_)) => return Err(stopped()),
         }
-        let mut pending = Pending {
+        let mut unanswered = UnansweredRequest {
             ticket,
-            answered: Some(answered),
+            receiver: Some(receiver),
             abandoned: &self.abandoned,
         };
-        pending.answer().await
+        unanswered.answer().await
     }
 }
 
-/// A question without its answer; it is abandoned when dropped.
-struct Pending<'a> {
+/// A request without an answer, which is abandoned when it is dropped.
+struct UnansweredRequest<'a> {
     ticket: TicketId,
-    answered: Option<oneshot::Receiver<Answer>>,
+    receiver: Option<oneshot::Receiver<Answer>>,
     abandoned: &'a mpsc::UnboundedSender<TicketId>,
 }
 
-impl Pending<'_> {
+impl UnansweredRequest<'_> {
     async fn answer(&mut self) -> Answer {
-        let Some(answered) = &mut self.answered else {
-            return Err(ending());
+        let Some(receiver) = &mut self.receiver else {
+            return Err(stopped());
         };
-        let answer = answered.await.unwrap_or_else(|_| Err(ended_unanswered()));
-        self.answered = None;
+        let answer = receiver
+            .await
+            .unwrap_or_else(|_| Err(stopped_before_answer()));
+        self.receiver = None;
         answer
     }
 }
 
-impl Drop for Pending<'_> {
+impl Drop for UnansweredRequest<'_> {
     fn drop(&mut self) {
-        // The receiver goes first: a core that has not seen the question yet
-        // finds its answer closed and drops it.
-        if self.answered.take().is_some() {
-            // An error means that the core has ended.
+        // The receiver is dropped first, so that a core which has not received the
+        // request yet finds its channel closed and ignores it.
+        if self.receiver.take().is_some() {
+            // An error means that the core has stopped.
             let _ = self.abandoned.send(self.ticket);
         }
     }
 }
 
-/// The core ended with the request: whether it was sent is not known here.
-fn ended_unanswered() -> Rejection {
+/// Rejects a request that the core had received when it stopped. The request may or
+/// may not have been sent to the leader.
+fn stopped_before_answer() -> Rejection {
     reject(
         RejectionCode::TimedOut,
         "this gateway stopped before the answer: it may or may not be taken",
     )
 }
 
-fn ending() -> Rejection {
+fn stopped() -> Rejection {
     reject(RejectionCode::Unavailable, "this gateway has stopped")
 }
 
