--- a/crates/agent/tests/agent/bench.rs
+++ b/crates/agent/tests/agent/bench.rs
@@ -21,7 +21,7 @@
         node: NodeId(number),
         role,
         zone: ZoneName::new("a").unwrap(),
-        socket: SocketAddr::from(([10, 0, 0, 1], 1_000 + number as u16)),
+        socket: SocketAddr::from(([10, 0, 0, 1], 1_000 + u16::try_from(number).unwrap())),
     }
 }
 
@@ -270,7 +270,7 @@
 
     pub fn readiness(&self) -> Option<Result<(), NotReady>> {
         self.effects.iter().rev().find_map(|effect| match effect {
-            Effect::Ready(readiness) => Some(readiness.clone()),
+            Effect::Ready(readiness) => Some(*readiness),
             _ => None,
         })
     }
--- a/crates/gateway/tests/core/bench.rs
+++ b/crates/gateway/tests/core/bench.rs
@@ -48,7 +48,7 @@
         node: NodeId(node),
         role,
         zone: "z-1".parse().unwrap(),
-        socket: SocketAddr::from(([127, 0, 0, 1], 7_000 + node as u16)),
+        socket: SocketAddr::from(([127, 0, 0, 1], 7_000 + u16::try_from(node).unwrap())),
     }
 }
 
--- a/crates/state_machine/tests/configuration.rs
+++ b/crates/state_machine/tests/configuration.rs
@@ -78,9 +78,10 @@
             version: ConfigurationVersion(version),
             known: true,
         };
-        let expected = match version < OLDEST_KNOWN {
-            true => conflict(version, LAST),
-            false => known,
+        let expected = if version < OLDEST_KNOWN {
+            conflict(version, LAST)
+        } else {
+            known
         };
         assert_eq!(driver.configure(version, numbered(version)), expected);
         let other = numbered(version + 1);
--- a/crates/state_machine/tests/properties/check.rs
+++ b/crates/state_machine/tests/properties/check.rs
@@ -76,19 +76,17 @@
         for (position, step) in view.steps.iter().enumerate() {
             let tasks: Vec<_> = statuses
                 .iter()
-                .filter(|standing| usize::from(standing.task.step) == position)
+                .filter(|status| usize::from(status.task.step) == position)
                 .collect();
             let count = |state: TaskState| {
-                tasks
-                    .iter()
-                    .filter(|standing| standing.state == state)
-                    .count() as u32
+                let in_state = tasks.iter().filter(|status| status.state == state);
+                u32::try_from(in_state.count()).unwrap()
             };
             assert_eq!(step.done, count(TaskState::Done));
             assert_eq!(step.failed, count(TaskState::Failed));
-            let running = tasks.iter().filter(|standing| standing.open_runs > 0);
-            assert_eq!(step.running, running.count() as u32);
-            let failures: u32 = tasks.iter().map(|standing| standing.failed_runs).sum();
+            let running = tasks.iter().filter(|status| status.open_runs > 0);
+            assert_eq!(step.running, u32::try_from(running.count()).unwrap());
+            let failures: u32 = tasks.iter().map(|status| status.failed_runs).sum();
             assert_eq!(step.failed_runs, failures);
         }
     }
--- a/crates/state_machine/tests/properties/world.rs
+++ b/crates/state_machine/tests/properties/world.rs
@@ -57,7 +57,8 @@
     }
 
     pub fn open_of(&self, task: TaskRef) -> u32 {
-        self.open.values().filter(|run| run.task == task).count() as u32
+        let open = self.open.values().filter(|run| run.task == task);
+        u32::try_from(open.count()).unwrap()
     }
 
     fn note(&mut self, change: &Change) {
@@ -133,9 +134,10 @@
             Step::Reserve { pick, runner } => {
                 // Mostly what may start, now and then anything ever told.
                 let anything = self.ready.is_empty() || self.last_run.is_multiple_of(4);
-                let tasks: Vec<TaskRef> = match anything {
-                    true => self.copies.keys().copied().collect(),
-                    false => self.ready.keys().copied().collect(),
+                let tasks: Vec<TaskRef> = if anything {
+                    self.copies.keys().copied().collect()
+                } else {
+                    self.ready.keys().copied().collect()
                 };
                 if !tasks.is_empty() {
                     self.last_run += 1;
@@ -315,12 +317,13 @@
         });
         let current = before.configuration().0;
         let wanted = version;
-        let expected = match same {
-            true => CommandReply::Configured {
+        let expected = if same {
+            CommandReply::Configured {
                 version,
                 known: true,
-            },
-            false => CommandReply::Rejected(CommandRejection::VersionConflict { wanted, current }),
+            }
+        } else {
+            CommandReply::Rejected(CommandRejection::VersionConflict { wanted, current })
         };
         assert_eq!(reply.reply, expected);
         assert_eq!(self.first, before, "an order is accepted once");
--- a/crates/state_machine/tests/submit.rs
+++ b/crates/state_machine/tests/submit.rs
@@ -81,13 +81,13 @@
     let rules: Vec<(&str, Break)> = vec![
         ("1 to 1024 steps", |j| j.steps.clear()),
         ("1 to 1024 steps", |j| {
-            j.steps = (0..1025).map(|i| step(&format!("s{i}"), 1, &[])).collect()
+            j.steps = (0..1025).map(|i| step(&format!("s{i}"), 1, &[])).collect();
         }),
         ("no tasks", |j| j.steps[0].tasks = 0),
         ("at most 10000 tasks", |j| j.steps[0].tasks = 10_000),
         ("are named s", |j| j.steps[1].name = step_name("s")),
         ("does not exist", |j| {
-            j.steps[1].after = vec![step_name("none")]
+            j.steps[1].after = vec![step_name("none")];
         }),
         ("twice", |j| j.steps[1].after = vec![step_name("s"); 2]),
         ("cycle", |j| j.steps[0].after = vec![step_name("t")]),
@@ -95,24 +95,24 @@
         ("1 to 8 copies", |j| j.steps[0].max_copies = 0),
         ("1 to 8 copies", |j| j.steps[0].max_copies = 9),
         ("at most 100 failures", |j| {
-            j.steps[0].allowed_failures = 101
+            j.steps[0].allowed_failures = 101;
         }),
         ("time limit", |j| j.steps[0].time_limit = Milliseconds(0)),
         ("time limit", |j| {
-            j.steps[0].time_limit = Milliseconds(604_800_001)
+            j.steps[0].time_limit = Milliseconds(604_800_001);
         }),
         ("at least one slot", |j| j.steps[0].resources.slots = 0),
         ("no runner", |j| j.steps[0].resources = slots(5)),
         ("ceiling of tenant b", |j| {
             j.tenant = tenant("b");
-            j.steps[0].resources = slots(3)
+            j.steps[0].resources = slots(3);
         }),
         ("payload", |j| j.steps[0].payload = "x".repeat(65_537)),
         ("labels", |j| {
-            j.steps[0].labels = (0..33).map(|i| (i.to_string(), String::new())).collect()
+            j.steps[0].labels = (0..33).map(|i| (i.to_string(), String::new())).collect();
         }),
         ("labels", |j| {
-            j.steps[0].labels = Labels::from([("k".to_owned(), "v".repeat(129))])
+            j.steps[0].labels = Labels::from([("k".to_owned(), "v".repeat(129))]);
         }),
     ];
     for (text, rule) in rules {
--- a/crates/storage/tests/crash.rs
+++ b/crates/storage/tests/crash.rs
@@ -159,7 +159,7 @@
                 ..Batch::default()
             },
             Step::Compact { back } if last > base => {
-                let position = (last - base - 1).saturating_sub(*back) as usize;
+                let position = usize::try_from((last - base - 1).saturating_sub(*back)).unwrap();
                 let covered = &self.acknowledged.entries[position];
                 Batch {
                     snapshot: Some(snapshot(covered.index.0, covered.term.0)),
--- a/crates/storage/tests/damage.rs
+++ b/crates/storage/tests/damage.rs
@@ -76,7 +76,10 @@
         }
         let opened = result.unwrap();
         assert_eq!(opened.recovered, states[whole - 1], "cut at {length}");
-        assert_eq!(opened.truncated_bytes as usize, length - ends[whole - 1]);
+        assert_eq!(
+            usize::try_from(opened.truncated_bytes).unwrap(),
+            length - ends[whole - 1]
+        );
     }
 }
 
@@ -102,7 +105,7 @@
             let opened = result.unwrap();
             assert_eq!(opened.recovered, states[states.len() - 2]);
             assert_eq!(
-                opened.truncated_bytes as usize,
+                usize::try_from(opened.truncated_bytes).unwrap(),
                 ends.last().unwrap() - last_start
             );
         }
--- a/crates/storage/tests/golden_folder.rs
+++ b/crates/storage/tests/golden_folder.rs
@@ -54,7 +54,7 @@
 
 /// An entry whose bytes tell its place.
 fn command(index: u64, term: u64) -> Entry {
-    let bytes = vec![(index + 16 * term) as u8; COMMAND_BYTES];
+    let bytes = vec![u8::try_from(index + 16 * term).unwrap(); COMMAND_BYTES];
     entry(index, term, Payload::Command(Arc::from(bytes)))
 }
 
