--- a/crates/scheduler/src/backfill_placement.rs
+++ b/crates/scheduler/src/backfill_placement.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Reserves the most suitable runner of the pool for a task that starves.
+    /// Reserves the best runner of the pool for a task that starves.
     pub(crate) fn reserve_runner(
         &mut self,
         task: TaskRef,
@@ -81,7 +81,7 @@
         if is_reserved || self.backfills.count(pool) >= max_reserved {
             return BackfillAttempt::Finished;
         }
-        let Some(runner) = self.most_suitable_runner(task, pool, now) else {
+        let Some(runner) = self.best_runner(task, pool, now) else {
             return BackfillAttempt::NoSuitableRunner;
         };
         let backfill = Backfill {
@@ -126,12 +126,7 @@
     }
 
     // The runner that lacks least for the task; among equals the first one.
-    fn most_suitable_runner(
-        &self,
-        task: TaskRef,
-        pool: PoolIndex,
-        now: Now,
-    ) -> Option<RunnerIndex> {
+    fn best_runner(&self, task: TaskRef, pool: PoolIndex, now: Now) -> Option<RunnerIndex> {
         self.count_scans(self.pools[pool].runner_count());
         let needs = self.shapes.get(self.tasks.get(task)?.shape)?;
         self.pools[pool]
