--- a/crates/agent/tests/agent/bench.rs
+++ b/crates/agent/tests/agent/bench.rs
@@ -270,7 +270,7 @@
 
     pub fn readiness(&self) -> Option<Result<(), NotReady>> {
         self.effects.iter().rev().find_map(|effect| match effect {
-            Effect::Ready(readiness) => Some(readiness.clone()),
+            Effect::Ready(readiness) => Some(*readiness),
             _ => None,
         })
     }
