--- a/crates/session/src/directory.rs
+++ b/crates/session/src/directory.rs
@@ -1,15 +1,15 @@
-//! The members a process knows, in bounded lists.
+//! Known members of the cluster, in lists of limited length.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use types::{Address, Role};
 
-/// Coordinators kept at most.
+/// Largest number of coordinators kept.
 pub const MAX_COORDINATORS: usize = 16;
-/// Gateways and agents kept at most. A process needs a few of them only, to
-/// find coordinators again when all it knew are gone.
+/// Largest number of gateways and agents kept. A process needs only a few of
+/// them, to discover coordinators again if all known ones are gone.
 pub const MAX_OTHERS: usize = 64;
-/// Members named at most in one answer to a discovery.
+/// Largest number of members in one reply to a discovery.
 pub const MAX_MEMBERS_LISTED: usize = 32;
 
 /// Known members by peer socket, without the process itself.
@@ -18,7 +18,7 @@
     own: Address,
     coordinators: BTreeMap<SocketAddr, Address>,
     others: BTreeMap<SocketAddr, Address>,
-    last_in_turn: Option<SocketAddr>,
+    last_contacted: Option<SocketAddr>,
 }
 
 impl Directory {
@@ -28,13 +28,13 @@
             own,
             coordinators: BTreeMap::new(),
             others: BTreeMap::new(),
-            last_in_turn: None,
+            last_contacted: None,
         }
     }
 
-    /// Adds a member, or takes its new identity; ignored when the list of its
-    /// role is full.
-    pub fn learn(&mut self, member: &Address) {
+    /// Adds a member, or updates the member at the same socket. Ignored if the
+    /// list of its role is full.
+    pub fn add(&mut self, member: &Address) {
         if member.node == self.own.node || member.socket == self.own.socket {
             return;
         }
@@ -48,20 +48,20 @@
         }
     }
 
-    /// Takes the leader's list of live members in place of what was known. Others
-    /// than coordinators are told now and then, and stay known meanwhile.
+    /// Replaces the known members with the leader's list of live ones. Not every
+    /// list has gateways and agents; without them the known ones remain.
     pub fn replace(&mut self, leader: &Address, coordinators: &[Address], others: &[Address]) {
         self.coordinators.clear();
         if !others.is_empty() {
             self.others.clear();
         }
-        self.learn(leader);
+        self.add(leader);
         for member in coordinators.iter().chain(others) {
-            self.learn(member);
+            self.add(member);
         }
     }
 
-    /// The coordinator after the one given last, leaving out `except`.
+    /// The coordinator after the one returned last, without `except`.
     pub fn next_coordinator(&mut self, except: Option<SocketAddr>) -> Option<SocketAddr> {
         let candidates = || {
             self.coordinators
@@ -69,9 +69,9 @@
                 .copied()
                 .filter(|socket| Some(*socket) != except)
         };
-        let after_last = candidates().find(|socket| Some(*socket) > self.last_in_turn);
+        let after_last = candidates().find(|socket| Some(*socket) > self.last_contacted);
         let next = after_last.or_else(|| candidates().next());
-        self.last_in_turn = next.or(self.last_in_turn);
+        self.last_contacted = next.or(self.last_contacted);
         next
     }
 
--- a/crates/session/src/keep_alive.rs
+++ b/crates/session/src/keep_alive.rs
@@ -1,16 +1,18 @@
-//! Keep-alives sent and not forgotten yet: a lease counts from when its keep-alive left.
+//! The keep-alives sent recently: a lease is dated from when its keep-alive was
+//! sent.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use types::Monotonic;
 
-/// Keep-alives remembered at most; older ones could not open a lease any more.
+/// Largest number of keep-alives remembered; a reply to an older one could not
+/// begin a lease.
 const MAX_REMEMBERED: usize = 64;
 
-/// How a keep-alive was sent.
+/// Path of a keep-alive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Path {
-    /// To the coordinator itself.
+    /// Directly to the coordinator.
     Direct,
     /// To the leader, through this follower.
     Relayed(SocketAddr),
@@ -21,14 +23,14 @@
 pub struct SentKeepAlive {
     /// Its number.
     pub sequence: u64,
-    /// When it left.
+    /// When it was sent.
     pub sent_at: Monotonic,
-    /// How it left.
+    /// Its path.
     pub path: Path,
 }
 
-/// The keep-alives of one process, numbered from a drawn start, so that an answer
-/// meant for an earlier process at the same socket finds no match.
+/// The keep-alives of one process. Their numbers begin at a random one, so that
+/// a reply to an earlier process at the same address finds no match.
 #[derive(Debug)]
 pub struct KeepAliveLog {
     next_sequence: u64,
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Records a keep-alive that leaves now, and gives its number.
+    /// Records a keep-alive sent at `sent_at`, and returns its number.
     pub fn record(&mut self, sent_at: Monotonic, path: Path) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -59,8 +61,8 @@
         sequence
     }
 
-    /// Forgets what was sent; numbers go on rising.
-    pub fn forget_all(&mut self) {
+    /// Forgets all keep-alives; numbers continue to increase.
+    pub fn clear(&mut self) {
         self.sent.clear();
     }
 
--- a/crates/session/src/leader.rs
+++ b/crates/session/src/leader.rs
@@ -1,15 +1,15 @@
-//! The leader a session is kept with, and which ways to it answer.
+//! The leader of a session, and the responsive paths to it.
 
 use crate::keep_alive::Path;
 use std::net::SocketAddr;
 use types::{Address, Milliseconds, Monotonic};
 
-/// Intervals without an answer after which a way counts as silent.
+/// Keep-alive intervals without a reply after which a path is unresponsive.
 const UNRESPONSIVE_INTERVALS: u64 = 2;
-/// Intervals for which an answered relay is used further.
+/// Keep-alive intervals for which a relay is used after its last reply.
 const RELAY_INTERVALS: u64 = 4;
 
-/// The coordinator that keep-alives go to.
+/// The coordinator that receives the keep-alives.
 #[derive(Debug)]
 pub struct LeaderContact {
     address: Address,
@@ -19,7 +19,7 @@
     relay: Option<RelayContact>,
 }
 
-/// A follower that carried a keep-alive to the leader and its answer back.
+/// A follower that relayed a keep-alive to the leader and its reply back.
 #[derive(Debug, Clone, Copy)]
 struct RelayContact {
     follower: SocketAddr,
@@ -27,7 +27,8 @@
 }
 
 impl LeaderContact {
-    /// A leader just learnt of; it counts as heard now, to give it time.
+    /// A leader that becomes known at `now`. The time without a reply counts from
+    /// then.
     pub fn new(address: Address, interval: Milliseconds, now: Monotonic) -> Self {
         Self {
             address,
@@ -38,12 +39,13 @@
         }
     }
 
-    /// Who it is.
+    /// Identity and address of the leader.
     pub fn address(&self) -> &Address {
         &self.address
     }
 
-    /// Records an answer; `path` is the way that it proves to work both ways.
+    /// Records a reply; `path` is the path that it proves to work in both
+    /// directions.
     pub fn record_contact(&mut self, path: Option<Path>, now: Monotonic) {
         self.last_contact = now;
         match path {
@@ -58,22 +60,22 @@
         }
     }
 
-    /// Returns whether no way to it answers.
+    /// Returns whether all paths to the leader are unresponsive.
     pub fn is_unresponsive(&self, now: Monotonic) -> bool {
         now.since(self.last_contact) > self.intervals(UNRESPONSIVE_INTERVALS)
     }
 
-    /// Returns whether its direct answers have stopped.
+    /// Returns whether the direct path to the leader is unresponsive.
     pub fn is_direct_unresponsive(&self, now: Monotonic) -> bool {
         now.since(self.last_direct_contact) > self.intervals(UNRESPONSIVE_INTERVALS)
     }
 
-    /// The follower to go through: only when direct answers have stopped and
-    /// keep-alives through it were answered lately.
+    /// The follower to use as a relay: only if the direct path is unresponsive
+    /// and the follower relayed a reply recently.
     pub fn relay(&self, now: Monotonic) -> Option<SocketAddr> {
-        let fresh =
+        let is_recent =
             |relay: &RelayContact| now.since(relay.last_contact) <= self.intervals(RELAY_INTERVALS);
-        let relay = self.relay.filter(fresh)?;
+        let relay = self.relay.filter(is_recent)?;
         self.is_direct_unresponsive(now).then_some(relay.follower)
     }
 
--- a/crates/session/src/replica.rs
+++ b/crates/session/src/replica.rs
@@ -3,43 +3,48 @@
 use configuration::ClusterConfiguration;
 use types::{ConfigurationVersion, Milliseconds, Monotonic};
 
-/// The newest configuration seen. Its version only rises, and it counts only
-/// for a while after a leader under its lease confirmed it.
+/// The newest configuration that this process received. Its version only
+/// increases, and it is valid only for a while after the leader confirmed it.
 #[derive(Debug)]
 pub struct Replica {
     valid_for: Milliseconds,
     version: ConfigurationVersion,
     document: ClusterConfiguration,
-    last_version: Option<LeaderVersion>,
+    leader_version: Option<LeaderVersion>,
     confirmed_at: Option<Monotonic>,
 }
 
-/// What the leader said last about the version in force.
+/// The version in force, as the leader last reported it.
 #[derive(Debug, Clone, Copy)]
 struct LeaderVersion {
+    /// When the keep-alive was sent that the leader answered.
     asked_at: Monotonic,
     version: ConfigurationVersion,
 }
 
 impl Replica {
-    /// The empty document of version 0, not confirmed by anyone.
+    /// The empty document of version 0, which is not confirmed.
     pub fn new(valid_for: Milliseconds) -> Self {
         Self {
             valid_for,
             version: ConfigurationVersion::default(),
             document: ClusterConfiguration::default(),
-            last_version: None,
+            leader_version: None,
             confirmed_at: None,
         }
     }
 
-    /// Version held, valid or not.
+    /// Version of the document, valid or not.
     pub fn version(&self) -> ConfigurationVersion {
         self.version
     }
 
-    /// Takes a document; false when it is not newer than the one held.
-    pub fn take(&mut self, version: ConfigurationVersion, document: ClusterConfiguration) -> bool {
+    /// Replaces the document. Returns false if `version` is not newer.
+    pub fn update(
+        &mut self,
+        version: ConfigurationVersion,
+        document: ClusterConfiguration,
+    ) -> bool {
         if version <= self.version {
             return false;
         }
@@ -49,31 +54,29 @@
         true
     }
 
-    /// The leader, asked at `asked_at`, said that `version` is in force.
-    pub fn leader_said(&mut self, asked_at: Monotonic, version: ConfigurationVersion) {
-        if self
-            .last_version
-            .is_some_and(|word| word.asked_at > asked_at)
-        {
+    /// Records the version in force, as the leader reported it in reply to a
+    /// keep-alive sent at `asked_at`. An older report is ignored.
+    pub fn record_leader_version(&mut self, asked_at: Monotonic, version: ConfigurationVersion) {
+        let last = self.leader_version;
+        if last.is_some_and(|last| last.asked_at > asked_at) {
             return;
         }
-        self.last_version = Some(LeaderVersion { asked_at, version });
+        self.leader_version = Some(LeaderVersion { asked_at, version });
         self.confirm();
     }
 
-    /// Version and document, while confirmed lately enough.
+    /// Version and document, while they are valid.
     pub fn valid(&self, now: Monotonic) -> Option<(ConfigurationVersion, &ClusterConfiguration)> {
         let confirmed_at = self.confirmed_at?;
         (now < confirmed_at + self.valid_for).then_some((self.version, &self.document))
     }
 
-    /// A word about a newer version than the one held confirms nothing: the
-    /// document held is known to be old.
+    /// Confirms the document, unless the leader reported a newer version.
     fn confirm(&mut self) {
-        if let Some(word) = self.last_version
-            && word.version <= self.version
+        if let Some(reported) = self.leader_version
+            && reported.version <= self.version
         {
-            self.confirmed_at = self.confirmed_at.max(Some(word.asked_at));
+            self.confirmed_at = self.confirmed_at.max(Some(reported.asked_at));
         }
     }
 }
--- a/crates/session/src/route.rs
+++ b/crates/session/src/route.rs
@@ -1,11 +1,14 @@
-//! Addressing of answers and relays.
+//! Addresses of replies, and relays through other members.
 
 use std::net::SocketAddr;
 use transport::{Envelope, PeerMessage, Relay};
 use types::Address;
 
-/// Addresses an answer to the sender of `envelope`, by the member that relayed
-/// it if it came by one.
+/// Messages to send, with the sockets of their receivers.
+pub(crate) type Outbox = Vec<(SocketAddr, PeerMessage)>;
+
+/// Addresses a reply to the sender of `envelope`, through the member that
+/// relayed the envelope, if any.
 pub fn answer_to(
     own: &Address,
     envelope: &Envelope,
@@ -32,29 +35,31 @@
     (relay, message)
 }
 
-/// What a receiver does with an envelope that may hold a relay.
+/// How a process handles an envelope that may contain a relay.
 #[derive(Debug)]
 pub enum Opened {
-    /// Meant for this process.
+    /// The message is for this process.
     Own(Envelope),
-    /// To be sent on to this socket.
+    /// The message must be forwarded to this socket.
     Forward(SocketAddr, PeerMessage),
-    /// Neither: dropped.
+    /// The message is invalid and dropped.
     Dropped,
 }
 
-/// Opens a relay meant for `own`. A relay for another process is sent on only
-/// if it comes from its origin and does not lead back there, and a relay inside
-/// a relay never: so a message takes two hops at most and cannot go round.
-/// What claims to come from `own` is dropped.
+/// Opens an envelope, which may contain a relay to `own` or to another process.
+///
+/// A relay to another process is forwarded only if it comes from its origin and
+/// is not addressed to its origin, and a relay within a relay never: a message
+/// takes at most two hops and cannot loop. A relay whose sender or origin is
+/// `own` is dropped.
 pub fn open(own: &Address, envelope: Envelope) -> Opened {
     let Envelope { from, via, body } = envelope;
     let PeerMessage::Relay(relay) = body else {
         return Opened::Own(Envelope { from, via, body });
     };
-    let nested = via.is_some() || matches!(*relay.body, PeerMessage::Relay(_));
-    let of_own = from.node == own.node || relay.origin.node == own.node;
-    if nested || of_own {
+    let is_nested = via.is_some() || matches!(*relay.body, PeerMessage::Relay(_));
+    let is_from_own = from.node == own.node || relay.origin.node == own.node;
+    if is_nested || is_from_own {
         return Opened::Dropped;
     }
     if relay.destination == own.socket {
