--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -234,16 +234,16 @@
     }
 
     /// The voter with the longest matching log; among equals the one that
-    /// replied last. With `max_silence` only voters that replied more recently
+    /// replied last. With `max_reply_age` only voters that replied more recently
     /// count.
-    pub fn most_advanced_voter(
+    pub fn voter_with_longest_log(
         &self,
         membership: &Membership,
         now: Monotonic,
-        max_silence: Option<Milliseconds>,
+        max_reply_age: Option<Milliseconds>,
     ) -> Option<NodeId> {
         let is_responsive = |progress: &Progress| {
-            max_silence.is_none_or(|limit| now.since(progress.last_contact()) < limit)
+            max_reply_age.is_none_or(|limit| now.since(progress.last_contact()) < limit)
         };
         self.members()
             .filter(|(node, _)| membership.voters.contains_key(node))
--- a/crates/consensus/src/node/leadership_transfer.rs
+++ b/crates/consensus/src/node/leadership_transfer.rs
@@ -32,7 +32,7 @@
     /// new term if it had sent `TimeoutNow`.
     pub fn transfer_leadership(&mut self, now: Monotonic) -> Option<NodeId> {
         self.observe(now);
-        let target = self.most_advanced_voter();
+        let target = self.voter_with_longest_log();
         self.transfer_to(target?, TransferReason::Requested)
     }
 
@@ -50,10 +50,10 @@
     }
 
     /// The voter with the longest log among those that replied recently.
-    pub(super) fn most_advanced_voter(&self) -> Option<NodeId> {
-        let max_silence = Some(self.options.election_timeout);
+    pub(super) fn voter_with_longest_log(&self) -> Option<NodeId> {
+        let max_reply_age = Some(self.options.election_timeout);
         let leadership = self.role.leadership()?;
-        leadership.most_advanced_voter(self.membership(), self.clock, max_silence)
+        leadership.voter_with_longest_log(self.membership(), self.clock, max_reply_age)
     }
 
     /// Sends `TimeoutNow` once the target has the whole log.
@@ -80,7 +80,7 @@
         let Some(leadership) = self.role.leadership() else {
             return;
         };
-        let successor = leadership.most_advanced_voter(self.membership(), self.clock, None);
+        let successor = leadership.voter_with_longest_log(self.membership(), self.clock, None);
         if let Some(to) = successor {
             self.send(to, Message::TimeoutNow { term: self.term });
         }
--- a/crates/consensus/src/node/replication.rs
+++ b/crates/consensus/src/node/replication.rs
@@ -113,7 +113,7 @@
             return;
         }
         self.begin_round();
-        if let Some(to) = self.most_advanced_voter() {
+        if let Some(to) = self.voter_with_longest_log() {
             self.send(to, Message::TimeoutNow { term: self.term });
         }
         self.become_follower(self.term, None);
--- a/crates/consensus/src/options.rs
+++ b/crates/consensus/src/options.rs
@@ -1,8 +1,12 @@
-//! Timings and limits of a node.
+//! Timeouts and limits of a node.
 
 use types::Milliseconds;
 
-/// Timings and limits of a node.
+/// A reply is late after this fraction of the lease: four such replies in a
+/// row let the lease expire.
+const LATE_REPLY_DIVISOR: u64 = 4;
+
+/// Timeouts and limits of a node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
     /// Shortest time without a message of a leader before a voter starts an
@@ -52,10 +56,6 @@
     }
 }
 
-/// A reply is late after this fraction of the lease: four such replies in a
-/// row let the lease expire.
-const LATE_REPLY_DIVISOR: u64 = 4;
-
 impl Options {
     /// Returns whether a test disabled this mechanism.
     pub(crate) fn disables(&self, mutation: Mutation) -> bool {
--- a/crates/consensus/tests/degraded_leader.rs
+++ b/crates/consensus/tests/degraded_leader.rs
@@ -1,5 +1,5 @@
-//! A leader that is up, but degraded, transfers leadership; a well placed one stays, and
-//! leadership does not wander.
+//! A leader with degraded links transfers leadership, a healthy one keeps it, and
+//! leadership does not oscillate.
 
 mod cluster;
 
@@ -12,10 +12,10 @@
 /// Virtual time between two proposals: the leader's links carry far more than
 /// those of others.
 const PROPOSAL_INTERVAL: u64 = 10;
-/// Unchanged conditions are watched for this long.
-const WATCHED: u64 = 30_000;
+/// How long the cluster is observed under unchanged conditions.
+const OBSERVED: u64 = 30_000;
 
-/// Timings of a deployment whose leader is replaced within half a second.
+/// A cluster with the timeouts of a deployment whose leader is replaced within half a second.
 fn cluster(seed: u64, transfer_when_degraded: bool) -> Result<(Cluster, NodeId), Violation> {
     let mut cluster = Cluster::new(seed, VOTERS, VOTERS, None);
     cluster.options.election_timeout = Milliseconds(250);
@@ -33,7 +33,8 @@
     Ok((cluster, leader))
 }
 
-/// Proposes for so long; the longest time without a lease.
+/// Proposes for `length` milliseconds and returns the longest time without a
+/// lease.
 fn work(cluster: &mut Cluster, length: u64) -> Result<u64, Violation> {
     let end = cluster.now + length;
     let (mut gap, mut longest) = (0, 0);
@@ -72,7 +73,8 @@
 }
 
 #[test]
-fn a_leader_whose_links_lose_packets_gives_way_and_its_successor_stays() -> Result<(), Violation> {
+fn a_leader_with_lossy_links_transfers_leadership_and_its_successor_keeps_it()
+-> Result<(), Violation> {
     let mut times = Vec::new();
     for seed in SEEDS {
         let (mut cluster, old) = cluster(seed, true)?;
@@ -80,17 +82,17 @@
         let took = until_another_leads(&mut cluster, old, 5_000)?;
         times.push(took.unwrap_or(u64::MAX));
         let new = cluster.wait_for_leader()?;
-        let longest = work(&mut cluster, WATCHED)?;
+        let longest = work(&mut cluster, OBSERVED)?;
         assert_eq!(
             cluster.leader(),
             Some(new),
-            "seed {seed}: the successor stays"
+            "seed {seed}: the successor keeps leadership"
         );
         assert!(longest < 100, "seed {seed}: {longest} ms without a lease");
         assert!(degraded_transfers(&cluster) <= 1, "seed {seed}");
     }
     times.sort_unstable();
-    println!("given way after {times:?} ms");
+    println!("transferred after {times:?} ms");
     assert!(
         times[times.len() / 2] <= 1_500 && times[times.len() - 1] <= 4_000,
         "{times:?}"
@@ -99,7 +101,7 @@
 }
 
 #[test]
-fn without_giving_way_a_badly_placed_leader_stays() -> Result<(), Violation> {
+fn without_the_transfer_a_degraded_leader_keeps_leadership() -> Result<(), Violation> {
     let mut kept = 0;
     for seed in SEEDS {
         let (mut cluster, old) = cluster(seed, false)?;
@@ -112,11 +114,11 @@
 }
 
 #[test]
-fn a_badly_placed_follower_moves_nothing() -> Result<(), Violation> {
+fn a_degraded_follower_causes_no_transfer() -> Result<(), Violation> {
     for seed in SEEDS {
         let (mut cluster, leader) = cluster(seed, true)?;
         cluster.lossy.insert(NodeId(leader.0 % VOTERS + 1));
-        let longest = work(&mut cluster, WATCHED)?;
+        let longest = work(&mut cluster, OBSERVED)?;
         assert_eq!(cluster.leader(), Some(leader), "seed {seed}");
         assert_eq!(
             (longest, degraded_transfers(&cluster)),
@@ -128,21 +130,21 @@
 }
 
 #[test]
-fn where_all_are_badly_placed_nobody_gives_way() -> Result<(), Violation> {
+fn no_leader_transfers_where_all_voters_are_degraded() -> Result<(), Violation> {
     for seed in SEEDS {
         let (mut cluster, _) = cluster(seed, true)?;
         cluster.lossy.extend((1..=VOTERS).map(NodeId));
         work(&mut cluster, 3_000)?;
         let before = degraded_transfers(&cluster);
-        work(&mut cluster, WATCHED)?;
+        work(&mut cluster, OBSERVED)?;
         let moves = degraded_transfers(&cluster) - before;
-        assert!(moves <= 1, "seed {seed}: gave way {moves} times");
+        assert!(moves <= 1, "seed {seed}: {moves} transfers");
     }
     Ok(())
 }
 
 #[test]
-fn flapping_links_move_leadership_once() -> Result<(), Violation> {
+fn flapping_links_cause_one_transfer_at_most() -> Result<(), Violation> {
     for seed in SEEDS {
         let (mut cluster, old) = cluster(seed, true)?;
         for _ in 0..10 {
@@ -152,13 +154,13 @@
             work(&mut cluster, 1_500)?;
         }
         let moves = degraded_transfers(&cluster);
-        assert!(moves <= 1, "seed {seed}: gave way {moves} times");
+        assert!(moves <= 1, "seed {seed}: {moves} transfers");
     }
     Ok(())
 }
 
 #[test]
-fn a_slow_disk_of_the_leader_or_of_two_moves_leadership_once_at_most() -> Result<(), Violation> {
+fn slow_disks_of_one_or_two_voters_cause_one_transfer_at_most() -> Result<(), Violation> {
     for seed in SEEDS {
         for slow in [1, 2] {
             let (mut cluster, leader) = cluster(seed, true)?;
@@ -166,12 +168,9 @@
                 let id = NodeId((leader.0 - 1 + number) % VOTERS + 1);
                 cluster.slow_disks.insert(id, 150);
             }
-            let longest = work(&mut cluster, WATCHED)?;
+            let longest = work(&mut cluster, OBSERVED)?;
             let moves = degraded_transfers(&cluster);
-            assert!(
-                moves <= 1,
-                "seed {seed}, {slow} slow: gave way {moves} times"
-            );
+            assert!(moves <= 1, "seed {seed}, {slow} slow: {moves} transfers");
             assert!(
                 longest < 400,
                 "seed {seed}, {slow} slow: {longest} ms without a lease"
@@ -182,7 +181,7 @@
 }
 
 #[test]
-fn a_voter_with_a_slow_disk_is_not_chosen() -> Result<(), Violation> {
+fn a_voter_with_a_slow_disk_is_no_transfer_target() -> Result<(), Violation> {
     for seed in SEEDS {
         let (mut cluster, old) = cluster(seed, true)?;
         let slow = NodeId(old.0 % VOTERS + 1);
@@ -196,7 +195,7 @@
 }
 
 #[test]
-fn a_frozen_leader_that_wakes_leads_no_more() -> Result<(), Violation> {
+fn a_leader_that_resumes_after_a_freeze_leads_no_more() -> Result<(), Violation> {
     for seed in SEEDS {
         let (mut cluster, old) = cluster(seed, true)?;
         cluster.freeze(old, 3_000);
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn wrong_changes_are_refused() -> Result<(), Violation> {
+fn invalid_changes_are_rejected() -> Result<(), Violation> {
     let mut cluster = Cluster::new(10, 3, 3, None);
     let leader = cluster.wait_for_leader()?;
     let now = Monotonic(u64::MAX / 2);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn leadership_is_handed_over_at_once() -> Result<(), Violation> {
+fn leadership_is_transferred_at_once() -> Result<(), Violation> {
     let mut cluster = Cluster::new(11, 3, 3, None);
     let leader = cluster.wait_for_leader()?;
     for command in 0..50 {
--- a/crates/consensus/tests/mutations.rs
+++ b/crates/consensus/tests/mutations.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn without_giving_it_up_in_transfer_a_seed_breaks_the_lease() {
+fn without_giving_up_the_lease_in_a_transfer_a_seed_breaks_the_lease() {
     let mutation = Mutation::LeaseDuringTransfer;
     assert_needed(leader_goes_deaf_in_transfer, mutation, Violation::TwoLeases);
 }
--- a/crates/consensus/tests/node.rs
+++ b/crates/consensus/tests/node.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn what_was_known_committed_comes_first_after_a_restart() {
+fn committed_entries_are_applied_first_after_a_restart() {
     let recovered = Recovered {
         hard_state: HardState {
             term: Term(3),
@@ -198,7 +198,7 @@
 
 /// One lost append makes the follower reject all that are behind it.
 #[test]
-fn refusals_of_one_loss_cause_one_append() {
+fn rejections_after_one_loss_cause_one_append() {
     let (mut node, now) = new_leader();
     node.step(now, LEADER, acknowledge(3));
     for _ in 0..3 {
--- a/crates/consensus/tests/snapshots.rs
+++ b/crates/consensus/tests/snapshots.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_slow_follower_catches_up_in_pieces_under_loss() -> Result<(), Violation> {
+fn a_slow_follower_catches_up_by_chunks_under_loss() -> Result<(), Violation> {
     for seed in 0..30 {
         let mut cluster = Cluster::new(seed, 3, 3, None);
         let leader = cluster.wait_for_leader()?;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_little_behind_needs_no_snapshot() -> Result<(), Violation> {
+fn a_follower_with_a_small_lag_needs_no_snapshot() -> Result<(), Violation> {
     let mut cluster = Cluster::new(1, 3, 3, None);
     let leader = cluster.wait_for_leader()?;
     let slow = NodeId(leader.0 % 3 + 1);
--- a/crates/consensus/tests/unreachable.rs
+++ b/crates/consensus/tests/unreachable.rs
@@ -1,5 +1,5 @@
-//! What a leader sends to a follower that does not answer: nothing that would
-//! all arrive, many times over, when the link heals.
+//! A leader sends no entries and chunks repeatedly to a follower that does not
+//! reply: all repetitions would arrive when the link recovers.
 
 mod cluster;
 
@@ -7,7 +7,7 @@
 use cluster::checker::Violation;
 use types::NodeId;
 
-/// Commands proposed during a cut, one each [`PROPOSAL_INTERVAL`].
+/// Commands proposed during the partition, one each [`PROPOSAL_INTERVAL`].
 const COMMANDS: u64 = 200;
 const PROPOSAL_INTERVAL: u64 = 20;
 
@@ -19,7 +19,7 @@
     Ok(())
 }
 
-/// A cluster of three with its leader, and a follower that is cut off.
+/// A cluster of three, and a follower that is partitioned from the others.
 fn with_cut_follower(seed: u64) -> Result<(Cluster, NodeId), Violation> {
     let mut cluster = Cluster::new(seed, 3, 3, None);
     let leader = cluster.wait_for_leader()?;
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn entries_are_not_sent_again_and_again_into_a_cut() -> Result<(), Violation> {
+fn entries_are_not_sent_repeatedly_into_a_partition() -> Result<(), Violation> {
     for seed in 0..20 {
         let (mut cluster, cut) = with_cut_follower(seed)?;
         propose_all(&mut cluster)?;
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn pieces_are_not_sent_again_and_again_into_a_cut() -> Result<(), Violation> {
+fn chunks_are_not_sent_repeatedly_into_a_partition() -> Result<(), Violation> {
     for seed in 0..20 {
         let (mut cluster, cut) = with_cut_follower(seed)?;
         propose_all(&mut cluster)?;
@@ -57,7 +57,7 @@
         let before = cluster.sent_into_cuts;
         cluster.run(4_000)?;
         let sent = cluster.sent_into_cuts - before;
-        assert!(sent <= 2, "seed {seed}: {sent} pieces");
+        assert!(sent <= 2, "seed {seed}: {sent} chunks");
 
         cluster.heal();
         let last = cluster.checker.last_committed();
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -43,13 +43,13 @@
     Header,
     /// The file ends within a record's header.
     #[error("the record's header is cut off")]
-    RecordHeaderCutOff,
+    RecordHeaderTruncated,
     /// The bytes do not begin with the mark of a record.
     #[error("no record begins here")]
     NoRecordMark,
     /// The file ends within a record's payload.
     #[error("the record is cut off")]
-    RecordCutOff,
+    RecordTruncated,
     /// The record's checksum does not match.
     #[error("the record's checksum does not match")]
     Checksum,
--- a/crates/storage/src/frame.rs
+++ b/crates/storage/src/frame.rs
@@ -124,13 +124,13 @@
     let length = read_u32(bytes, offset + LENGTH_OFFSET);
     let checksum = read_u32(bytes, offset + CHECKSUM_OFFSET);
     let (Some(mark), Some(length), Some(checksum)) = (mark, length, checksum) else {
-        return Err(Unverified::RecordHeaderCutOff);
+        return Err(Unverified::RecordHeaderTruncated);
     };
     if mark != RECORD_MARK {
         return Err(Unverified::NoRecordMark);
     }
     let end = start.saturating_add(length as usize);
-    let payload = bytes.get(start..end).ok_or(Unverified::RecordCutOff)?;
+    let payload = bytes.get(start..end).ok_or(Unverified::RecordTruncated)?;
     if record_checksum(number, offset as u64, payload) != checksum {
         return Err(Unverified::Checksum);
     }
--- a/crates/storage/tests/errors.rs
+++ b/crates/storage/tests/errors.rs
@@ -19,11 +19,11 @@
     let texts = [
         (Unverified::Header.into(), "the header is not whole"),
         (
-            Unverified::RecordHeaderCutOff.into(),
+            Unverified::RecordHeaderTruncated.into(),
             "the record's header is cut off",
         ),
         (Unverified::NoRecordMark.into(), "no record begins here"),
-        (Unverified::RecordCutOff.into(), "the record is cut off"),
+        (Unverified::RecordTruncated.into(), "the record is cut off"),
         (
             Unverified::Checksum.into(),
             "the record's checksum does not match",
