--- a/crates/scheduler/src/audit.rs
+++ b/crates/scheduler/src/audit.rs
@@ -1,4 +1,5 @@
-//! Comparison of the view with the replicated state, a range of jobs at a time.
+//! Comparison of the view with the replicated state, one range of jobs at a
+//! time.
 
 use crate::options::{AuditReport, Published};
 use crate::shape::Shape;
@@ -40,8 +41,9 @@
         report
     }
 
-    // A task that has all its runs is left out: it is not ready in the replicated
-    // state either, or its reservation is yet to be applied there.
+    /// Returns the waiting tasks of the jobs `from..=to`. A task that has all
+    /// its runs is left out: it is not ready in the replicated state either, or
+    /// its reservation is not applied there yet.
     fn waiting_between(&self, from: JobNumber, to: JobNumber) -> Vec<TaskRef> {
         if from > to {
             return Vec::new();
@@ -63,6 +65,8 @@
         waiting.map(|(task, _)| task).collect()
     }
 
+    /// Returns whether the view has the task with other content, or marks it as
+    /// running although it has no run.
     fn differs(&self, meta: &TaskMeta) -> bool {
         let Some(entry) = self.tasks.get(meta.task) else {
             return false;
--- a/crates/scheduler/src/availability.rs
+++ b/crates/scheduler/src/availability.rs
@@ -1,4 +1,4 @@
-//! Whether a runner may pull, and what it pulls with.
+//! Checks whether a runner may pull, and builds its pull.
 
 use crate::index::RunnerIndex;
 use crate::pull::Pull;
@@ -6,21 +6,23 @@
 use std::sync::Arc;
 use types::Now;
 
-/// Why a runner may not pull.
+/// Reason why a runner may not pull.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PullRejection {
-    /// This leader has no heartbeat of the runner.
+    /// This leader has no heartbeat of the runner, or has removed it as
+    /// unresponsive.
     NotSeen,
     /// The runner or an operator has set it to draining.
     Draining,
     /// The last heartbeat is older than `unresponsive_after`.
     Unresponsive,
-    /// The runner is on probation, or its one run of the time after it is open.
+    /// The runner is on probation, or it is on trial and its one allowed run is
+    /// open.
     OnProbation,
 }
 
 impl View {
-    /// Returns why a runner may not pull, if it may not.
+    /// Returns why a runner may not pull; `None` when it may.
     pub(crate) fn pull_rejection(&self, runner: RunnerIndex, now: Now) -> Option<PullRejection> {
         let state = &self.runners[runner];
         let Some(last) = &state.reported else {
@@ -40,7 +42,8 @@
         None
     }
 
-    /// Returns the pull of a runner that has reported to this leader.
+    /// Returns the pull of a runner; `None` when this leader has no heartbeat
+    /// of it.
     pub(crate) fn pull_of(&self, runner: RunnerIndex) -> Option<Pull> {
         let state = &self.runners[runner];
         let last = state.reported.as_ref()?;
--- a/crates/scheduler/src/backfill.rs
+++ b/crates/scheduler/src/backfill.rs
@@ -1,22 +1,22 @@
-//! The table of backfill reservations.
+//! Table of backfill reservations.
 //!
-//! As in backfill scheduling, smaller work may fill gaps, but a runner that is
-//! reserved for a task or gang that starves takes nothing else.
+//! As in backfill scheduling, smaller tasks use idle capacity, but a runner
+//! that is reserved for a starving task or gang takes no other task.
 
 use crate::index::{PoolIndex, RunnerIndex};
 use crate::step::StepRef;
 use std::collections::{BTreeMap, BTreeSet};
 use types::{Monotonic, TaskRef};
 
-/// Reservation of a runner for a task that starves.
+/// Reservation of a runner for a starving task or gang.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Backfill {
-    /// The task; for a gang its first task.
+    /// Task that the runner is reserved for; for a gang, its first task.
     pub(crate) task: TaskRef,
     pub(crate) reserved_at: Monotonic,
 }
 
-/// All backfill reservations: at most one for each runner.
+/// Backfill reservations, at most one for each runner.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct BackfillTable {
     by_runner: BTreeMap<RunnerIndex, Backfill>,
@@ -24,7 +24,7 @@
 }
 
 impl BackfillTable {
-    /// Returns the reservation of a runner.
+    /// Returns the reservation of a runner; `None` when it is not reserved.
     pub(crate) fn get(&self, runner: RunnerIndex) -> Option<Backfill> {
         self.by_runner.get(&runner).copied()
     }
@@ -35,7 +35,7 @@
         self.by_runner.entry(runner).or_insert(backfill);
     }
 
-    /// Releases a runner.
+    /// Releases a runner. Idempotent.
     pub(crate) fn release(&mut self, runner: RunnerIndex) {
         if self.by_runner.remove(&runner).is_none() {
             return;
--- a/crates/scheduler/src/backfill_placement.rs
+++ b/crates/scheduler/src/backfill_placement.rs
@@ -1,4 +1,5 @@
-//! Which runners are reserved for tasks that starve, and for how long.
+//! Choice of the runners that are reserved for starving tasks, and the end of
+//! these reservations.
 
 use crate::backfill::Backfill;
 use crate::index::{ListIndex, PoolIndex, RunnerIndex};
@@ -6,25 +7,27 @@
 use crate::view::View;
 use types::{Now, Resources, TaskRef};
 
-/// One runner in this many of a pool may be reserved, and at least one.
+/// At most one in this many runners of a pool is reserved, but always at least
+/// one may be.
 const RUNNERS_PER_BACKFILL: usize = 10;
 
-/// A reservation lasts at most this many times `reserve_after`; then the task
-/// waits for `reserve_after` again before another runner is reserved for it.
+/// Maximum duration of a reservation, as a multiple of `reserve_after`. After
+/// that, the task waits for `reserve_after` again before another runner is
+/// reserved for it.
 const MAX_BACKFILL_FACTOR: u64 = 24;
 
 /// Result of an attempt to reserve a runner for a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BackfillAttempt {
-    /// No runner suits the task.
+    /// No runner of the pool can be reserved for the task.
     NoSuitableRunner,
     /// A runner is reserved, or no reservation may be made now.
     Finished,
 }
 
 impl View {
-    /// Returns the task that the runner is reserved for. Releases a reservation
-    /// that is no longer valid.
+    /// Returns the task that the runner is reserved for; `None` when it is not
+    /// reserved. Releases a reservation that is no longer valid.
     pub(crate) fn reserved_task(&mut self, runner: RunnerIndex, now: Now) -> Option<TaskRef> {
         let backfill = self.backfills.get(runner)?;
         if self.is_backfill_valid(runner, backfill, now) {
@@ -63,7 +66,8 @@
         }
     }
 
-    /// Reserves the best runner of the pool for a task that starves.
+    /// Reserves a runner of the pool for a starving task: the one that lacks
+    /// the fewest resources for it.
     pub(crate) fn reserve_runner(
         &mut self,
         task: TaskRef,
@@ -92,8 +96,8 @@
         BackfillAttempt::Finished
     }
 
-    /// Reserves a runner for the first task of a list that starves, so that a
-    /// tenant that is seldom drawn does not depend on the draw for that.
+    /// Reserves a runner for a starving task of a list. Without this, a tenant
+    /// that is seldom drawn would depend on the draw to get a reservation.
     pub(crate) fn reserve_for_starving_task(&mut self, index: ListIndex, now: Now) {
         let list = &self.lists[index];
         let Some(pool) = self.queues[list.queue].starting_pool() else {
@@ -125,7 +129,8 @@
             .collect()
     }
 
-    // The runner that lacks least for the task; among equals the first one.
+    /// Returns the unreserved runner that lacks the fewest resources for the
+    /// task; among equals, the first.
     fn best_runner(&self, task: TaskRef, pool: PoolIndex, now: Now) -> Option<RunnerIndex> {
         self.count_scans(self.pools[pool].runner_count());
         let needs = self.shapes.get(self.tasks.get(task)?.shape)?;
@@ -135,20 +140,20 @@
             .filter(|runner| self.runners[*runner].could_run(needs))
             .filter(|runner| self.pull_rejection(*runner, now).is_none())
             .filter(|runner| self.is_below_step_limit(needs, *runner))
-            .min_by_key(|runner| missing_part(&needs.resources, &self.runners[*runner]))
+            .min_by_key(|runner| missing_per_thousand(&needs.resources, &self.runners[*runner]))
     }
 }
 
-// Resources that are missing on a runner, in thousandths of its capacity, summed
-// over all kinds.
-fn missing_part(needs: &Resources, runner: &Runner) -> u64 {
+/// Returns the resources that are missing on a runner, in thousandths of its
+/// capacity, summed over all kinds.
+fn missing_per_thousand(needs: &Resources, runner: &Runner) -> u64 {
     let Some(last) = &runner.reported else {
         return u64::MAX;
     };
     let missing = needs.minus(&runner.free());
-    let part = |missing: u32, all: u32| u64::from(missing) * 1_000 / u64::from(all.max(1));
-    part(missing.slots, last.capacity.slots)
-        + part(missing.cpu_milli, last.capacity.cpu_milli)
-        + part(missing.memory_mib, last.capacity.memory_mib)
-        + part(missing.gpus, last.capacity.gpus)
+    let per_thousand = |missing: u32, all: u32| u64::from(missing) * 1_000 / u64::from(all.max(1));
+    per_thousand(missing.slots, last.capacity.slots)
+        + per_thousand(missing.cpu_milli, last.capacity.cpu_milli)
+        + per_thousand(missing.memory_mib, last.capacity.memory_mib)
+        + per_thousand(missing.gpus, last.capacity.gpus)
 }
--- a/crates/scheduler/src/bounds.rs
+++ b/crates/scheduler/src/bounds.rs
@@ -1,17 +1,17 @@
-//! Lower and upper bounds of what tasks need, by kind of resource.
+//! Lower and upper bounds on the resources of tasks, by kind of resource.
 //!
-//! Where the lower bound does not fit, no task does, and a whole list is skipped.
-//! Bounds may be wider than what the tasks need but never narrower, so that no
-//! task that could start is skipped.
+//! Where the lower bound does not fit, no task does, and the whole list is
+//! skipped. Bounds may be wider than the tasks' needs but never narrower, so
+//! that no task that could start is skipped.
 
 use types::Resources;
 
-/// Bounds of what the tasks of a set need.
+/// Bounds on the resources of a set of tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Bounds {
-    /// No task needs less of any kind.
+    /// Lower bound: no task needs less of any kind.
     pub(crate) min: Resources,
-    /// No task needs more of any kind.
+    /// Upper bound: no task needs more of any kind.
     pub(crate) max: Resources,
 }
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Returns the bounds of both sets together, where either may be empty.
+    /// Returns the bounds of both sets together; `None` means an empty set.
     pub(crate) fn join(one: Option<Self>, other: Option<Self>) -> Option<Self> {
         match (one, other) {
             (Some(one), Some(other)) => Some(one.with(other)),
@@ -40,13 +40,13 @@
         }
     }
 
-    /// Returns whether a task with these needs reaches a bound, so that the bounds
-    /// may be narrower without it.
+    /// Returns whether a task with these needs reaches a bound. Without the
+    /// task the bounds may then be narrower.
     pub(crate) fn touches(&self, needs: &Resources) -> bool {
-        let on = |needs: u32, min: u32, max: u32| needs <= min || needs >= max;
-        on(needs.slots, self.min.slots, self.max.slots)
-            || on(needs.cpu_milli, self.min.cpu_milli, self.max.cpu_milli)
-            || on(needs.memory_mib, self.min.memory_mib, self.max.memory_mib)
-            || on(needs.gpus, self.min.gpus, self.max.gpus)
+        let reaches = |needs: u32, min: u32, max: u32| needs <= min || needs >= max;
+        reaches(needs.slots, self.min.slots, self.max.slots)
+            || reaches(needs.cpu_milli, self.min.cpu_milli, self.max.cpu_milli)
+            || reaches(needs.memory_mib, self.min.memory_mib, self.max.memory_mib)
+            || reaches(needs.gpus, self.min.gpus, self.max.gpus)
     }
 }
--- a/crates/scheduler/src/configure.rs
+++ b/crates/scheduler/src/configure.rs
@@ -1,4 +1,4 @@
-//! Application of a configuration.
+//! Applies a cluster configuration to the view.
 
 use crate::index::QueueIndex;
 use crate::task::TaskStatus;
@@ -42,13 +42,14 @@
                 self.pools[pool].queues.push(index);
             }
             if left_shadow {
-                self.return_shadowed(index);
+                self.requeue_shadowed(index);
             }
         }
     }
 
-    // Tasks that shadow mode only decided on are pending again.
-    fn return_shadowed(&mut self, queue: QueueIndex) {
+    /// Makes the tasks pending again that the queue has only decided on in
+    /// shadow mode.
+    fn requeue_shadowed(&mut self, queue: QueueIndex) {
         for position in 0..self.queues[queue].lists.len() {
             let list = self.queues[queue].lists[position];
             let shadowed: Vec<TaskRef> = self.lists[list].shadowed().iter().copied().collect();
--- a/crates/scheduler/src/decision.rs
+++ b/crates/scheduler/src/decision.rs
@@ -4,27 +4,29 @@
 use std::fmt;
 use types::{QueueName, Reservation, RunnerId, TaskRef, TenantId, WallTime};
 
-/// One decision of the scheduler.
+/// Decision of the scheduler on one task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decision {
-    /// Wall time of the leader.
+    /// Time of the decision, by the leader's wall clock.
     pub at: WallTime,
-    /// The queue.
+    /// Queue of the task.
     pub queue: QueueName,
-    /// The tenant of the task.
+    /// Tenant that owns the task.
     pub tenant: TenantId,
-    /// The decision.
+    /// Outcome of the decision with its details.
     pub kind: DecisionKind,
 }
 
-/// Kind of a decision.
+/// Outcome of a decision: a task is placed, or a tenant's first task is not.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DecisionKind {
     /// The task was placed on a runner.
     Placed {
-        /// The reservation, to be committed.
+        /// Reservation of the run, which the leader has yet to commit. In
+        /// shadow mode it is not committed.
         reservation: Reservation,
-        /// Number of tenants that were runnable when one was drawn.
+        /// Number of tenants that were runnable when one was drawn, counted
+        /// once for each queue.
         runnable_tenants: u32,
         /// Whether the queue is in shadow mode, so that nothing is started.
         shadow: bool,
@@ -32,9 +34,9 @@
     /// The tenant's first task was not placed. Reported when the reason changes,
     /// not at every pull.
     NotPlaced {
-        /// The task.
+        /// First pending task of the tenant in the queue.
         task: TaskRef,
-        /// The reason.
+        /// Reason at the time of the decision.
         reason: NotPlacedReason,
     },
 }
@@ -49,35 +51,37 @@
     /// The task would use the headroom of the tenant's more urgent queues.
     #[serde(rename = "ceiling_kept_for_urgent")]
     LimitReservedForUrgent,
-    /// No seat of the licence is free, or more urgent work waits for it.
+    /// No seat of the task's licence is free, or tasks of more urgent queues
+    /// wait for the free ones.
     NoSeat,
-    /// The tenant is above its share while one below its share waits.
+    /// The tenant uses more than its share of the pool, and a tenant below its
+    /// share has pending tasks.
     TenantAboveShare,
-    /// The runners that could take the task are draining or unresponsive.
+    /// All runners that have the labels are draining or unresponsive.
     RunnersAway,
-    /// No runner of the pool has the resources free.
+    /// No available runner of the pool has the resources free.
     #[serde(rename = "no_room")]
     NoCapacity,
-    /// No runner has the labels.
+    /// No runner of the pool has all labels that the task requires.
     NoRunnerWithLabels,
     /// Only a runner on probation has the resources free.
     RunnerOnProbation,
     /// A runner with the resources free is reserved for a task that starves.
     #[serde(rename = "held_for_larger_task")]
     ReservedForLargerTask {
-        /// The runner.
+        /// Runner that is reserved.
         runner: RunnerId,
     },
     /// The task's start time, or the end of its backoff, is in the future.
     BeforeItsTime {
-        /// The earliest start.
+        /// End of the wait: the start time, or the end of the backoff.
         not_before: WallTime,
     },
     /// A step that the task's step depends on is not done.
     WaitingForStep,
-    /// The queue is paused.
+    /// The queue is paused, or the configuration does not name it.
     QueuePaused,
-    /// The queue is in shadow mode.
+    /// The queue is in shadow mode, so that none of its tasks start.
     QueueShadow,
     /// No runner of the pool has reported to this leader yet.
     NoRunnerKnown,
--- a/crates/scheduler/src/demand.rs
+++ b/crates/scheduler/src/demand.rs
@@ -1,14 +1,14 @@
-//! Resources that a tenant's work in one queue asks for: now, and at its peak
-//! in the last seconds.
+//! Demand of a tenant in one queue: the resources of its waiting tasks and open
+//! runs, now and at the peak of the last 10 to 20 seconds.
 
 use types::{Milliseconds, Monotonic, Resources};
 
-/// Length of the windows in which peaks are recorded. A peak counts for one such
-/// time at least and two at most.
+/// Length of the windows in which peaks are recorded. A peak counts for the
+/// rest of its window and the whole next one.
 const PEAK_WINDOW: Milliseconds = Milliseconds(10_000);
 
-/// Sum of resources over tasks. Wider than [`Resources`], so that what was added
-/// can be subtracted exactly.
+/// Sum of resources over tasks. Wider than [`Resources`], so that additions do
+/// not saturate and can be subtracted exactly.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 struct ResourceSum {
     slots: u64,
@@ -18,19 +18,19 @@
 }
 
 impl ResourceSum {
-    fn change(&mut self, by: &Resources, change: impl Fn(u64, u64) -> u64) {
-        self.slots = change(self.slots, u64::from(by.slots));
-        self.cpu_milli = change(self.cpu_milli, u64::from(by.cpu_milli));
-        self.memory_mib = change(self.memory_mib, u64::from(by.memory_mib));
-        self.gpus = change(self.gpus, u64::from(by.gpus));
+    fn update(&mut self, amount: &Resources, operation: impl Fn(u64, u64) -> u64) {
+        self.slots = operation(self.slots, u64::from(amount.slots));
+        self.cpu_milli = operation(self.cpu_milli, u64::from(amount.cpu_milli));
+        self.memory_mib = operation(self.memory_mib, u64::from(amount.memory_mib));
+        self.gpus = operation(self.gpus, u64::from(amount.gpus));
     }
 
     fn add(&mut self, amount: &Resources) {
-        self.change(amount, u64::saturating_add);
+        self.update(amount, u64::saturating_add);
     }
 
     fn subtract(&mut self, amount: &Resources) {
-        self.change(amount, u64::saturating_sub);
+        self.update(amount, u64::saturating_sub);
     }
 
     fn combine(&self, other: &Self, combine: impl Fn(u64, u64) -> u64) -> Self {
@@ -53,18 +53,19 @@
     }
 }
 
-/// Resources that the work of one tenant in one queue asks for.
+/// Demand of one tenant in one queue.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Demand {
-    /// Resources of tasks that would start if they had capacity.
+    /// Resources of the tasks that would start if they had capacity.
     waiting: ResourceSum,
     /// Resources of open runs.
     usage: ResourceSum,
-    /// Maximum of the sum of both in the current window, by kind of resource.
+    /// Maximum of `waiting` plus `usage` in the current window, by kind of
+    /// resource.
     peak: ResourceSum,
-    /// Maximum in the window before.
+    /// Maximum of the previous window, by kind of resource.
     previous_peak: ResourceSum,
-    /// Number of the current window.
+    /// Number of the current window: the time divided by `PEAK_WINDOW`.
     window: u64,
 }
 
@@ -91,6 +92,7 @@
         self.usage.subtract(amount);
     }
 
+    /// Includes the current demand in the peak of the window that `now` is in.
     fn record_peak(&mut self, now: Monotonic) {
         let window = now.0 / PEAK_WINDOW.0;
         if window != self.window {
@@ -102,6 +104,7 @@
         self.peak = self.peak.combine(&total, u64::max);
     }
 
+    /// Returns the peak of a window; zero for a window without a record.
     fn peak_of(&self, window: u64) -> ResourceSum {
         if window == self.window {
             self.peak
@@ -110,7 +113,8 @@
         }
     }
 
-    /// Returns the recent peak of the demand beyond what open runs use.
+    /// Returns the part of the recent peak of the demand that open runs do not
+    /// use.
     pub(crate) fn unmet(&self, now: Monotonic) -> Resources {
         let window = now.0 / PEAK_WINDOW.0;
         let recent = match window.checked_sub(self.window) {
--- a/crates/scheduler/src/draw.rs
+++ b/crates/scheduler/src/draw.rs
@@ -1,7 +1,7 @@
-//! The draw among runnable tenant lists.
+//! Draw among runnable tenant lists.
 //!
-//! A pull draws lists of one priority, never one twice. By default every list is
-//! equally likely, as in the source.
+//! A pull draws lists of one priority, each list at most once. By default every
+//! list is equally likely, as in the Job Pump.
 
 use crate::index::{ListIndex, PoolIndex, QueueIndex};
 use crate::policy::Draw;
@@ -9,14 +9,14 @@
 use crate::view::View;
 use rand::Rng;
 
-/// The state of one pull's draws among the queues of one priority.
+/// State of one pull's draws among the queues of one priority.
 #[derive(Debug, Clone)]
 pub(crate) struct DrawState {
     kind: RunKind,
     queues: Vec<QueueDraws>,
 }
 
-/// The draws from one queue.
+/// Draws from one queue.
 #[derive(Debug, Clone, Copy)]
 struct QueueDraws {
     queue: QueueIndex,
--- a/crates/scheduler/src/eligibility.rs
+++ b/crates/scheduler/src/eligibility.rs
@@ -1,5 +1,6 @@
-//! Whether a task should run on the runner that pulls: racks, runners it failed
-//! on, and the part of a runner reserved for more urgent work.
+//! Checks whether a task should run on the runner that pulls: racks, runners on
+//! which the task failed, and the part of a runner reserved for more urgent
+//! work.
 
 use crate::bounds::Bounds;
 use crate::index::{PoolIndex, QueueIndex};
@@ -8,11 +9,13 @@
 use crate::view::View;
 use types::{Milliseconds, Now, RackName, Resources, TaskRef};
 
-/// A task waits this many times `locality_wait` for another runner than those it
-/// failed on: a further failure costs it more than the wait.
+/// Time that a task waits for a runner on which it has not failed, as a
+/// multiple of `locality_wait`. Another failure costs the task more than this
+/// wait.
 const AVOID_FAILED_FACTOR: u64 = 3;
 
-/// The part of a runner that less urgent work leaves to more urgent queues.
+/// Part of a runner's resources that less urgent work leaves to more urgent
+/// queues.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UrgentReserve(Resources);
 
@@ -22,15 +25,15 @@
         bounds.min.fits_in(&self.free_for(&bounds.max, pull))
     }
 
-    /// Returns whether the task fits on the runner beside the reserve.
+    /// Returns whether the task fits on the runner without using the reserve.
     ///
-    /// A task that could not leave the reserve even on an empty runner need not
-    /// leave it.
+    /// A task that would use the reserve even on an empty runner may use it.
     pub(crate) fn admits(&self, needs: &Shape, pull: &Pull) -> bool {
         let needs = &needs.resources;
         needs.fits_in(&self.free_for(needs, pull))
     }
 
+    /// Returns the free resources that a task with these needs may use.
     fn free_for(&self, needs: &Resources, pull: &Pull) -> Resources {
         if needs.fits_in(&pull.capacity.minus(&self.0)) {
             pull.free.minus(&self.0)
@@ -54,10 +57,10 @@
         UrgentReserve(pull.capacity.part(percent))
     }
 
-    /// Returns whether the task should run on this runner: its step may have
-    /// another run there, and the task does not wait for a better runner.
+    /// Returns whether the task should run on this runner: the step allows
+    /// another run there, and the task is not waiting for a better runner.
     ///
-    /// The wait for a rack is delay scheduling (Zaharia et al., "Delay
+    /// The wait for a rack follows delay scheduling (Zaharia et al., "Delay
     /// Scheduling", EuroSys 2010).
     pub(crate) fn is_eligible(&self, task: TaskRef, needs: &Shape, pull: &Pull, now: Now) -> bool {
         if !self.is_below_step_limit(needs, pull.runner) {
@@ -88,8 +91,8 @@
         })
     }
 
-    /// Returns whether a runner of the rack could run the task, now or as soon
-    /// as other runs on it end.
+    /// Returns whether a runner of the rack could run the task now, or once
+    /// other runs on it have ended.
     fn rack_may_run(&self, rack: &RackName, needs: &Shape, pool: PoolIndex, now: Now) -> bool {
         self.pools[pool].runners_in_rack(rack).any(|runner| {
             self.count_scan();
--- a/crates/scheduler/src/explain.rs
+++ b/crates/scheduler/src/explain.rs
@@ -1,4 +1,4 @@
-//! The reason why a ready task is not running.
+//! Reason why a ready task is not running.
 
 use crate::availability::PullRejection;
 use crate::decision::NotPlacedReason;
@@ -67,15 +67,15 @@
         let mut reason = NotPlacedReason::NoRunnerWithLabels;
         for runner in self.pools[pool].runners() {
             self.count_scan();
-            let of_runner = self.reason_of_runner(runner, task, entry, needs, now)?;
-            if rank(&of_runner) > rank(&reason) {
-                reason = of_runner;
+            let runner_reason = self.reason_of_runner(runner, task, entry, needs, now)?;
+            if rank(&runner_reason) > rank(&reason) {
+                reason = runner_reason;
             }
         }
         Some(reason)
     }
 
-    /// Returns `None` when the runner could take the task.
+    /// Returns why the runner cannot take the task; `None` when it could.
     fn reason_of_runner(
         &self,
         runner: RunnerIndex,
@@ -124,7 +124,7 @@
     }
 }
 
-/// Returns the pool of a queue, or why the queue starts nothing.
+/// Returns the pool of a queue, or the reason why the queue starts no tasks.
 fn starting_pool(queue: &Queue) -> Result<PoolIndex, NotPlacedReason> {
     let pool = queue.pool.ok_or(NotPlacedReason::QueuePaused)?;
     match queue.mode {
@@ -134,7 +134,8 @@
     }
 }
 
-// The reason of the runner that came nearest to taking the task is reported.
+/// Returns the rank of a reason. The highest one among the runners of a pool is
+/// reported: the reason of the runner that is closest to taking the task.
 fn rank(reason: &NotPlacedReason) -> u8 {
     match reason {
         NotPlacedReason::ReservedForLargerTask { .. } => 4,
--- a/crates/scheduler/src/gang.rs
+++ b/crates/scheduler/src/gang.rs
@@ -1,17 +1,17 @@
-//! The table of gangs: steps whose tasks start all together or not at all.
+//! Table of gangs: steps whose tasks start all together or not at all.
 
 use crate::index::ListIndex;
 use crate::step::StepRef;
 use std::collections::{BTreeMap, BTreeSet};
 use types::TaskRef;
 
-/// The tasks of one gang that may start.
+/// Startable tasks of one gang.
 #[derive(Debug, Clone)]
 pub(crate) struct Gang {
     pub(crate) list: ListIndex,
-    /// Number of tasks of the step.
+    /// Number of tasks of the step, startable or not.
     pub(crate) size: u32,
-    /// Positions in the step of the tasks that may start.
+    /// Positions, within the step, of the tasks that may start.
     tasks: BTreeSet<u32>,
 }
 
@@ -22,19 +22,19 @@
     }
 }
 
-/// All gangs with a task that may start.
+/// Gangs with at least one task that may start.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct GangTable {
     gangs: BTreeMap<StepRef, Gang>,
 }
 
 impl GangTable {
-    /// Returns the gang of a step.
+    /// Returns the gang of a step; `None` when none of its tasks may start.
     pub(crate) fn get(&self, step: StepRef) -> Option<&Gang> {
         self.gangs.get(&step)
     }
 
-    /// Adds a task that may start to its gang of `size` tasks.
+    /// Adds a startable task to its gang, which has `size` tasks.
     pub(crate) fn add_task(&mut self, task: TaskRef, size: u32, list: ListIndex) {
         let gang = self.gangs.entry(StepRef::of(task)).or_insert_with(|| Gang {
             list,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns whether the task is in a gang and may start.
+    /// Returns whether the task belongs to a gang and may start.
     pub(crate) fn contains(&self, task: TaskRef) -> bool {
         let gang = self.gangs.get(&StepRef::of(task));
         gang.is_some_and(|gang| gang.tasks.contains(&task.task))
--- a/crates/scheduler/src/gang_placement.rs
+++ b/crates/scheduler/src/gang_placement.rs
@@ -1,8 +1,8 @@
 //! Placement of complete gangs.
 //!
-//! A gang is placed as a whole or not at all: tenant lists with a complete gang
-//! are drawn uniformly, and a list's oldest gang goes first. Runners are reserved
-//! for a gang that starves, for one gang of a pool at a time.
+//! A gang is placed as a whole or not at all. Tenant lists with a complete gang
+//! are drawn uniformly, and a list's oldest gang is placed first. In each pool,
+//! runners are reserved for at most one starving gang at a time.
 
 use crate::backfill::Backfill;
 use crate::decision::Decision;
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use types::{Milliseconds, Now, RackName, TaskRef};
 
-/// A runner that may take tasks of a gang.
+/// Runner that may take tasks of a gang.
 #[derive(Debug, Clone)]
 struct Candidate {
     runner: RunnerIndex,
@@ -28,15 +28,16 @@
     fits_empty: usize,
 }
 
-/// A gang that its tenant's limits allow to start.
+/// Complete gang that its queue, resource limit and licence allow to start.
 #[derive(Debug, Clone)]
 struct AllowedGang {
     step: StepRef,
-    /// Number of tasks.
+    /// Number of tasks of the gang.
     size: u32,
     pool: PoolIndex,
     needs: Arc<Shape>,
     same_rack: bool,
+    /// Time since the gang's first task started to wait.
     waited: Milliseconds,
 }
 
@@ -51,7 +52,8 @@
 }
 
 impl View {
-    /// Places complete gangs while the decisions stay within `limit`.
+    /// Places complete gangs as long as the number of decisions stays within
+    /// `limit`.
     pub(crate) fn place_gangs(&mut self, now: Now, limit: usize, decisions: &mut Vec<Decision>) {
         let mut waiting = self.gangs.complete_by_list();
         while !waiting.is_empty() {
@@ -67,7 +69,8 @@
         }
     }
 
-    /// Draws uniformly among the lists of the most urgent queues.
+    /// Draws uniformly among the lists of the most urgent queues. Returns
+    /// `None` when there is no list.
     fn draw_gang_list(&mut self, waiting: &BTreeMap<ListIndex, Vec<StepRef>>) -> Option<ListIndex> {
         let priority = |list: &ListIndex| self.queues[self.lists[*list].queue].priority;
         let first_priority = waiting.keys().map(priority).min()?;
@@ -80,7 +83,7 @@
         drawable.get(drawn).copied()
     }
 
-    /// Binds all tasks of a gang, or none.
+    /// Binds all tasks of a gang or none of them.
     fn place_gang(&mut self, step: StepRef, now: Now) -> Vec<Decision> {
         let gang = self.gangs.get(step);
         let Some(gang) = gang.and_then(|gang| self.allowed_gang(step, gang, now)) else {
@@ -121,8 +124,8 @@
         })
     }
 
-    /// Chooses runners within one rack if possible; a gang of the rule
-    /// `same_rack` insists on that for `locality_wait`.
+    /// Chooses runners for all tasks, within one rack if possible. A gang with
+    /// the rule `same_rack` waits up to `locality_wait` for that.
     fn choose_gang_runners(
         &self,
         gang: &AllowedGang,
@@ -131,7 +134,7 @@
         let any_rack = !gang.same_rack || gang.waited >= self.options.locality_wait;
         choose_in_rack(candidates, &gang.needs, gang.len()).or_else(|| {
             any_rack
-                .then(|| choose(candidates.iter(), gang.len()))
+                .then(|| choose_best_fit(candidates.iter(), gang.len()))
                 .flatten()
         })
     }
@@ -141,8 +144,8 @@
         let mut candidates = Vec::new();
         for runner in runners {
             let reserved = self.reserved_task(runner, now);
-            let for_others = reserved.is_some_and(|task| StepRef::of(task) != gang.step);
-            if !for_others && self.pull_rejection(runner, now).is_none() {
+            let reserved_for_other = reserved.is_some_and(|task| StepRef::of(task) != gang.step);
+            if !reserved_for_other && self.pull_rejection(runner, now).is_none() {
                 candidates.extend(self.gang_candidate(runner, &gang.needs));
             }
         }
@@ -163,15 +166,15 @@
         })
     }
 
-    /// Reserves runners that together can take the gang, those with the most
-    /// free resources first.
+    /// Reserves runners that together can take the gang, in order of how many
+    /// of its tasks fit now.
     fn reserve_for_gang(&mut self, gang: &AllowedGang, candidates: &[Candidate], now: Now) {
         let is_other_gang_reserved = self
             .backfills
             .tasks(gang.pool)
             .any(|task| self.gangs.contains(task) && StepRef::of(task) != gang.step);
-        let possible: usize = candidates.iter().map(|c| c.fits_empty).sum();
-        if is_other_gang_reserved || possible < gang.len() {
+        let max_tasks_when_empty: usize = candidates.iter().map(|c| c.fits_empty).sum();
+        if is_other_gang_reserved || max_tasks_when_empty < gang.len() {
             return;
         }
         let mut order: Vec<&Candidate> = candidates.iter().filter(|c| c.fits_empty > 0).collect();
@@ -192,7 +195,8 @@
     }
 }
 
-/// Chooses runners for all tasks within one rack, the preferred one first.
+/// Chooses runners for all tasks within one rack. Tries the preferred rack
+/// first; returns `None` when no rack has capacity for all tasks.
 fn choose_in_rack(
     candidates: &[Candidate],
     needs: &Shape,
@@ -204,21 +208,22 @@
     racks.dedup();
     racks.into_iter().find_map(|rack| {
         let within = candidates.iter().filter(|c| c.rack == *rack);
-        choose(within, size)
+        choose_best_fit(within, size)
     })
 }
 
-/// Chooses runners for all tasks: those with the least free resources first, so
-/// that large free capacity stays whole.
-fn choose<'a>(
+/// Chooses runners for all tasks, those with the least free resources first, so
+/// that large free capacity is not fragmented. Returns `None` when the tasks do
+/// not all fit.
+fn choose_best_fit<'a>(
     candidates: impl Iterator<Item = &'a Candidate>,
     size: usize,
 ) -> Option<Vec<RunnerIndex>> {
     let mut order: Vec<&Candidate> = candidates.collect();
     order.sort_by_key(|candidate| candidate.fits);
-    let slots = order
+    let assignments = order
         .into_iter()
         .flat_map(|candidate| std::iter::repeat_n(candidate.runner, candidate.fits.min(size)));
-    let chosen: Vec<RunnerIndex> = slots.take(size).collect();
+    let chosen: Vec<RunnerIndex> = assignments.take(size).collect();
     (chosen.len() == size).then_some(chosen)
 }
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -1,4 +1,4 @@
-//! Health of a runner, judged by the outcomes of runs of different jobs on it.
+//! Health of a runner, by the outcomes of its runs of different jobs.
 //!
 //! Failures of many jobs on one runner count against the runner. Failures of one
 //! job on many runners count against the job, by its allowed failures.
@@ -11,9 +11,10 @@
 pub(crate) struct Health {
     /// Different jobs with a failed run since the last success, oldest first.
     failed_jobs: VecDeque<JobNumber>,
-    /// End of the probation; the runner is on trial from then to its first success.
+    /// End of the probation, after which the runner is on trial until its first
+    /// success; `None` when it is neither on probation nor on trial.
     probation_until: Option<Monotonic>,
-    /// Outcomes of the newest runs, oldest first.
+    /// Outcomes of the most recent runs, oldest first.
     recent: VecDeque<RecentOutcome>,
 }
 
@@ -21,11 +22,11 @@
 #[derive(Debug, Clone, Copy)]
 struct RecentOutcome {
     at: Monotonic,
-    /// The job of a failed run; `None` for a success.
+    /// Job of a failed run; `None` for a success.
     failed_job: Option<JobNumber>,
 }
 
-/// Number of outcomes kept.
+/// Maximum number of outcomes kept for a runner.
 const MAX_RECENT_OUTCOMES: usize = 12;
 /// Age up to which an outcome counts as recent.
 const RECENT_WINDOW: Milliseconds = Milliseconds(3_000);
@@ -69,8 +70,8 @@
         let recent = self.recent.iter();
         let recent = recent.filter(|outcome| now.since(outcome.at) <= RECENT_WINDOW);
         let failed = recent.clone().filter_map(|outcome| outcome.failed_job);
-        // This check runs for every runner in every placement, and nearly always
-        // returns here.
+        // This check runs for every runner in every placement. Nearly all calls
+        // return here, before the set of jobs is built.
         let failures = failed.clone().count();
         if failures < MIN_SUSPECT_JOBS || failures * 2 < recent.count() {
             return false;
@@ -79,9 +80,9 @@
         jobs.len() >= MIN_SUSPECT_JOBS
     }
 
-    /// Puts the runner on probation.
-    pub(crate) fn start_probation(&mut self, now: Monotonic, length: Milliseconds) {
-        self.probation_until = Some(now + length);
+    /// Puts the runner on probation for the given duration.
+    pub(crate) fn start_probation(&mut self, now: Monotonic, duration: Milliseconds) {
+        self.probation_until = Some(now + duration);
     }
 
     /// Returns whether the runner is on probation and may start nothing.
@@ -89,8 +90,8 @@
         self.probation_until.is_some_and(|until| now < until)
     }
 
-    /// Returns whether probation is over but no run has succeeded since: the runner
-    /// may have one run at a time.
+    /// Returns whether probation is over but no run has succeeded since. Such a
+    /// runner may have one run at a time.
     pub(crate) fn on_trial(&self, now: Monotonic) -> bool {
         self.probation_until.is_some_and(|until| now >= until)
     }
--- a/crates/scheduler/src/heartbeat.rs
+++ b/crates/scheduler/src/heartbeat.rs
@@ -6,11 +6,13 @@
 use crate::view::View;
 use types::{Milliseconds, Monotonic, Now, Resources, RunnerId, RunnerReport, TaskRef};
 
-/// One runner in this many of a pool may be on probation at once.
+/// At most one in this many runners of a pool may be on probation at the same
+/// time.
 const RUNNERS_PER_PROBATION: usize = 3;
 
-/// A runner without open runs is removed from its pool when its last heartbeat
-/// is this old; until then operators see how long it has been unresponsive.
+/// Age of the last heartbeat at which a runner without open runs is removed
+/// from its pool. Until then operators see how long the runner has been
+/// unresponsive.
 const REMOVE_AFTER: Milliseconds = Milliseconds(600_000);
 
 impl View {
@@ -21,9 +23,9 @@
             return;
         }
         let pool = self.pools.get_or_insert(&report.pool);
-        let before = self.runners[runner].reported.as_ref();
-        let old_pool = before.map(|last| last.pool);
-        let is_unchanged = before.is_some_and(|last| {
+        let last = self.runners[runner].reported.as_ref();
+        let old_pool = last.map(|last| last.pool);
+        let is_unchanged = last.is_some_and(|last| {
             last.pool == pool && last.capacity == report.capacity && last.rack == report.rack
         });
         let was_present = self.runners[runner].present(now.monotonic).is_some();
@@ -40,7 +42,7 @@
         self.update_capacity(pool, now.monotonic);
     }
 
-    /// Updates the capacity of a pool, by which shares are judged.
+    /// Recomputes the capacity of a pool, which tenants' shares refer to.
     fn update_capacity(&mut self, pool: PoolIndex, now: Monotonic) {
         let runners = self.pools[pool].runners();
         let present = runners.filter_map(|runner| self.runners[runner].present(now));
@@ -48,7 +50,8 @@
         self.pools[pool].capacity = capacity;
     }
 
-    /// Removes runners without open runs that have long been unresponsive.
+    /// Removes runners without open runs whose last heartbeat is at least
+    /// `REMOVE_AFTER` old.
     pub(crate) fn remove_unresponsive(&mut self, pool: PoolIndex, now: Monotonic) {
         let is_unresponsive = |runner: &Runner| {
             let last = runner.reported.as_ref();
@@ -97,12 +100,14 @@
             && reached_threshold
             && self.may_go_on_probation(index, now)
         {
-            let length = self.options.probation;
-            self.runners[index].health.start_probation(now, length);
+            let duration = self.options.probation;
+            self.runners[index].health.start_probation(now, duration);
         }
     }
 
-    // When runs fail everywhere, the runners are not the cause and must go on.
+    /// Returns whether one more runner of the pool may go on probation. If runs
+    /// fail on many runners, the runners are not the cause and must remain
+    /// available.
     fn may_go_on_probation(&self, runner: RunnerIndex, now: Monotonic) -> bool {
         let Some(last) = &self.runners[runner].reported else {
             return false;
@@ -114,7 +119,7 @@
         on_probation.count() < pool.runner_count() / RUNNERS_PER_PROBATION
     }
 
-    /// Returns all runners that have reported to this leader.
+    /// Returns the state of all runners that have reported to this leader.
     pub(crate) fn runner_views(&self, now: Monotonic) -> Vec<RunnerView> {
         let runners = self.runners.iter();
         runners
--- a/crates/scheduler/src/index.rs
+++ b/crates/scheduler/src/index.rs
@@ -3,20 +3,21 @@
 //! A pool, queue, tenant, runner or tenant list keeps its index for as long as
 //! the view exists. A shape's index is reused once no task has that shape.
 
-/// Index of a pool.
+/// Index into `View::pools`.
 pub(crate) type PoolIndex = usize;
 
-/// Index of a queue.
+/// Index into `View::queues`.
 pub(crate) type QueueIndex = usize;
 
-/// Index of a tenant.
+/// Index into `View::tenants`.
 pub(crate) type TenantIndex = usize;
 
-/// Index of a runner.
+/// Index into `View::runners`.
 pub(crate) type RunnerIndex = usize;
 
-/// Index of the work of one tenant in one queue.
+/// Index into `View::lists`, the tasks of one tenant in one queue.
 pub(crate) type ListIndex = usize;
 
-/// Index of a shape in the shape table.
+/// Index into `View::shapes`. Narrower than the others, as each task stores
+/// one.
 pub(crate) type ShapeIndex = u32;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,19 +1,21 @@
-//! Pure per-tenant view of waiting and running work, and placement.
+//! Per-tenant view of waiting and running work, and placement of tasks on
+//! runners. The crate does no I/O and reads no clock.
 //!
-//! The view is derived from the replicated state and never stored: a new leader
-//! rebuilds it by idempotent publish and audits it, a range of jobs at a time.
+//! The view is derived from the replicated state and never stored. A new leader
+//! rebuilds it with idempotent publishes and audits it, one range of jobs at a
+//! time.
 //!
-//! Source: the Job Pump (Salsify Engineering, "Scaling Delayed Job for High
-//! Throughput Services", 2019) with its `jobs:<id>` entry, pending list and
-//! running set by queue and tenant, tenant limits, runnable tenants, and four
-//! atomic idempotent steps: publish, reserve (a uniform draw among runnable
-//! tenants), reschedule, remove.
+//! The design follows the Job Pump (Salsify Engineering, "Scaling Delayed Job
+//! for High Throughput Services", 2019): `jobs:<id>` entries, a pending list
+//! and a running set by queue and tenant, tenant limits, runnable tenants, and
+//! four atomic idempotent steps: publish, reserve (a uniform draw among
+//! runnable tenants), reschedule, remove.
 //!
-//! Modules, from the bottom up: `index`, `step`, `pull` and other plain types;
-//! the tables (`task`, `run`, `runner`, `gang`, `licence`, `backfill`, ...), each
-//! with its own rules; `view`, which composes the tables; the steps across
-//! tables, such as `reserve` and `placement`; and [`Scheduler`], the public
-//! interface.
+//! Modules, from the lowest layer up: `index`, `step`, `pull` and other plain
+//! types; the tables (`task`, `run`, `runner`, `gang`, `licence`, `backfill`,
+//! ...), each of which enforces its own rules; `view`, which composes the
+//! tables; the steps that change several tables, such as `reserve` and
+//! `placement`; and [`Scheduler`], the public interface.
 
 mod audit;
 mod availability;
--- a/crates/scheduler/src/licence.rs
+++ b/crates/scheduler/src/licence.rs
@@ -1,14 +1,14 @@
 //! Seats of licences in use, and the tasks that wait for one.
 //!
-//! The state machine has the last word: it rejects a reservation without a free
-//! seat whatever this table holds.
+//! The state machine enforces the number of seats: it rejects a reservation
+//! without a free seat, whatever this table contains.
 
 use crate::index::QueueIndex;
 use configuration::LicenceSettings;
 use std::collections::BTreeMap;
 use types::LicenceName;
 
-/// Seats of one licence and its waiting tasks.
+/// Seats of one licence, and the tasks that wait for one.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Licence {
     seats: u32,
@@ -38,14 +38,15 @@
     }
 }
 
-/// All licences that the configuration or a task has named.
+/// Licences that the configuration or a task has named.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct LicenceTable {
     licences: BTreeMap<LicenceName, Licence>,
 }
 
 impl LicenceTable {
-    /// Sets the numbers of seats; a licence that is left out has none.
+    /// Sets the number of seats of each licence; zero for a licence that the
+    /// configuration leaves out.
     pub(crate) fn configure(&mut self, settings: &BTreeMap<LicenceName, LicenceSettings>) {
         for (name, licence) in &mut self.licences {
             licence.seats = settings.get(name).map_or(0, |settings| settings.seats);
@@ -55,7 +56,8 @@
         }
     }
 
-    /// Returns a licence that was named before.
+    /// Returns a licence; `None` when neither the configuration nor a task has
+    /// named it.
     pub(crate) fn get(&self, licence: &LicenceName) -> Option<&Licence> {
         self.licences.get(licence)
     }
--- a/crates/scheduler/src/limits.rs
+++ b/crates/scheduler/src/limits.rs
@@ -1,9 +1,9 @@
 //! Limits on what may start: tenants' resource limits with the headroom of more
 //! urgent work, seats of licences, and runs of one step on a runner.
 //!
-//! A resource limit counts a tenant's runs in all pools. Work of a less urgent
-//! queue that used all of it would make a short task of a more urgent queue wait
-//! although that task's own pool is empty. So less urgent work leaves headroom
+//! A resource limit counts a tenant's runs in all pools. If work of a less
+//! urgent queue used all of it, a short task of a more urgent queue would wait
+//! although its own pool is empty. Therefore less urgent work leaves headroom
 //! below the limit: the unmet recent demand of its tenant's more urgent queues.
 
 use crate::index::{ListIndex, QueueIndex, RunnerIndex};
@@ -11,19 +11,20 @@
 use crate::view::View;
 use types::{Monotonic, Now, Resources};
 
-/// Less urgent work that has waited this many times `reserve_after` for the
-/// headroom may use it for one start.
+/// Wait after which less urgent work may use the headroom for one start, as a
+/// multiple of `reserve_after`.
 const MAX_HEADROOM_WAIT_FACTOR: u64 = 10;
 
 impl View {
-    /// Returns whether the tenant of a list may use this much more for its work.
+    /// Returns whether the tenant's resource limit and the headroom below it
+    /// allow these additional resources to work of the list.
     pub(crate) fn list_allows(&self, index: ListIndex, needs: &Resources, now: Now) -> bool {
         let headroom = self.urgent_headroom(index, now.monotonic);
         self.tenants[self.lists[index].tenant].allows_with_headroom(needs, &headroom)
     }
 
-    /// Returns what work of a list leaves of its tenant's resource limit to the
-    /// tenant's more urgent queues.
+    /// Returns the part of the tenant's resource limit that work of a list
+    /// leaves to the tenant's more urgent queues.
     pub(crate) fn urgent_headroom(&self, index: ListIndex, now: Monotonic) -> Resources {
         if !self.options.policy.urgent_headroom || self.waits_too_long(index, now) {
             return Resources::ZERO;
@@ -46,6 +47,7 @@
         unmet.component_min(&max_headroom)
     }
 
+    /// Returns whether the list has waited for the headroom long enough to use it.
     fn waits_too_long(&self, index: ListIndex, now: Monotonic) -> bool {
         let list = &self.lists[index];
         let reserve_after = self.options.reserve_after.0;
@@ -54,11 +56,11 @@
             && now.since(list.waiting_since()).0 >= max_wait
     }
 
-    /// Returns whether so many seats of the licence are free for work of the
-    /// queue.
+    /// Returns whether `wanted` seats of the task's licence are available to
+    /// the queue.
     ///
-    /// Seats that tasks of more urgent queues wait for, in whatever pool, are
-    /// not.
+    /// One free seat is set aside for each waiting task of a more urgent queue,
+    /// in any pool.
     pub(crate) fn has_seats(&self, needs: &Shape, queue: QueueIndex, wanted: u32) -> bool {
         let Some(name) = &needs.licence else {
             return true;
@@ -74,8 +76,8 @@
         licence.free() as usize >= more_urgent.saturating_add(wanted as usize)
     }
 
-    /// Returns whether the runner has fewer runs of the task's step than the
-    /// step allows.
+    /// Returns whether the runner has fewer open runs of the task's step than
+    /// the step allows.
     pub(crate) fn is_below_step_limit(&self, needs: &Shape, runner: RunnerIndex) -> bool {
         needs.spread.is_none_or(|spread| {
             let open_runs = self.runs.count_of_step_on_runner(spread.step, runner);
@@ -87,8 +89,8 @@
 /// Returns a percentage of each kind of resource, rounded down.
 fn percent_of(amounts: &Resources, percent: u32) -> Resources {
     let part = |amount: u32| {
-        let part = u64::from(amount) * u64::from(percent.min(100)) / 100;
-        u32::try_from(part).unwrap_or(amount)
+        let scaled = u64::from(amount) * u64::from(percent.min(100)) / 100;
+        u32::try_from(scaled).unwrap_or(amount)
     };
     Resources {
         slots: part(amounts.slots),
--- a/crates/scheduler/src/open_runs.rs
+++ b/crates/scheduler/src/open_runs.rs
@@ -1,4 +1,4 @@
-//! Opening and closing runs: what each counts for.
+//! Opens and closes runs, and updates the tables that count them.
 
 use crate::run::Run;
 use crate::task::TaskStatus;
@@ -6,7 +6,7 @@
 use types::{OpenRun, RunId, TaskRef};
 
 impl View {
-    /// Adds a run that the replicated state holds open. Idempotent.
+    /// Adds a run that is open in the replicated state. Idempotent.
     pub(crate) fn adopt_run(&mut self, open: OpenRun) {
         if self.runs.contains(open.run) {
             return;
@@ -27,7 +27,8 @@
         self.open_run(open.run, run);
     }
 
-    /// Adds a run to what its tenant, list, runner, licence and task count.
+    /// Opens a run: adds it to the tables of its tenant, list, runner, licence
+    /// and task.
     pub(crate) fn open_run(&mut self, id: RunId, run: Run) {
         let now = self.latest();
         let (tenant, task) = (run.tenant, run.task);
@@ -42,7 +43,8 @@
         self.refresh_tenant(tenant);
     }
 
-    /// Removes a run from all counts; returns `None` when it was not open.
+    /// Closes a run: removes it from these tables. Returns `None` when it was
+    /// not open.
     pub(crate) fn close_run(&mut self, id: RunId) -> Option<Run> {
         let run = self.runs.remove(id)?;
         self.tenants[run.tenant].remove_run(&run.resources, run.pool);
@@ -55,8 +57,8 @@
         Some(run)
     }
 
-    // A run may be adopted after its task was published, so that the task has
-    // one start less.
+    /// Updates the status of a task after a run of it was opened. A run may be
+    /// adopted after its task was published; the task may then start once less.
     fn update_status_of_running(&mut self, task: TaskRef) {
         let Some(entry) = self.tasks.get(task) else {
             return;
--- a/crates/scheduler/src/options.rs
+++ b/crates/scheduler/src/options.rs
@@ -4,36 +4,37 @@
 use serde::{Deserialize, Serialize};
 use types::{Labels, Milliseconds, PoolName, RackName, Resources, RunnerId, RunnerIncarnation};
 
-/// Options of the scheduler.
+/// Limits, timeouts and policies of a [`Scheduler`](crate::Scheduler).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SchedulerOptions {
     /// Number of tasks that a scan of a tenant's list examines after the first
     /// one. Of tasks with equal needs only the first is examined and counted,
-    /// since none fits where the first does not.
+    /// since the others do not fit where it does not.
     pub scan_depth: usize,
-    /// A task that has waited this long while smaller ones start gets a backfill
-    /// reservation.
+    /// Time that a task waits, while smaller tasks could take its capacity,
+    /// before it counts as starving and gets a backfill reservation.
     pub reserve_after: Milliseconds,
-    /// Number of different jobs with a failed run on a runner, without a success
-    /// in between, that puts the runner on probation.
+    /// Number of different jobs with a failed run on a runner, without a
+    /// success in between, that puts the runner on probation.
     pub probation_failures: u32,
-    /// Length of a probation.
+    /// Duration of a probation, in which the runner gets no runs.
     pub probation: Milliseconds,
-    /// A runner whose last heartbeat is older than this gets no pulls.
+    /// Age of the last heartbeat above which a runner counts as unresponsive
+    /// and gets no runs.
     pub unresponsive_after: Milliseconds,
     /// Percentage of each runner that work leaves to more urgent queues of its
     /// pool, 0 to 100.
     pub urgent_reserve_percent: u32,
-    /// Maximum headroom that less urgent work leaves to its tenant's more urgent
-    /// queues, in percent of each kind of the resource limit, 0 to 100. The
-    /// headroom is less where these queues have asked for less recently.
+    /// Maximum headroom that less urgent work leaves to its tenant's more
+    /// urgent queues, in percent of each kind of the resource limit, 0 to 100.
+    /// The headroom is smaller if the recent demand of these queues is smaller.
     pub urgent_headroom_percent: u32,
-    /// The delay of delay scheduling (Zaharia et al., "Delay Scheduling", EuroSys
+    /// Delay of delay scheduling (Zaharia et al., "Delay Scheduling", EuroSys
     /// 2010): a task waits this long for its preferred rack, and three times as
-    /// long for another runner than those it failed on, before it takes any
+    /// long for a runner on which it has not failed, before it takes any
     /// runner.
     pub locality_wait: Milliseconds,
-    /// Policies of placement.
+    /// Placement policies that are enabled.
     pub policy: Policy,
 }
 
@@ -53,43 +54,46 @@
     }
 }
 
-/// Result of a publish.
+/// Result of [`Scheduler::publish`](crate::Scheduler::publish).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Published {
-    /// The task is new to the view.
+    /// The task was added to the view.
     New,
-    /// The task was present; nothing changed.
+    /// The task was pending or running; nothing changed.
     Present,
 }
 
-/// State of a runner in the view.
+/// State of a runner, by its last heartbeat and its open runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerView {
-    /// The runner.
+    /// Name of the runner.
     pub runner: RunnerId,
-    /// The current incarnation.
+    /// Incarnation that sent the last heartbeat.
     pub incarnation: RunnerIncarnation,
-    /// The pool.
+    /// Pool that the runner belongs to.
     pub pool: PoolName,
-    /// The rack.
+    /// Rack that the runner is in, for rack locality.
     pub rack: RackName,
-    /// The labels.
+    /// Labels that tasks may require.
     pub labels: Labels,
-    /// All resources.
+    /// Total resources of the runner, used and free.
     pub capacity: Resources,
-    /// Resources reported free, less those of runs not reported yet.
+    /// Resources available to new runs: those reported free less those of runs
+    /// not reported yet, and at most the capacity less that of all open runs.
     pub free: Resources,
     /// Number of open runs, including those of earlier incarnations.
     pub open_runs: u32,
-    /// Whether the runner or an operator has set it to draining.
+    /// Whether the runner is draining, by its own report or by an operator's
+    /// order.
     pub draining: bool,
-    /// Whether the runner is on probation.
+    /// Whether the runner is on probation after failed runs and gets no new
+    /// ones.
     pub on_probation: bool,
-    /// Time since its last heartbeat.
+    /// Time since the runner's last heartbeat.
     pub since_last_contact: Milliseconds,
 }
 
-/// Seats of a licence.
+/// Usage of a licence's seats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SeatUsage {
     /// Number of seats in use.
@@ -103,9 +107,10 @@
 pub struct AuditReport {
     /// Number of tasks compared.
     pub compared: u64,
-    /// Number of ready tasks that the view had lost or had with other content, and
-    /// that were published again.
+    /// Number of ready tasks that were missing from the view or had other
+    /// content there, and were published again.
     pub republished: u64,
-    /// Number of waiting tasks that are not ready and were removed.
+    /// Number of waiting tasks that are not ready in the replicated state and
+    /// were removed.
     pub removed: u64,
 }
--- a/crates/scheduler/src/pending.rs
+++ b/crates/scheduler/src/pending.rs
@@ -1,7 +1,7 @@
 //! Tasks of one tenant in one queue, in order and grouped by shape.
 //!
-//! A search that examines only the first task of each shape passes over all
-//! others of that shape, since none fits where the first does not.
+//! A search examines only the first task of each shape: where that task does
+//! not fit, no other task of the shape does.
 
 use crate::bounds::Bounds;
 use crate::index::ShapeIndex;
@@ -16,14 +16,14 @@
     pub(crate) task: TaskRef,
 }
 
-/// The first task of one shape.
+/// First task of one shape.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ShapeHead {
     pub(crate) order: TaskOrder,
     pub(crate) shape: ShapeIndex,
 }
 
-/// The tasks of one shape.
+/// Tasks of one shape.
 #[derive(Debug, Clone)]
 struct ShapeTasks {
     needs: Resources,
@@ -36,6 +36,7 @@
     by_shape: BTreeMap<ShapeIndex, ShapeTasks>,
     heads: BTreeSet<ShapeHead>,
     length: usize,
+    /// `None` when there are no tasks.
     bounds: Option<Bounds>,
 }
 
@@ -50,12 +51,13 @@
         self.length == 0
     }
 
-    /// Returns bounds of what the tasks need; `None` when the list is empty.
+    /// Returns bounds on the resources of the tasks; `None` when the list is
+    /// empty.
     pub(crate) fn bounds(&self) -> Option<Bounds> {
         self.bounds
     }
 
-    /// Adds a task whose shape needs these resources. Idempotent.
+    /// Adds a task whose shape needs the given resources. Idempotent.
     pub(crate) fn insert(&mut self, order: TaskOrder, shape: ShapeIndex, needs: Resources) {
         let same_shape = self.by_shape.entry(shape).or_insert_with(|| ShapeTasks {
             needs,
@@ -100,7 +102,8 @@
         }
     }
 
-    /// Narrows the bounds after the last task of a shape was removed.
+    /// Narrows the bounds after the last task of a shape, with these needs, was
+    /// removed.
     fn narrow_bounds(&mut self, needs: &Resources) {
         if self.bounds.is_some_and(|bounds| bounds.touches(needs)) {
             let shapes = self.by_shape.values();
@@ -121,7 +124,7 @@
         same_shape.flat_map(|same_shape| same_shape.tasks.iter().copied())
     }
 
-    /// Returns the first task of the list.
+    /// Returns the first task of the list; `None` when it is empty.
     pub(crate) fn first(&self) -> Option<TaskOrder> {
         self.heads.first().map(|head| head.order)
     }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -1,4 +1,4 @@
-//! Placement over all runners with free resources.
+//! Placement on all runners with free resources.
 
 use crate::bounds::Bounds;
 use crate::decision::Decision;
@@ -9,11 +9,11 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use types::Now;
 
-/// A runner that is to pull. The greatest one pulls first: a reliable one, then
-/// the one with the most free slots, then with the most processor time, then by
-/// a random number.
+/// Entry of a runner in the pull order. The greatest entry pulls first:
+/// reliable runners before suspect ones, then by most free slots, by most free
+/// CPU, and by a random number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct PullingRunner {
+struct PullOrderEntry {
     reliability: Reliability,
     free_slots: u32,
     free_cpu_milli: u32,
@@ -21,18 +21,18 @@
     runner: RunnerIndex,
 }
 
-/// Whether recent runs on a runner speak against it.
+/// Reliability of a runner, by the outcomes of its recent runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Reliability {
-    /// Many recent runs failed: the runner pulls after the others.
+    /// Many recent runs failed; the runner pulls after the others.
     Suspect,
-    /// The runner is not suspect.
+    /// Few or no recent runs failed.
     Normal,
 }
 
 impl View {
-    /// Places tasks on all runners, at most `limit` of them, and returns the
-    /// decisions with those on what stays pending.
+    /// Places at most `limit` tasks on all runners. Returns these decisions and
+    /// the changed reasons of tasks that stay pending.
     pub(crate) fn place(&mut self, now: Now, limit: usize) -> Vec<Decision> {
         self.admit_due(now);
         let mut runners = BinaryHeap::new();
@@ -41,28 +41,30 @@
             self.review_backfills(pool, now);
             self.remove_unresponsive(pool, now.monotonic);
             if let Some(bounds) = self.startable_bounds(pool) {
-                runners.extend(self.pulling_runners(pool, &bounds, now));
+                runners.extend(self.pull_order_entries(pool, &bounds, now));
                 bounds_by_pool.insert(pool, bounds);
             }
         }
         let mut decisions = Vec::new();
         self.place_gangs(now, limit, &mut decisions);
         while decisions.len() < limit {
-            let Some(PullingRunner { runner, .. }) = runners.pop() else {
+            let Some(PullOrderEntry { runner, .. }) = runners.pop() else {
                 break;
             };
             if let Some(decision) = self.reserve(runner, StarvationSearch::Disabled, now) {
                 decisions.push(decision);
                 let pool = self.runners[runner].pool();
                 let bounds = pool.and_then(|pool| bounds_by_pool.get(&pool));
-                runners.extend(bounds.and_then(|bounds| self.pulling_runner(runner, bounds, now)));
+                runners
+                    .extend(bounds.and_then(|bounds| self.pull_order_entry(runner, bounds, now)));
             }
         }
         self.review_lists(now, &mut decisions);
         decisions
     }
 
-    /// Returns bounds of what may start in a pool; `None` where nothing may.
+    /// Returns bounds on the resources of a pool's startable tasks; `None` when
+    /// there are none.
     fn startable_bounds(&self, pool: PoolIndex) -> Option<Bounds> {
         let bounds_of = |kind: RunKind| {
             let queues = self.pools[pool].queues.iter();
@@ -74,12 +76,12 @@
             .reduce(Bounds::with)
     }
 
-    fn pulling_runners(
+    fn pull_order_entries(
         &mut self,
         pool: PoolIndex,
         bounds: &Bounds,
         now: Now,
-    ) -> Vec<PullingRunner> {
+    ) -> Vec<PullOrderEntry> {
         self.count_scans(self.pools[pool].runner_count());
         let usable: Vec<RunnerIndex> = self.pools[pool]
             .runners()
@@ -87,17 +89,18 @@
             .collect();
         usable
             .into_iter()
-            .filter_map(|runner| self.pulling_runner(runner, bounds, now))
+            .filter_map(|runner| self.pull_order_entry(runner, bounds, now))
             .collect()
     }
 
-    /// Returns `None` when nothing within the bounds fits on the runner.
-    fn pulling_runner(
+    /// Returns the runner's entry in the pull order; `None` when no task within
+    /// the bounds fits on it.
+    fn pull_order_entry(
         &mut self,
         runner: RunnerIndex,
         bounds: &Bounds,
         now: Now,
-    ) -> Option<PullingRunner> {
+    ) -> Option<PullOrderEntry> {
         let state = &self.runners[runner];
         let free = state.free();
         if !bounds.min.fits_in(&free) && self.skips_by_bounds {
@@ -109,7 +112,7 @@
         } else {
             Reliability::Normal
         };
-        Some(PullingRunner {
+        Some(PullOrderEntry {
             reliability,
             free_slots: free.slots,
             free_cpu_milli: free.cpu_milli,
--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -1,8 +1,8 @@
-//! Switches of the placement policies, to measure what each contributes.
+//! Switches of the placement policies, used to measure the effect of each.
 //!
-//! All are on by default. Guarantees are no policies and have no switch: resource
+//! All are on by default. Guarantees have no switch and always apply: resource
 //! limits, seats, the limit of a step's runs on a runner, gangs started as a
-//! whole, and the checks of the state machine apply always.
+//! whole, and the checks of the state machine.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,42 +10,45 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Draw {
-    /// Uniformly at random, as in the source.
+    /// Uniformly at random, as in the Job Pump.
     #[default]
     Uniform,
-    /// The tenant whose first task is the oldest.
+    /// The tenant with the oldest first task.
     Oldest,
 }
 
-/// The policies of placement.
+/// Policies of placement, each of which can be switched off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// How a tenant is chosen among those that could start a task.
+    /// Choice of a tenant among those that could start a task.
     pub draw: Draw,
-    /// A tenant above its share waits while one below could start.
+    /// Whether a tenant above its share waits while one below its share could
+    /// start.
     pub shares: bool,
-    /// Work of a queue with a lower priority number goes first, and other work
-    /// leaves it a part of each runner (`urgent_reserve_percent`).
+    /// Whether work of queues with a lower priority number starts first, and
+    /// other work leaves it a part of each runner (`urgent_reserve_percent`).
     pub priorities: bool,
-    /// Less urgent work leaves headroom below its tenant's resource limit to the
-    /// tenant's more urgent queues (`urgent_headroom_percent`).
+    /// Whether less urgent work leaves headroom below its tenant's resource
+    /// limit to the tenant's more urgent queues (`urgent_headroom_percent`).
     #[serde(rename = "ceiling_reserve")]
     pub urgent_headroom: bool,
-    /// A runner is reserved for a task or a gang that starves.
+    /// Whether runners are reserved for a task or a gang that starves.
     #[serde(rename = "holds")]
     pub backfill_reservations: bool,
-    /// Running tasks get further copies, where their step allows them.
+    /// Whether running tasks get further copies, where their step allows them.
     pub copies: bool,
-    /// Runners on which many recent runs failed get work after the others.
+    /// Whether runners on which many recent runs failed get work after the
+    /// others.
     #[serde(rename = "suspects_last")]
     pub suspect_runners_last: bool,
-    /// Runners on which many jobs failed in a row get no work for a time.
+    /// Whether runners on which many jobs failed in a row get no work for a
+    /// time (`probation`).
     pub probation: bool,
-    /// A task waits `locality_wait` for its preferred rack.
+    /// Whether a task waits up to `locality_wait` for its preferred rack.
     #[serde(rename = "rack_patience")]
     pub rack_locality: bool,
-    /// A task waits for another runner than those it failed on.
+    /// Whether a task waits for a runner other than those on which it failed.
     pub avoid_failed: bool,
 }
 
--- a/crates/scheduler/src/pool.rs
+++ b/crates/scheduler/src/pool.rs
@@ -1,15 +1,16 @@
-//! Pools of runners.
+//! Pools: the queues, runners and racks of each.
 
 use crate::index::{QueueIndex, RunnerIndex};
 use std::collections::{BTreeMap, BTreeSet};
 use types::{RackName, Resources};
 
-/// A pool of runners.
+/// Pool of runners and the queues that they serve.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Pool {
-    /// Queues whose work the pool's runners take.
+    /// Queues whose tasks run in the pool.
     pub(crate) queues: Vec<QueueIndex>,
-    /// Sum over the runners that count, for shares.
+    /// Total capacity of the pool's present runners; tenants' shares are
+    /// percentages of it.
     pub(crate) capacity: Resources,
     runners: BTreeSet<RunnerIndex>,
     racks: BTreeMap<RackName, BTreeSet<RunnerIndex>>,
@@ -30,7 +31,7 @@
         self.runners.remove(&runner);
     }
 
-    /// Returns the runners in order.
+    /// Returns the runners in order of index.
     pub(crate) fn runners(&self) -> impl Iterator<Item = RunnerIndex> + '_ {
         self.runners.iter().copied()
     }
@@ -40,7 +41,7 @@
         self.runners.len()
     }
 
-    /// Returns the runners of one rack in order.
+    /// Returns the runners of one rack in order of index.
     pub(crate) fn runners_in_rack(
         &self,
         rack: &RackName,
--- a/crates/scheduler/src/pull.rs
+++ b/crates/scheduler/src/pull.rs
@@ -1,10 +1,10 @@
-//! A runner's pull: its request for one task.
+//! Pull of a runner: its request for one task.
 
 use crate::index::{PoolIndex, RunnerIndex};
 use std::sync::Arc;
 use types::{EndpointName, Labels, RackName, Resources, RunnerIncarnation};
 
-/// One pull of one runner.
+/// Pull of one runner, with the runner's state at that time.
 #[derive(Debug, Clone)]
 pub(crate) struct Pull {
     pub(crate) runner: RunnerIndex,
@@ -14,7 +14,7 @@
     pub(crate) pool: PoolIndex,
     /// Resources that may still be placed on the runner.
     pub(crate) free: Resources,
-    /// All resources of the runner.
+    /// Total resources of the runner, used and free.
     pub(crate) capacity: Resources,
     pub(crate) labels: Arc<Labels>,
     pub(crate) rack: RackName,
@@ -23,20 +23,21 @@
 
 /// Whether a pull also searches for tasks that starve.
 ///
-/// A placement over all runners reviews the tenant lists for that instead.
+/// A placement on all runners reviews the tenant lists for starving tasks
+/// instead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StarvationSearch {
-    /// Examine tasks that do not fit as well.
+    /// Also examine tasks that do not fit now.
     Enabled,
     /// Examine only tasks that may start.
     Disabled,
 }
 
-/// Which run of a task a pull may start.
+/// Kind of run that a pull may start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RunKind {
-    /// The only run of a task.
+    /// Run of a task that has no open run.
     Only,
-    /// A further copy of a running task.
+    /// Further copy of a running task.
     Copy,
 }
--- a/crates/scheduler/src/queue.rs
+++ b/crates/scheduler/src/queue.rs
@@ -6,10 +6,10 @@
 use indexmap::IndexSet;
 use rand::Rng;
 
-/// Tenant lists that may be drawn, with a uniform draw in constant time.
+/// Set of tenant lists that may be drawn. A uniform draw takes constant time.
 ///
-/// A pull draws each member at most once: members that it has drawn are moved
-/// behind those that remain, and the caller counts them.
+/// A pull draws each member at most once. Drawn members are moved behind the
+/// remaining ones, and the caller counts them.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RunnableSet {
     members: IndexSet<ListIndex>,
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Returns the members that remain when the last `drawn` ones are drawn.
+    /// Returns the remaining members: all but the last `drawn` ones.
     pub(crate) fn remaining(&self, drawn: usize) -> impl Iterator<Item = ListIndex> + '_ {
         let remaining = self.members.len().saturating_sub(drawn);
         self.members.iter().take(remaining).copied()
     }
 
-    /// Moves one of the remaining members to those drawn.
+    /// Moves one of the remaining members behind them, to those drawn.
     pub(crate) fn mark_drawn(&mut self, list: ListIndex, drawn: usize) {
         let last = self.members.len().saturating_sub(drawn + 1);
         if let Some(chosen) = self.members.get_index_of(&list) {
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Draws one of the remaining members uniformly and moves it to those drawn.
+    /// Draws one of the remaining members uniformly and moves it to those
+    /// drawn. Returns `None` when none remains.
     pub(crate) fn draw(&mut self, drawn: usize, random: &mut impl Rng) -> Option<ListIndex> {
         let remaining = self.members.len().checked_sub(drawn)?;
         if remaining == 0 {
@@ -61,15 +62,16 @@
     }
 }
 
-/// A queue.
+/// Queue with its settings and the tenant lists in it.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Queue {
-    /// The queue's pool; `None` when the configuration does not name the queue.
+    /// Pool that runs the queue's work; `None` when the configuration does not
+    /// name the queue.
     pub(crate) pool: Option<PoolIndex>,
     pub(crate) mode: QueueMode,
-    /// Work of a lower number is more urgent.
+    /// Priority of the queue's work; a lower number is more urgent.
     pub(crate) priority: u8,
-    /// The queue's lists, one for each tenant that has used it.
+    /// Lists in the queue, one for each tenant that has used it.
     pub(crate) lists: Vec<ListIndex>,
     /// Lists with pending tasks, of tenants below their resource limit.
     runnable: RunnableSet,
@@ -78,12 +80,12 @@
 }
 
 impl Queue {
-    /// Returns whether tasks of the queue are started at all.
+    /// Returns whether the queue's mode lets tasks start.
     pub(crate) fn starts_tasks(&self) -> bool {
         matches!(self.mode, QueueMode::Active | QueueMode::Draining)
     }
 
-    /// Returns the queue's pool if tasks of the queue are started there.
+    /// Returns the queue's pool; `None` when its tasks are not started.
     pub(crate) fn starting_pool(&self) -> Option<PoolIndex> {
         self.pool.filter(|_| self.starts_tasks())
     }
@@ -96,7 +98,8 @@
         }
     }
 
-    /// Returns the same set for a draw.
+    /// Returns the lists that may be drawn for a run of the given kind, for a
+    /// draw or an update.
     pub(crate) fn runnable_mut(&mut self, kind: RunKind) -> &mut RunnableSet {
         match kind {
             RunKind::Only => &mut self.runnable,
--- a/crates/scheduler/src/reserve.rs
+++ b/crates/scheduler/src/reserve.rs
@@ -1,4 +1,4 @@
-//! Reserve: the choice of a task for one pull, and its binding.
+//! Reserve step: chooses a task for one pull and binds it to the runner.
 
 use crate::backfill_placement::BackfillAttempt;
 use crate::decision::{Decision, DecisionKind};
@@ -11,11 +11,11 @@
 use std::collections::BTreeSet;
 use types::{Milliseconds, Now, Reservation, Resources, TaskRef};
 
-/// After a futile search for a runner to reserve, pulls do not search again for
-/// this long.
+/// Time for which pulls do not search again after an unsuccessful search for a
+/// runner to reserve.
 const BACKFILL_SEARCH_INTERVAL: Milliseconds = Milliseconds(100);
 
-/// The task chosen for a pull.
+/// Task chosen for a pull.
 #[derive(Debug, Clone, Copy)]
 struct ChosenTask {
     task: TaskRef,
@@ -23,28 +23,32 @@
     runnable_tenants: u32,
 }
 
-/// A list whose tasks are all above its tenant's limit.
+/// List whose examined tasks would all exceed its tenant's resource limit or
+/// the headroom below it.
 #[derive(Debug, Clone, Copy)]
 struct ListAboveLimit {
     list: ListIndex,
+    /// Whether some of these tasks are blocked only by the headroom.
     limited_by_headroom: bool,
 }
 
-/// What the lists drawn by one pull offer.
+/// Startable and starving tasks of the lists that one pull has drawn.
 #[derive(Debug, Clone, Default)]
 struct DrawResult {
     /// Startable task of the first tenant below its share that has one.
     below_share: Option<TaskRef>,
     /// Startable task of the first tenant above its share that has one.
     above_share: Option<TaskRef>,
-    /// First task that starves, of a tenant below its share.
+    /// First starving task of a tenant below its share.
     starving: Option<TaskRef>,
+    /// Lists that are not drawn again until they, the limit or the usage
+    /// change.
     above_limit: Vec<ListAboveLimit>,
 }
 
 impl View {
-    /// Chooses and binds a task for one pull of a runner. Tasks that are due
-    /// must have been admitted.
+    /// Chooses a task for one pull of a runner and binds it. Returns `None`
+    /// when nothing may start. The caller admits due tasks beforehand.
     pub(crate) fn reserve(
         &mut self,
         runner: RunnerIndex,
@@ -92,7 +96,7 @@
         let priorities: BTreeSet<u8> = queues.map(|queue| self.queues[*queue].priority).collect();
         priorities
             .into_iter()
-            .find_map(|priority| self.choose_at(priority, kind, pull, search, now))
+            .find_map(|priority| self.choose_at_priority(priority, kind, pull, search, now))
     }
 
     fn choose_copy(
@@ -107,7 +111,7 @@
         self.choose(RunKind::Copy, pull, search, now)
     }
 
-    fn choose_at(
+    fn choose_at_priority(
         &mut self,
         priority: u8,
         kind: RunKind,
@@ -172,13 +176,15 @@
         result
     }
 
-    // The runner of this pull may just have been reserved for another task.
+    /// Returns whether the runner is not reserved for another task. The current
+    /// pull may have reserved it for one that starves.
     fn is_free_for(&self, task: TaskRef, runner: RunnerIndex) -> bool {
         let backfill = self.backfills.get(runner);
         backfill.is_none_or(|backfill| backfill.task == task)
     }
 
-    /// Binds the chosen task; in shadow mode only reports the decision.
+    /// Binds the chosen task. For a queue in shadow mode, only reports the
+    /// decision.
     fn bind_chosen(&mut self, chosen: ChosenTask, pull: &Pull, now: Now) -> Option<Decision> {
         let index = self.tasks.get(chosen.task)?.list;
         let list = &self.lists[index];
@@ -209,8 +215,8 @@
         })
     }
 
-    /// Opens the run of a reservation, and releases the runner of the pool that
-    /// was reserved for its task.
+    /// Opens the run of a reservation. Releases the runner of the pool that was
+    /// reserved for the task.
     fn bind(&mut self, reservation: &Reservation, pull: &Pull, now: Now) -> Option<()> {
         let entry = self.tasks.get(reservation.task)?;
         let needs = self.shapes.get(entry.shape)?;
@@ -233,7 +239,8 @@
         Some(())
     }
 
-    /// Binds one task of a gang to a runner.
+    /// Binds one task of a gang to a runner; `None` when the runner has no
+    /// heartbeat or the task is not published.
     pub(crate) fn bind_gang_task(
         &mut self,
         task: TaskRef,
--- a/crates/scheduler/src/review.rs
+++ b/crates/scheduler/src/review.rs
@@ -1,21 +1,22 @@
-//! Review of tenant lists in turn: starving tasks, and reasons that changed.
+//! Review of the tenant lists in turn, for starving tasks and changed reasons.
 
 use crate::decision::{Decision, DecisionKind};
 use crate::index::ListIndex;
 use crate::view::View;
 use types::Now;
 
-/// Maximum number of runners examined for reasons in one review. A reason
-/// examines every runner of its pool, so fewer lists are reviewed at once in a
-/// large cluster; the next reviews go on from there.
+/// Maximum number of runners examined for reasons in one review. Each reason
+/// examines every runner of its pool, so that fewer lists are reviewed at once
+/// in a large cluster. The next review continues after them.
 const MAX_RUNNERS_SCANNED: usize = 4_096;
 
 impl View {
-    /// Reviews the next lists and adds the decisions on what stays pending.
+    /// Reviews the next lists, at least one, and adds the decisions on tasks
+    /// whose reason has changed.
     pub(crate) fn review_lists(&mut self, now: Now, decisions: &mut Vec<Decision>) {
-        let affordable = MAX_RUNNERS_SCANNED / self.runners.len().max(1);
+        let max_lists = MAX_RUNNERS_SCANNED / self.runners.len().max(1);
         let lists = self.lists.len();
-        for _ in 0..affordable.max(1).min(lists) {
+        for _ in 0..max_lists.max(1).min(lists) {
             self.review_cursor = (self.review_cursor + 1) % lists;
             let list = self.review_cursor;
             self.rescan_if_limited_by_headroom(list);
@@ -24,7 +25,8 @@
         }
     }
 
-    // Headroom shrinks with time, without any event.
+    /// Makes a list that was limited by headroom drawable again, since headroom
+    /// shrinks with time and no event reports that.
     fn rescan_if_limited_by_headroom(&mut self, index: ListIndex) {
         let list = &mut self.lists[index];
         if std::mem::take(&mut list.limited_by_headroom) {
@@ -33,6 +35,7 @@
         }
     }
 
+    /// Returns the decision on the list's first task if its reason has changed.
     fn changed_reason(&mut self, index: ListIndex, now: Now) -> Option<Decision> {
         let list = &self.lists[index];
         let (queue, tenant) = (list.queue, list.tenant);
--- a/crates/scheduler/src/run.rs
+++ b/crates/scheduler/src/run.rs
@@ -1,11 +1,11 @@
-//! The table of open runs.
+//! Table of open runs.
 
 use crate::index::{ListIndex, PoolIndex, RunnerIndex, TenantIndex};
 use crate::step::StepRef;
 use std::collections::BTreeMap;
 use types::{LicenceName, Resources, RunId, RunnerIncarnation, TaskRef, Term};
 
-/// An open run: an entry of the running set in the source.
+/// Open run; an entry of the running set in the Job Pump.
 #[derive(Debug, Clone)]
 pub(crate) struct Run {
     pub(crate) task: TaskRef,
@@ -19,7 +19,7 @@
     pub(crate) licence: Option<LicenceName>,
 }
 
-/// All open runs, and the source of new run identifiers.
+/// Open runs, and the sequence of new run identifiers.
 #[derive(Debug, Clone)]
 pub(crate) struct RunTable {
     term: Term,
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Ensures that the identifier of a run known from elsewhere is not used
-    /// again: a view rebuilt within its term finds runs of that term.
+    /// Prevents reuse of the identifier of an adopted run. A view that is
+    /// rebuilt within its term adopts runs of that term.
     pub(crate) fn reserve_id(&mut self, run: RunId) {
         if run.term == self.term {
             self.last_sequence = self.last_sequence.max(run.sequence);
--- a/crates/scheduler/src/runner.rs
+++ b/crates/scheduler/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runners: the last heartbeat of each and the open runs bound to it.
+//! State of a runner: its last heartbeat and its open runs.
 
 use crate::health::Health;
 use crate::index::PoolIndex;
@@ -10,11 +10,12 @@
     RunnerIncarnation, RunnerReport,
 };
 
-/// A runner without open runs counts in its pool's capacity for this long after
-/// its last heartbeat: longer than a run lease and than most restarts.
+/// Time after its last heartbeat for which a runner without open runs still
+/// counts in its pool's capacity. Longer than a run lease and than most
+/// restarts.
 const CAPACITY_TIMEOUT: Milliseconds = Milliseconds(30_000);
 
-/// Content of the last heartbeat.
+/// Content of a runner's last heartbeat.
 #[derive(Debug, Clone)]
 pub(crate) struct Reported {
     pub(crate) incarnation: RunnerIncarnation,
@@ -31,7 +32,7 @@
     pub(crate) received_at: Monotonic,
 }
 
-/// An open run that is bound to a runner.
+/// Open run that is bound to a runner.
 #[derive(Debug, Clone)]
 struct BoundRun {
     resources: Resources,
@@ -40,22 +41,24 @@
     listed: bool,
 }
 
-/// A runner and its open runs.
+/// Runner, by its last heartbeat, and its open runs.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Runner {
-    /// `None` until this leader has a heartbeat of the runner.
+    /// Last heartbeat; `None` until this leader has received one, and after the
+    /// runner was removed as unresponsive.
     pub(crate) reported: Option<Reported>,
     pub(crate) drained_by_operator: bool,
     pub(crate) health: Health,
     bound: BTreeMap<RunId, BoundRun>,
-    /// Sum over the open runs of the current incarnation.
+    /// Resources of the open runs of the current incarnation.
     bound_sum: Resources,
-    /// Sum over those of them that no heartbeat has listed yet.
+    /// Resources of the runs in `bound_sum` that the last heartbeat does not
+    /// list.
     unlisted_sum: Resources,
 }
 
 impl Runner {
-    /// Applies a heartbeat.
+    /// Replaces the last heartbeat, and updates which open runs it lists.
     pub(crate) fn apply_report(&mut self, report: &RunnerReport, pool: PoolIndex, now: Monotonic) {
         self.reported = Some(Reported {
             incarnation: report.incarnation,
@@ -77,7 +80,7 @@
         for (run, bound) in &mut self.bound {
             bound.listed = listed.contains(run);
         }
-        self.recount();
+        self.recompute_sums();
     }
 
     /// Returns whether a newer heartbeat, or this one, was applied before.
@@ -94,7 +97,7 @@
             incarnation,
             listed: false,
         };
-        if self.counts(&bound) {
+        if self.uses_resources(&bound) {
             self.bound_sum = self.bound_sum.plus(&usage);
             self.unlisted_sum = self.unlisted_sum.plus(&usage);
         }
@@ -106,7 +109,7 @@
         let Some(bound) = self.bound.remove(&run) else {
             return;
         };
-        if !self.counts(&bound) {
+        if !self.uses_resources(&bound) {
             return;
         }
         self.bound_sum = self.bound_sum.minus(&bound.resources);
@@ -115,20 +118,20 @@
         }
     }
 
-    /// Returns the runner's pool.
+    /// Returns the runner's pool; `None` without a heartbeat.
     pub(crate) fn pool(&self) -> Option<PoolIndex> {
         self.reported.as_ref().map(|last| last.pool)
     }
 
-    /// Returns whether the runner, if it were empty, could run a task.
+    /// Returns whether a task fits on the empty runner and matches its labels.
     pub(crate) fn could_run(&self, needs: &Shape) -> bool {
         self.reported.as_ref().is_some_and(|last| {
             needs.resources.fits_in(&last.capacity) && needs.matches(&last.labels)
         })
     }
 
-    /// Returns the last heartbeat of a runner that counts in its pool's
-    /// capacity.
+    /// Returns the last heartbeat if the runner counts in its pool's capacity;
+    /// otherwise `None`.
     pub(crate) fn present(&self, now: Monotonic) -> Option<&Reported> {
         let last = self.reported.as_ref()?;
         let is_present = self.open_runs() > 0 || now.since(last.received_at) < CAPACITY_TIMEOUT;
@@ -142,12 +145,12 @@
 
     /// Returns whether an open run belongs to the current incarnation.
     pub(crate) fn has_run_of_current_incarnation(&self) -> bool {
-        self.bound.values().any(|bound| self.counts(bound))
+        self.bound.values().any(|bound| self.uses_resources(bound))
     }
 
-    /// Returns the resources that may still be placed: those reported free less
-    /// those of runs not reported yet, but at most the capacity less that of all
-    /// open runs.
+    /// Returns the resources available to new runs: the reported free resources
+    /// less those of the runs that the heartbeat does not list, but at most the
+    /// capacity less the resources of all open runs of the current incarnation.
     pub(crate) fn free(&self) -> Resources {
         let Some(reported) = &self.reported else {
             return Resources::ZERO;
@@ -162,17 +165,23 @@
         self.drained_by_operator || self.reported.as_ref().is_some_and(|last| last.draining)
     }
 
-    // Runs of an earlier incarnation ended with it and use no resources now.
-    fn counts(&self, bound: &BoundRun) -> bool {
+    /// Returns whether a run uses resources of the runner. Runs of an earlier
+    /// incarnation ended with it.
+    fn uses_resources(&self, bound: &BoundRun) -> bool {
         self.reported
             .as_ref()
             .is_none_or(|last| bound.incarnation >= last.incarnation)
     }
 
-    fn recount(&mut self) {
+    /// Recomputes the sums over the open runs.
+    fn recompute_sums(&mut self) {
         let mut bound_sum = Resources::ZERO;
         let mut unlisted_sum = Resources::ZERO;
-        for bound in self.bound.values().filter(|bound| self.counts(bound)) {
+        for bound in self
+            .bound
+            .values()
+            .filter(|bound| self.uses_resources(bound))
+        {
             bound_sum = bound_sum.plus(&bound.resources);
             if !bound.listed {
                 unlisted_sum = unlisted_sum.plus(&bound.resources);
--- a/crates/scheduler/src/scan.rs
+++ b/crates/scheduler/src/scan.rs
@@ -11,20 +11,20 @@
 /// Result of a scan of one tenant list.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ScanResult {
-    /// The first task that the pull may take.
+    /// First task that the pull may take.
     pub(crate) startable: Option<TaskRef>,
-    /// A task that starves and could run on this runner once it is empty.
+    /// First starving task that would fit on this runner once it is empty.
     pub(crate) starving: Option<TaskRef>,
     /// Whether every task examined would exceed the tenant's resource limit or
     /// the headroom below it.
     pub(crate) above_limit: bool,
-    /// Whether some task would start but for the headroom.
+    /// Whether some task is blocked only by the headroom.
     pub(crate) limited_by_headroom: bool,
 }
 
 impl View {
-    /// Scans a list for a task without a run that the pull may take, and for one
-    /// that starves if `search` asks for that.
+    /// Scans a list for a task without a run that the pull may take. If
+    /// `search` is enabled, also scans for a task that starves.
     pub(crate) fn scan_for_task(
         &self,
         index: ListIndex,
@@ -34,14 +34,14 @@
     ) -> ScanResult {
         let list = &self.lists[index];
         let in_shadow = self.queues[list.queue].mode == QueueMode::Shadow;
-        let searches = search == StarvationSearch::Enabled && !in_shadow;
+        let finds_starving = search == StarvationSearch::Enabled && !in_shadow;
         let reserve = self.urgent_reserve(list.queue, pull);
         let bounds = list.pending().bounds();
         let may_admit = bounds.is_some_and(|bounds| reserve.may_admit(&bounds, pull));
-        if !searches && !may_admit && self.skips_by_bounds {
+        if !finds_starving && !may_admit && self.skips_by_bounds {
             return ScanResult::default();
         }
-        self.scan_pending(index, pull, reserve, searches, now)
+        self.scan_pending(index, pull, reserve, finds_starving, now)
     }
 
     fn scan_pending(
@@ -49,7 +49,7 @@
         index: ListIndex,
         pull: &Pull,
         reserve: UrgentReserve,
-        searches: bool,
+        finds_starving: bool,
         now: Now,
     ) -> ScanResult {
         let list = &self.lists[index];
@@ -68,7 +68,7 @@
                 continue;
             }
             let admitted = reserve.admits(needs, pull);
-            let may_starve = searches
+            let may_starve = finds_starving
                 && result.starving.is_none()
                 && needs.resources.fits_in(&pull.capacity)
                 && self.starves(task, now);
@@ -89,8 +89,8 @@
         result
     }
 
-    /// Returns whether a task of the list would exceed the tenant's limit, and
-    /// records that in the result.
+    /// Returns whether a task of the list would exceed the tenant's limit or
+    /// the headroom below it, and records that in the result.
     fn is_above_limit(
         &self,
         list: &TenantList,
@@ -140,8 +140,8 @@
     }
 
     /// Returns whether a task starves: it has waited for `reserve_after` while
-    /// smaller tasks could take the capacity that it needs. Among equal tasks
-    /// the draw alone decides, however long they wait.
+    /// smaller tasks could take the capacity that it needs. Among tasks of
+    /// equal size only the draw decides, however long they wait.
     pub(crate) fn starves(&self, task: TaskRef, now: Now) -> bool {
         self.tasks.get(task).is_some_and(|entry| {
             now.monotonic.since(entry.waiting_since) >= self.options.reserve_after
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler's public steps, composed from those of the view.
+//! Public interface of the scheduler.
 
 use crate::decision::{Decision, NotPlacedReason};
 use crate::options::{AuditReport, Published, RunnerView, SchedulerOptions, SeatUsage};
@@ -12,7 +12,7 @@
 
 /// The leader's view of waiting and running work.
 ///
-/// Every step is idempotent, and equal calls with an equal seed lead to equal
+/// Every step is idempotent. Equal calls with an equal seed lead to equal
 /// decisions. The cost of a reserve grows with the number of tenants drawn and
 /// with the logarithm of the number of waiting tasks.
 #[derive(Debug, Clone)]
@@ -21,8 +21,8 @@
 }
 
 impl Scheduler {
-    /// Creates the empty view of the leader of `term`. New run identifiers carry
-    /// the term.
+    /// Creates an empty view for the leader of `term`, which new run
+    /// identifiers carry. `seed` determines all random draws.
     pub fn new(options: SchedulerOptions, term: Term, seed: u64) -> Self {
         Self {
             view: View::new(options, term, seed),
@@ -36,22 +36,22 @@
         self.view.configure(document);
     }
 
-    /// Atomic step: adds a task unless it is pending or running.
+    /// Adds a task unless it is pending or running. Atomic step.
     pub fn publish(&mut self, meta: TaskMeta, now: Now) -> Published {
         self.view.record_time(now);
         self.view.add_task(meta, now)
     }
 
-    /// Adds a run that the replicated state holds open: after an election, before
-    /// its task is published. Idempotent.
+    /// Adds a run that is open in the replicated state. Called after an
+    /// election, before the run's task is published. Idempotent.
     pub fn adopt_run(&mut self, run: OpenRun) {
         self.view.adopt_run(run);
     }
 
-    /// Atomic step: one pull for one runner. Draws uniformly among the runnable
-    /// tenants of the pool's queues (a tenant with work in two queues counts once
-    /// in each), takes that tenant's oldest startable task that fits, and binds
-    /// it. Returns `None` when nothing may start.
+    /// Performs one pull for one runner. Draws uniformly among the runnable
+    /// tenants of the pool's queues (a tenant with work in two queues counts
+    /// once in each), takes that tenant's oldest startable task that fits, and
+    /// binds it. Returns `None` when nothing may start. Atomic step.
     pub fn reserve(&mut self, runner: &RunnerId, now: Now) -> Option<Decision> {
         self.view.record_time(now);
         let runner = self.view.runners.find(runner)?;
@@ -59,16 +59,16 @@
         self.view.reserve(runner, StarvationSearch::Enabled, now)
     }
 
-    /// Pulls for all runners with free resources, for at most `limit` tasks, and
-    /// reports changed reasons of what stays pending, a bounded number in each
-    /// call.
+    /// Pulls for all runners with free resources until `limit` tasks are placed
+    /// or nothing more may start. Also reports changed reasons of tasks that
+    /// stay pending, a bounded number in each call.
     pub fn place(&mut self, now: Now, limit: usize) -> Vec<Decision> {
         self.view.record_time(now);
         self.view.place(now, limit)
     }
 
-    /// Atomic step: closes a run whose task may run again. For a run that is not
-    /// open it publishes the task if that is absent.
+    /// Closes a run whose task may run again, and publishes the task. If the
+    /// run is not open, publishes the task if it is absent. Atomic step.
     pub fn reschedule(&mut self, run: RunId, meta: TaskMeta, now: Now) {
         self.view.record_time(now);
         if let Some(closed) = self.view.close_run(run) {
@@ -77,15 +77,15 @@
         self.view.add_task(meta, now);
     }
 
-    /// Atomic step: closes a run and removes its task. Idempotent.
+    /// Closes a run and removes its task. Atomic step; idempotent.
     pub fn remove_run(&mut self, run: RunId) {
         if let Some(closed) = self.view.close_run(run) {
             self.remove(closed.task);
         }
     }
 
-    /// Atomic step: removes a task that will never start again. Its open runs
-    /// count until they are removed. Idempotent.
+    /// Removes a task that will never start again. Its open runs count until
+    /// they are removed. Atomic step; idempotent.
     pub fn remove(&mut self, task: TaskRef) {
         self.view.failed_on.remove(&task);
         self.view.remove_task(task);
@@ -97,7 +97,7 @@
         self.view.apply_heartbeat(report, now);
     }
 
-    /// Sets whether an operator drains a runner.
+    /// Sets whether an operator has set a runner to draining.
     pub fn set_draining(&mut self, runner: &RunnerId, draining: bool) {
         let index = self.view.runners.get_or_insert(runner);
         self.view.runners[index].drained_by_operator = draining;
@@ -115,7 +115,7 @@
         self.view.explain(task, now)
     }
 
-    /// Returns all runners that have reported to this leader.
+    /// Returns the state of all runners that have reported to this leader.
     pub fn runners(&self, now: Now) -> Vec<RunnerView> {
         self.view.runner_views(now.monotonic)
     }
@@ -135,7 +135,8 @@
         self.view.audit(from, to, ready, now)
     }
 
-    /// Returns the earliest start time of the tasks that wait for theirs.
+    /// Returns the earliest start time of the delayed tasks; `None` when there
+    /// are none.
     pub fn next_start_time(&self) -> Option<WallTime> {
         self.view.tasks.next_start_time()
     }
@@ -147,7 +148,7 @@
         list.map_or(0, |list| list.pending().len())
     }
 
-    /// Returns what the tenant's open runs use in all pools.
+    /// Returns the resources that the tenant's open runs use in all pools.
     pub fn usage(&self, tenant: &TenantId) -> Resources {
         let index = self.view.tenants.find(tenant);
         index.map_or(Resources::ZERO, |index| self.view.tenants[index].usage())
@@ -168,14 +169,14 @@
         self.view.runs.len()
     }
 
-    /// Returns the number of tasks and runners examined so far: the cost of the
-    /// view's work in a unit that is the same on every machine.
+    /// Returns the number of tasks and runners examined so far. As a measure of
+    /// the view's work it is the same on every machine.
     pub fn scan_cost(&self) -> u64 {
         self.view.scan_cost()
     }
 
-    /// Examines lists and runners also when bounds show that nothing fits, so
-    /// that tests can prove that the bounds change no decision.
+    /// Makes scans examine lists and runners also when bounds show that nothing
+    /// fits. Lets tests prove that the bounds change no decision.
     pub fn scan_all(&mut self) {
         self.view.skips_by_bounds = false;
     }
--- a/crates/scheduler/src/shape.rs
+++ b/crates/scheduler/src/shape.rs
@@ -1,7 +1,8 @@
-//! Shapes: what tasks need of a runner, stored once for all tasks of a shape.
+//! Shapes: the resources and constraints of tasks, stored once for all tasks
+//! that share them.
 //!
-//! With millions of tasks waiting, each carries a small index instead of its
-//! resources and labels.
+//! Each task stores a small index instead of its resources and labels, which
+//! saves memory with millions of waiting tasks.
 
 use crate::index::{RunnerIndex, ShapeIndex};
 use crate::step::StepRef;
@@ -9,19 +10,20 @@
 use std::sync::Arc;
 use types::{Labels, LicenceName, RackName, Resources, TaskMeta};
 
-/// What a task needs of a runner.
+/// Resources and constraints that decide which runner may take a task.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Shape {
     pub(crate) resources: Resources,
     /// Labels that the runner must have.
     pub(crate) labels: Labels,
-    /// The rack that other runners wait for (locality).
+    /// Rack for which the task waits before it takes a runner of another one;
+    /// `None` without a preference.
     pub(crate) preferred_rack: Option<RackName>,
-    /// Limit of the step's runs on one runner.
+    /// Limit of the step's runs on one runner; `None` without a limit.
     pub(crate) spread: Option<Spread>,
-    /// The licence of which a run uses a seat.
+    /// Licence of which a run uses one seat; `None` when it needs none.
     pub(crate) licence: Option<LicenceName>,
-    /// Runners on which the task failed; others are preferred.
+    /// Runners on which the task has failed; other runners are preferred.
     pub(crate) failed_on: BTreeSet<RunnerIndex>,
 }
 
@@ -57,24 +59,29 @@
     }
 }
 
-/// Maximum number of different needs that [`ShapeTable::has_smaller`] compares;
-/// comparing more costs more than a futile search for a runner.
+/// Maximum number of different resource needs that [`ShapeTable::has_smaller`]
+/// compares. Comparing more would cost more than an unsuccessful search for a
+/// runner.
 const MAX_NEEDS_COMPARED: usize = 256;
 
+/// Shape in use.
 #[derive(Debug, Clone)]
 struct Slot {
     shape: Arc<Shape>,
+    /// Number of published tasks of the shape; at least 1.
     users: usize,
 }
 
-/// All shapes in use. The index of a shape without users is reused.
+/// Shapes in use. The index of a shape without users is reused.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ShapeTable {
-    // Never iterated, so that its order cannot reach a decision.
+    // Never iterated, so that the order of the hash map cannot affect a
+    // decision.
     index: HashMap<Arc<Shape>, ShapeIndex>,
     slots: Vec<Option<Slot>>,
     free: Vec<ShapeIndex>,
-    /// Number of shapes in use by their resources. Iterated only for a yes or no.
+    /// Number of shapes in use, by their resources. Iterated only to check
+    /// whether any entry matches, which does not depend on the order.
     needs: HashMap<Resources, usize>,
 }
 
@@ -98,12 +105,12 @@
         index
     }
 
-    /// Stores a slot in a free place.
+    /// Stores a slot under a free index and returns the index.
     ///
     /// # Panics
     ///
-    /// Panics if more than `u32::MAX` shapes are in use, which needs more memory
-    /// than any machine has.
+    /// Panics if more than `u32::MAX` shapes are in use, which would exceed the
+    /// memory of any machine.
     fn insert_slot(&mut self, slot: Option<Slot>) -> ShapeIndex {
         if let Some(index) = self.free.pop() {
             self.slots[index as usize] = slot;
@@ -114,7 +121,7 @@
         index
     }
 
-    /// Removes a user from a shape.
+    /// Removes a user from a shape, and the shape if it was the last user.
     pub(crate) fn release(&mut self, index: ShapeIndex) {
         let Some(entry) = self.slots.get_mut(index as usize) else {
             return;
@@ -140,8 +147,8 @@
     }
 
     /// Returns whether tasks of a smaller shape could take the capacity that
-    /// this shape waits for. With more than [`MAX_NEEDS_COMPARED`] different
-    /// needs it assumes so.
+    /// this shape waits for. Returns `true` without a comparison when tasks
+    /// have more than [`MAX_NEEDS_COMPARED`] different resource needs.
     pub(crate) fn has_smaller(&self, index: ShapeIndex) -> bool {
         let Some(large) = self.get(index) else {
             return false;
@@ -153,7 +160,7 @@
                 .any(|small| *small != large.resources && small.fits_in(&large.resources))
     }
 
-    /// Returns the shape, if the index is in use.
+    /// Returns the shape; `None` when the index is not in use.
     pub(crate) fn get(&self, index: ShapeIndex) -> Option<&Arc<Shape>> {
         self.slots
             .get(index as usize)?
--- a/crates/scheduler/src/step.rs
+++ b/crates/scheduler/src/step.rs
@@ -1,8 +1,8 @@
-//! Reference to one step of a job.
+//! References to steps of jobs.
 
 use types::{JobNumber, TaskRef};
 
-/// One step of a job.
+/// Reference to one step of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct StepRef {
     job: JobNumber,
--- a/crates/scheduler/src/table.rs
+++ b/crates/scheduler/src/table.rs
@@ -30,12 +30,12 @@
         self.entries.insert_full(name.clone(), V::default()).0
     }
 
-    /// Returns the index of an entry, if there is one of that name.
+    /// Returns the index of an entry; `None` when no entry has the name.
     pub(crate) fn find<Q: Hash + Equivalent<K> + ?Sized>(&self, name: &Q) -> Option<usize> {
         self.entries.get_index_of(name)
     }
 
-    /// Returns the name of an entry.
+    /// Returns the name of an entry; `None` when the index is out of range.
     pub(crate) fn name(&self, index: usize) -> Option<&K> {
         self.entries.get_index(index).map(|(name, _)| name)
     }
--- a/crates/scheduler/src/task.rs
+++ b/crates/scheduler/src/task.rs
@@ -1,4 +1,4 @@
-//! The table of published tasks and the status of each.
+//! Table of published tasks with their status.
 
 use crate::index::{ListIndex, ShapeIndex};
 use crate::pending::TaskOrder;
@@ -30,7 +30,7 @@
     }
 }
 
-/// A change of a task's status.
+/// Change of a task's status.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct StatusChange {
     pub(crate) old: TaskStatus,
@@ -38,19 +38,19 @@
 }
 
 impl StatusChange {
-    /// Returns whether the task starts to wait by this change.
+    /// Returns whether the task starts waiting through this change.
     pub(crate) fn starts_waiting(self) -> bool {
         !self.old.is_waiting() && self.new.is_waiting()
     }
 
-    /// Returns whether the task stops waiting by this change.
+    /// Returns whether the task stops waiting through this change.
     pub(crate) fn stops_waiting(self) -> bool {
         self.old.is_waiting() && !self.new.is_waiting()
     }
 }
 
-/// A published task. In the source an entry `jobs:<id>` stands for a job; here
-/// there is one for each task.
+/// Published task. The Job Pump has an entry `jobs:<id>` for each job; the view
+/// has an entry for each task.
 #[derive(Debug, Clone)]
 pub(crate) struct Task {
     pub(crate) list: ListIndex,
@@ -79,7 +79,7 @@
     }
 }
 
-/// All published tasks.
+/// Published tasks by reference.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct TaskTable {
     entries: BTreeMap<TaskRef, Task>,
@@ -98,7 +98,7 @@
         self.entries.contains_key(&task)
     }
 
-    /// Returns the entry of a published task.
+    /// Returns the entry of a task; `None` when it is not published.
     pub(crate) fn get(&self, task: TaskRef) -> Option<&Task> {
         self.entries.get(&task)
     }
@@ -123,7 +123,7 @@
         self.entries.remove(&task)
     }
 
-    /// Starts the wait of a task anew.
+    /// Sets the start of a task's current wait to `now`.
     pub(crate) fn restart_wait(&mut self, task: TaskRef, now: Monotonic) {
         if let Some(entry) = self.entries.get_mut(&task) {
             entry.waiting_since = now;
@@ -148,13 +148,15 @@
         Some(StatusChange { old, new })
     }
 
-    /// Returns the start time of the first delayed task.
+    /// Returns the earliest start time of the delayed tasks; `None` when there
+    /// are none.
     pub(crate) fn next_start_time(&self) -> Option<WallTime> {
         self.delayed.first().map(|(time, _)| *time)
     }
 
-    /// Removes the first task that is due from the delayed ones, so that a loop
-    /// over the due tasks ends whatever status each of them gets.
+    /// Removes the first due task from the delayed tasks and returns it. Since
+    /// it is removed, a loop over the due tasks ends whatever status each of
+    /// them gets.
     pub(crate) fn pop_due(&mut self, now: WallTime) -> Option<TaskRef> {
         if self.next_start_time()? > now {
             return None;
--- a/crates/scheduler/src/task_status.rs
+++ b/crates/scheduler/src/task_status.rs
@@ -1,4 +1,4 @@
-//! Adding and removing tasks, and changes of their status.
+//! Adds and removes tasks, and updates their status.
 
 use crate::options::Published;
 use crate::shape::Shape;
@@ -64,7 +64,7 @@
         self.set_status(task, status);
     }
 
-    /// Sets the status of a task in all tables. Idempotent.
+    /// Sets the status of a task in all tables that depend on it. Idempotent.
     pub(crate) fn set_status(&mut self, task: TaskRef, status: TaskStatus) {
         let Some(change) = self.tasks.set_status(task, status) else {
             return;
@@ -95,7 +95,7 @@
         self.refresh_list(index);
     }
 
-    /// Makes tasks whose start time has come startable.
+    /// Updates the status of the delayed tasks that are due.
     pub(crate) fn admit_due(&mut self, now: Now) {
         while let Some(task) = self.tasks.pop_due(now.wall) {
             self.update_status(task, now);
--- a/crates/scheduler/src/tenant.rs
+++ b/crates/scheduler/src/tenant.rs
@@ -1,38 +1,41 @@
-//! Tenants: their contracts and what their open runs use.
+//! Tenants: their contracts and the usage of their open runs.
 
 use crate::index::{ListIndex, PoolIndex};
 use std::collections::BTreeMap;
 use types::Resources;
 
-/// A tenant. One without a contract has no share and a resource limit of zero.
+/// Contract and usage of a tenant. A tenant without a contract has no share and
+/// a resource limit of zero.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Tenant {
     share_percent: u32,
     resource_limit: Resources,
     usage: Resources,
     usage_by_pool: BTreeMap<PoolIndex, Resources>,
-    /// The tenant's lists, one for each queue it has used.
+    /// Lists of the tenant, one for each queue it has used.
     pub(crate) lists: Vec<ListIndex>,
 }
 
 impl Tenant {
-    /// Sets the terms of the tenant's contract.
+    /// Sets the tenant's share, in percent of each pool, and its resource
+    /// limit.
     pub(crate) fn set_contract(&mut self, share_percent: u32, resource_limit: Resources) {
         self.share_percent = share_percent;
         self.resource_limit = resource_limit;
     }
 
-    /// Returns the limit of what the open runs in all pools may use.
+    /// Returns the limit on the usage of the open runs in all pools.
     pub(crate) fn resource_limit(&self) -> &Resources {
         &self.resource_limit
     }
 
-    /// Returns what the open runs in all pools use.
+    /// Returns the resources that the open runs in all pools use.
     pub(crate) fn usage(&self) -> Resources {
         self.usage
     }
 
-    /// Adds an open run to the usage.
+    /// Adds an open run to the usage; `pool` is `None` for a queue without a
+    /// pool.
     pub(crate) fn add_run(&mut self, resources: &Resources, pool: Option<PoolIndex>) {
         self.usage = self.usage.plus(resources);
         if let Some(pool) = pool {
@@ -62,8 +65,8 @@
     /// Returns whether a run with these resources stays within the resource
     /// limit and leaves `headroom` of it free.
     ///
-    /// No headroom is required of a kind of resource of which the tenant uses
-    /// less than half of its limit.
+    /// Headroom is required only of a kind of resource of which the tenant uses
+    /// at least half of its limit.
     pub(crate) fn allows_with_headroom(&self, needs: &Resources, headroom: &Resources) -> bool {
         let (usage, limit) = (&self.usage, &self.resource_limit);
         self.allows(needs)
@@ -83,7 +86,7 @@
             && kind_allows(usage.gpus, needs.gpus, headroom.gpus, limit.gpus)
     }
 
-    /// Returns whether no kind of resource is left below the resource limit.
+    /// Returns whether every kind of resource is used up to the resource limit.
     pub(crate) fn is_at_limit(&self) -> bool {
         self.resource_limit.fits_in(&self.usage)
     }
@@ -95,12 +98,12 @@
             return false;
         };
         let share = u64::from(self.share_percent);
-        let above =
+        let exceeds =
             |usage: u32, all: u32| u64::from(usage) * 100 > share.saturating_mul(u64::from(all));
-        above(usage.slots, capacity.slots)
-            || above(usage.cpu_milli, capacity.cpu_milli)
-            || above(usage.memory_mib, capacity.memory_mib)
-            || above(usage.gpus, capacity.gpus)
+        exceeds(usage.slots, capacity.slots)
+            || exceeds(usage.cpu_milli, capacity.cpu_milli)
+            || exceeds(usage.memory_mib, capacity.memory_mib)
+            || exceeds(usage.gpus, capacity.gpus)
     }
 }
 
--- a/crates/scheduler/src/tenant_list.rs
+++ b/crates/scheduler/src/tenant_list.rs
@@ -1,4 +1,4 @@
-//! The work of one tenant in one queue.
+//! Tenant lists: the tasks of one tenant in one queue.
 
 use crate::decision::NotPlacedReason;
 use crate::demand::Demand;
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use types::{Monotonic, Resources, TaskRef};
 
-/// The work of one tenant in one queue.
+/// Tasks of one tenant in one queue.
 #[derive(Debug, Clone)]
 pub(crate) struct TenantList {
     pub(crate) queue: QueueIndex,
@@ -17,14 +17,17 @@
     /// Whether every task examined would exceed the tenant's resource limit.
     /// The list is not drawn again until the list, the limit or the usage changes.
     pub(crate) above_limit: bool,
-    /// Whether some of those tasks would start but for the headroom of more
+    /// Whether some of those tasks are blocked only by the headroom for more
     /// urgent work, which shrinks with time.
     pub(crate) limited_by_headroom: bool,
-    /// Resources that the list's work asks for.
+    /// Resources of the list's waiting tasks and open runs, now and at their
+    /// recent peak.
     pub(crate) demand: Demand,
-    /// When a task of the list was last placed.
+    /// Time at which a task of the list was last placed; the creation of the
+    /// list before the first placement.
     pub(crate) last_placed_at: Monotonic,
-    /// The reason reported last for the list's first task.
+    /// Reason reported last for the list's first task; `None` when nothing
+    /// prevented its start.
     pub(crate) last_reason: Option<NotPlacedReason>,
     /// Tasks without a run that may start now.
     pending: PendingList,
@@ -76,12 +79,13 @@
         &self.shadowed
     }
 
-    /// Returns the time from which on the list has had a pending task.
+    /// Returns the time since which the list has had a pending task without a
+    /// break.
     pub(crate) fn waiting_since(&self) -> Monotonic {
         self.waiting_since
     }
 
-    /// Applies the change of a task's status to the demand and the lists.
+    /// Applies the change of a task's status to the demand and the task lists.
     pub(crate) fn apply_status_change(
         &mut self,
         order: TaskOrder,
--- a/crates/scheduler/src/view.rs
+++ b/crates/scheduler/src/view.rs
@@ -1,7 +1,7 @@
-//! The view's state: the tables, and what every step on them shares.
+//! State of the view: its tables, and the helpers that several steps share.
 //!
-//! The tables keep their own rules. The modules that import this one add the
-//! steps across tables, each in one file; none of them is imported here.
+//! Each table enforces its own rules. The steps that change several tables are
+//! in modules that import this one; this module imports none of them.
 
 use crate::backfill::BackfillTable;
 use crate::gang::GangTable;
@@ -41,22 +41,25 @@
     pub(crate) gangs: GangTable,
     pub(crate) licences: LicenceTable,
     pub(crate) backfills: BackfillTable,
-    /// Runners on which an unfinished task failed.
+    /// Runners on which each unfinished task has failed.
     pub(crate) failed_on: BTreeMap<TaskRef, BTreeSet<RunnerIndex>>,
-    /// The list reviewed last.
+    /// List that was reviewed last; the next review starts after it.
     pub(crate) review_cursor: ListIndex,
-    /// Pulls search for a runner to reserve from this time on.
+    /// Earliest time at which a pull searches for a runner to reserve again.
     pub(crate) next_backfill_search: Monotonic,
-    /// Whether lists and runners are skipped when bounds show that nothing fits.
+    /// Whether lists and runners are skipped when bounds show that nothing
+    /// fits. The decisions are the same either way.
     pub(crate) skips_by_bounds: bool,
-    /// The latest time of any step.
+    /// Latest time that was passed to a step.
     latest: Monotonic,
     list_by_pair: BTreeMap<(QueueIndex, TenantIndex), ListIndex>,
+    /// Number of tasks and runners examined; a cell because read-only steps count
+    /// as well.
     scan_cost: Cell<u64>,
 }
 
 impl View {
-    /// Creates an empty view.
+    /// Creates an empty view; new run identifiers carry `term`.
     pub(crate) fn new(options: SchedulerOptions, term: Term, seed: u64) -> Self {
         Self {
             options,
@@ -82,13 +85,13 @@
         }
     }
 
-    /// Records the time of a step.
+    /// Records the time of a step unless a later one was recorded.
     pub(crate) fn record_time(&mut self, now: Now) {
         self.latest = self.latest.max(now.monotonic);
     }
 
-    /// Returns the latest time of any step. Steps without a time of their own
-    /// use it.
+    /// Returns the latest time that was passed to a step, for steps that have
+    /// no time of their own.
     pub(crate) fn latest(&self) -> Monotonic {
         self.latest
     }
@@ -130,7 +133,8 @@
         self.list_index_of_pair(queue, tenant)
     }
 
-    /// Returns the index of a tenant's list in a queue, creating it if new.
+    /// Returns the index of a list by the indexes of its queue and tenant,
+    /// creating the list if new.
     pub(crate) fn list_index_of_pair(
         &mut self,
         queue: QueueIndex,
@@ -147,14 +151,15 @@
         index
     }
 
-    /// Finds a tenant's list in a queue.
+    /// Returns a tenant's list in a queue; `None` when the tenant has not used
+    /// the queue.
     pub(crate) fn find_list(&self, queue: &QueueName, tenant: &TenantId) -> Option<&TenantList> {
         let pair = (self.queues.find(queue)?, self.tenants.find(tenant)?);
         let index = self.list_by_pair.get(&pair)?;
         self.lists.get(*index)
     }
 
-    /// Updates whether a list is in the runnable sets of its queue.
+    /// Recomputes whether a list is in the runnable sets of its queue.
     pub(crate) fn refresh_list(&mut self, index: ListIndex) {
         let list = &self.lists[index];
         let is_below_limit = !self.tenants[list.tenant].is_at_limit();
@@ -165,7 +170,8 @@
         queue.runnable_mut(RunKind::Copy).set(index, is_copyable);
     }
 
-    /// Updates all lists of a tenant whose usage or resource limit changed.
+    /// Recomputes whether the lists of a tenant are runnable, after its usage
+    /// or resource limit changed.
     pub(crate) fn refresh_tenant(&mut self, tenant: TenantIndex) {
         for position in 0..self.tenants[tenant].lists.len() {
             let index = self.tenants[tenant].lists[position];
