--- a/crates/scheduler/tests/audit.rs
+++ b/crates/scheduler/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit repairs whatever divergence is planted.
+//! Audit: corrects a view that differs from the replicated state.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use support::*;
 use types::*;
 
-fn view(metas: &[TaskMeta]) -> scheduler::Scheduler {
+fn scheduler_with(metas: &[TaskMeta]) -> scheduler::Scheduler {
     let mut scheduler = scheduler(&document(&[("a", 100), ("b", 100)]));
     for meta in metas {
         scheduler.publish(meta.clone(), at(0));
@@ -15,10 +15,10 @@
 }
 
 #[test]
-fn an_equal_view_is_left_alone() {
-    let record = [meta(1, "a", 1), meta(2, "b", 1)];
-    let mut scheduler = view(&record);
-    let report = scheduler.audit(JobNumber(1), JobNumber(9), &record, at(0));
+fn audit_of_equal_view_changes_nothing() {
+    let ready = [meta(1, "a", 1), meta(2, "b", 1)];
+    let mut scheduler = scheduler_with(&ready);
+    let report = scheduler.audit(JobNumber(1), JobNumber(9), &ready, at(0));
     let expected = AuditReport {
         compared: 2,
         republished: 0,
@@ -28,22 +28,22 @@
 }
 
 #[test]
-fn lost_surplus_and_changed_tasks_are_repaired_in_the_slice_only() {
-    let mut scheduler = view(&[meta(1, "a", 1), meta(2, "a", 1), meta(50, "a", 1)]);
+fn audit_corrects_missing_extra_and_changed_tasks_in_its_range_only() {
+    let mut scheduler = scheduler_with(&[meta(1, "a", 1), meta(2, "a", 1), meta(50, "a", 1)]);
     let mut later = meta(1, "a", 1);
     later.not_before = Some(at(900).wall);
-    let record = [later.clone(), meta(3, "b", 1)];
-    let report = scheduler.audit(JobNumber(1), JobNumber(9), &record, at(0));
+    let ready = [later.clone(), meta(3, "b", 1)];
+    let report = scheduler.audit(JobNumber(1), JobNumber(9), &ready, at(0));
     assert_eq!((report.republished, report.removed), (2, 1));
     assert_eq!(scheduler.next_start_time(), later.not_before);
     assert_eq!(scheduler.pending_count(&queue("main"), &tenant("a")), 1);
     assert_eq!(scheduler.pending_count(&queue("main"), &tenant("b")), 1);
-    let again = scheduler.audit(JobNumber(1), JobNumber(9), &record, at(0));
+    let again = scheduler.audit(JobNumber(1), JobNumber(9), &ready, at(0));
     assert_eq!((again.republished, again.removed), (0, 0));
 }
 
 #[test]
-fn each_part_of_a_tasks_content_is_compared() {
+fn audit_detects_change_of_each_compared_task_field() {
     let changes: [fn(&mut TaskMeta); 6] = [
         |meta| meta.tenant = tenant("b"),
         |meta| meta.queue = queue("other"),
@@ -53,20 +53,20 @@
         |meta| meta.max_copies = 2,
     ];
     for change in changes {
-        let mut scheduler = view(&[meta(1, "a", 1)]);
+        let mut scheduler = scheduler_with(&[meta(1, "a", 1)]);
         let mut changed = meta(1, "a", 1);
         change(&mut changed);
-        let record = [changed];
-        let report = scheduler.audit(JobNumber(1), JobNumber(1), &record, at(0));
+        let ready = [changed];
+        let report = scheduler.audit(JobNumber(1), JobNumber(1), &ready, at(0));
         assert_eq!(report.republished, 1);
-        let again = scheduler.audit(JobNumber(1), JobNumber(1), &record, at(0));
+        let again = scheduler.audit(JobNumber(1), JobNumber(1), &ready, at(0));
         assert_eq!(again.republished, 0);
     }
 }
 
 #[test]
-fn a_bound_task_is_skipped_whatever_the_state_machine_has() {
-    let mut scheduler = view(&[meta(1, "a", 1)]);
+fn audit_skips_running_task_whether_or_not_it_is_ready() {
+    let mut scheduler = scheduler_with(&[meta(1, "a", 1)]);
     scheduler.heartbeat(&report("r1", 1, 4, 4), at(0));
     scheduler.reserve(&runner("r1"), at(0)).unwrap();
     scheduler.audit(JobNumber(1), JobNumber(9), &[], at(0));
--- a/crates/scheduler/tests/cost.rs
+++ b/crates/scheduler/tests/cost.rs
@@ -1,4 +1,4 @@
-//! Scan cost of a placement when much waits and little is free.
+//! Scan cost of a placement with many waiting tasks and little free capacity.
 
 mod support;
 
@@ -22,8 +22,9 @@
     RackName::new(format!("rack-{number}")).unwrap()
 }
 
-/// A runner of 16 cores, all but 300 thousandths of one taken.
-fn full(number: u32) -> RunnerReport {
+/// Returns the heartbeat of a runner of 16 cores that has only 300 thousandths
+/// of a core free.
+fn nearly_full_runner(number: u32) -> RunnerReport {
     let mut report = report(&format!("r{number}"), 1, 64, 64);
     report.rack = rack(number % RACKS);
     report.capacity = Resources {
@@ -39,15 +40,16 @@
     report
 }
 
-/// A task like no other: each job has its own size and its data in one rack.
-fn unlike_others(job: u32) -> TaskMeta {
+/// Returns a task whose shape no other task has: each job has its own CPU need,
+/// and its preferred rack is one of 20.
+fn task_of_own_shape(job: u32) -> TaskMeta {
     let mut meta = meta(u64::from(job), &format!("t{}", job as usize % TENANTS), 1);
     meta.resources = needs(500 + job);
     meta.rules.preferred_rack = Some(rack(job % RACKS));
     meta
 }
 
-fn loaded(runners: u32, tasks: u32) -> Scheduler {
+fn scheduler_with(runners: u32, tasks: u32) -> Scheduler {
     let names: Vec<String> = (0..TENANTS).map(|number| format!("t{number}")).collect();
     let tenants: Vec<(&str, u32)> = names.iter().map(|name| (name.as_str(), 1_000)).collect();
     let mut document = document(&tenants);
@@ -56,45 +58,48 @@
     }
     let mut scheduler = scheduler(&document);
     for number in 0..runners {
-        scheduler.heartbeat(&full(number), at(0));
+        scheduler.heartbeat(&nearly_full_runner(number), at(0));
     }
     for job in 0..tasks {
-        scheduler.publish(unlike_others(job), at(0));
+        scheduler.publish(task_of_own_shape(job), at(0));
     }
     scheduler
 }
 
-fn scan_cost_of_a_placement(scheduler: &mut Scheduler) -> u64 {
+fn scan_cost_of_placement(scheduler: &mut Scheduler) -> u64 {
     let before = scheduler.scan_cost();
     assert!(all_placed(scheduler.place(at(50), 512)).is_empty());
     scheduler.scan_cost() - before
 }
 
 #[test]
-fn a_placement_without_free_capacity_scans_each_runner_a_few_times_whatever_waits() {
-    let few = scan_cost_of_a_placement(&mut loaded(240, 200));
-    let many = scan_cost_of_a_placement(&mut loaded(240, 1_500));
-    // One scan of each runner, and reasons of some lists over all of them.
-    assert!(many <= 30 * 240, "{many}");
-    assert!(many <= 2 * few, "{few} scans, then {many}");
+fn scan_cost_without_free_capacity_does_not_grow_with_waiting_tasks() {
+    let few = scan_cost_of_placement(&mut scheduler_with(240, 200));
+    let many = scan_cost_of_placement(&mut scheduler_with(240, 1_500));
+    // Each runner is scanned once, and again for the reasons of some lists.
+    assert!(many <= 30 * 240, "{many} scans");
+    assert!(
+        many <= 2 * few,
+        "{few} scans with 200 tasks, {many} with 1500"
+    );
 }
 
 #[test]
-fn freed_capacity_is_used_in_the_same_placement() {
-    let mut scheduler = loaded(240, 1_500);
-    scan_cost_of_a_placement(&mut scheduler);
-    let mut freed = full(7);
-    freed.sequence = HeartbeatSequence(2);
-    freed.free = freed.capacity;
-    scheduler.heartbeat(&freed, at(60));
+fn capacity_of_emptied_runner_is_used_in_next_placement() {
+    let mut scheduler = scheduler_with(240, 1_500);
+    scan_cost_of_placement(&mut scheduler);
+    let mut emptied = nearly_full_runner(7);
+    emptied.sequence = HeartbeatSequence(2);
+    emptied.free = emptied.capacity;
+    scheduler.heartbeat(&emptied, at(60));
     let placed = all_placed(scheduler.place(at(400), 512));
-    assert!(placed.len() >= 7, "{}", placed.len());
+    assert!(placed.len() >= 7, "{} tasks placed", placed.len());
     assert!(placed.iter().all(|one| one.runner == runner("r7")));
 }
 
 #[test]
-fn a_small_task_behind_large_ones_is_still_found() {
-    let mut scheduler = loaded(240, 600);
+fn small_task_behind_large_ones_is_placed() {
+    let mut scheduler = scheduler_with(240, 600);
     let mut small = meta(9_999, "t3", 1);
     small.resources = needs(250);
     scheduler.publish(small, at(40));
--- a/crates/scheduler/tests/eligibility.rs
+++ b/crates/scheduler/tests/eligibility.rs
@@ -1,5 +1,5 @@
-//! The choice among several runners: priority of queues, racks, the limit of a
-//! step's runs on a runner, and runners that a task failed on.
+//! Choice among several runners: priority of queues, racks, the limit of a
+//! step's runs on a runner, and runners on which a task failed.
 
 mod support;
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn work_of_a_more_urgent_queue_goes_first() {
+fn task_of_more_urgent_queue_starts_first() {
     let mut document = document(&[("a", 100)]);
     add_queue(&mut document, "urgent", QueueMode::Active);
     document.queues.get_mut(&queue("main")).unwrap().priority = 2;
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_task_goes_to_its_rack_although_another_has_more_free_capacity() {
+fn task_starts_in_preferred_rack_although_other_rack_has_more_free_capacity() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     scheduler.heartbeat(&in_rack("x", report("large", 1, 9, 9)), at(0));
     scheduler.heartbeat(&in_rack("y", report("small", 1, 1, 1)), at(0));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_task_waits_for_its_rack_only_for_a_while() {
+fn task_waits_for_preferred_rack_up_to_locality_wait() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     scheduler.heartbeat(&in_rack("x", report("other", 1, 9, 9)), at(0));
     scheduler.heartbeat(&in_rack("y", report("full", 1, 1, 1)), at(0));
@@ -70,15 +70,15 @@
 }
 
 #[test]
-fn a_rack_without_runners_is_not_waited_for() {
+fn task_does_not_wait_for_rack_without_runners() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     scheduler.heartbeat(&in_rack("x", report("other", 1, 9, 9)), at(0));
-    scheduler.publish(meta_for_rack(1, "gone"), at(0));
+    scheduler.publish(meta_for_rack(1, "empty"), at(0));
     assert_eq!(place_one(&mut scheduler, 0).as_deref(), Some("other"));
 }
 
 #[test]
-fn a_runner_has_at_most_the_allowed_runs_of_a_step() {
+fn step_has_at_most_max_per_runner_runs_on_a_runner() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     scheduler.heartbeat(&report("r1", 1, 9, 9), at(0));
     for index in 0..5 {
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_failed_task_is_tried_elsewhere_first() {
+fn failed_task_starts_on_other_runner_first() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     scheduler.heartbeat(&report("large", 1, 9, 9), at(0));
     scheduler.heartbeat(&report("small", 1, 1, 1), at(0));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_failed_task_goes_back_when_no_other_runner_comes() {
+fn failed_task_returns_to_same_runner_after_wait_without_other_runner() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     scheduler.heartbeat(&report("only", 1, 9, 9), at(0));
     scheduler.publish(meta(1, "a", 1), at(0));
@@ -125,20 +125,20 @@
 }
 
 #[test]
-fn a_suspect_runner_comes_last_and_still_gets_work() {
+fn suspect_runner_gets_work_after_other_runners() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     scheduler.heartbeat(&report("failing", 1, 9, 9), at(0));
-    scheduler.heartbeat(&report("sound", 1, 1, 1), at(0));
+    scheduler.heartbeat(&report("healthy", 1, 1, 1), at(0));
     for job in [101, 102] {
         scheduler.record_outcome(&runner("failing"), task(job), true, at(0));
     }
     scheduler.publish(meta(1, "a", 1), at(0));
     scheduler.publish(meta(2, "a", 1), at(0));
-    assert_eq!(place_one(&mut scheduler, 0).as_deref(), Some("sound"));
+    assert_eq!(place_one(&mut scheduler, 0).as_deref(), Some("healthy"));
     assert_eq!(place_one(&mut scheduler, 0).as_deref(), Some("failing"));
 }
 
-fn cores(cpu_milli: u32) -> types::Resources {
+fn one_slot_with_cpu(cpu_milli: u32) -> types::Resources {
     types::Resources {
         slots: 1,
         cpu_milli,
@@ -146,8 +146,9 @@
     }
 }
 
-/// A runner of 1000 thousandths; `main` leaves a fifth to `urgent`.
-fn with_reserve() -> Scheduler {
+/// Returns a scheduler with one runner of 1000 thousandths of a core, on which
+/// queue `main` leaves a fifth to queue `urgent`.
+fn scheduler_with_urgent_reserve() -> Scheduler {
     let mut document = document(&[("a", 100)]);
     for contract in document.tenants.values_mut() {
         contract.resource_limit = types::Resources::UNLIMITED;
@@ -167,36 +168,36 @@
     scheduler
 }
 
-fn needing(job: u64, name: &str, cpu_milli: u32) -> TaskMeta {
+fn meta_with_cpu(job: u64, name: &str, cpu_milli: u32) -> TaskMeta {
     TaskMeta {
         queue: queue(name),
-        resources: cores(cpu_milli),
+        resources: one_slot_with_cpu(cpu_milli),
         ..meta(job, "a", 1)
     }
 }
 
 #[test]
-fn work_leaves_a_part_of_each_runner_to_more_urgent_queues() {
-    let mut scheduler = with_reserve();
+fn less_urgent_queue_leaves_reserve_on_runner_to_urgent_queue() {
+    let mut scheduler = scheduler_with_urgent_reserve();
     for job in 1..=10 {
-        scheduler.publish(needing(job, "main", 100), at(0));
+        scheduler.publish(meta_with_cpu(job, "main", 100), at(0));
     }
     assert_eq!(all_placed(scheduler.place(at(0), 20)).len(), 8);
     for job in 11..=14 {
-        scheduler.publish(needing(job, "urgent", 100), at(10));
+        scheduler.publish(meta_with_cpu(job, "urgent", 100), at(10));
     }
     assert_eq!(all_placed(scheduler.place(at(10), 20)).len(), 2);
 }
 
 #[test]
-fn a_task_that_needs_nearly_a_whole_runner_need_not_leave_the_part() {
-    let mut scheduler = with_reserve();
-    scheduler.publish(needing(1, "main", 900), at(0));
+fn task_larger_than_runner_without_reserve_may_use_reserve() {
+    let mut scheduler = scheduler_with_urgent_reserve();
+    scheduler.publish(meta_with_cpu(1, "main", 900), at(0));
     assert_eq!(all_placed(scheduler.place(at(0), 20)).len(), 1);
 }
 
 #[test]
-fn a_reserved_runner_has_at_most_the_allowed_runs_of_a_step() {
+fn backfill_reservation_respects_max_per_runner() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     for index in 0..3 {
         let mut meta = meta(1, "a", 4);
@@ -204,7 +205,7 @@
         meta.rules.max_per_runner = Some(1);
         scheduler.publish(meta, at(0));
     }
-    // Smaller work beside it, so that what waits long counts as starving.
+    // A task counts as starving only while a smaller one is published.
     scheduler.publish(meta(2, "a", 1), at(0));
     for tick in 0..300_u64 {
         let now = at(tick * 100);
--- a/crates/scheduler/tests/fairness.rs
+++ b/crates/scheduler/tests/fairness.rs
@@ -1,4 +1,4 @@
-//! Draw, resource limits, shares, queue modes and reasons.
+//! Draw among tenants, resource limits, shares, queue modes and reasons.
 
 mod support;
 
@@ -7,14 +7,14 @@
 use support::*;
 
 #[test]
-fn the_draw_among_runnable_tenants_is_uniform() {
+fn draw_among_runnable_tenants_is_uniform() {
     const TENANTS: usize = 10;
     const DRAWS: u32 = 10_000;
     let names: Vec<String> = (0..TENANTS).map(|number| format!("t{number}")).collect();
     let pairs: Vec<(&str, u32)> = names.iter().map(|name| (name.as_str(), 1_000)).collect();
     let mut scheduler = scheduler(&document(&pairs));
     scheduler.heartbeat(&report("r1", 1, 1, 1), at(0));
-    // Unequal backlogs must not matter.
+    // The backlogs differ, and the draw must not depend on them.
     let mut job = 0;
     for (position, name) in names.iter().enumerate() {
         for _ in 0..(2_000 + 500 * position) {
@@ -36,12 +36,16 @@
         .iter()
         .map(|count| (f64::from(*count) - expected).powi(2) / expected);
     let chi_square: f64 = squares.sum();
-    // 9 degrees of freedom: 27.88 is passed by chance once in a thousand.
-    assert!(chi_square < 27.88, "{chi_square} {counts:?}");
+    // With 9 degrees of freedom a uniform draw exceeds 27.88 once in a
+    // thousand.
+    assert!(
+        chi_square < 27.88,
+        "chi-square {chi_square}, draws by tenant {counts:?}"
+    );
 }
 
 #[test]
-fn a_changed_resource_limit_applies_at_once() {
+fn changed_resource_limit_applies_at_next_placement() {
     let mut scheduler = scheduler(&document(&[("a", 2)]));
     scheduler.heartbeat(&report("r1", 1, 8, 8), at(0));
     for job in 1..=6 {
@@ -59,7 +63,7 @@
 }
 
 #[test]
-fn a_smaller_task_starts_where_a_larger_one_would_exceed_the_resource_limit() {
+fn smaller_task_starts_when_larger_one_would_exceed_resource_limit() {
     let mut scheduler = scheduler(&document(&[("a", 2)]));
     scheduler.heartbeat(&report("r1", 1, 8, 8), at(0));
     scheduler.publish(meta(1, "a", 1), at(0));
@@ -72,7 +76,7 @@
 }
 
 #[test]
-fn a_tenant_above_its_share_waits_for_one_below_and_bursts_otherwise() {
+fn tenant_above_share_starts_only_when_no_tenant_below_share_waits() {
     let mut document = document(&[("a", 100), ("b", 100)]);
     document
         .tenants
@@ -85,7 +89,8 @@
     for job in 1..=4 {
         scheduler.publish(meta(job, "a", 1), at(0));
     }
-    // Alone, tenant a bursts to half of the pool.
+    // While no other tenant has work, tenant a may exceed its share of 25 % and
+    // use half of the pool.
     assert_eq!(all_placed(scheduler.place(at(0), 4)).len(), 4);
     for job in 5..=8 {
         scheduler.publish(meta(job, "a", 1), at(0));
@@ -104,21 +109,23 @@
     assert_eq!(next, [11, 12, 13, 5]);
 }
 
+/// A runner without heartbeats and open runs counts in the capacity of its pool
+/// for 30 s. If it counted longer, a tenant's share would be too large.
 #[test]
-fn a_departed_runner_does_not_raise_the_shares() {
+fn runner_without_heartbeats_stops_counting_for_shares() {
     let mut document = document(&[("a", 100), ("b", 100)]);
     for name in ["a", "b"] {
         let half = contract(50, slots(100));
         document.tenants.insert(tenant(name), half);
     }
     let mut scheduler = scheduler(&document);
-    scheduler.heartbeat(&report("gone", 1, 8, 8), at(0));
+    scheduler.heartbeat(&report("stopped", 1, 8, 8), at(0));
     scheduler.heartbeat(&report("r1", 1, 8, 8), at(0));
-    let received_at = |scheduler: &mut Scheduler, milliseconds| {
+    let heartbeat_and_place = |scheduler: &mut Scheduler, milliseconds| {
         scheduler.heartbeat(&report("r1", milliseconds, 8, 8), at(milliseconds));
         scheduler.place(at(milliseconds), 0);
     };
-    received_at(&mut scheduler, 29_999);
+    heartbeat_and_place(&mut scheduler, 29_999);
     for job in 1..=5 {
         scheduler.publish(meta(job, "a", 1), at(29_999));
     }
@@ -126,19 +133,20 @@
     scheduler.publish(meta(6, "a", 1), at(29_999));
     scheduler.publish(meta(11, "b", 1), at(29_999));
 
-    // Tenant a holds 5 slots: half of both runners is 8, and half of one 4.
+    // Tenant a uses 5 slots. Its share of 50 % is 8 slots with both runners and
+    // 4 slots with one.
     assert_eq!(scheduler.explain(task(6), at(29_999)), None);
-    received_at(&mut scheduler, 30_000);
+    heartbeat_and_place(&mut scheduler, 30_000);
     assert_eq!(
         scheduler.explain(task(6), at(30_000)),
         Some(NotPlacedReason::TenantAboveShare)
     );
-    scheduler.heartbeat(&report("gone", 2, 8, 0), at(30_001));
+    scheduler.heartbeat(&report("stopped", 2, 8, 0), at(30_001));
     assert_eq!(scheduler.explain(task(6), at(30_001)), None);
 }
 
 #[test]
-fn a_shadow_queue_decides_each_task_once_and_binds_nothing() {
+fn shadow_queue_decides_each_task_once_and_starts_none() {
     let mut document = document(&[("a", 100)]);
     add_queue(&mut document, "main", QueueMode::Shadow);
     let mut scheduler = scheduler(&document);
@@ -163,7 +171,7 @@
 }
 
 #[test]
-fn paused_and_unknown_queues_start_nothing_and_draining_ones_finish() {
+fn paused_or_unconfigured_queue_starts_no_task_and_draining_queue_does() {
     let mut document = document(&[("a", 100)]);
     add_queue(&mut document, "main", QueueMode::Paused);
     let mut scheduler = scheduler(&document);
@@ -183,7 +191,7 @@
 }
 
 #[test]
-fn a_reason_is_reported_when_it_changes_only() {
+fn reason_is_reported_only_when_it_changes() {
     let mut scheduler = scheduler(&document(&[("a", 1)]));
     scheduler.publish(meta(1, "a", 1), at(0));
     scheduler.publish(meta(2, "a", 1), at(0));
@@ -210,7 +218,7 @@
 }
 
 #[test]
-fn placement_spreads_over_runners() {
+fn placement_spreads_tasks_evenly_over_equal_runners() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     for name in ["r1", "r2", "r3", "r4"] {
         scheduler.heartbeat(&report(name, 1, 4, 4), at(0));
--- a/crates/scheduler/tests/gangs.rs
+++ b/crates/scheduler/tests/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs: placed as a whole, on runners that fit them together.
+//! Gangs: placed as a whole, on runners that together have the capacity.
 
 mod support;
 
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_gang_is_placed_in_one_go_over_several_runners() {
+fn gang_is_placed_on_several_runners_in_one_placement() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     scheduler.heartbeat(&report("r1", 1, 2, 2), at(0));
     scheduler.heartbeat(&report("r2", 1, 2, 2), at(0));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn no_task_of_a_gang_starts_while_the_whole_gang_does_not_fit() {
+fn no_task_of_gang_starts_while_whole_gang_does_not_fit() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     scheduler.heartbeat(&report("r1", 1, 2, 2), at(0));
     publish_gang(&mut scheduler, 1, 3, 1);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn nothing_of_a_gang_starts_before_all_of_it_may() {
+fn no_task_of_gang_starts_before_all_are_published() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     scheduler.heartbeat(&report("r1", 1, 8, 8), at(0));
     for index in [0, 2] {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_gang_above_the_tenants_resource_limit_waits_as_a_whole() {
+fn gang_above_resource_limit_of_tenant_waits_as_a_whole() {
     let mut scheduler = scheduler(&document(&[("a", 2)]));
     scheduler.heartbeat(&report("r1", 1, 8, 8), at(0));
     publish_gang(&mut scheduler, 1, 3, 1);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_gang_of_the_same_rack_rule_gets_one_rack_if_it_fits() {
+fn gang_with_same_rack_rule_is_placed_in_one_rack() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     for (name, rack) in [("r1", "x"), ("r2", "y"), ("r3", "y")] {
         scheduler.heartbeat(&in_rack(rack, report(name, 1, 1, 1)), at(0));
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_gang_that_starves_gets_backfill_reservations() {
+fn starving_gang_gets_backfill_reservations() {
     let mut scheduler = scheduler(&document(&[("a", 100), ("b", 100)]));
     publish_gang(&mut scheduler, 1, 2, 2);
     for job in 2..200 {
@@ -118,7 +118,7 @@
         }
         let placed = all_placed(scheduler.place(now, 10));
         if placed.iter().any(|one| one.task.job == JobNumber(1)) {
-            assert!(tick < 100, "placed only at tick {tick}");
+            assert!(tick < 100, "gang placed late, at tick {tick}");
             return;
         }
         running.extend(placed.into_iter().map(|one| one.run));
@@ -126,5 +126,5 @@
             scheduler.remove_run(running.remove(0));
         }
     }
-    panic!("small work starved the gang");
+    panic!("the gang was not placed within 400 ticks");
 }
--- a/crates/scheduler/tests/headroom.rs
+++ b/crates/scheduler/tests/headroom.rs
@@ -1,5 +1,5 @@
 //! Headroom below a tenant's resource limit: work of a less urgent queue, in
-//! whatever pool, must not use what the tenant's more urgent queues need.
+//! any pool, must leave what the tenant's more urgent queues need.
 
 mod support;
 
@@ -8,8 +8,9 @@
 use support::*;
 use types::{PoolName, Reservation, RunnerReport, TaskMeta};
 
-/// Tenants `a` and `b`; queue `urgent` of pool `pool`, and the less urgent queue
-/// `batch` of pool `other`.
+/// Returns a configuration of tenants `a` and `b` with this limit in slots,
+/// queue `urgent` of pool `pool`, and the less urgent queue `batch` of pool
+/// `other`.
 fn two_pools(resource_limit: u32) -> ClusterConfiguration {
     let mut document = document(&[("a", resource_limit), ("b", resource_limit)]);
     add_queue(&mut document, "urgent", QueueMode::Active);
@@ -39,17 +40,18 @@
     }
 }
 
-fn fleet(document: &ClusterConfiguration, options: SchedulerOptions) -> Scheduler {
+fn two_runners(document: &ClusterConfiguration, options: SchedulerOptions) -> Scheduler {
     let mut scheduler = Scheduler::new(options, types::Term(3), 7);
     scheduler.configure(document);
-    hear_all(&mut scheduler, 0);
+    heartbeat_all(&mut scheduler, 0);
     scheduler
 }
 
-fn hear_all(scheduler: &mut Scheduler, milliseconds: u64) {
+fn heartbeat_all(scheduler: &mut Scheduler, milliseconds: u64) {
     let sequence = milliseconds + 1;
-    // The runner with more free capacity pulls first: that of the less urgent pool.
-    scheduler.heartbeat(&report("quick", sequence, 20, 20), at(milliseconds));
+    // The runner with more free capacity pulls first: the one in the pool of
+    // the less urgent queue.
+    scheduler.heartbeat(&report("small", sequence, 20, 20), at(milliseconds));
     let large = in_other_pool(report("large", sequence, 64, 64));
     scheduler.heartbeat(&large, at(milliseconds));
 }
@@ -58,12 +60,12 @@
     placed.iter().map(|one| one.task.job.0).collect()
 }
 
-fn end(scheduler: &mut Scheduler, run: &Reservation) {
+fn end_run(scheduler: &mut Scheduler, run: &Reservation) {
     scheduler.remove_run(run.run);
     scheduler.remove(run.task);
 }
 
-/// Work that comes, is placed whole and has ended.
+/// Publishes tasks, places all of them and ends their runs.
 fn run_and_end(scheduler: &mut Scheduler, work: impl IntoIterator<Item = TaskMeta>) {
     let mut tasks = 0;
     for meta in work {
@@ -72,18 +74,18 @@
     }
     let placed = all_placed(scheduler.place(at(0), 100));
     assert_eq!(placed.len(), tasks);
-    placed.iter().for_each(|run| end(scheduler, run));
+    placed.iter().for_each(|run| end_run(scheduler, run));
 }
 
-/// Ends a run of `batch` and places what follows.
+/// Ends a run and places what may start then.
 fn end_and_place(scheduler: &mut Scheduler, run: &Reservation, ms: u64) -> Vec<Reservation> {
-    end(scheduler, run);
+    end_run(scheduler, run);
     all_placed(scheduler.place(at(ms), 100))
 }
 
 #[test]
-fn headroom_below_the_resource_limit_goes_to_the_more_urgent_queue_of_another_pool() {
-    let mut scheduler = fleet(&two_pools(40), SchedulerOptions::default());
+fn freed_resources_at_limit_go_to_more_urgent_queue_of_other_pool() {
+    let mut scheduler = two_runners(&two_pools(40), SchedulerOptions::default());
     for job in 1..=10 {
         scheduler.publish(in_queue("batch", meta(job, "a", 10)), at(0));
     }
@@ -96,9 +98,11 @@
     assert_eq!(jobs_of(&placed), [21, 22, 23]);
 }
 
+/// Without headroom, tasks of the less urgent queue would fill the limit
+/// between two bursts of urgent tasks.
 #[test]
-fn the_recent_demand_of_urgent_work_stays_free_below_the_resource_limit() {
-    let mut scheduler = fleet(&two_pools(40), SchedulerOptions::default());
+fn recent_demand_of_urgent_queue_stays_free_below_resource_limit() {
+    let mut scheduler = two_runners(&two_pools(40), SchedulerOptions::default());
     let urgent = (21..=23).map(|job| in_queue("urgent", meta(job, "a", 2)));
     run_and_end(&mut scheduler, urgent);
     for job in 1..=10 {
@@ -109,82 +113,88 @@
         scheduler.publish(in_queue("urgent", meta(job, "a", 2)), at(900));
     }
     let placed = all_placed(scheduler.place(at(900), 100));
-    assert_eq!(jobs_of(&placed), [31, 32, 33], "at once, nothing has ended");
+    assert_eq!(
+        jobs_of(&placed),
+        [31, 32, 33],
+        "urgent tasks start before any run has ended"
+    );
 }
 
 #[test]
-fn a_task_limited_by_headroom_reports_that_reason() {
-    let mut scheduler = fleet(&two_pools(40), SchedulerOptions::default());
+fn task_blocked_by_headroom_reports_limit_reserved_for_urgent() {
+    let mut scheduler = two_runners(&two_pools(40), SchedulerOptions::default());
     let urgent = (21..=23).map(|job| in_queue("urgent", meta(job, "a", 2)));
     run_and_end(&mut scheduler, urgent);
     for job in 1..=10 {
         scheduler.publish(in_queue("batch", meta(job, "a", 5)), at(500));
     }
     scheduler.place(at(500), 100);
-    let waits = NotPlacedReason::LimitReservedForUrgent;
-    assert_eq!(scheduler.explain(task(10), at(600)), Some(waits));
+    let reason = NotPlacedReason::LimitReservedForUrgent;
+    assert_eq!(scheduler.explain(task(10), at(600)), Some(reason));
 }
 
 #[test]
-fn headroom_is_at_most_the_set_percentage_and_none_of_the_first_half() {
-    // Waits for ever: no runner carries its label.
-    let mut nowhere = in_queue("urgent", meta(21, "a", 39));
-    nowhere.labels.insert("kind".to_owned(), "none".to_owned());
-
-    let mut scheduler = fleet(&two_pools(40), SchedulerOptions::default());
-    scheduler.publish(nowhere.clone(), at(0));
+fn headroom_is_at_most_configured_percentage_and_only_above_half_of_limit() {
+    // Never starts, as no runner has the label.
+    let mut unplaceable = in_queue("urgent", meta(21, "a", 39));
+    unplaceable
+        .labels
+        .insert("kind".to_owned(), "none".to_owned());
+
+    let mut scheduler = two_runners(&two_pools(40), SchedulerOptions::default());
+    scheduler.publish(unplaceable.clone(), at(0));
     for job in 1..=10 {
         scheduler.publish(in_queue("batch", meta(job, "a", 5)), at(0));
     }
     let placed = all_placed(scheduler.place(at(0), 100));
-    assert_eq!(placed.len(), 6, "a quarter of 40 is kept, not 39");
+    assert_eq!(placed.len(), 6, "the headroom is a quarter of 40, not 39");
 
-    let mut scheduler = fleet(&two_pools(40), SchedulerOptions::default());
-    scheduler.publish(nowhere, at(0));
+    let mut scheduler = two_runners(&two_pools(40), SchedulerOptions::default());
+    scheduler.publish(unplaceable, at(0));
     scheduler.publish(in_queue("batch", meta(1, "a", 38)), at(0));
     let placed = all_placed(scheduler.place(at(0), 100));
     assert_eq!(
         jobs_of(&placed),
         [1],
-        "a tenant that uses little leaves nothing"
+        "a tenant that uses less than half of its limit leaves no headroom"
     );
 }
 
 #[test]
-fn headroom_ends_when_no_urgent_work_has_come_for_long() {
-    let mut scheduler = fleet(&two_pools(40), SchedulerOptions::default());
+fn headroom_expires_without_new_urgent_work() {
+    let mut scheduler = two_runners(&two_pools(40), SchedulerOptions::default());
     run_and_end(&mut scheduler, [in_queue("urgent", meta(21, "a", 10))]);
     for job in 1..=10 {
         scheduler.publish(in_queue("batch", meta(job, "a", 5)), at(1_000));
     }
     assert_eq!(all_placed(scheduler.place(at(1_000), 100)).len(), 6);
-    let mut later = 0;
+    let mut placed_later = 0;
     for second in 2..40 {
-        hear_all(&mut scheduler, second * 1_000);
-        later += all_placed(scheduler.place(at(second * 1_000), 100)).len();
+        heartbeat_all(&mut scheduler, second * 1_000);
+        placed_later += all_placed(scheduler.place(at(second * 1_000), 100)).len();
     }
-    assert_eq!(later, 2, "the whole limit is used");
+    assert_eq!(placed_later, 2, "the whole limit is used");
 }
 
 #[test]
-fn headroom_does_not_starve_less_urgent_work() {
+fn less_urgent_task_starts_within_headroom_after_long_wait() {
     let options = SchedulerOptions {
         reserve_after: types::Milliseconds(1_000),
         ..SchedulerOptions::default()
     };
-    let mut scheduler = fleet(&two_pools(40), options);
-    let mut endless = Vec::new();
+    let mut scheduler = two_runners(&two_pools(40), options);
+    let mut running = Vec::new();
     for job in 1..=6 {
         scheduler.publish(in_queue("batch", meta(job, "a", 5)), at(0));
     }
-    endless.extend(all_placed(scheduler.place(at(0), 100)));
-    assert_eq!(endless.len(), 6);
+    running.extend(all_placed(scheduler.place(at(0), 100)));
+    assert_eq!(running.len(), 6);
     scheduler.publish(in_queue("batch", meta(7, "a", 5)), at(0));
     let mut started_at = None;
     for tick in 0..200_u64 {
         let ms = 100 + tick * 100;
-        hear_all(&mut scheduler, ms);
-        // Urgent work comes again and again, and rests in between.
+        heartbeat_all(&mut scheduler, ms);
+        // Urgent tasks arrive repeatedly, with pauses in between.
         if tick % 2 == 0 {
             scheduler.publish(in_queue("urgent", meta(100 + tick, "a", 9)), at(ms));
         }
@@ -192,17 +202,20 @@
             if run.task.job.0 == 7 {
                 started_at.get_or_insert(ms);
             } else {
-                end(&mut scheduler, &run);
+                end_run(&mut scheduler, &run);
             }
         }
     }
-    let started_at = started_at.expect("it starts in the end");
-    assert!((9_000..15_000).contains(&started_at), "at {started_at}");
+    let started_at = started_at.expect("the task of the less urgent queue starts");
+    assert!(
+        (9_000..15_000).contains(&started_at),
+        "started at {started_at} ms"
+    );
 }
 
 #[test]
-fn no_headroom_is_left_to_urgent_work_of_another_tenant() {
-    let mut scheduler = fleet(&two_pools(40), SchedulerOptions::default());
+fn no_headroom_for_urgent_work_of_other_tenant() {
+    let mut scheduler = two_runners(&two_pools(40), SchedulerOptions::default());
     run_and_end(&mut scheduler, [in_queue("urgent", meta(21, "b", 10))]);
     for job in 1..=10 {
         scheduler.publish(in_queue("batch", meta(job, "a", 5)), at(500));
@@ -211,8 +224,8 @@
 }
 
 #[test]
-fn no_headroom_is_left_to_a_queue_of_equal_priority() {
-    let mut scheduler = fleet(&two_pools(20), SchedulerOptions::default());
+fn no_headroom_for_queue_of_equal_priority() {
+    let mut scheduler = two_runners(&two_pools(20), SchedulerOptions::default());
     run_and_end(&mut scheduler, [in_queue("urgent", meta(21, "a", 10))]);
     for job in 1..=10 {
         scheduler.publish(in_queue("main", meta(job, "a", 5)), at(500));
@@ -221,7 +234,7 @@
 }
 
 #[test]
-fn without_the_headroom_policy_the_resource_limit_is_used_up() {
+fn whole_resource_limit_is_used_without_headroom_policy() {
     let options = SchedulerOptions {
         policy: Policy {
             urgent_headroom: false,
@@ -229,7 +242,7 @@
         },
         ..SchedulerOptions::default()
     };
-    let mut scheduler = fleet(&two_pools(40), options);
+    let mut scheduler = two_runners(&two_pools(40), options);
     run_and_end(&mut scheduler, [in_queue("urgent", meta(21, "a", 10))]);
     for job in 1..=10 {
         scheduler.publish(in_queue("batch", meta(job, "a", 5)), at(500));
--- a/crates/scheduler/tests/licences.rs
+++ b/crates/scheduler/tests/licences.rs
@@ -1,4 +1,4 @@
-//! Seats of licences in the view: urgent work first, over all pools.
+//! Seats of licences: more urgent queues first, across all pools.
 
 mod support;
 
@@ -11,7 +11,8 @@
     LicenceName::new("finishing").unwrap()
 }
 
-/// Queue `main` of priority 2 in `pool`, queue `live` of priority 0 in `other`.
+/// Returns a configuration with queue `main` of priority 2 in pool `pool` and
+/// queue `live` of priority 0 in pool `other`.
 fn document_with(seats: u32) -> ClusterConfiguration {
     let mut document = document(&[("a", 100), ("b", 100)]);
     document
@@ -28,14 +29,14 @@
     document
 }
 
-fn licensed(job: u64, queue_name: &str) -> TaskMeta {
+fn licensed_task(job: u64, queue_name: &str) -> TaskMeta {
     let mut meta = meta(job, "a", 1);
     meta.queue = queue(queue_name);
     meta.rules.licence = Some(licence());
     meta
 }
 
-fn hear(scheduler: &mut Scheduler, sequence: u64, now: u64) {
+fn heartbeat_both(scheduler: &mut Scheduler, sequence: u64, now: u64) {
     scheduler.heartbeat(&report("r1", sequence, 8, 8), at(now));
     let mut other = report("r2", sequence, 8, 8);
     other.pool = PoolName::new("other").unwrap();
@@ -43,11 +44,11 @@
 }
 
 #[test]
-fn no_more_is_placed_than_there_are_seats() {
+fn at_most_as_many_tasks_run_as_licence_has_seats() {
     let mut scheduler = scheduler(&document_with(2));
-    hear(&mut scheduler, 1, 0);
+    heartbeat_both(&mut scheduler, 1, 0);
     for job in 1..=5 {
-        scheduler.publish(licensed(job, "main"), at(0));
+        scheduler.publish(licensed_task(job, "main"), at(0));
     }
     let placed = all_placed(scheduler.place(at(0), 10));
     assert_eq!(placed.len(), 2);
@@ -64,10 +65,10 @@
 }
 
 #[test]
-fn work_without_a_licence_is_not_held_up_behind_work_that_waits_for_a_seat() {
+fn task_without_licence_starts_while_other_task_waits_for_seat() {
     let mut scheduler = scheduler(&document_with(0));
-    hear(&mut scheduler, 1, 0);
-    scheduler.publish(licensed(1, "main"), at(0));
+    heartbeat_both(&mut scheduler, 1, 0);
+    scheduler.publish(licensed_task(1, "main"), at(0));
     scheduler.publish(meta(2, "a", 1), at(0));
     let placed = all_placed(scheduler.place(at(0), 10));
     assert_eq!(placed.len(), 1);
@@ -75,38 +76,38 @@
 }
 
 #[test]
-fn live_work_gets_the_seat_before_overnight_work_of_another_pool() {
-    for seed_job in 0..20 {
+fn urgent_queue_gets_seat_before_less_urgent_queue_of_other_pool() {
+    for offset in 0..20 {
         let mut scheduler = scheduler(&document_with(1));
-        hear(&mut scheduler, 1, 0);
-        scheduler.publish(licensed(100 + seed_job, "main"), at(0));
-        scheduler.publish(licensed(500 + seed_job, "live"), at(0));
+        heartbeat_both(&mut scheduler, 1, 0);
+        scheduler.publish(licensed_task(100 + offset, "main"), at(0));
+        scheduler.publish(licensed_task(500 + offset, "live"), at(0));
         let placed = all_placed(scheduler.place(at(0), 10));
         assert_eq!(placed.len(), 1);
-        assert_eq!(placed[0].task, task(500 + seed_job));
+        assert_eq!(placed[0].task, task(500 + offset));
         scheduler.remove_run(placed[0].run);
         let next = all_placed(scheduler.place(at(10), 10));
-        assert_eq!(next[0].task, task(100 + seed_job));
+        assert_eq!(next[0].task, task(100 + offset));
     }
 }
 
 #[test]
-fn a_paused_queue_reserves_no_seat() {
+fn paused_queue_keeps_no_seat_free() {
     let mut document = document_with(1);
     document.queues.get_mut(&queue("live")).unwrap().mode = QueueMode::Paused;
     let mut scheduler = scheduler(&document);
-    hear(&mut scheduler, 1, 0);
-    scheduler.publish(licensed(1, "main"), at(0));
-    scheduler.publish(licensed(2, "live"), at(0));
+    heartbeat_both(&mut scheduler, 1, 0);
+    scheduler.publish(licensed_task(1, "main"), at(0));
+    scheduler.publish(licensed_task(2, "live"), at(0));
     assert_eq!(all_placed(scheduler.place(at(0), 10)).len(), 1);
 }
 
 #[test]
-fn an_adopted_run_uses_its_seat() {
+fn adopted_run_uses_seat() {
     let document = document_with(1);
     let mut first = scheduler(&document);
-    hear(&mut first, 1, 0);
-    first.publish(licensed(1, "main"), at(0));
+    heartbeat_both(&mut first, 1, 0);
+    first.publish(licensed_task(1, "main"), at(0));
     let placed = all_placed(first.place(at(0), 10)).remove(0);
     let mut next = scheduler(&document);
     next.adopt_run(types::OpenRun {
@@ -125,7 +126,7 @@
         reserved_at: types::WallTime(0),
         self_stop: true,
     });
-    hear(&mut next, 1, 0);
-    next.publish(licensed(2, "live"), at(0));
+    heartbeat_both(&mut next, 1, 0);
+    next.publish(licensed_task(2, "live"), at(0));
     assert!(all_placed(next.place(at(0), 10)).is_empty());
 }
--- a/crates/scheduler/tests/model.rs
+++ b/crates/scheduler/tests/model.rs
@@ -1,4 +1,5 @@
-//! Random histories against a naive reference that only keeps the books.
+//! Random sequences of steps, checked against a reference model that only
+//! records open runs, published tasks and heartbeats.
 
 mod support;
 
@@ -27,11 +28,11 @@
         limit: usize,
     },
     Reschedule {
-        pick: usize,
+        selector: usize,
         delay: u64,
     },
     RemoveRun {
-        pick: usize,
+        selector: usize,
     },
     RemoveTask {
         job: u64,
@@ -58,8 +59,8 @@
         4 => runner.clone().prop_map(|runner| Step::Reserve { runner }),
         1 => (0..6_usize).prop_map(|limit| Step::Place { limit }),
         1 => (any::<usize>(), 0..300_u64)
-            .prop_map(|(pick, delay)| Step::Reschedule { pick, delay }),
-        2 => any::<usize>().prop_map(|pick| Step::RemoveRun { pick }),
+            .prop_map(|(selector, delay)| Step::Reschedule { selector, delay }),
+        2 => any::<usize>().prop_map(|selector| Step::RemoveRun { selector }),
         1 => job.prop_map(|job| Step::RemoveTask { job }),
         3 => (runner.clone(), prop::bool::weighted(0.1))
             .prop_map(|(runner, draining)| Step::Heartbeat { runner, draining }),
@@ -68,19 +69,23 @@
     ]
 }
 
-/// The books: what is open where, and what may never start.
+/// Reference model: open runs, published tasks and the state of the runners.
 #[derive(Default)]
 struct Reference {
     now: u64,
     sequence: u64,
     metas: BTreeMap<TaskRef, TaskMeta>,
+    /// Open runs with the slots that each uses.
     open: BTreeMap<RunId, (Reservation, u32)>,
     known_runs: BTreeSet<RunId>,
+    /// Whether each runner is draining by its own report, and by an operator's
+    /// order.
     draining: BTreeMap<usize, (bool, bool)>,
     received_at: BTreeMap<usize, u64>,
 }
 
 impl Reference {
+    /// Returns the tenant of a job and its resource limit in slots.
     fn owner(job: u64) -> (&'static str, u32) {
         TENANTS[usize::try_from(job).unwrap() % TENANTS.len()]
     }
@@ -91,25 +96,32 @@
             .count()
     }
 
-    fn held_by_tenant(&self, name: &str) -> u32 {
+    fn used_by_tenant(&self, name: &str) -> u32 {
         let open = self.open.values();
         let own = open.filter(|(reservation, _)| Self::owner(reservation.task.job.0).0 == name);
         own.map(|(_, needs)| needs).sum()
     }
 
-    fn held_by_runner(&self, name: &str) -> u32 {
+    fn used_on_runner(&self, name: &str) -> u32 {
         let open = self.open.values();
         let here = open.filter(|(reservation, _)| reservation.runner.as_str() == name);
         here.map(|(_, needs)| needs).sum()
     }
 
-    fn take(&mut self, reservation: Reservation) {
-        let meta = self.metas.get(&reservation.task).expect("a published task");
+    /// Checks that the reservation breaks no rule, and records its run.
+    fn record_run(&mut self, reservation: Reservation) {
+        let meta = self
+            .metas
+            .get(&reservation.task)
+            .expect("placed a task that is not published");
         let needs = meta.resources.slots;
         let (owner, resource_limit) = Self::owner(reservation.task.job.0);
         let name = reservation.runner.as_str().to_owned();
         let runner = RUNNERS.iter().position(|known| *known == name).unwrap();
-        assert!(self.known_runs.insert(reservation.run), "run used twice");
+        assert!(
+            self.known_runs.insert(reservation.run),
+            "run identifier used twice"
+        );
         assert!(meta.not_before.is_none_or(|time| time <= at(self.now).wall));
         assert_eq!(
             self.draining.get(&runner).copied().unwrap_or_default(),
@@ -117,24 +129,24 @@
         );
         assert!(
             self.now - self.received_at[&runner] <= 1_500,
-            "unresponsive runner"
+            "placed on an unresponsive runner"
         );
         let copies = meta.max_copies as usize;
         let task = reservation.task;
-        let twice_here = self
+        let is_on_runner = self
             .open
             .values()
             .any(|(other, _)| other.task == task && other.runner == reservation.runner);
-        assert!(!twice_here, "two copies on one runner");
+        assert!(!is_on_runner, "two copies on one runner");
         self.open.insert(reservation.run, (reservation, needs));
         assert!(self.runs_of(task) <= copies, "more runs than copies");
         assert!(
-            self.held_by_tenant(owner) <= resource_limit,
+            self.used_by_tenant(owner) <= resource_limit,
             "above the resource limit"
         );
         assert!(
-            self.held_by_runner(&name) <= CAPACITY,
-            "more than the capacity"
+            self.used_on_runner(&name) <= CAPACITY,
+            "above the runner's capacity"
         );
     }
 
@@ -143,30 +155,31 @@
         self.received_at.insert(runner, self.now);
         self.draining.entry(runner).or_default().0 = draining;
         let name = RUNNERS[runner];
-        let used = self.held_by_runner(name);
+        let used = self.used_on_runner(name);
         let mut heartbeat = report(name, self.sequence, CAPACITY, CAPACITY - used);
         heartbeat.draining = draining;
         let open = self.open.values();
         let here = open.filter(|(reservation, _)| reservation.runner.as_str() == name);
         heartbeat.active = here
-            .map(|(reservation, _)| usage(reservation.run))
+            .map(|(reservation, _)| active_run(reservation.run))
             .collect();
         heartbeat
     }
 
-    fn pick(&self, pick: usize) -> Option<(RunId, TaskRef)> {
+    /// Returns the open run that a random number selects; `None` when none is open.
+    fn open_run(&self, selector: usize) -> Option<(RunId, TaskRef)> {
         let count = self.open.len();
-        let chosen = self.open.values().nth(pick.checked_rem(count)?)?;
+        let chosen = self.open.values().nth(selector.checked_rem(count)?)?;
         Some((chosen.0.run, chosen.0.task))
     }
 }
 
-fn start() -> Scheduler {
+fn empty_scheduler() -> Scheduler {
     scheduler(&document(&TENANTS))
 }
 
-fn apply(scheduler: &mut Scheduler, books: &mut Reference, step: Step) -> Vec<Decision> {
-    let now = at(books.now);
+fn apply(scheduler: &mut Scheduler, reference: &mut Reference, step: Step) -> Vec<Decision> {
+    let now = at(reference.now);
     match step {
         Step::Publish {
             job,
@@ -176,12 +189,12 @@
         } => {
             let mut new = meta(job, Reference::owner(job).0, needs);
             new.max_copies = copies;
-            new.not_before = (delay > 0).then(|| at(books.now + delay).wall);
-            let known = books.metas.contains_key(&new.task) || books.runs_of(new.task) > 0;
+            new.not_before = (delay > 0).then(|| at(reference.now + delay).wall);
+            let known = reference.metas.contains_key(&new.task) || reference.runs_of(new.task) > 0;
             if !known {
-                books.metas.insert(new.task, new.clone());
+                reference.metas.insert(new.task, new.clone());
                 scheduler.publish(new, now);
-            } else if let Some(known) = books.metas.get(&new.task) {
+            } else if let Some(known) = reference.metas.get(&new.task) {
                 scheduler.publish(known.clone(), now);
             }
             Vec::new()
@@ -191,38 +204,38 @@
             decision.into_iter().collect()
         }
         Step::Place { limit } => scheduler.place(now, limit),
-        Step::Reschedule { pick, delay } => {
-            let Some((run, task)) = books.pick(pick) else {
+        Step::Reschedule { selector, delay } => {
+            let Some((run, task)) = reference.open_run(selector) else {
                 return Vec::new();
             };
-            books.open.remove(&run);
-            let Some(known) = books.metas.get_mut(&task) else {
+            reference.open.remove(&run);
+            let Some(known) = reference.metas.get_mut(&task) else {
                 scheduler.remove_run(run);
                 return Vec::new();
             };
-            known.not_before = (delay > 0).then(|| at(books.now + delay).wall);
+            known.not_before = (delay > 0).then(|| at(reference.now + delay).wall);
             scheduler.reschedule(run, known.clone(), now);
             scheduler.reschedule(run, known.clone(), now);
             Vec::new()
         }
-        Step::RemoveRun { pick } => {
-            let Some((run, task)) = books.pick(pick) else {
+        Step::RemoveRun { selector } => {
+            let Some((run, task)) = reference.open_run(selector) else {
                 return Vec::new();
             };
-            books.open.remove(&run);
-            books.metas.remove(&task);
+            reference.open.remove(&run);
+            reference.metas.remove(&task);
             scheduler.remove_run(run);
             scheduler.remove_run(run);
             Vec::new()
         }
         Step::RemoveTask { job } => {
-            books.metas.remove(&task(job));
+            reference.metas.remove(&task(job));
             scheduler.remove(task(job));
             scheduler.remove(task(job));
             Vec::new()
         }
         Step::Heartbeat { runner, draining } => {
-            let heartbeat = books.heartbeat(runner, draining);
+            let heartbeat = reference.heartbeat(runner, draining);
             scheduler.heartbeat(&heartbeat, now);
             Vec::new()
         }
@@ -230,42 +243,44 @@
             runner: index,
             draining,
         } => {
-            books.draining.entry(index).or_default().1 = draining;
+            reference.draining.entry(index).or_default().1 = draining;
             scheduler.set_draining(&runner(RUNNERS[index]), draining);
             Vec::new()
         }
         Step::Wait { length } => {
-            books.now += length;
+            reference.now += length;
             Vec::new()
         }
     }
 }
 
-fn check_books(scheduler: &Scheduler, books: &Reference) {
+fn check_usage(scheduler: &Scheduler, reference: &Reference) {
     for (name, _) in TENANTS {
         let usage = scheduler.usage(&tenant(name));
-        assert_eq!(usage, slots(books.held_by_tenant(name)));
+        assert_eq!(usage, slots(reference.used_by_tenant(name)));
     }
-    assert_eq!(scheduler.open_run_count(), books.open.len());
+    assert_eq!(scheduler.open_run_count(), reference.open.len());
 }
 
-fn run_history(steps: Vec<Step>) -> Vec<Decision> {
-    let mut scheduler = start();
-    let mut books = Reference::default();
+fn run_steps(steps: Vec<Step>) -> Vec<Decision> {
+    let mut scheduler = empty_scheduler();
+    let mut reference = Reference::default();
     let mut all = Vec::new();
     for step in steps {
-        for decision in apply(&mut scheduler, &mut books, step) {
+        for decision in apply(&mut scheduler, &mut reference, step) {
             all.push(decision.clone());
             if let Some(reservation) = placed(Some(decision)) {
-                books.take(reservation);
+                reference.record_run(reservation);
             }
         }
-        check_books(&scheduler, &books);
+        check_usage(&scheduler, &reference);
     }
     all
 }
 
-fn settled(scheduler: &Scheduler) -> Vec<(usize, Resources, Option<NotPlacedReason>)> {
+/// Returns what the view reports on tenants and tasks: pending counts, usage and
+/// reasons.
+fn observed_state(scheduler: &Scheduler) -> Vec<(usize, Resources, Option<NotPlacedReason>)> {
     let tenants = TENANTS.iter().map(|(name, _)| tenant(name));
     let counts = tenants.map(|tenant| {
         let pending = scheduler.pending_count(&queue("main"), &tenant);
@@ -275,6 +290,7 @@
     counts.chain(reasons).collect()
 }
 
+/// Slots, copies and start delay in milliseconds of each job.
 type Jobs = BTreeMap<u64, (u32, u32, u64)>;
 
 fn jobs() -> impl Strategy<Value = Jobs> {
@@ -301,16 +317,16 @@
     })]
 
     #[test]
-    fn invariants_hold_and_equal_histories_decide_equally(
+    fn random_steps_keep_limits_and_are_deterministic(
         steps in prop::collection::vec(any_step(), 1..250),
     ) {
-        let first = run_history(steps.clone());
-        let second = run_history(steps);
+        let first = run_steps(steps.clone());
+        let second = run_steps(steps);
         prop_assert_eq!(first, second);
     }
 
     #[test]
-    fn the_order_of_publishing_does_not_matter(
+    fn order_of_publishing_does_not_affect_view(
         jobs in prop::collection::btree_map(1..40_u64, (1..4_u32, 1..3_u32, 0..2_u64), 1..30)
             .prop_flat_map(|jobs| {
                 let jobs: Vec<_> = jobs.into_iter().collect();
@@ -318,7 +334,7 @@
             }),
     ) {
         let publish = |jobs: &[(u64, (u32, u32, u64))]| {
-            let mut scheduler = start();
+            let mut scheduler = empty_scheduler();
             scheduler.heartbeat(&report("r1", 1, CAPACITY, CAPACITY), at(0));
             for (job, (needs, copies, delay)) in jobs {
                 let mut new = meta(*job, Reference::owner(*job).0, *needs);
@@ -329,28 +345,28 @@
             }
             scheduler
         };
-        prop_assert_eq!(settled(&publish(&jobs.0)), settled(&publish(&jobs.1)));
+        prop_assert_eq!(observed_state(&publish(&jobs.0)), observed_state(&publish(&jobs.1)));
     }
 
     #[test]
-    fn an_audit_repairs_any_divergence(
+    fn audit_makes_view_equal_to_rebuilt_view(
         viewed in jobs(),
-        recorded in jobs(),
+        replicated in jobs(),
     ) {
-        let mut scheduler = start();
+        let mut scheduler = empty_scheduler();
         for meta in metas(&viewed) {
             scheduler.publish(meta, at(0));
         }
-        let record = metas(&recorded);
-        scheduler.audit(JobNumber(0), JobNumber(99), &record, at(0));
-        let mut rebuilt = start();
-        for meta in metas(&recorded) {
+        let ready = metas(&replicated);
+        scheduler.audit(JobNumber(0), JobNumber(99), &ready, at(0));
+        let mut rebuilt = empty_scheduler();
+        for meta in metas(&replicated) {
             rebuilt.publish(meta, at(0));
         }
-        prop_assert_eq!(settled(&scheduler), settled(&rebuilt));
+        prop_assert_eq!(observed_state(&scheduler), observed_state(&rebuilt));
         prop_assert_eq!(scheduler.next_start_time(), rebuilt.next_start_time());
-        let again = scheduler.audit(JobNumber(0), JobNumber(99), &record, at(0));
+        let again = scheduler.audit(JobNumber(0), JobNumber(99), &ready, at(0));
         prop_assert_eq!((again.republished, again.removed), (0, 0));
-        prop_assert_eq!(again.compared, record.len() as u64);
+        prop_assert_eq!(again.compared, ready.len() as u64);
     }
 }
--- a/crates/scheduler/tests/runners.rs
+++ b/crates/scheduler/tests/runners.rs
@@ -1,4 +1,5 @@
-//! Free capacity, labels, draining, heartbeats, health and incarnations of runners.
+//! Free capacity, labels, draining, heartbeats, health and incarnations of
+//! runners.
 
 mod support;
 
@@ -7,49 +8,51 @@
 use types::*;
 
 #[test]
-fn free_capacity_counts_unreported_runs_and_heartbeats_free_it() {
+fn unreported_runs_are_subtracted_from_reported_free_capacity() {
     let mut scheduler = scheduler(&document(&[("a", 10)]));
     scheduler.heartbeat(&report("r1", 1, 2, 1), at(0));
     for job in 1..=4 {
         scheduler.publish(meta(job, "a", 1), at(0));
     }
-    // Something that the view does not know uses one of the two slots.
+    // One of the two slots is used by something outside the view.
     let first = placed(scheduler.reserve(&runner("r1"), at(0))).unwrap();
     assert_eq!(scheduler.reserve(&runner("r1"), at(0)), None);
     let mut next = report("r1", 2, 2, 1);
-    next.active.push(usage(first.run));
+    next.active.push(active_run(first.run));
     scheduler.heartbeat(&next, at(10));
     assert!(scheduler.reserve(&runner("r1"), at(10)).is_some());
     assert_eq!(scheduler.reserve(&runner("r1"), at(10)), None);
-    // A heartbeat of free capacity does not outweigh open runs.
+    // Open runs that a heartbeat does not list still use capacity.
     scheduler.heartbeat(&report("r1", 3, 2, 2), at(20));
     assert_eq!(scheduler.reserve(&runner("r1"), at(20)), None);
-    // An older heartbeat that comes late changes nothing.
+    // An older heartbeat that arrives late is ignored.
     scheduler.heartbeat(&report("r1", 2, 64, 64), at(30));
     assert_eq!(scheduler.runners(at(30))[0].capacity, slots(2));
 }
 
 #[test]
-fn an_ended_run_uses_capacity_until_it_is_closed() {
+fn ended_run_uses_capacity_until_it_is_closed() {
     let mut scheduler = scheduler(&document(&[("a", 10)]));
     scheduler.heartbeat(&report("r1", 1, 1, 1), at(0));
     scheduler.publish(meta(1, "a", 1), at(0));
     scheduler.publish(meta(2, "a", 1), at(0));
     let first = placed(scheduler.reserve(&runner("r1"), at(0))).unwrap();
-    let mut over = report("r1", 2, 1, 1);
-    over.ended.push(EndedRun {
+    let mut with_ended_run = report("r1", 2, 1, 1);
+    with_ended_run.ended.push(EndedRun {
         checkpoint: None,
         run: first.run,
         outcome: Outcome::Done,
     });
-    scheduler.heartbeat(&over, at(10));
+    scheduler.heartbeat(&with_ended_run, at(10));
     assert_eq!(scheduler.reserve(&runner("r1"), at(10)), None);
     scheduler.remove_run(first.run);
     assert!(scheduler.reserve(&runner("r1"), at(10)).is_some());
 }
 
+/// Runs of an earlier incarnation ended with it, so they use no capacity of the
+/// runner, but they stay open until they are closed.
 #[test]
-fn a_new_incarnation_has_its_own_capacity_while_old_runs_still_count_for_the_tenant() {
+fn runs_of_old_incarnation_count_for_tenant_but_not_for_runner() {
     let mut scheduler = scheduler(&document(&[("a", 3)]));
     scheduler.heartbeat(&report("r1", 1, 2, 2), at(0));
     for job in 1..=4 {
@@ -57,9 +60,9 @@
     }
     scheduler.reserve(&runner("r1"), at(0)).unwrap();
     scheduler.reserve(&runner("r1"), at(0)).unwrap();
-    let mut reborn = report("r1", 1, 2, 2);
-    reborn.incarnation = RunnerIncarnation(2);
-    scheduler.heartbeat(&reborn, at(10));
+    let mut restarted = report("r1", 1, 2, 2);
+    restarted.incarnation = RunnerIncarnation(2);
+    scheduler.heartbeat(&restarted, at(10));
     let view = &scheduler.runners(at(10))[0];
     assert_eq!((view.free, view.open_runs), (slots(2), 2));
     let third = placed(scheduler.reserve(&runner("r1"), at(10))).unwrap();
@@ -72,7 +75,7 @@
 }
 
 #[test]
-fn no_pull_for_a_draining_unresponsive_or_unseen_runner() {
+fn draining_unresponsive_or_unreported_runner_gets_no_task() {
     let mut scheduler = scheduler(&document(&[("a", 10)]));
     scheduler.publish(meta(1, "a", 1), at(0));
     assert_eq!(scheduler.reserve(&runner("r1"), at(0)), None);
@@ -80,9 +83,9 @@
         scheduler.explain(task(1), at(0)),
         Some(NotPlacedReason::NoRunnerKnown)
     );
-    let mut leaving = report("r1", 1, 2, 2);
-    leaving.draining = true;
-    scheduler.heartbeat(&leaving, at(0));
+    let mut draining_report = report("r1", 1, 2, 2);
+    draining_report.draining = true;
+    scheduler.heartbeat(&draining_report, at(0));
     assert_eq!(scheduler.reserve(&runner("r1"), at(0)), None);
     scheduler.heartbeat(&report("r1", 2, 2, 2), at(0));
     scheduler.set_draining(&runner("r1"), true);
@@ -93,24 +96,24 @@
 }
 
 #[test]
-fn labels_must_all_match() {
+fn task_starts_only_on_runner_with_all_its_labels() {
     let mut scheduler = scheduler(&document(&[("a", 10)]));
-    let mut picky = meta(1, "a", 1);
-    picky.labels.insert("disk".into(), "fast".into());
-    scheduler.publish(picky, at(0));
+    let mut needs_fast_disk = meta(1, "a", 1);
+    needs_fast_disk.labels.insert("disk".into(), "fast".into());
+    scheduler.publish(needs_fast_disk, at(0));
     scheduler.publish(meta(2, "a", 1), at(0));
     scheduler.heartbeat(&report("r1", 1, 4, 4), at(0));
-    let plain = placed(scheduler.reserve(&runner("r1"), at(0))).unwrap();
-    assert_eq!(plain.task, task(2));
+    let unlabelled = placed(scheduler.reserve(&runner("r1"), at(0))).unwrap();
+    assert_eq!(unlabelled.task, task(2));
     assert_eq!(scheduler.reserve(&runner("r1"), at(0)), None);
     assert_eq!(
         scheduler.explain(task(1), at(0)),
         Some(NotPlacedReason::NoRunnerWithLabels)
     );
-    let mut fast = report("r2", 1, 4, 4);
-    fast.labels.insert("disk".into(), "fast".into());
-    fast.labels.insert("cpu".into(), "any".into());
-    scheduler.heartbeat(&fast, at(0));
+    let mut with_fast_disk = report("r2", 1, 4, 4);
+    with_fast_disk.labels.insert("disk".into(), "fast".into());
+    with_fast_disk.labels.insert("cpu".into(), "any".into());
+    scheduler.heartbeat(&with_fast_disk, at(0));
     assert!(scheduler.reserve(&runner("r2"), at(0)).is_some());
 }
 
@@ -123,7 +126,7 @@
 }
 
 #[test]
-fn failures_of_different_jobs_lead_to_probation_then_one_trial_at_a_time() {
+fn failures_of_different_jobs_lead_to_probation_then_to_trial_with_one_run() {
     let mut scheduler = three_runners();
     for job in 1..=8 {
         scheduler.record_outcome(&runner("r1"), task(job), true, at(0));
@@ -143,7 +146,7 @@
 }
 
 #[test]
-fn a_success_between_failures_clears_the_runner() {
+fn success_between_failures_resets_failure_count() {
     let mut scheduler = three_runners();
     for job in 1..=7 {
         scheduler.record_outcome(&runner("r1"), task(job), true, at(0));
@@ -158,7 +161,7 @@
 }
 
 #[test]
-fn a_failed_trial_leads_back_to_probation() {
+fn failure_on_trial_restarts_probation() {
     let mut scheduler = three_runners();
     for job in 1..=8 {
         scheduler.record_outcome(&runner("r1"), task(job), true, at(0));
@@ -169,7 +172,7 @@
 }
 
 #[test]
-fn one_failing_job_puts_no_runner_on_probation_and_at_most_a_third_are() {
+fn failures_of_one_job_cause_no_probation_and_at_most_a_third_of_runners_are_on_it() {
     let mut scheduler = three_runners();
     for _ in 0..50 {
         scheduler.record_outcome(&runner("r1"), task(1), true, at(0));
@@ -181,21 +184,21 @@
         }
     }
     let views = scheduler.runners(at(0));
-    let blamed = views.iter().filter(|view| view.on_probation).count();
-    assert_eq!(blamed, 1);
+    let on_probation = views.iter().filter(|view| view.on_probation).count();
+    assert_eq!(on_probation, 1);
 }
 
 #[test]
-fn a_task_whose_only_runner_drains_reports_that_and_not_missing_capacity() {
+fn task_whose_only_matching_runner_drains_reports_runners_away() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     let mut labelled = report("labelled", 1, 9, 9);
     labelled.labels.insert("kind".to_owned(), "b".to_owned());
     labelled.draining = true;
     scheduler.heartbeat(&labelled, at(0));
     scheduler.heartbeat(&report("other", 1, 9, 9), at(0));
-    let mut wanted = meta(1, "a", 1);
-    wanted.labels.insert("kind".to_owned(), "b".to_owned());
-    scheduler.publish(wanted, at(0));
+    let mut needs_label = meta(1, "a", 1);
+    needs_label.labels.insert("kind".to_owned(), "b".to_owned());
+    scheduler.publish(needs_label, at(0));
     scheduler.place(at(0), 10);
     let reason = scheduler.explain(task(1), at(0));
     assert_eq!(reason, Some(NotPlacedReason::RunnersAway));
--- a/crates/scheduler/tests/steps.rs
+++ b/crates/scheduler/tests/steps.rs
@@ -1,4 +1,4 @@
-//! The four atomic steps, one behaviour at a time.
+//! The four atomic steps: publish, reserve, reschedule and remove.
 
 mod support;
 
@@ -15,10 +15,10 @@
         scheduler.publish(meta(1, "a", 1), at(0)),
         Published::Present
     );
-    let mut late = meta(2, "a", 1);
-    late.not_before = Some(at(500).wall);
-    assert_eq!(scheduler.publish(late.clone(), at(0)), Published::New);
-    assert_eq!(scheduler.publish(late, at(0)), Published::Present);
+    let mut delayed = meta(2, "a", 1);
+    delayed.not_before = Some(at(500).wall);
+    assert_eq!(scheduler.publish(delayed.clone(), at(0)), Published::New);
+    assert_eq!(scheduler.publish(delayed, at(0)), Published::Present);
     let reservation = placed(scheduler.reserve(&runner("r1"), at(0))).unwrap();
     assert_eq!(reservation.task, task(1));
     assert_eq!(
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn adopted_run_makes_its_task_present() {
+fn publish_of_task_with_adopted_run_changes_nothing() {
     let mut scheduler = scheduler(&document(&[("a", 10)]));
     let run = RunId {
         term: Term(2),
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn urgent_tasks_go_first_then_the_oldest() {
+fn urgent_task_starts_first_then_oldest() {
     let mut scheduler = scheduler(&document(&[("a", 10)]));
     scheduler.heartbeat(&report("r1", 1, 4, 4), at(0));
     scheduler.publish(meta(2, "a", 1), at(0));
@@ -85,12 +85,12 @@
 }
 
 #[test]
-fn a_task_waits_for_its_time_and_next_start_time_names_it() {
+fn delayed_task_starts_at_its_start_time() {
     let mut scheduler = scheduler(&document(&[("a", 10)]));
     scheduler.heartbeat(&report("r1", 1, 4, 4), at(0));
-    let mut late = meta(1, "a", 1);
-    late.not_before = Some(at(500).wall);
-    scheduler.publish(late, at(0));
+    let mut delayed = meta(1, "a", 1);
+    delayed.not_before = Some(at(500).wall);
+    scheduler.publish(delayed, at(0));
     assert_eq!(scheduler.next_start_time(), Some(at(500).wall));
     assert_eq!(
         scheduler.explain(task(1), at(0)),
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_removed_task_keeps_its_holdings_until_its_run_is_removed() {
+fn run_of_removed_task_counts_in_usage_until_it_is_removed() {
     let mut scheduler = scheduler(&document(&[("a", 10)]));
     scheduler.heartbeat(&report("r1", 1, 4, 4), at(0));
     scheduler.publish(meta(1, "a", 2), at(0));
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn run_identifiers_carry_the_term_and_rise() {
+fn run_identifiers_carry_term_and_increase() {
     let mut scheduler = scheduler(&document(&[("a", 10)]));
     scheduler.heartbeat(&report("r1", 1, 4, 4), at(0));
     for job in 1..=3 {
@@ -139,13 +139,13 @@
 }
 
 #[test]
-fn a_copy_starts_only_elsewhere_and_after_ordinary_work() {
+fn copy_starts_only_on_other_runner_and_after_pending_tasks() {
     let mut scheduler = scheduler(&document(&[("a", 10)]));
     scheduler.heartbeat(&report("r1", 1, 4, 4), at(0));
     scheduler.heartbeat(&report("r2", 1, 4, 4), at(0));
-    let mut doubled = meta(1, "a", 1);
-    doubled.max_copies = 2;
-    scheduler.publish(doubled, at(0));
+    let mut with_two_copies = meta(1, "a", 1);
+    with_two_copies.max_copies = 2;
+    scheduler.publish(with_two_copies, at(0));
     let first = placed(scheduler.reserve(&runner("r1"), at(0))).unwrap();
     assert_eq!(scheduler.reserve(&runner("r1"), at(0)), None);
     scheduler.publish(meta(2, "a", 1), at(0));
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn the_scan_depth_counts_shapes_and_not_equal_tasks() {
+fn scan_depth_counts_shapes_rather_than_tasks() {
     let options = SchedulerOptions {
         scan_depth: 1,
         ..SchedulerOptions::default()
@@ -174,14 +174,17 @@
     scheduler.publish(meta(60, "a", 1), at(0));
     let small = placed(scheduler.reserve(&runner("r1"), at(0))).unwrap();
     assert_eq!(small.task, task(60));
-    // Two kinds that do not fit stand before the next small one.
+    // Two shapes that do not fit come before the small task. With a scan depth
+    // of 1, a scan examines only these two.
     scheduler.publish(meta(51, "a", 4), at(0));
     scheduler.publish(meta(61, "a", 1), at(0));
     assert_eq!(scheduler.reserve(&runner("r1"), at(0)), None);
 }
 
+/// A view that is rebuilt within its term starts with an empty sequence. It
+/// must continue after the identifiers of the runs that it adopts.
 #[test]
-fn a_view_rebuilt_in_its_term_uses_no_run_identifier_twice() {
+fn view_rebuilt_within_its_term_reuses_no_run_identifier() {
     let mut scheduler = scheduler(&document(&[("a", 100)]));
     scheduler.heartbeat(&report("r1", 1, 8, 8), at(0));
     let sequence = 41;
@@ -210,7 +213,7 @@
 }
 
 #[test]
-fn the_scan_depth_limits_the_scan_for_a_copy_too() {
+fn scan_depth_limits_scan_for_copies() {
     let start_copy_of = |scan_depth| {
         let options = SchedulerOptions {
             scan_depth,
@@ -221,9 +224,9 @@
         scheduler.heartbeat(&report("r1", 1, 8, 8), at(0));
         scheduler.heartbeat(&report("r2", 1, 8, 8), at(0));
         for (job, on) in [(1, "r1"), (2, "r1"), (3, "r2")] {
-            let mut doubled = meta(job, "a", 1);
-            doubled.max_copies = 2;
-            scheduler.publish(doubled, at(0));
+            let mut with_two_copies = meta(job, "a", 1);
+            with_two_copies.max_copies = 2;
+            scheduler.publish(with_two_copies, at(0));
             scheduler.reserve(&runner(on), at(0)).unwrap();
         }
         placed(scheduler.reserve(&runner("r1"), at(0))).map(|copy| copy.task)
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders shared by the scheduler's tests.
+//! Builders shared by the tests of this crate.
 
 #![allow(dead_code)]
 
@@ -20,6 +20,7 @@
     RunnerId::new(name).unwrap()
 }
 
+/// Returns the monotonic time in milliseconds and the matching wall time.
 pub fn at(milliseconds: u64) -> Now {
     Now {
         monotonic: Monotonic(milliseconds),
@@ -42,6 +43,7 @@
     }
 }
 
+/// Returns a task of queue `main` that needs this number of slots.
 pub fn meta(job: u64, owner: &str, needs: u32) -> TaskMeta {
     TaskMeta {
         rules: Default::default(),
@@ -72,7 +74,8 @@
     }
 }
 
-/// Pool `pool` with queue `main`, and these tenants with a share of 100 %.
+/// Returns a configuration of pool `pool`, queue `main` and these tenants: name
+/// and resource limit in slots, with a share of 100 %.
 pub fn document(tenants: &[(&str, u32)]) -> ClusterConfiguration {
     let mut document = ClusterConfiguration::default();
     let pool = PoolName::new("pool").unwrap();
@@ -90,6 +93,7 @@
     document
 }
 
+/// Adds a queue of pool `pool` with priority 0, or replaces it.
 pub fn add_queue(document: &mut ClusterConfiguration, name: &str, mode: QueueMode) {
     let settings = QueueSettings {
         priority: 0,
@@ -119,7 +123,7 @@
     }
 }
 
-pub fn usage(run: RunId) -> ActiveRun {
+pub fn active_run(run: RunId) -> ActiveRun {
     ActiveRun {
         progress: None,
         checkpoint: None,
@@ -134,7 +138,8 @@
     scheduler
 }
 
-/// The reservation of a decision that binds.
+/// Returns the reservation of a decision to start a run; `None` for any other
+/// decision, also in shadow mode.
 pub fn placed(decision: Option<Decision>) -> Option<Reservation> {
     match decision?.kind {
         DecisionKind::Placed {
@@ -146,7 +151,7 @@
     }
 }
 
-/// Reservations among decisions that bind.
+/// Returns the reservations of the decisions to start a run.
 pub fn all_placed(decisions: Vec<Decision>) -> Vec<Reservation> {
     let decisions = decisions.into_iter();
     decisions.filter_map(|one| placed(Some(one))).collect()
