--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -1,9 +1,10 @@
-//! The coordinator's core: takes inputs and appends effects.
+//! Core of the coordinator: handles inputs and appends effects.
 //!
-//! Every input first lets the consensus node check its timers, so a process
-//! that wakes from a freeze loses its lease before anything it held can act.
-//! The leader's messages are collected while an input is handled, and leave
-//! only if the lease still holds at the end.
+//! Before it handles inputs, the core lets the consensus node check its timers.
+//! A process that resumes after a freeze therefore loses its lease before it
+//! acts on state from before the freeze. The leader's messages are collected
+//! while inputs are handled, and are sent only if the lease still holds at the
+//! end.
 
 mod bootstrap;
 mod heartbeats;
@@ -30,12 +31,12 @@
 use transport::{Envelope, PeerMessage};
 use types::{Address, Milliseconds, Monotonic, Now};
 
-/// Longest time between two checks of the core's own timers.
+/// Longest time without an input before the next tick.
 const TICK_INTERVAL: Milliseconds = Milliseconds(50);
-/// Rounds of proposing and applying within one input.
+/// Limit of rounds of proposing and applying in one call of `handle_all`.
 const MAX_ROUNDS: usize = 8;
 
-/// A coordinator without I/O: the composition of identity, replica and leader.
+/// A coordinator without I/O: composes identity, replica and leader.
 pub struct Coordinator {
     options: CoordinatorOptions,
     own: Address,
@@ -44,9 +45,10 @@
     replica: Option<Replica>,
     leader: Option<Leader>,
     random: ChaCha8Rng,
-    /// Why its log or snapshot could not be read; it serves no more then.
+    /// Error that made the log or snapshot unreadable. The coordinator has
+    /// stopped serving if it is set.
     fault: Option<ReplicaError>,
-    /// When a polite stop ends at the latest; none before one begins.
+    /// Deadline of a graceful shutdown. `None` until one begins.
     handover_deadline: Option<Monotonic>,
     stopped: bool,
     reported_readiness: Option<Readiness>,
@@ -54,8 +56,8 @@
 }
 
 impl Coordinator {
-    /// Builds a coordinator from what its disk held. Without an identity it saves
-    /// a new one with `options.address.node`.
+    /// Builds a coordinator from the identity and log read from its disk.
+    /// Without an identity, a new one with `options.address.node` is saved.
     pub fn new(
         options: CoordinatorOptions,
         identity: Option<Identity>,
@@ -67,7 +69,8 @@
             own.node = identity.node;
         }
         let mut coordinator = Self {
-            // Coordinators may be given one seed, but must not draw alike.
+            // Coordinators configured with the same seed must not draw the same
+            // numbers.
             random: ChaCha8Rng::seed_from_u64(options.seed ^ own.node.0),
             directory: Directory::new(own.clone()),
             identification: Identification::new(own.node, identity, now.monotonic),
@@ -85,15 +88,16 @@
         coordinator
     }
 
-    /// Handles one input and appends its effects. The caller reads the clock just
-    /// before; after a freeze of the process the core sees the jump first.
+    /// Handles one input and appends its effects. `now` must be read just before
+    /// the call, so that the core notices a freeze of the process before it
+    /// handles the input.
     pub fn handle(&mut self, now: Now, input: Input, effects: &mut Vec<Effect>) {
         self.handle_all(now, std::iter::once(input), effects);
     }
 
-    /// Handles inputs that arrived together. What follows from them (placement,
-    /// entries of the log, messages to followers) is done once for all of them,
-    /// so that a core that is behind catches up.
+    /// Handles inputs that arrived together. Placement, proposals and messages to
+    /// followers are done once for all of them, so that an overloaded core
+    /// catches up.
     pub fn handle_all(
         &mut self,
         now: Now,
@@ -133,54 +137,56 @@
         }
     }
 
-    /// Records how long messages wait in this process, outgoing and incoming: that
-    /// delay does not count as one of a link.
+    /// Records how long incoming and outgoing messages wait in this process. The
+    /// consensus node does not count this delay as latency of a link.
     pub fn record_lag(&mut self, lag: Milliseconds) {
         if let Some(replica) = &mut self.replica {
             replica.record_lag(lag);
         }
     }
 
-    /// When it wants [`Input::Tick`] next, on the monotonic clock.
+    /// Returns the time by which the next [`Input::Tick`] is due.
     pub fn next_wakeup(&self) -> Monotonic {
         let last = self.last_input.monotonic;
-        let mut own = last + TICK_INTERVAL;
+        let mut wakeup = last + TICK_INTERVAL;
         let leader = self.leader.as_ref();
         if let Some(at) = leader.and_then(|leader| leader.next_wakeup(self.last_input)) {
-            own = own.min(at.max(last));
+            wakeup = wakeup.min(at.max(last));
         }
         match &self.replica {
-            Some(replica) => own.min(replica.next_wakeup()),
-            None => own,
+            Some(replica) => wakeup.min(replica.next_wakeup()),
+            None => wakeup,
         }
     }
 
-    /// The state machine with the entries that this process has applied; none
-    /// before it belongs to a cluster. For checks and for `replay`.
+    /// Returns the state machine with the entries applied so far; `None` before
+    /// this process belongs to a cluster. Used by checks and by `replay`.
     pub fn state_machine(&self) -> Option<&state_machine::StateMachine> {
         self.replica.as_ref().map(Replica::state_machine)
     }
 
-    /// Scan steps of the scheduler in this term, as a measure of its cost; 0 while
-    /// this process does not lead.
+    /// Returns the number of tasks and runners that the scheduler has scanned in
+    /// this term, as a measure of its cost; 0 on a process that is not the leader.
     pub fn scan_cost(&self) -> u64 {
         let leader = self.leader.as_ref();
         leader.map_or(0, Leader::scan_cost)
     }
 
-    /// The status of the consensus node; none before there is one.
+    /// Returns the status of the consensus node; `None` before this process
+    /// belongs to a cluster.
     pub fn status(&self, now: Now) -> Option<consensus::Status> {
         let replica = self.replica.as_ref()?;
         Some(replica.status(now.monotonic))
     }
 
-    /// Returns whether this process leads and its lease lets it act.
+    /// Returns whether this process is the leader and holds a valid lease.
     pub fn is_serving(&self, now: Now) -> bool {
         self.may_serve(now) && self.leader.as_ref().is_some_and(Leader::is_serving)
     }
 
-    /// Checks the lease at this moment. A leader that hands over acts no more,
-    /// whatever its lease says: its successor need not wait for that.
+    /// Returns whether the lease is valid at `now`. A leader that transfers
+    /// leadership must not act even under a valid lease, since its successor
+    /// does not wait for that lease to expire.
     fn may_serve(&self, now: Now) -> bool {
         if self.handover_deadline.is_some() || self.fault.is_some() {
             return false;
@@ -194,7 +200,7 @@
         replica.holds_lease(now.monotonic)
     }
 
-    /// Does what follows from the inputs, once for all of them.
+    /// Runs the work that results from the inputs, once for all of them.
     fn advance(&mut self, now: Now, effects: &mut Vec<Effect>) {
         self.run_identity_round(now, effects);
         self.process_consensus(now, effects);
@@ -212,7 +218,7 @@
         self.finish_stop(now, effects);
     }
 
-    /// Takes a message of another process.
+    /// Handles a message of another process.
     fn receive(&mut self, now: Now, envelope: Envelope, effects: &mut Vec<Effect>) {
         let Some(envelope) = self.open_relay(envelope, effects) else {
             return;
@@ -253,8 +259,8 @@
         }
     }
 
-    /// Opens a relayed message for this process; forwards one that comes straight
-    /// from its origin.
+    /// Returns the message that this process must handle, unwrapped if it was
+    /// relayed. Forwards a relay to another process, and drops an invalid one.
     fn open_relay(&self, envelope: Envelope, effects: &mut Vec<Effect>) -> Option<Envelope> {
         match route::open(&self.own, envelope) {
             Opened::Own(envelope) => Some(envelope),
--- a/crates/coordinator/src/core/bootstrap.rs
+++ b/crates/coordinator/src/core/bootstrap.rs
@@ -1,6 +1,6 @@
-//! The exchange of proposals by which coordinators bootstrap a cluster.
+//! Exchange of proposals by which coordinators bootstrap a cluster.
 //!
-//! The rules are in [`crate::identity::bootstrap`].
+//! The protocol is described in [`crate::identity::bootstrap`].
 
 use super::Coordinator;
 use crate::effect::Effect;
@@ -12,8 +12,8 @@
 use types::{ClusterId, Now, Role};
 
 impl Coordinator {
-    /// Bootstraps a cluster if all first voters are present and this process
-    /// is the one to do so.
+    /// Bootstraps a cluster if all initial voters are present and the bootstrap
+    /// rule selects this process.
     pub(super) fn bootstrap_cluster(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let Some(voters) = self.identification.choose_voters(
             &self.own,
@@ -29,7 +29,7 @@
         self.identification.save_cluster(proposal, effects);
     }
 
-    /// Sends the saved proposal to the voters that may not have it.
+    /// Sends the saved proposal to the voters that have not confirmed it.
     pub(super) fn resend_proposal(&self, now: Now, effects: &mut Vec<Effect>) {
         let Some(proposal) = self.identification.saved_proposal() else {
             return;
@@ -43,12 +43,13 @@
         };
         for (node, to) in unconfirmed {
             if status.membership.socket(node).is_some() {
-                effects.push(send_proposal(to, proposal.clone()));
+                effects.push(proposal_message(to, proposal.clone()));
             }
         }
     }
 
-    /// Takes a message of the bootstrap, from a coordinator directly.
+    /// Handles a bootstrap message. Ignores one that was relayed or that does not
+    /// come from a coordinator.
     pub(super) fn receive_bootstrap(
         &mut self,
         now: Now,
@@ -75,7 +76,8 @@
         }
     }
 
-    /// Records a coordinator without a cluster, or tells it of this one's.
+    /// Records the announcement of a coordinator without a cluster. If this
+    /// process has a cluster, answers with its proposal or with its members.
     fn receive_announcement(
         &mut self,
         now: Now,
@@ -89,13 +91,14 @@
                 .identification
                 .record_announcement(address, expected, now.monotonic),
             Some(proposal) if proposal.voters.voters.contains_key(&address.node) => {
-                effects.push(send_proposal(address.socket, proposal));
+                effects.push(proposal_message(address.socket, proposal));
             }
             Some(_) => self.answer_discover(now, sender, effects),
         }
     }
 
-    /// Accepts a proposal that names this identity, unless one was accepted before.
+    /// Accepts a proposal that names this process as a voter, unless another one
+    /// was accepted before.
     fn receive_proposal(
         &mut self,
         now: Now,
@@ -122,7 +125,7 @@
     }
 }
 
-fn send_proposal(to: SocketAddr, proposal: ClusterProposal) -> Effect {
+fn proposal_message(to: SocketAddr, proposal: ClusterProposal) -> Effect {
     let ClusterProposal { cluster, voters } = proposal;
     Effect::Send {
         to,
--- a/crates/coordinator/src/core/heartbeats.rs
+++ b/crates/coordinator/src/core/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats of runners and results of orders, which agents pass on. Only a
-//! leader under its lease takes them.
+//! Heartbeats of runners and results of orders, as sent by agents. Processed
+//! only by a leader with a valid lease.
 
 use super::Coordinator;
 use crate::sender::Sender;
@@ -7,7 +7,7 @@
 use types::Now;
 
 impl Coordinator {
-    /// Takes the heartbeats of an agent's runners.
+    /// Handles the heartbeats of an agent's runners.
     pub(super) fn receive_report(&mut self, now: Now, sender: &Sender, report: &AgentReport) {
         if !self.is_serving(now) {
             return;
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Takes the results of orders.
+    /// Handles the results of orders.
     pub(super) fn receive_order_results(
         &mut self,
         now: Now,
--- a/crates/coordinator/src/core/joining.rs
+++ b/crates/coordinator/src/core/joining.rs
@@ -1,5 +1,5 @@
-//! Discovery of other processes, joining a cluster, and what this process
-//! tells others about both.
+//! Discovery of other processes, joining a cluster, and answers to processes
+//! that do the same.
 
 use super::Coordinator;
 use crate::effect::Effect;
@@ -34,16 +34,17 @@
         }
     }
 
-    /// Without a cluster: asks every known process, and announces itself to
-    /// them or asks a leader for admission.
+    /// Discovers the cluster that this process will join: queries all contacts,
+    /// then announces itself to them or, if a cluster is known, requests
+    /// admission from its leader.
     fn discover(&mut self, effects: &mut Vec<Effect>) {
-        let knows_cluster = self.identification.knows_cluster();
+        let has_known_cluster = self.identification.has_known_cluster();
         for to in self.contacts() {
             effects.push(Effect::Send {
                 to,
                 message: PeerMessage::Discover,
             });
-            if !knows_cluster {
+            if !has_known_cluster {
                 let expected = self.options.initial_coordinators;
                 effects.push(Effect::Send {
                     to,
@@ -51,14 +52,14 @@
                 });
             }
         }
-        if knows_cluster {
+        if has_known_cluster {
             self.request_admission(effects);
         }
     }
 
-    /// With a cluster but outside its membership, or without a known leader:
-    /// looks for the leader. A voter that was replaced while it was away
-    /// learns so by asking for admission.
+    /// Reports to the leader, or searches for one if this process is not in the
+    /// membership or has no leader. A voter that was replaced while it was
+    /// offline rejoins by requesting admission.
     fn rejoin_if_isolated(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let Some(status) = self.status(now) else {
             return;
@@ -76,7 +77,7 @@
         self.request_admission(effects);
     }
 
-    /// Reports to the leader which configuration this member has applied.
+    /// Sends the leader the configuration version that this member has applied.
     fn report_to_leader(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let leader = self.known_leader(now);
         if let Some(leader) = leader.filter(|leader| leader.node != self.own.node) {
@@ -107,7 +108,7 @@
         });
     }
 
-    /// Seeds and known coordinators, without this process.
+    /// Returns the sockets of seeds and known coordinators, except this process.
     fn contacts(&self) -> BTreeSet<SocketAddr> {
         let mut contacts: BTreeSet<SocketAddr> = self.options.seeds.iter().copied().collect();
         contacts.extend(self.directory.coordinator_sockets());
@@ -115,8 +116,8 @@
         contacts
     }
 
-    /// Takes note that the identity is durable: answers the proposer and
-    /// starts the consensus node.
+    /// Handles the completion of an identity write: sends the acceptance to the
+    /// proposer and starts the consensus node.
     pub(super) fn receive_identity_saved(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let Some(saved) = self.identification.finish_save(now.monotonic) else {
             return;
@@ -133,24 +134,26 @@
         }
     }
 
-    /// Answers a process that looks for others.
+    /// Answers a discovery message with the known members.
     pub(super) fn answer_discover(&self, now: Now, sender: &Sender, effects: &mut Vec<Effect>) {
         let members = PeerMessage::Members(self.known_members(now));
         effects.push(sender.answer(&self.own, members).into());
     }
 
-    /// The processes, leader and cluster that this process knows.
+    /// Returns the responsive processes, the leader, its term and the cluster, as
+    /// far as known.
     pub(super) fn known_members(&self, now: Now) -> Members {
         let term = self.status(now).map(|status| status.term);
         Members {
-            members: self.directory.alive(now.monotonic),
+            members: self.directory.responsive(now.monotonic),
             leader: self.known_leader(now),
             term: term.unwrap_or_default(),
             cluster: self.identification.own_or_known_cluster(),
         }
     }
 
-    /// The leader that this process knows; itself only while it serves.
+    /// Returns the address of the leader, if known. This process returns its own
+    /// address only if it holds the lease.
     pub(super) fn known_leader(&self, now: Now) -> Option<Address> {
         if self.is_serving(now) {
             return Some(self.own.clone());
@@ -162,24 +165,26 @@
         self.directory.address(leader).cloned()
     }
 
-    /// Takes what another process knows, unless it is of another cluster.
+    /// Records the processes, leader and cluster that another process named.
+    /// Ignores a message from another cluster.
     pub(super) fn receive_members(&mut self, now: Now, sender: &Sender, members: Members) {
-        if let (Some(own), Some(theirs)) = (self.identification.cluster(), members.cluster)
-            && own != theirs
+        if let (Some(own), Some(other)) = (self.identification.cluster(), members.cluster)
+            && own != other
         {
             return;
         }
         for address in &members.members {
-            self.directory.learn(address, now.monotonic);
+            self.directory.add_named(address, now.monotonic);
         }
         if let Some(cluster) = members.cluster {
             self.identification
-                .record_cluster_of(sender.address.node, cluster);
+                .record_cluster_of_process(sender.address.node, cluster);
         }
         self.identification.record_leader_hint(members.leader);
     }
 
-    /// Takes a leader's lease: a process without a cluster adopts the leader's.
+    /// Handles a session lease of a leader. A process without a cluster joins the
+    /// leader's cluster.
     pub(super) fn receive_lease(
         &mut self,
         now: Now,
@@ -191,7 +196,7 @@
             return;
         }
         for other in &lease.others {
-            self.directory.learn(other, now.monotonic);
+            self.directory.add_named(other, now.monotonic);
         }
         self.identification.record_cluster(lease.cluster);
         self.identification.record_leader_hint(Some(lease.leader));
--- a/crates/coordinator/src/core/leadership.rs
+++ b/crates/coordinator/src/core/leadership.rs
@@ -1,4 +1,5 @@
-//! Election, periodic work, proposals and the end of leadership.
+//! Begin, renewal and loss of leadership, and the leader's periodic work,
+//! proposals and messages.
 
 use super::Coordinator;
 use crate::effect::Effect;
@@ -12,8 +13,8 @@
 use types::Now;
 
 impl Coordinator {
-    /// Brings the leader in line with the role and lease of the consensus node:
-    /// begins, suspends, resumes or ends leadership.
+    /// Begins, suspends, resumes or ends leadership according to the role and
+    /// lease of the consensus node.
     pub(super) fn update_leadership(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let Some(replica) = &self.replica else {
             return;
@@ -54,8 +55,9 @@
         }
     }
 
-    /// Builds the leader of a new term. The node's lease holds, so an entry of
-    /// its own term is committed and the state machine has everything before it.
+    /// Builds the leader of a new term. The lease is valid only once an entry of
+    /// the new term is committed, so the state machine has applied all entries of
+    /// earlier terms.
     fn begin_leadership(&mut self, now: Now) {
         let Some(replica) = &self.replica else {
             return;
@@ -78,8 +80,8 @@
         self.leader = Some(leader);
     }
 
-    /// Announces the leader to every known gateway and agent, so that none has
-    /// to wait until it misses the old one.
+    /// Announces the new leader to every known gateway and agent, so that they
+    /// need not wait for a timeout of the previous one.
     fn announce_leadership(&self, now: Now, effects: &mut Vec<Effect>) {
         let members = self.known_members(now);
         for to in self.directory.other_sockets() {
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Runs the leader's work that is due by time, if it may act.
+    /// Runs the leader's periodic work that is due, if the lease is valid.
     pub(super) fn run_leader_work(&mut self, now: Now) {
         if !self.is_serving(now) {
             return;
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Proposes the next change of the membership, if one is due.
+    /// Proposes the next membership change if a check is due and finds one.
     fn propose_membership_change(&mut self, now: Now) {
         let (Some(leader), Some(replica)) = (&mut self.leader, &mut self.replica) else {
             return;
@@ -119,8 +121,8 @@
         }
     }
 
-    /// Ends a round: sends starts, places tasks, and proposes what the leader
-    /// collected. Returns whether there was something to propose.
+    /// Queues start orders, places tasks and proposes the collected commands.
+    /// Returns whether it proposed any.
     pub(super) fn propose_collected(&mut self, now: Now, effects: &mut Vec<Effect>) -> bool {
         if !self.is_serving(now) {
             return false;
@@ -129,8 +131,8 @@
             return false;
         };
         leader.send_starts(replica.state_machine(), now);
-        // What the log does not take while leadership is handed over waits: most
-        // often for one round trip.
+        // The consensus node rejects proposals during a leadership transfer. They
+        // remain queued until it ends, usually after one round trip.
         if replica.is_handing_over() {
             return false;
         }
@@ -146,7 +148,7 @@
         has_proposals
     }
 
-    /// Sends what the leader collected, if its lease holds at this moment.
+    /// Sends the messages that the leader collected, if its lease is valid.
     pub(super) fn send_collected(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let is_serving = self.is_serving(now);
         let Some(leader) = &mut self.leader else {
@@ -160,7 +162,7 @@
         effects.extend(leader.take_messages().into_iter().map(Effect::from));
     }
 
-    /// Lets the leader follow entries that were applied.
+    /// Passes applied entries to the leader.
     pub(super) fn apply_to_leader(&mut self, now: Now, entries: Vec<AppliedEntry>) {
         let (Some(leader), Some(replica)) = (&mut self.leader, &self.replica) else {
             return;
--- a/crates/coordinator/src/core/readiness.rs
+++ b/crates/coordinator/src/core/readiness.rs
@@ -1,4 +1,5 @@
-//! Readiness, the polite stop, and the end of service after unreadable state.
+//! Readiness reports, graceful shutdown, and the stop of service when the state
+//! is unreadable.
 
 use super::Coordinator;
 use crate::effect::{Effect, Input};
@@ -7,12 +8,12 @@
 use consensus::RaftRole;
 use types::{Milliseconds, Now};
 
-/// Longest wait for a successor after a polite stop.
+/// Longest wait for a successor during a graceful shutdown.
 const HANDOVER_WAIT: Milliseconds = Milliseconds(2_000);
 
 impl Coordinator {
-    /// Begins a polite stop: transfers leadership, if it has it and another
-    /// voter can take it.
+    /// Begins a graceful shutdown. A leader transfers leadership if another voter
+    /// can take over.
     pub(super) fn begin_stop(&mut self, now: Now) {
         if self.handover_deadline.is_some() {
             return;
@@ -28,7 +29,8 @@
         self.handover_deadline = Some(now.monotonic + wait);
     }
 
-    /// Ends a polite stop when leadership is transferred or the wait is over.
+    /// Completes a graceful shutdown when this process is not the leader any more
+    /// or the deadline has passed.
     pub(super) fn finish_stop(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let Some(deadline) = self.handover_deadline else {
             return;
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Reports the readiness if it has changed.
+    /// Reports the readiness if it differs from the last report.
     pub(super) fn report_readiness(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let readiness = match self.find_not_ready_reason(now) {
             Some(reason) => Readiness::NotReady(reason),
@@ -67,13 +69,13 @@
         if status.membership.socket(self.own.node).is_none() {
             return Some(NotReadyReason::NotMember);
         }
-        let follows = status.leader.is_some_and(|leader| leader != self.own.node);
-        let has_leader = self.is_serving(now) || follows;
+        let follows_leader = status.leader.is_some_and(|leader| leader != self.own.node);
+        let has_leader = self.is_serving(now) || follows_leader;
         (!has_leader).then_some(NotReadyReason::NoLeader)
     }
 
-    /// Takes an input after unreadable state: nothing is done any more but to
-    /// report it and to stop.
+    /// Handles an input when the state is unreadable: reports the readiness, and
+    /// stops on request. Any other input is ignored.
     pub(super) fn handle_faulted(&mut self, now: Now, input: &Input, effects: &mut Vec<Effect>) {
         self.report_readiness(now, effects);
         if matches!(input, Input::Stop) {
@@ -82,8 +84,8 @@
         }
     }
 
-    /// Stops serving. The log or snapshot of a majority cannot be skipped, so
-    /// there is nothing to go on with.
+    /// Stops serving. A committed entry or snapshot must not be skipped, so a
+    /// member that cannot read one cannot continue.
     pub(super) fn stop_serving(&mut self, error: ReplicaError) {
         let reason = error.to_string();
         tracing::error!(reason, "stopped serving: state is unreadable");
--- a/crates/coordinator/src/core/replication.rs
+++ b/crates/coordinator/src/core/replication.rs
@@ -1,4 +1,5 @@
-//! The exchange between the replica, the disk and the other members.
+//! Exchange of messages and writes between the replica, the disk and the other
+//! members.
 
 use super::Coordinator;
 use crate::effect::Effect;
@@ -36,8 +37,8 @@
         }
     }
 
-    /// Processes all batches of the consensus node, then writes a snapshot if
-    /// one is due.
+    /// Processes all ready batches of the consensus node, then writes a snapshot
+    /// if one is due.
     pub(super) fn process_consensus(&mut self, now: Now, effects: &mut Vec<Effect>) {
         while let Some(replica) = &mut self.replica
             && let Some(batch) = replica.process_ready(now.monotonic, effects)
@@ -49,13 +50,13 @@
             }
         }
         if let Some(replica) = &mut self.replica
-            && let Err(error) = replica.snapshot_when_due(now.monotonic, effects)
+            && let Err(error) = replica.write_snapshot_if_due(now.monotonic, effects)
         {
             self.stop_serving(error);
         }
     }
 
-    /// Takes note that a write is durable and sends what waited for it.
+    /// Handles the completion of a write: sends the messages that waited for it.
     pub(super) fn receive_persisted(&mut self, now: Now, number: u64, effects: &mut Vec<Effect>) {
         let Some(replica) = &mut self.replica else {
             return;
@@ -64,7 +65,7 @@
         self.send_consensus(now, messages, effects);
     }
 
-    /// Takes a consensus message, if it is for this cluster and this node.
+    /// Handles a consensus message. Ignores one for another cluster or node.
     pub(super) fn receive_consensus(
         &mut self,
         now: Now,
@@ -83,8 +84,9 @@
         replica.step(now.monotonic, sender.address.node, message);
     }
 
-    /// Sends to the sockets of the membership; to a process that is not in it
-    /// (a leader, for a learner that has no log yet) to its last known socket.
+    /// Sends consensus messages to the sockets in the membership. A receiver that
+    /// is not in the membership gets them at its last known socket: a learner
+    /// without a log has no membership, but must answer the leader.
     fn send_consensus(&self, now: Now, messages: Vec<Outgoing>, effects: &mut Vec<Effect>) {
         let Some(replica) = &self.replica else {
             return;
--- a/crates/coordinator/src/core/requests.rs
+++ b/crates/coordinator/src/core/requests.rs
@@ -1,5 +1,5 @@
-//! Requests of callers and operators, and the list of members, which only the
-//! core can answer.
+//! Requests of callers and operators. The list of members is built here, since
+//! it needs the directory and the consensus status.
 
 use super::Coordinator;
 use crate::effect::Effect;
@@ -12,8 +12,8 @@
 use types::{Address, ConfigurationVersion, Milliseconds, NodeId, Now, Role, ZoneName};
 
 impl Coordinator {
-    /// Takes a request, if this process may act as the leader; points to the
-    /// leader otherwise.
+    /// Passes a request to the leader if this process holds the lease; answers
+    /// with the address of the leader otherwise.
     pub(super) fn receive_request(
         &mut self,
         now: Now,
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Rejects a request that waited too long for this process. Any other
-    /// message is taken as it is.
+    /// Rejects a request that waited too long in the inbox. Any other message is
+    /// handled as usual.
     pub(super) fn reject_overdue(
         &mut self,
         now: Now,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Lists the coordinators of the membership, then all sessions.
+    /// Lists the coordinators of the membership, followed by all sessions.
     fn list_members(&self, now: Now) -> Vec<MemberView> {
         let (Some(leader), Some(replica)) = (&self.leader, &self.replica) else {
             return Vec::new();
@@ -95,7 +95,8 @@
         }
     }
 
-    /// The configuration that a member has applied, if it is known.
+    /// Returns the configuration version that a member has applied; `None` if it
+    /// has not reported to this leader.
     fn member_version(
         &self,
         leader: &Leader,
@@ -108,7 +109,8 @@
         leader.member_version(node)
     }
 
-    /// The quality of a member's links, as it last reported.
+    /// Returns the health of a member's links, as last reported; `None` without a
+    /// report.
     fn member_links(&self, status: &Status, node: NodeId) -> Option<LinkHealth> {
         if node == self.own.node {
             return Some(status.links);
@@ -119,7 +121,8 @@
             .map(|(_, links)| *links)
     }
 
-    /// A member's address; its zone is not known before its first message.
+    /// Returns the address of a member, with the zone `unknown` before its first
+    /// message.
     fn member_address(&self, node: NodeId, socket: SocketAddr) -> Option<Address> {
         if let Some(address) = self.directory.address(node) {
             return Some(address.clone());
@@ -133,7 +136,8 @@
     }
 }
 
-/// Time since the last message of a member; 0 if it is not known.
+/// Returns the time since the last message of a member; 0 if the consensus node
+/// has recorded none.
 fn since_last_contact(status: &Status, node: NodeId) -> Milliseconds {
     let contacts = status.since_last_contact.iter();
     contacts
--- a/crates/coordinator/src/core/sessions.rs
+++ b/crates/coordinator/src/core/sessions.rs
@@ -7,8 +7,8 @@
 use types::{Address, Now, Role};
 
 impl Coordinator {
-    /// Takes a keep-alive: the leader answers with a lease, any other process
-    /// with the leader it knows.
+    /// Answers a keep-alive: the leader with a lease, any other process with the
+    /// address of the leader.
     pub(super) fn receive_keep_alive(
         &mut self,
         now: Now,
@@ -31,7 +31,7 @@
         {
             return;
         }
-        let coordinators = self.live_coordinators(now);
+        let coordinators = self.responsive_coordinators(now);
         let (Some(leader), Some(replica)) = (&mut self.leader, &self.replica) else {
             return;
         };
@@ -44,17 +44,20 @@
         );
     }
 
-    /// Answers with the leader that this process knows.
+    /// Answers that this process is not the leader, with the leader's address if
+    /// it is known.
     pub(super) fn point_to_leader(&self, now: Now, sender: &Sender, effects: &mut Vec<Effect>) {
         let leader = self.known_leader(now);
         let message = PeerMessage::NotLeader { leader };
         effects.push(sender.answer(&self.own, message).into());
     }
 
-    /// Records a coordinator that asks for admission, and what a member says it
-    /// has applied. Returns whether it gets a lease: one would mislead an empty
-    /// process that is a voter by the first proposal, which must accept that
-    /// proposal to know its voters.
+    /// Records a coordinator that requests admission, and the configuration version
+    /// that a member reports. Returns whether the sender gets a lease.
+    ///
+    /// A voter named by the bootstrap proposal that has not saved that proposal
+    /// gets the proposal instead: with a lease it would join the cluster without
+    /// a list of voters.
     fn record_coordinator(&mut self, now: Now, sender: &Sender, keep_alive: &KeepAlive) -> bool {
         let (Some(leader), Some(replica)) = (&mut self.leader, &self.replica) else {
             return false;
@@ -84,8 +87,8 @@
         false
     }
 
-    /// Coordinators of the membership that were in contact a short while ago.
-    fn live_coordinators(&self, now: Now) -> Vec<Address> {
+    /// Returns the responsive coordinators of the membership.
+    fn responsive_coordinators(&self, now: Now) -> Vec<Address> {
         let Some(status) = self.status(now) else {
             return Vec::new();
         };
@@ -94,7 +97,7 @@
             .voters
             .keys()
             .chain(members.learners.keys())
-            .filter_map(|node| self.directory.alive_address(*node, now.monotonic))
+            .filter_map(|node| self.directory.responsive_address(*node, now.monotonic))
             .cloned()
             .collect()
     }
--- a/crates/coordinator/src/identity.rs
+++ b/crates/coordinator/src/identity.rs
@@ -1,5 +1,5 @@
-//! Who this process is, which others it knows, and how a cluster is
-//! bootstrapped.
+//! Identity of this process, directory of known processes, and bootstrap of a
+//! cluster.
 
 pub(crate) mod bootstrap;
 pub(crate) mod directory;
--- a/crates/coordinator/src/identity/bootstrap.rs
+++ b/crates/coordinator/src/identity/bootstrap.rs
@@ -1,23 +1,24 @@
 //! Announcements of coordinators without a cluster, and the choice of the
 //! first voters.
 //!
-//! Only when exactly the expected number of coordinators, itself included,
-//! have announced themselves as empty does the one with the lowest identity
-//! draw a cluster identifier and name all of them as voters.
+//! Coordinators without a cluster (empty coordinators) announce themselves to
+//! each other. Under [`BootstrapRule::Exact`], once exactly the expected number
+//! of them is present, itself included, the one with the lowest identity draws
+//! a cluster identifier and proposes all of them as voters.
 //!
-//! A coordinator accepts a proposal by saving it, and saves at most one in its
-//! life. The founder saves its own before it sends it. From then on any
-//! process that has saved it sends it again to voters that it has received no
-//! consensus message from. So a founder that dies half-way leaves the others
-//! able to finish: each of them passes the proposal on, and a voter whose disk
-//! was lost comes back under another identity, is not in the list, and joins
-//! as a learner.
+//! A coordinator accepts a proposal by saving it, and never saves a second one.
+//! The proposer saves its own proposal before it sends it. Each process that
+//! has saved the proposal resends it to the voters that it has received neither
+//! an acceptance nor a consensus message from. So the bootstrap completes even
+//! if the proposer crashes midway. A voter whose disk was lost restarts with a
+//! new identity, which the proposal does not name, and joins as a learner.
 //!
-//! Two proposals could both gather a majority only if more empty coordinators
-//! than expected were started at once. A founder that receives one
-//! announcement too many waits, and so does a voter that receives one from an
-//! empty coordinator that the proposal does not name; what is left is a start
-//! with too many coordinators that cannot reach each other.
+//! Two proposals could both be accepted by a majority only if more empty
+//! coordinators than expected were started at once. A proposer that receives
+//! more announcements than expected therefore waits. So does a voter that
+//! receives an announcement from an empty coordinator that the proposal does
+//! not name. One case is not covered: too many coordinators are started and
+//! cannot reach each other.
 
 use crate::options::BootstrapRule;
 use consensus::Membership;
@@ -25,27 +26,27 @@
 use std::net::SocketAddr;
 use types::{Address, Milliseconds, Monotonic, NodeId, ZoneName};
 
-/// An announcement counts for this long.
+/// Time after which an announcement expires.
 const ANNOUNCEMENT_VALID: Milliseconds = Milliseconds(1_500);
 
-/// What an empty coordinator announced.
+/// Announcement of an empty coordinator.
 #[derive(Debug)]
 struct Announcement {
     address: Address,
-    /// Number of initial coordinators that it is configured with.
+    /// Number of initial coordinators in the sender's configuration.
     expected: u32,
     received_at: Monotonic,
 }
 
-/// The newest announcement of each empty coordinator.
+/// Newest announcement of each empty coordinator.
 #[derive(Debug, Default)]
 pub(crate) struct Announcements {
     by_node: BTreeMap<NodeId, Announcement>,
 }
 
 impl Announcements {
-    /// Records an announcement, in place of any earlier one from its socket: an
-    /// identity that lost its socket is gone.
+    /// Records an announcement and removes any other with the same socket: only
+    /// one process can listen on a socket, so the earlier one has ended.
     pub(crate) fn record(&mut self, address: &Address, expected: u32, now: Monotonic) {
         self.by_node
             .retain(|_, other| other.address.socket != address.socket);
@@ -57,21 +58,22 @@
         self.by_node.insert(address.node, announcement);
     }
 
-    /// Drops the announcement of a process that turned out to have a cluster.
+    /// Removes the announcement of a process that has named a cluster.
     pub(crate) fn remove(&mut self, node: NodeId) {
         self.by_node.remove(&node);
     }
 
-    /// Returns whether a valid announcement is from a coordinator that `voters`
-    /// does not name.
+    /// Returns whether an unexpired announcement is from a coordinator that
+    /// `voters` does not name.
     pub(crate) fn has_unnamed(&mut self, voters: &Membership, now: Monotonic) -> bool {
         self.expire(now);
         let mut announced = self.by_node.keys();
         announced.any(|node| !voters.voters.contains_key(node))
     }
 
-    /// Chooses the first voters; none unless all expected coordinators have
-    /// announced themselves and `rule` lets this process bootstrap the cluster.
+    /// Chooses the initial voters. Returns `None` unless all expected coordinators
+    /// have announced themselves and `rule` allows this process to bootstrap the
+    /// cluster.
     pub(crate) fn choose_voters(
         &mut self,
         own: &Address,
@@ -85,7 +87,7 @@
         }
         let others = (expected as usize).saturating_sub(1);
         let mut voters: BTreeMap<NodeId, SocketAddr> = self
-            .spread_over_zones(own)
+            .order_by_zone(own)
             .into_iter()
             .take(others)
             .map(|address| (address.node, address.socket))
@@ -113,14 +115,14 @@
         rule_allows && all_agree
     }
 
-    /// Orders the announced coordinators so that each zone in turn gives one,
-    /// this process's own zone last.
-    fn spread_over_zones(&self, own: &Address) -> Vec<Address> {
-        let mut chosen: BTreeMap<ZoneName, usize> = BTreeMap::from([(own.zone.clone(), 1)]);
+    /// Returns the announced coordinators in round-robin order of their zones.
+    /// This process counts as the first one of its own zone.
+    fn order_by_zone(&self, own: &Address) -> Vec<Address> {
+        let mut next_ranks: BTreeMap<ZoneName, usize> = BTreeMap::from([(own.zone.clone(), 1)]);
         let mut ranked: Vec<(usize, Address)> = Vec::new();
         for announcement in self.by_node.values() {
             let address = announcement.address.clone();
-            let rank = chosen.entry(address.zone.clone()).or_default();
+            let rank = next_ranks.entry(address.zone.clone()).or_default();
             ranked.push((*rank, address));
             *rank += 1;
         }
--- a/crates/coordinator/src/identity/directory.rs
+++ b/crates/coordinator/src/identity/directory.rs
@@ -1,36 +1,38 @@
-//! Processes that this one knows, for discovery and for the addresses of
+//! Directory of known processes, used for discovery and for the addresses of
 //! members.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use types::{Address, Milliseconds, Monotonic, NodeId, Role};
 
-/// A process without a message for this long is not named to others.
-const ALIVE_WITHIN: Milliseconds = Milliseconds(5_000);
-/// A process that neither sends nor is named for this long is removed.
-const FORGET_AFTER: Milliseconds = Milliseconds(60_000);
-/// Processes named to others at once.
+/// Time since its last message within which a process counts as responsive and
+/// is named to others.
+const RESPONSIVE_WITHIN: Milliseconds = Milliseconds(5_000);
+/// Time after which a process is removed if it neither sends a message nor is
+/// named by another process.
+const REMOVE_AFTER: Milliseconds = Milliseconds(60_000);
+/// Limit of processes named in one message.
 const MAX_NAMED: usize = 32;
-/// Processes kept at most; the one without contact for longest goes first.
+/// Limit of processes kept. The one with the oldest contact is removed first.
 const MAX_KNOWN: usize = 4_096;
 
 /// A process and the last time it sent a message or was named.
 #[derive(Debug, Clone)]
 struct KnownProcess {
     address: Address,
-    /// When it last sent a message, or another process last named it.
+    /// Time at which the process last sent a message or was last named by another.
     last_contact: Monotonic,
-    /// Whether its last contact was a message of its own.
+    /// Whether the last contact was a message from the process itself.
     is_direct: bool,
 }
 
 impl KnownProcess {
-    fn is_alive(&self, now: Monotonic) -> bool {
-        self.is_direct && now.since(self.last_contact) <= ALIVE_WITHIN
+    fn is_responsive(&self, now: Monotonic) -> bool {
+        self.is_direct && now.since(self.last_contact) <= RESPONSIVE_WITHIN
     }
 }
 
-/// Processes known by identity.
+/// Known processes, by identity.
 #[derive(Debug)]
 pub(crate) struct Directory {
     own: Address,
@@ -38,7 +40,7 @@
 }
 
 impl Directory {
-    /// A directory that knows this process alone.
+    /// Creates a directory that contains only this process.
     pub(crate) fn new(own: Address) -> Self {
         Self {
             own,
@@ -55,20 +57,21 @@
             known.is_direct = true;
             return;
         }
-        // Whoever had the socket before has lost it.
+        // Only one process can listen on a socket, so the earlier one has ended.
         self.known
             .retain(|_, known| known.address.socket != address.socket);
         self.insert(address, now, true);
     }
 
-    /// Adds a process that another one named, unless its socket is known.
-    pub(crate) fn learn(&mut self, address: &Address, now: Monotonic) {
-        let own = address.node == self.own.node || address.socket == self.own.socket;
+    /// Adds a process that another one named, unless a known process has its
+    /// socket.
+    pub(crate) fn add_named(&mut self, address: &Address, now: Monotonic) {
+        let is_own = address.node == self.own.node || address.socket == self.own.socket;
         let socket_known = self
             .known
             .values()
             .any(|known| known.address.socket == address.socket);
-        if !own && !socket_known {
+        if !is_own && !socket_known {
             self.insert(address, now, false);
         }
     }
@@ -91,13 +94,13 @@
         self.known.insert(address.node, known);
     }
 
-    /// Removes processes without contact for long.
+    /// Removes processes without contact for [`REMOVE_AFTER`].
     pub(crate) fn forget_unresponsive(&mut self, now: Monotonic) {
         self.known
-            .retain(|_, known| now.since(known.last_contact) <= FORGET_AFTER);
+            .retain(|_, known| now.since(known.last_contact) <= REMOVE_AFTER);
     }
 
-    /// The address of a process, if it is known.
+    /// Returns the address of a process, if it is known.
     pub(crate) fn address(&self, node: NodeId) -> Option<&Address> {
         if node == self.own.node {
             return Some(&self.own);
@@ -105,35 +108,36 @@
         self.known.get(&node).map(|known| &known.address)
     }
 
-    /// The address of a process that sent a message a short while ago.
-    pub(crate) fn alive_address(&self, node: NodeId, now: Monotonic) -> Option<&Address> {
+    /// Returns the address of a responsive process; `None` if it is unknown or
+    /// unresponsive.
+    pub(crate) fn responsive_address(&self, node: NodeId, now: Monotonic) -> Option<&Address> {
         if node == self.own.node {
             return Some(&self.own);
         }
         let known = self.known.get(&node)?;
-        known.is_alive(now).then_some(&known.address)
+        known.is_responsive(now).then_some(&known.address)
     }
 
-    /// Processes that sent a message a short while ago: this one, the other coordinators,
-    /// and some of the rest.
-    pub(crate) fn alive(&self, now: Monotonic) -> Vec<Address> {
-        let alive = || {
+    /// Returns up to [`MAX_NAMED`] responsive processes: this one, then the other
+    /// coordinators, then processes of other roles.
+    pub(crate) fn responsive(&self, now: Monotonic) -> Vec<Address> {
+        let responsive = || {
             self.known
                 .values()
-                .filter(|known| known.is_alive(now))
+                .filter(|known| known.is_responsive(now))
                 .map(|known| &known.address)
         };
-        let coordinators = alive().filter(|address| address.role == Role::Coordinator);
-        let rest = alive().filter(|address| address.role != Role::Coordinator);
+        let coordinators = responsive().filter(|address| address.role == Role::Coordinator);
+        let others = responsive().filter(|address| address.role != Role::Coordinator);
         std::iter::once(&self.own)
             .chain(coordinators)
-            .chain(rest)
+            .chain(others)
             .take(MAX_NAMED)
             .cloned()
             .collect()
     }
 
-    /// Sockets of all gateways and agents known.
+    /// Returns the sockets of all known gateways and agents.
     pub(crate) fn other_sockets(&self) -> Vec<SocketAddr> {
         let others = self.known.values();
         others
@@ -142,7 +146,7 @@
             .collect()
     }
 
-    /// Sockets of all other coordinators known.
+    /// Returns the sockets of all known coordinators except this process.
     pub(crate) fn coordinator_sockets(&self) -> Vec<SocketAddr> {
         self.known
             .values()
--- a/crates/coordinator/src/identity/identification.rs
+++ b/crates/coordinator/src/identity/identification.rs
@@ -1,9 +1,10 @@
-//! The identity of this process and its progress towards a cluster.
+//! Identity of this process, and the steps by which it joins or bootstraps a
+//! cluster.
 //!
-//! A process without an identity saves one before it sends anything. Without a
-//! cluster it discovers others through its seeds. As soon as any process it
-//! reaches names a cluster it asks that cluster's leader for admission, and
-//! never bootstraps one itself.
+//! A process without an identity saves one before it sends any message. A
+//! process without a cluster discovers others through its seeds. If any of them
+//! names a cluster, the process requests admission from that cluster's leader
+//! and does not bootstrap a cluster itself.
 
 use crate::effect::Effect;
 use crate::identity::bootstrap::Announcements;
@@ -17,44 +18,46 @@
 /// Time between two rounds of discovery, announcements and keep-alives.
 const ROUND_INTERVAL: Milliseconds = Milliseconds(200);
 
-/// A cluster and its first voters, as saved in the identity.
+/// Cluster and its initial voters, as saved in the identity.
 #[derive(Debug, Clone)]
 pub(crate) struct ClusterProposal {
     pub(crate) cluster: ClusterId,
-    /// Empty where this process joined a cluster that existed before.
+    /// Initial voters. Empty if this process joined an existing cluster.
     pub(crate) voters: Membership,
 }
 
-/// What became durable with the identity.
+/// Cluster of an identity whose write has completed.
 #[derive(Debug)]
 pub(crate) struct SavedCluster {
     pub(crate) cluster: ClusterId,
-    /// The process that proposed the cluster and waits for the acceptance.
+    /// Process that proposed the cluster and gets the acceptance; `None` if this
+    /// process proposed it or joined an existing one.
     pub(crate) proposer: Option<SocketAddr>,
 }
 
-/// The identity of this process, and the cluster it has or looks for.
+/// Identity of this process and state of its search for a cluster.
 #[derive(Debug)]
 pub(crate) struct Identification {
     node: NodeId,
-    /// On disk; none until the first save ended.
+    /// Identity on disk; `None` until the first write completes.
     saved: Option<Identity>,
-    /// Handed to the disk; not durable yet.
+    /// Identity that is being written; `None` between writes.
     saving: Option<Identity>,
-    /// Gets the acceptance once its proposal is on disk.
+    /// Process whose proposal is being written. It gets the acceptance when the
+    /// write completes.
     proposer: Option<SocketAddr>,
     announcements: Announcements,
-    /// A cluster that a reachable process named.
+    /// Cluster that a reachable process named last.
     known_cluster: Option<ClusterId>,
     leader_hint: Option<Address>,
-    /// First voters that take part and need the proposal no more.
+    /// Voters that have accepted the proposal or sent a consensus message.
     confirmed_voters: BTreeSet<NodeId>,
     keep_alive_sequence: u64,
     next_round: Monotonic,
 }
 
 impl Identification {
-    /// Starts from the identity that the disk held.
+    /// Creates the state from the identity read from disk.
     pub(crate) fn new(node: NodeId, saved: Option<Identity>, now: Monotonic) -> Self {
         Self {
             node,
@@ -70,7 +73,7 @@
         }
     }
 
-    /// The cluster and first voters on disk.
+    /// Returns the cluster and initial voters on disk; `None` without a cluster.
     pub(crate) fn saved_proposal(&self) -> Option<ClusterProposal> {
         let identity = self.saved.as_ref()?;
         Some(ClusterProposal {
@@ -79,18 +82,18 @@
         })
     }
 
-    /// The cluster on disk.
+    /// Returns the cluster on disk.
     pub(crate) fn cluster(&self) -> Option<ClusterId> {
         self.saved.as_ref().and_then(|identity| identity.cluster)
     }
 
-    /// The cluster on disk, or else one that a reachable process named.
+    /// Returns the cluster on disk, or else one that a reachable process named.
     pub(crate) fn own_or_known_cluster(&self) -> Option<ClusterId> {
         self.cluster().or(self.known_cluster)
     }
 
     /// Returns whether a reachable process named a cluster.
-    pub(crate) fn knows_cluster(&self) -> bool {
+    pub(crate) fn has_known_cluster(&self) -> bool {
         self.known_cluster.is_some()
     }
 
@@ -100,7 +103,7 @@
         self.saving.is_none() && saved.is_some_and(|identity| identity.cluster.is_none())
     }
 
-    /// Returns whether a save is under way.
+    /// Returns whether an identity is being written.
     pub(crate) fn is_saving(&self) -> bool {
         self.saving.is_some()
     }
@@ -110,7 +113,7 @@
         self.saved.is_some()
     }
 
-    /// Begins the next round if its time has come.
+    /// Returns whether the next round is due, and schedules the one after it.
     pub(crate) fn begin_round(&mut self, now: Monotonic) -> bool {
         if now < self.next_round {
             return false;
@@ -119,18 +122,19 @@
         true
     }
 
-    /// Draws the sequence number of the next keep-alive.
+    /// Returns the sequence number of the next keep-alive.
     pub(crate) fn next_keep_alive(&mut self) -> u64 {
         self.keep_alive_sequence += 1;
         self.keep_alive_sequence
     }
 
-    /// The process that others last named as the leader.
+    /// Returns the process that was last named as the leader.
     pub(crate) fn leader_hint(&self) -> Option<&Address> {
         self.leader_hint.as_ref()
     }
 
-    /// Records which process another one named as the leader.
+    /// Records the process that another one named as the leader. Ignores `None`
+    /// and this process.
     pub(crate) fn record_leader_hint(&mut self, leader: Option<Address>) {
         if let Some(leader) = leader
             && leader.node != self.node
@@ -144,18 +148,19 @@
         self.known_cluster = Some(cluster);
     }
 
-    /// Records a cluster that another process belongs to or knows.
-    pub(crate) fn record_cluster_of(&mut self, node: NodeId, cluster: ClusterId) {
+    /// Records a cluster that another process named, and removes the announcement
+    /// of that process.
+    pub(crate) fn record_cluster_of_process(&mut self, node: NodeId, cluster: ClusterId) {
         self.known_cluster = Some(cluster);
         self.announcements.remove(node);
     }
 
-    /// Records that another coordinator has no cluster.
+    /// Records the announcement of a coordinator without a cluster.
     pub(crate) fn record_announcement(&mut self, address: &Address, expected: u32, now: Monotonic) {
         self.announcements.record(address, expected, now);
     }
 
-    /// Chooses the first voters if this process is to bootstrap the cluster now.
+    /// Chooses the initial voters if this process may bootstrap the cluster now.
     pub(crate) fn choose_voters(
         &mut self,
         own: &Address,
@@ -163,18 +168,19 @@
         rule: BootstrapRule,
         now: Monotonic,
     ) -> Option<Membership> {
-        if self.knows_cluster() || !self.may_choose_cluster() {
+        if self.has_known_cluster() || !self.may_choose_cluster() {
             return None;
         }
         self.announcements.choose_voters(own, expected, rule, now)
     }
 
-    /// Records that a first voter takes part in the cluster.
+    /// Records that a voter has accepted the proposal or sent a consensus message.
     pub(crate) fn confirm_voter(&mut self, node: NodeId) {
         self.confirmed_voters.insert(node);
     }
 
-    /// First voters that may not have the proposal yet, without this process.
+    /// Returns the voters that have not confirmed the proposal, except this
+    /// process.
     pub(crate) fn unconfirmed_voters(&self, voters: &Membership) -> Vec<(NodeId, SocketAddr)> {
         voters
             .voters
@@ -184,7 +190,7 @@
             .collect()
     }
 
-    /// Returns whether this process may accept another one's proposal.
+    /// Returns whether this process may accept a proposal.
     pub(crate) fn may_accept(
         &mut self,
         own: &Address,
@@ -194,17 +200,18 @@
     ) -> bool {
         let voters = &proposal.voters;
         let is_named = voters.voters.get(&own.node) == Some(&own.socket);
-        let knows_other = self
+        let has_other_cluster = self
             .known_cluster
             .is_some_and(|known| known != proposal.cluster);
-        // Where one process alone may bootstrap, there is one proposal, and a
-        // coordinator that it does not name joins.
+        // Under the other rules at most one process proposes, and coordinators
+        // that the proposal does not name join later.
         let has_unnamed =
             rule == BootstrapRule::Exact && self.announcements.has_unnamed(voters, now);
-        is_named && !knows_other && !has_unnamed && self.may_choose_cluster()
+        is_named && !has_other_cluster && !has_unnamed && self.may_choose_cluster()
     }
 
-    /// Accepts a proposal: saves it, and remembers whom to answer then.
+    /// Accepts a proposal: saves it, and keeps the proposer to send the acceptance
+    /// once the write completes.
     pub(crate) fn accept(
         &mut self,
         proposer: SocketAddr,
@@ -215,12 +222,12 @@
         self.save_cluster(proposal, effects);
     }
 
-    /// Saves an identity without a cluster.
+    /// Saves a new identity without a cluster.
     pub(crate) fn save_new(&mut self, effects: &mut Vec<Effect>) {
         self.save(None, Membership::default(), effects);
     }
 
-    /// Saves the cluster that this process belongs to from now on.
+    /// Saves the identity with the cluster that this process bootstraps or joins.
     pub(crate) fn save_cluster(&mut self, proposal: ClusterProposal, effects: &mut Vec<Effect>) {
         self.save(Some(proposal.cluster), proposal.voters, effects);
     }
@@ -235,8 +242,8 @@
         effects.push(Effect::SaveIdentity(identity));
     }
 
-    /// Takes note that the save under way is durable. Returns the cluster if
-    /// the identity names one.
+    /// Handles the completion of an identity write. Returns the cluster if the
+    /// identity names one.
     pub(crate) fn finish_save(&mut self, now: Monotonic) -> Option<SavedCluster> {
         let identity = self.saving.take()?;
         let cluster = identity.cluster;
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -1,10 +1,9 @@
-//! The consensus node, the state machine that it feeds, and the order of the
-//! disk.
+//! Consensus node, state machine and pending disk writes of one member.
 //!
-//! What the node returns is written, applied and sent in this order. Messages
-//! that promise something about the disk wait for the sync of the batch they
-//! belong to. Since syncs end in order, a batch with nothing to write waits
-//! for the newest one still under way.
+//! Each ready batch of the node is written and applied. Messages that depend on
+//! data being durable are sent only after the sync of their batch. Syncs
+//! complete in order, so the messages of a batch with nothing to write wait for
+//! the newest pending write.
 
 mod error;
 pub mod snapshots;
@@ -26,12 +25,14 @@
 
 /// A write that is not durable yet.
 #[derive(Debug)]
-struct Outstanding {
+struct PendingWrite {
     number: u64,
-    /// Newest batch of the node that this sync covers.
+    /// Number of the newest ready batch that this sync covers; `None` for a
+    /// snapshot taken by this member.
     ready: Option<u64>,
+    /// Messages to send after the sync.
     messages: Vec<Outgoing>,
-    /// Own snapshot: the log may be cut when it is synced.
+    /// Snapshot taken by this member. The log is compacted once it is synced.
     snapshot: Option<Snapshot>,
 }
 
@@ -43,19 +44,19 @@
     pub(crate) applied: Applied,
 }
 
-/// A batch of the consensus node, written and applied.
+/// Result of processing a ready batch of the consensus node.
 pub(crate) struct ProcessedBatch {
-    /// Messages that may leave before any sync.
+    /// Messages that need not wait for a sync.
     pub(crate) messages: Vec<Outgoing>,
     pub(crate) applied: Result<Vec<AppliedEntry>, ReplicaError>,
 }
 
-/// What a replica is built with, beside what the disk held.
+/// Settings of a replica.
 pub(crate) struct ReplicaOptions {
     pub(crate) cluster: ClusterId,
     /// Identity of this member.
     pub(crate) node: NodeId,
-    /// First voters of the cluster; empty where this process joined.
+    /// Initial voters of the cluster; empty if this process joined an existing one.
     pub(crate) initial: Membership,
     /// Timings of consensus.
     pub(crate) consensus: consensus::Options,
@@ -63,24 +64,24 @@
     pub(crate) seed: u64,
     /// Least number of entries between two snapshots.
     pub(crate) snapshot_every: u64,
-    /// A fault built into the state machine, for the simulation.
+    /// Fault injected into the state machine by the simulation; `None` otherwise.
     pub(crate) mutation: Option<state_machine::mutation::Mutation>,
 }
 
-/// One copy of the replicated state.
+/// Copy of the replicated state on this member.
 pub(crate) struct Replica {
     cluster: ClusterId,
     node: Node,
     state_machine: StateMachine,
     applied: SnapshotMeta,
     schedule: SnapshotSchedule,
-    snapshot_under_way: bool,
+    snapshot_pending: bool,
     next_number: u64,
-    outstanding: VecDeque<Outstanding>,
+    pending_writes: VecDeque<PendingWrite>,
 }
 
 impl Replica {
-    /// Builds a replica from what the disk held.
+    /// Builds a replica from the log and snapshot read from disk.
     ///
     /// # Errors
     ///
@@ -90,11 +91,14 @@
         recovered: Recovered,
         now: Monotonic,
     ) -> Result<Self, ReplicaError> {
-        let read_bytes = recovered.snapshot.as_ref().map(|read| read.data.len());
+        let snapshot_bytes = recovered
+            .snapshot
+            .as_ref()
+            .map(|snapshot| snapshot.data.len());
         let schedule = SnapshotSchedule::new(
             options.snapshot_every,
             options.node,
-            read_bytes.unwrap_or_default() as u64,
+            snapshot_bytes.unwrap_or_default() as u64,
         );
         let (mut state_machine, applied) = match &recovered.snapshot {
             Some(snapshot) => (restore(snapshot)?, snapshot.meta.clone()),
@@ -123,38 +127,39 @@
             state_machine,
             applied,
             schedule,
-            snapshot_under_way: false,
+            snapshot_pending: false,
             next_number: 1,
-            outstanding: VecDeque::new(),
+            pending_writes: VecDeque::new(),
         })
     }
 
-    /// The cluster that the replica belongs to.
+    /// Returns the cluster of the replica.
     pub(crate) fn cluster(&self) -> ClusterId {
         self.cluster
     }
 
-    /// The state machine with all committed entries that this member knows.
+    /// Returns the state machine, with all entries that this member has learnt to
+    /// be committed.
     pub(crate) fn state_machine(&self) -> &StateMachine {
         &self.state_machine
     }
 
-    /// The status of the consensus node.
+    /// Returns the status of the consensus node.
     pub(crate) fn status(&self, now: Monotonic) -> Status {
         self.node.status(now)
     }
 
-    /// Returns whether this member leads and its lease holds.
+    /// Returns whether this member is the leader and its lease is valid.
     pub(crate) fn holds_lease(&self, now: Monotonic) -> bool {
         self.node.holds_lease(now)
     }
 
-    /// Returns whether a transfer of leadership is under way.
+    /// Returns whether a leadership transfer is in progress.
     pub(crate) fn is_handing_over(&self) -> bool {
         self.node.is_handing_over()
     }
 
-    /// When the consensus node wants the next tick.
+    /// Returns the time by which the next tick of the consensus node is due.
     pub(crate) fn next_wakeup(&self) -> Monotonic {
         self.node.next_wakeup()
     }
@@ -164,33 +169,34 @@
         self.node.tick(now);
     }
 
-    /// Records how long messages wait for this process.
+    /// Records how long messages wait in this process.
     pub(crate) fn record_lag(&mut self, lag: Milliseconds) {
         self.node.record_lag(lag);
     }
 
-    /// Gives the consensus node a message of another member.
+    /// Passes a message of another member to the consensus node.
     pub(crate) fn step(&mut self, now: Monotonic, from: NodeId, message: Message) {
         self.node.step(now, from, message);
     }
 
-    /// Hands leadership to the voter that is furthest; returns it if there is one.
+    /// Transfers leadership to the voter with the longest log and returns it, if
+    /// there is one.
     pub(crate) fn transfer_leadership(&mut self, now: Monotonic) -> Option<NodeId> {
         self.node.transfer_leadership(now)
     }
 
-    /// Proposes a command; none if the node does not take it, because it hands
-    /// over or does not lead.
+    /// Proposes a command and returns its index; `None` if the node rejects it
+    /// since it is not the leader or transfers leadership.
     pub(crate) fn propose(&mut self, now: Monotonic, command: &Command) -> Option<LogIndex> {
         let bytes = command.encode().ok()?;
         self.node.propose(now, bytes).ok()
     }
 
-    /// Proposes a membership.
+    /// Proposes a new membership and returns its index.
     ///
     /// # Errors
     ///
-    /// Returns why the node does not take the proposal now.
+    /// Returns an error if the node rejects the proposal.
     pub(crate) fn propose_membership(
         &mut self,
         now: Monotonic,
@@ -199,8 +205,8 @@
         self.node.propose_membership(now, membership)
     }
 
-    /// Processes the next batch of the node, if it has one: writes, applies,
-    /// and returns what may leave now.
+    /// Processes the next ready batch of the node, if any: queues its write,
+    /// applies its committed entries, and returns the messages to send now.
     pub(crate) fn process_ready(
         &mut self,
         now: Monotonic,
@@ -212,7 +218,7 @@
         Some(ProcessedBatch { messages, applied })
     }
 
-    /// Writes a batch of the node; returns the messages that may leave now.
+    /// Queues the write of a batch. Returns the messages to send now.
     fn store(
         &mut self,
         now: Monotonic,
@@ -220,29 +226,29 @@
         effects: &mut Vec<Effect>,
     ) -> Vec<Outgoing> {
         let mut messages = std::mem::take(&mut ready.messages);
-        let later = std::mem::take(&mut ready.messages_after_persist);
+        let after_persist = std::mem::take(&mut ready.messages_after_persist);
         if ready.needs_persist() {
             let batch = Batch {
                 hard_state: ready.hard_state,
                 snapshot: ready.snapshot.clone(),
                 entries: std::mem::take(&mut ready.entries),
             };
-            self.persist(batch, Some(ready.number), later, None, effects);
-        } else if let Some(newest) = self.newest_batch() {
+            self.persist(batch, Some(ready.number), after_persist, None, effects);
+        } else if let Some(newest) = self.newest_batch_write() {
             newest.ready = Some(ready.number);
-            newest.messages.extend(later);
+            newest.messages.extend(after_persist);
         } else {
-            messages.extend(later);
+            messages.extend(after_persist);
             self.node.persisted(now, ready.number);
         }
         messages
     }
 
-    /// The newest batch of the node that is not durable. Own snapshots beside it
-    /// promise nothing to others.
-    fn newest_batch(&mut self) -> Option<&mut Outstanding> {
-        let mut newest_first = self.outstanding.iter_mut().rev();
-        newest_first.find(|outstanding| outstanding.ready.is_some())
+    /// Returns the newest pending write of a batch. Snapshots taken by this member
+    /// are passed over: no message depends on them.
+    fn newest_batch_write(&mut self) -> Option<&mut PendingWrite> {
+        let mut newest_first = self.pending_writes.iter_mut().rev();
+        newest_first.find(|write| write.ready.is_some())
     }
 
     fn persist(
@@ -255,7 +261,7 @@
     ) {
         let number = self.next_number;
         self.next_number += 1;
-        self.outstanding.push_back(Outstanding {
+        self.pending_writes.push_back(PendingWrite {
             number,
             ready,
             messages,
@@ -264,12 +270,13 @@
         effects.push(Effect::Persist { number, batch });
     }
 
-    /// Takes note that a write is durable; returns the messages that waited for it.
+    /// Handles the completion of a write and of all before it. Returns the messages
+    /// that waited for them.
     pub(crate) fn persisted(&mut self, now: Monotonic, number: u64) -> Vec<Outgoing> {
         let mut messages = Vec::new();
-        while let Some(oldest) = self.outstanding.pop_front() {
+        while let Some(oldest) = self.pending_writes.pop_front() {
             if oldest.number > number {
-                self.outstanding.push_front(oldest);
+                self.pending_writes.push_front(oldest);
                 break;
             }
             messages.extend(oldest.messages);
@@ -277,7 +284,7 @@
                 self.node.persisted(now, ready);
             }
             if let Some(snapshot) = oldest.snapshot {
-                self.snapshot_under_way = false;
+                self.snapshot_pending = false;
                 self.node.compact(snapshot);
             }
         }
@@ -323,20 +330,21 @@
         Ok(results)
     }
 
-    /// Writes a snapshot of its own when one is due.
+    /// Writes a snapshot if one is due. A leader with a large state transfers
+    /// leadership first, if another voter can take over.
     ///
     /// # Errors
     ///
     /// Returns an error if the state does not encode.
-    pub(crate) fn snapshot_when_due(
+    pub(crate) fn write_snapshot_if_due(
         &mut self,
         now: Monotonic,
         effects: &mut Vec<Effect>,
     ) -> Result<(), ReplicaError> {
-        // A joiner that has not reached its own admission in the log does not
-        // know the membership a snapshot must name.
-        let membership_known = !self.applied.membership.voters.is_empty();
-        if self.snapshot_under_way || !membership_known {
+        // A snapshot contains the membership. A process that joins has none until
+        // it applies its own admission.
+        let has_membership = !self.applied.membership.voters.is_empty();
+        if self.snapshot_pending || !has_membership {
             return Ok(());
         }
         match self.schedule.due(self.node.is_leader(), self.voter_turn()) {
@@ -362,7 +370,7 @@
             meta: self.applied.clone(),
             data: Arc::from(data),
         };
-        self.snapshot_under_way = true;
+        self.snapshot_pending = true;
         let batch = Batch {
             snapshot: Some(snapshot.clone()),
             ..Batch::default()
--- a/crates/coordinator/src/replica/error.rs
+++ b/crates/coordinator/src/replica/error.rs
@@ -4,8 +4,8 @@
 use thiserror::Error;
 use types::LogIndex;
 
-/// Why the replica cannot go on: the log or snapshot of a majority must not be
-/// skipped.
+/// Error that stops the replica. Committed entries and snapshots must not be
+/// skipped, so it cannot continue.
 #[derive(Debug, Error)]
 pub(crate) enum ReplicaError {
     /// A snapshot does not decode.
--- a/crates/coordinator/src/replica/snapshots.rs
+++ b/crates/coordinator/src/replica/snapshots.rs
@@ -1,35 +1,41 @@
-//! When a member writes a snapshot of its state machine.
+//! Schedule of the snapshots that a member writes of its state machine.
 //!
-//! Encoding a large state takes longer than a leader's lease: some 30 ms a
-//! megabyte on a small machine, in the thread of the core, which takes no
-//! message meanwhile. So snapshots of a large state are as far apart as they are
-//! large, the voters take turns, by the index they have all applied, and a leader
-//! delays its own; when it can no longer, it transfers leadership first.
+//! Encoding takes about 30 ms per megabyte on a small machine. It runs in the thread
+//! of the core, which handles no messages meanwhile, so the encoding of a large
+//! state takes longer than a leader's lease. Snapshots of a large state are
+//! therefore limited in three ways:
+//!
+//! * A snapshot is due only after as many bytes of entries as the last snapshot
+//!   has.
+//! * The voters take turns, chosen by the index of the last applied entry.
+//! * A leader delays its snapshot, and transfers leadership when one is due.
 
 use types::{LogIndex, NodeId};
 
-/// A record whose last snapshot was smaller is encoded well within a lease.
+/// Snapshot size from which on a state counts as large. A smaller one is encoded
+/// well within a lease.
 const LARGE_BYTES: u64 = 1024 * 1024;
-/// Entries of one voter's turn: longer than a snapshot takes at a peak.
+/// Entries per voter's turn. A snapshot completes within one turn even at peak
+/// load.
 const TURN_ENTRIES: u64 = 2_048;
-/// A leader puts its snapshot off for so many intervals.
+/// Intervals after which the snapshot of a leader is due.
 const LEADER_INTERVALS: u64 = 4;
 
 /// Whether a member should write a snapshot now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SnapshotDue {
-    /// Not yet.
+    /// No snapshot is due, or it is the turn of another voter.
     No,
-    /// Now.
+    /// The member should write a snapshot now.
     Yes,
-    /// As soon as another member leads.
+    /// The member is the leader and should transfer leadership first.
     AfterHandingOver,
 }
 
-/// Counts what was applied since the last snapshot.
+/// Counts entries and bytes applied since the last snapshot.
 #[derive(Debug)]
 pub struct SnapshotSchedule {
-    /// Shortest interval, in entries.
+    /// Least number of entries between two snapshots.
     every: u64,
     entries: u64,
     entry_bytes: u64,
@@ -37,10 +43,12 @@
 }
 
 impl SnapshotSchedule {
-    /// Begins after a snapshot of `snapshot_bytes` was read, or none (0).
+    /// Creates a schedule. `snapshot_bytes` is the size of the snapshot read from
+    /// disk, 0 without one.
     ///
-    /// Members apply the same entries and would all write at once, while no quorum
-    /// syncs anything else: each begins with another number of entries.
+    /// The count of entries starts at an offset that depends on `own`. All members
+    /// apply the same entries: without the offset they would write snapshots at the
+    /// same time, and no quorum would sync new entries meanwhile.
     pub fn new(every: u64, own: NodeId, snapshot_bytes: u64) -> Self {
         let every = every.max(1);
         Self {
@@ -51,21 +59,21 @@
         }
     }
 
-    /// Counts an applied entry of this many bytes.
+    /// Counts an applied entry of `bytes` bytes.
     pub fn record_applied(&mut self, bytes: usize) {
         self.entries += 1;
         self.entry_bytes += bytes as u64;
     }
 
-    /// Begins a new interval, after a snapshot of this many bytes was written or
-    /// installed.
+    /// Starts a new interval after a snapshot of `snapshot_bytes` bytes was written
+    /// or installed.
     pub fn restart(&mut self, snapshot_bytes: usize) {
         self.entries = 0;
         self.entry_bytes = 0;
         self.snapshot_bytes = snapshot_bytes as u64;
     }
 
-    /// Returns whether a snapshot is due, for the leader or another member.
+    /// Returns whether a snapshot is due for this member.
     pub fn due(&self, is_leader: bool, turn: VoterTurn) -> SnapshotDue {
         if self.snapshot_bytes < LARGE_BYTES {
             return if self.entries >= self.every {
@@ -89,14 +97,15 @@
     }
 }
 
-/// The position of a member among the voters, which write snapshots in turn.
+/// Position of a member among the voters, which take turns to write snapshots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VoterTurn {
     /// Index of the last entry that the member applied.
     pub applied: LogIndex,
-    /// Its position among the voters; none for a learner, which need not wait.
+    /// Position among the voters, from 0; `None` for a learner, which need not wait
+    /// for a turn.
     pub position: Option<usize>,
-    /// Number of voters.
+    /// Number of voters in the membership.
     pub voters: usize,
 }
 
