--- a/crates/coordinator/src/readiness.rs
+++ b/crates/coordinator/src/readiness.rs
@@ -1,35 +1,35 @@
-//! Whether a coordinator is ready, and why it is not.
+//! Readiness of a coordinator, and the reasons for which it is not ready.
 
 use thiserror::Error;
 
-/// Whether this process should count as ready.
+/// Readiness of a coordinator, as reported on the admin listener.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Readiness {
-    /// It serves as the leader or follows one.
+    /// The coordinator is the leader with a valid lease, or follows a leader.
     Ready,
-    /// It can neither serve nor follow.
+    /// The coordinator neither serves as the leader nor follows one.
     NotReady(NotReadyReason),
 }
 
-/// Why a coordinator is not ready.
+/// Reason for which a coordinator is not ready.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum NotReadyReason {
-    /// Its log or snapshot cannot be read; it serves no more.
+    /// The log or snapshot is unreadable, and the coordinator has stopped serving.
     #[error("{error}")]
     StateUnreadable {
-        /// The error, as text.
+        /// Text of the error that stopped the service.
         error: String,
     },
-    /// It hands over and ends.
+    /// A graceful shutdown is in progress.
     #[error("stopping")]
     Stopping,
-    /// It has neither bootstrapped nor joined a cluster.
+    /// The coordinator has neither bootstrapped nor joined a cluster.
     #[error("belongs to no cluster yet")]
     NoCluster,
-    /// The membership that it knows does not name it.
+    /// The last known membership does not contain the coordinator.
     #[error("waits to be taken in by the cluster")]
     NotMember,
-    /// It knows no leader at this moment.
+    /// No leader is known.
     #[error("knows no leader")]
     NoLeader,
 }
--- a/crates/coordinator/src/shell.rs
+++ b/crates/coordinator/src/shell.rs
@@ -1,9 +1,9 @@
-//! The coordinator's tokio shell: sockets, disk thread, clock.
+//! Tokio shell of the coordinator: sockets, disk thread and clock.
 //!
-//! One task owns the core and feeds it one input at a time, with the clock
-//! read just before. The disk has a thread of its own, which writes in order
-//! and joins what has piled up meanwhile into one sync. A failed write or sync
-//! ends the process: nothing may be promised after it.
+//! One task owns the core. In each step it passes the core the inputs that have
+//! arrived, with the clock read just before. A separate thread writes to the
+//! disk in order and joins queued writes into one sync. A failed write or sync
+//! ends the process, since later acknowledgements would not be durable.
 
 mod disk;
 mod load;
@@ -24,67 +24,70 @@
 use transport::{Arrival, Inbox, Lane, PeerMessage, Transport, clock};
 use types::{Milliseconds, NodeId, Now};
 
-/// Sends that were decided longer ago than this are dropped: the process was
-/// frozen in between, and what it held may no longer be true.
+/// Age after which a message is dropped instead of sent: the process was frozen
+/// after the core produced it, so its content may be outdated.
 const MAX_SEND_AGE: Milliseconds = Milliseconds(250);
 
-/// Inputs that share one step of the core at most: what follows from them waits
-/// for the last of them.
+/// Limit of inputs per step of the core: the effects of a step are carried out
+/// only after its last input.
 const MAX_STEP_INPUTS: usize = 64;
-/// A step that takes this long is logged: no lease is renewed meanwhile.
+/// Duration from which on a step is logged as slow: no lease is renewed during a
+/// step.
 const SLOW_STEP: Duration = Duration::from_millis(100);
-/// A request that waited this long for the core is rejected, not answered late.
-/// Gateways send again soon after, and each sending would come to wait longer.
+/// Longest wait of a request for the core. A request that waited longer is
+/// rejected: the gateway resends it soon anyway, and answering every copy would
+/// make later requests wait even longer.
 const MAX_REQUEST_WAIT: Milliseconds = Milliseconds(300);
 
-/// Settings of the shell, with those of the core.
+/// Settings of a coordinator process.
 #[derive(Debug, Clone)]
 pub struct ShellOptions {
-    /// Settings of the core.
+    /// Settings of the core. [`run`] replaces the identity in the address.
     pub core: CoordinatorOptions,
-    /// Peer listener.
+    /// Settings of the peer listener and its connections.
     pub transport: transport::TransportOptions,
-    /// Shared key of the cluster.
+    /// Key shared by all processes of the cluster.
     pub cluster_key: transport::ClusterKey,
-    /// Admin listener.
+    /// Socket of the admin listener.
     pub admin_listen: SocketAddr,
-    /// Data folder.
+    /// Folder of the log, the snapshots and the identity.
     pub data: PathBuf,
-    /// Longest time to hand over after a polite stop.
+    /// Longest duration of a graceful shutdown.
     pub grace: types::Milliseconds,
 }
 
-/// Why a coordinator ended.
+/// Error that ends a coordinator.
 #[derive(Debug, Error)]
 pub enum CoordinatorError {
-    /// The data folder cannot be used.
+    /// Reading or writing the data folder failed.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// The peer listener cannot be used.
+    /// Starting the peer listener failed.
     #[error(transparent)]
     Transport(#[from] transport::TransportError),
-    /// The admin listener cannot be used.
+    /// Starting the admin listener failed.
     #[error("cannot listen on {listen}: {source}")]
     Admin {
-        /// The socket.
+        /// Socket to listen on.
         listen: SocketAddr,
-        /// Why.
+        /// Error of the bind.
         source: std::io::Error,
     },
-    /// The disk's thread cannot be started.
-    #[error("cannot start the thread of the disk: {source}")]
+    /// Starting the disk thread failed.
+    #[error("cannot start the disk thread: {source}")]
     Thread {
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Runs a coordinator until `stop` turns true and leadership is handed over.
+/// Runs a coordinator until `stop` becomes true and the graceful shutdown is
+/// complete.
 ///
 /// # Errors
 ///
-/// Returns an error if the data folder or a listener cannot be used, the thread of
-/// the disk cannot be started, or a write fails.
+/// Returns an error if the data folder cannot be read, a listener or the disk
+/// thread cannot be started, or a write fails.
 pub async fn run(
     options: ShellOptions,
     stop: watch::Receiver<bool>,
@@ -121,17 +124,17 @@
     let result = shell.serve().await;
     shell.transport.shutdown().await;
     admin_routes.server.abort();
-    let finished = shell.disk.finish().await;
+    let disk_result = shell.disk.finish().await;
     result?;
-    Ok(finished?)
+    Ok(disk_result?)
 }
 
 fn open_store(data: &Path) -> Result<Opened<RealDisk>, StorageError> {
-    let begun = clock::now().monotonic;
+    let started_at = clock::now().monotonic;
     let opened = Store::open(RealDisk::open(data)?)?;
-    let took = clock::now().monotonic.since(begun);
+    let elapsed = clock::now().monotonic.since(started_at);
     let entries = opened.recovered.entries.len();
-    tracing::info!(elapsed_ms = took.0, entries, "opened store");
+    tracing::info!(elapsed_ms = elapsed.0, entries, "opened store");
     if opened.truncated_bytes > 0 {
         tracing::warn!(
             bytes = opened.truncated_bytes,
@@ -178,14 +181,14 @@
         self.handle(Input::Tick);
         while !self.stopped {
             let until_wakeup = self.until_wakeup();
-            let slept_at = Instant::now();
+            let sleep_started_at = Instant::now();
             let input = tokio::select! {
                 biased;
-                done = self.disk.done() => match done {
-                    Some(done) => done?,
+                completed = self.disk.next_completed() => match completed {
+                    Some(completed) => completed?,
                     None => return Ok(()),
                 },
-                () = stop_wanted(&mut self.stop), if deadline.is_none() => {
+                () = stop_requested(&mut self.stop), if deadline.is_none() => {
                     deadline = Some(tokio::time::Instant::now() + self.grace);
                     Input::Stop
                 }
@@ -195,8 +198,8 @@
                     None => return Ok(()),
                 },
                 () = tokio::time::sleep(until_wakeup) => {
-                    let late = slept_at.elapsed().saturating_sub(until_wakeup);
-                    self.load.record_wakeup(late);
+                    let delay = sleep_started_at.elapsed().saturating_sub(until_wakeup);
+                    self.load.record_wakeup(delay);
                     Input::Tick
                 }
             };
@@ -205,7 +208,7 @@
         Ok(())
     }
 
-    /// Records the wait of a message and turns it into an input of the core.
+    /// Records the wait of a message and converts it to an input of the core.
     fn receive_arrival(&mut self, arrival: Arrival) -> Input {
         let waited = arrival.waited();
         self.load.record_arrival(&arrival, waited);
@@ -222,9 +225,10 @@
         Duration::from_millis(self.core.next_wakeup().since(now).0)
     }
 
-    /// Gives the core an input together with all messages that have arrived.
+    /// Runs one step of the core: handles an input together with messages that have
+    /// arrived, then carries out the effects.
     fn handle(&mut self, input: Input) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let mut inputs = vec![input];
         while inputs.len() < MAX_STEP_INPUTS
             && let Some(arrival) = self.incoming.try_arrival()
@@ -239,20 +243,20 @@
         for effect in effects {
             self.execute(now, effect);
         }
-        let took = begun.elapsed();
-        if took >= SLOW_STEP {
+        let elapsed = started_at.elapsed();
+        if elapsed >= SLOW_STEP {
             tracing::warn!(
-                elapsed_ms = as_milliseconds(took),
+                elapsed_ms = as_milliseconds(elapsed),
                 inputs = count,
                 "slow core step"
             );
         }
-        self.load.record_step(count, took, &self.incoming);
+        self.load.record_step(count, elapsed, &self.incoming);
     }
 
-    fn execute(&mut self, decided: Now, effect: Effect) {
+    fn execute(&mut self, decided_at: Now, effect: Effect) {
         match effect {
-            Effect::Send { to, message } => self.send(decided, to, message),
+            Effect::Send { to, message } => self.send(decided_at, to, message),
             Effect::Persist { number, batch } => self.disk.submit(DiskJob::Batch { number, batch }),
             Effect::SaveIdentity(identity) => self.disk.submit(DiskJob::Identity(identity)),
             Effect::Ready(readiness) => self.report_readiness(&readiness),
@@ -268,9 +272,10 @@
         }
     }
 
-    /// Messages may be lost, so one that a freeze made old is not sent.
-    fn send(&self, decided: Now, to: SocketAddr, message: PeerMessage) {
-        let age = clock::now().monotonic.since(decided.monotonic);
+    /// Sends a message, or drops it if it is older than [`MAX_SEND_AGE`]. Senders
+    /// tolerate lost messages.
+    fn send(&self, decided_at: Now, to: SocketAddr, message: PeerMessage) {
+        let age = clock::now().monotonic.since(decided_at.monotonic);
         if age <= MAX_SEND_AGE {
             self.transport.send(to, message);
         } else {
@@ -282,9 +287,9 @@
     }
 }
 
-/// Returns when the process is asked to stop; never if the sender is gone.
-async fn stop_wanted(stop: &mut watch::Receiver<bool>) {
-    if stop.wait_for(|wanted| *wanted).await.is_err() {
+/// Waits until a stop is requested; forever if the sender has been dropped.
+async fn stop_requested(stop: &mut watch::Receiver<bool>) {
+    if stop.wait_for(|requested| *requested).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
--- a/crates/coordinator/src/shell/disk.rs
+++ b/crates/coordinator/src/shell/disk.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the store: writes in order, syncs in groups.
+//! Disk thread: owns the store, writes in order and syncs in groups.
 
 use crate::effect::Input;
 use std::io;
@@ -6,81 +6,84 @@
 use storage::{Batch, Disk, Identity, StorageError, Store};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// Entries joined into one write at most.
+/// Limit of entries joined into one write.
 const MAX_GROUP_ENTRIES: usize = 4_096;
 
 /// A write for the disk thread.
 #[derive(Debug)]
 pub(crate) enum DiskJob {
-    /// The identity.
+    /// Replaces the saved identity.
     Identity(Identity),
-    /// A batch of the log, and its number.
+    /// Appends to the log or replaces the snapshot. `number` is that of
+    /// [`crate::Effect::Persist`].
     Batch { number: u64, batch: Batch },
 }
 
-/// The handle of the disk thread.
+/// Handle of the disk thread.
 pub(crate) struct DiskThread {
     jobs: Sender<DiskJob>,
-    done: UnboundedReceiver<Result<Input, StorageError>>,
+    completed: UnboundedReceiver<Result<Input, StorageError>>,
 }
 
 impl DiskThread {
-    /// Starts the thread. It ends with the first error, or when the handle is
+    /// Starts the thread, which ends at the first error or when the handle is
     /// dropped.
     ///
     /// # Errors
     ///
-    /// Returns an error if the system starts no thread.
+    /// Returns an error if the operating system cannot start a thread.
     pub(crate) fn start<D: Disk + 'static>(store: Store<D>) -> io::Result<Self> {
-        let (jobs, waiting) = channel();
-        let (reports, done) = unbounded_channel();
+        let (jobs, queue) = channel();
+        let (results, completed) = unbounded_channel();
         std::thread::Builder::new()
             .name("disk".to_owned())
-            .spawn(move || serve(store, &waiting, &reports))?;
-        Ok(Self { jobs, done })
+            .spawn(move || serve(store, &queue, &results))?;
+        Ok(Self { jobs, completed })
     }
 
-    /// Queues a write. If the thread has ended, [`DiskThread::done`] returns the error.
+    /// Queues a write. If the thread has ended, the error is returned by
+    /// [`DiskThread::next_completed`].
     pub(crate) fn submit(&self, job: DiskJob) {
         if self.jobs.send(job).is_err() {
             tracing::error!("disk writer thread exited");
         }
     }
 
-    /// Finishes what is queued and waits until the thread has closed the store:
-    /// another process, or a restart, may open it then.
+    /// Waits until all queued writes are complete and the thread has closed the
+    /// store, so that another process can open it.
     ///
     /// # Errors
     ///
     /// Returns the error that ended the thread.
     pub(crate) async fn finish(mut self) -> Result<(), StorageError> {
         drop(self.jobs);
-        while let Some(done) = self.done.recv().await {
-            done?;
+        while let Some(completed) = self.completed.recv().await {
+            completed?;
         }
         Ok(())
     }
 
-    /// The next finished write, or the error that ended the thread.
-    pub(crate) async fn done(&mut self) -> Option<Result<Input, StorageError>> {
-        self.done.recv().await
+    /// Waits for the next completed write, or the error that ended the thread.
+    /// Returns `None` after the thread has ended.
+    pub(crate) async fn next_completed(&mut self) -> Option<Result<Input, StorageError>> {
+        self.completed.recv().await
     }
 }
 
 fn serve<D: Disk>(
     mut store: Store<D>,
     jobs: &Receiver<DiskJob>,
-    reports: &UnboundedSender<Result<Input, StorageError>>,
+    results: &UnboundedSender<Result<Input, StorageError>>,
 ) {
-    let mut left_over = None;
-    while let Some(job) = left_over.take().or_else(|| jobs.recv().ok()) {
+    let mut next_job = None;
+    while let Some(job) = next_job.take().or_else(|| jobs.recv().ok()) {
         let result = match job {
             DiskJob::Identity(identity) => store
                 .save_identity(&identity)
                 .map(|()| Input::IdentitySaved),
             DiskJob::Batch { number, batch } => {
                 let group = join_batches(number, batch, jobs);
-                left_over = group.next_job;
+                next_job = group.next_job;
                 let number = group.number;
                 store
                     .write(&group.batch)
@@ -88,7 +91,7 @@
             }
         };
         let failed = result.is_err();
-        if reports.send(result).is_err() || failed {
+        if results.send(result).is_err() || failed {
             return;
         }
     }
@@ -96,15 +99,15 @@
 
 /// Batches joined into one write.
 struct BatchGroup {
-    /// Number of the last batch.
+    /// Number of the last batch in the group.
     number: u64,
     batch: Batch,
-    /// A job that was taken from the queue and could not be joined.
+    /// Job that was taken from the queue and could not be joined.
     next_job: Option<DiskJob>,
 }
 
-/// Joins queued batches that follow one another into one. Its sync reports the
-/// last number, which covers all before it.
+/// Joins consecutive queued batches into one write. Its completion is reported
+/// with the last number, which includes all earlier ones.
 fn join_batches(mut number: u64, mut batch: Batch, jobs: &Receiver<DiskJob>) -> BatchGroup {
     while let Ok(job) = jobs.try_recv() {
         match job {
--- a/crates/coordinator/src/shell/load.rs
+++ b/crates/coordinator/src/shell/load.rs
@@ -1,26 +1,27 @@
-//! Measurement of how far the coordinator's loop is behind, reported by metrics
-//! and, when it is far behind, by its log: whose messages wait, how long, and what
-//! takes the time.
+//! Measurement of the lag of the coordinator's event loop. Reported by metrics
+//! and, if the lag is long, by a log line with the longest wait, the longest step
+//! and the number of waiting messages per lane.
 
 use std::time::{Duration, Instant};
 use transport::{Arrival, Inbox, Lane};
 use types::Milliseconds;
 
-/// The log says that the loop is behind when something waited this long.
-const BEHIND_AFTER: Milliseconds = Milliseconds(250);
-/// Shortest time between two such log lines.
-const LINE_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest wait of a message from which on the lag is logged.
+const LOGGED_WAIT: Milliseconds = Milliseconds(250);
+/// Time between two reports of the lag.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A delay counts as the loop's lag for one to two such windows.
+/// Length of a lag window. A delay counts for the rest of its window and the whole
+/// next one.
 const LAG_WINDOW: Duration = Duration::from_millis(500);
 
-/// The recent lag of the loop: the longest wait of a message, delay of a timer or
-/// step in this window and the one before.
+/// Recent lag of the loop: the longest message wait, timer delay or step in the
+/// current and the previous window.
 #[derive(Debug)]
 struct Lag {
     max: Duration,
     previous_max: Duration,
-    window_at: Instant,
+    window_started_at: Instant,
 }
 
 impl Lag {
@@ -28,32 +29,32 @@
         Self {
             max: Duration::ZERO,
             previous_max: Duration::ZERO,
-            window_at: Instant::now(),
+            window_started_at: Instant::now(),
         }
     }
 
-    fn record(&mut self, late: Duration) {
-        if self.window_at.elapsed() >= LAG_WINDOW {
+    fn record(&mut self, delay: Duration) {
+        if self.window_started_at.elapsed() >= LAG_WINDOW {
             self.previous_max = self.max;
             self.max = Duration::ZERO;
-            self.window_at = Instant::now();
+            self.window_started_at = Instant::now();
         }
-        self.max = self.max.max(late);
+        self.max = self.max.max(delay);
     }
 
-    fn now(&self) -> Duration {
+    fn recent_max(&self) -> Duration {
         self.max.max(self.previous_max)
     }
 }
 
-/// Figures of the loop since the last log line.
+/// Measurements of the loop since the last report.
 #[derive(Debug)]
 pub(crate) struct Load {
     max_wait: Milliseconds,
     max_step: Duration,
     steps: u32,
     inputs: u32,
-    line_at: Instant,
+    reported_at: Instant,
     lag: Lag,
 }
 
@@ -63,29 +64,29 @@
 }
 
 impl Load {
-    /// Begins with no figures.
+    /// Creates an empty measurement.
     pub(crate) fn new() -> Self {
         Self {
             max_wait: Milliseconds(0),
             max_step: Duration::ZERO,
             steps: 0,
             inputs: 0,
-            line_at: Instant::now(),
+            reported_at: Instant::now(),
             lag: Lag::new(),
         }
     }
 
-    /// The recent lag of the loop.
+    /// Returns the recent lag of the loop.
     pub(crate) fn lag(&self) -> Milliseconds {
-        Milliseconds(as_milliseconds(self.lag.now()))
+        Milliseconds(as_milliseconds(self.lag.recent_max()))
     }
 
-    /// Records a timer that fired so late.
-    pub(crate) fn record_wakeup(&mut self, late: Duration) {
-        self.lag.record(late);
+    /// Records the delay of a timer.
+    pub(crate) fn record_wakeup(&mut self, delay: Duration) {
+        self.lag.record(delay);
     }
 
-    /// Records a message that is taken now.
+    /// Records a message that is taken from the inbox, and its wait there.
     pub(crate) fn record_arrival(&mut self, arrival: &Arrival, waited: Milliseconds) {
         metrics::histogram!("cypressdrum_inbox_wait_seconds", "lane" => arrival.lane.name())
             .record(waited.0 as f64 / 1_000.0);
@@ -93,20 +94,21 @@
         self.lag.record(Duration::from_millis(waited.0));
     }
 
-    /// Records a step of the core with so many inputs.
-    pub(crate) fn record_step(&mut self, inputs: usize, took: Duration, inbox: &Inbox) {
-        metrics::histogram!("cypressdrum_step_seconds").record(took.as_secs_f64());
-        self.max_step = self.max_step.max(took);
-        self.lag.record(took);
+    /// Records the duration and number of inputs of a step of the core. Reports the
+    /// lag if a report is due.
+    pub(crate) fn record_step(&mut self, inputs: usize, elapsed: Duration, inbox: &Inbox) {
+        metrics::histogram!("cypressdrum_step_seconds").record(elapsed.as_secs_f64());
+        self.max_step = self.max_step.max(elapsed);
+        self.lag.record(elapsed);
         self.steps += 1;
         self.inputs += u32::try_from(inputs).unwrap_or(u32::MAX);
-        if self.line_at.elapsed() >= LINE_INTERVAL {
+        if self.reported_at.elapsed() >= REPORT_INTERVAL {
             self.report(inbox);
         }
     }
 
     fn report(&mut self, inbox: &Inbox) {
-        if self.max_wait >= BEHIND_AFTER {
+        if self.max_wait >= LOGGED_WAIT {
             tracing::warn!(
                 max_wait_ms = self.max_wait.0,
                 max_step_ms = as_milliseconds(self.max_step),
