--- a/crates/coordinator/tests/coordinator/first_start.rs
+++ b/crates/coordinator/tests/coordinator/first_start.rs
@@ -1,4 +1,4 @@
-//! First start of a cluster, joining, replacement.
+//! Bootstrap of a cluster, replacement of voters, graceful shutdown and restart.
 
 use crate::test_cluster::TestCluster;
 use consensus::RaftRole;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_cluster_forms_only_when_all_initial_coordinators_are_there() {
+fn bootstrap_waits_for_all_initial_coordinators() {
     let mut cluster = TestCluster::new(3);
     cluster.start(0);
     cluster.start(1);
@@ -26,15 +26,17 @@
 }
 
 #[test]
-fn a_lone_empty_coordinator_never_founds_a_cluster() {
+fn single_empty_coordinator_never_bootstraps_a_cluster() {
     let mut cluster = TestCluster::new(3);
     cluster.start(0);
     cluster.run(60_000);
     assert!(cluster.status(0).is_none());
 }
 
+/// With more empty coordinators than expected, two proposals could each be accepted by
+/// a majority of their voters. No coordinator may propose until the extra one is gone.
 #[test]
-fn one_empty_coordinator_too_many_stops_the_first_start() {
+fn extra_empty_coordinator_blocks_bootstrap() {
     let mut cluster = TestCluster::new(4);
     (0..4).for_each(|server| cluster.start(server));
     cluster.run(10_000);
@@ -43,49 +45,56 @@
     cluster.run_until(5_000, "a leader", |cluster| cluster.leader().is_some());
 }
 
+/// The proposer crashes when only one other voter has saved its proposal. That voter
+/// must resend the proposal.
 #[test]
-fn a_proposal_whose_founder_dies_half_way_is_finished_by_the_others() {
+fn bootstrap_completes_after_a_crash_of_the_proposer() {
     let mut cluster = TestCluster::new(3);
     for server in 0..3 {
         cluster.start(server);
     }
-    // The founder is the one with the lowest identity.
-    cluster.run_until(4_000, "one that accepted", |cluster| {
+    // The coordinator with the lowest identity proposes.
+    cluster.run_until(4_000, "an accepted proposal", |cluster| {
         cluster.status(1).is_some() || cluster.status(2).is_some()
     });
     cluster.kill(0);
-    cluster.run_until(6_000, "a leader of the others", |cluster| {
+    cluster.run_until(6_000, "a leader among the others", |cluster| {
         cluster.leader().is_some()
     });
     cluster.start(0);
     cluster.run(2_000);
-    let status = cluster.status(0).expect("the founder came back");
+    let status = cluster
+        .status(0)
+        .expect("the proposer must rejoin the cluster");
     assert_eq!(status.role, RaftRole::Follower);
 }
 
+/// A voter crashes before it receives the proposal and restarts without a cluster.
 #[test]
-fn an_initial_voter_that_saved_nothing_gets_the_proposal_again() {
+fn initial_voter_without_a_saved_proposal_gets_it_again() {
     let mut cluster = TestCluster::new(3);
     for server in 0..3 {
         cluster.start(server);
     }
-    cluster.run_until(4_000, "the founder's save", |cluster| {
+    cluster.run_until(4_000, "the saved proposal", |cluster| {
         cluster.status(0).is_some()
     });
     cluster.kill(2);
-    cluster.run_until(6_000, "a leader of two", |cluster| {
+    cluster.run_until(6_000, "a leader of two voters", |cluster| {
         cluster.leader().is_some()
     });
     cluster.start(2);
     cluster.run(3_000);
-    let status = cluster.status(2).expect("the third took the proposal");
+    let status = cluster
+        .status(2)
+        .expect("the third voter must accept the proposal");
     assert_eq!(status.role, RaftRole::Follower);
     assert_eq!(voters(&cluster, 2).len(), 3);
 }
 
 #[test]
-fn a_wiped_voter_is_replaced_within_three_seconds() {
-    let mut cluster = TestCluster::served();
+fn wiped_voter_is_replaced_within_three_seconds() {
+    let mut cluster = TestCluster::ready();
     let leader = cluster.leader().unwrap();
     let lost = (leader + 1) % 3;
     let old = NodeId(cluster.servers[lost].next_identity);
@@ -97,7 +106,7 @@
         let voters = voters(cluster, leader);
         voters.len() == 3 && voters.contains(&new) && !voters.contains(&old)
     });
-    // A second loss is survived.
+    // The cluster must tolerate the loss of another voter.
     cluster.submit("before");
     cluster.kill((leader + 2) % 3);
     cluster.run(3_000);
@@ -105,8 +114,8 @@
 }
 
 #[test]
-fn a_voter_gone_for_good_is_replaced_by_one_at_another_address() {
-    let mut cluster = TestCluster::served();
+fn lost_voter_is_replaced_by_one_at_another_address() {
+    let mut cluster = TestCluster::ready();
     let leader = cluster.leader().unwrap();
     let lost = (leader + 1) % 3;
     cluster.kill(lost);
@@ -121,9 +130,11 @@
     });
 }
 
+/// A voter that was replaced while offline still considers itself a member. It must not
+/// depose the leader, and must rejoin as a learner.
 #[test]
-fn a_replaced_voter_that_comes_back_does_not_disturb() {
-    let mut cluster = TestCluster::served();
+fn replaced_voter_that_restarts_causes_no_election() {
+    let mut cluster = TestCluster::ready();
     let leader = cluster.leader().unwrap();
     let lost = (leader + 1) % 3;
     cluster.kill(lost);
@@ -140,32 +151,34 @@
     cluster.start(3);
     cluster.run(5_000);
     let status = cluster.status(leader).unwrap();
-    assert_eq!(status.term, term, "no election");
+    assert_eq!(status.term, term, "the restarted voter caused an election");
     assert_eq!(status.membership.voters.len(), 3);
     assert_eq!(cluster.status(3).unwrap().role, RaftRole::Learner);
 }
 
 #[test]
-fn a_polite_stop_hands_leadership_over_first() {
-    let mut cluster = TestCluster::served();
+fn graceful_shutdown_transfers_leadership_first() {
+    let mut cluster = TestCluster::ready();
     let leader = cluster.leader().unwrap();
     cluster.input(leader, coordinator::Input::Stop);
-    cluster.run_until(1_000, "the end", |cluster| cluster.servers[leader].stopped);
+    cluster.run_until(1_000, "the end of the shutdown", |cluster| {
+        cluster.servers[leader].stopped
+    });
     cluster.kill(leader);
     cluster.run_until(500, "a successor", |cluster| cluster.leader().is_some());
 }
 
 #[test]
-fn a_follower_stops_at_once() {
-    let mut cluster = TestCluster::served();
+fn follower_shuts_down_immediately() {
+    let mut cluster = TestCluster::ready();
     let follower = (cluster.leader().unwrap() + 1) % 3;
     cluster.input(follower, coordinator::Input::Stop);
     assert!(cluster.servers[follower].stopped);
 }
 
 #[test]
-fn all_coordinators_come_back_from_their_disks_together() {
-    let mut cluster = TestCluster::served();
+fn cluster_recovers_after_a_restart_of_all_coordinators() {
+    let mut cluster = TestCluster::ready();
     cluster.submit("kept");
     for server in 0..3 {
         cluster.kill(server);
--- a/crates/coordinator/tests/coordinator/golden_data.rs
+++ b/crates/coordinator/tests/coordinator/golden_data.rs
@@ -1,10 +1,8 @@
-//! A data folder that a coordinator of an earlier build left is recovered to
-//! the same record.
-//!
-//! The folder was written by the story told here, which is also told anew each
-//! time: what it leaves has to stand the same, but need not have the same
-//! bytes, since a choice of the scheduler may change on purpose. It is left
-//! in the folder for temporary files of the build.
+//! Recovery from a data folder that an earlier build wrote by the scenario below.
+//! The recorded files must recover to exactly the recorded state. The files of a
+//! rerun may differ in bytes, since a scheduling decision may change on purpose,
+//! but must recover to an equivalent state. They remain in the build's folder for
+//! temporary files.
 
 use crate::test_cluster::{Server, TestCluster, document, jobs};
 use configuration::{ClusterConfiguration, LicenceSettings};
@@ -18,17 +16,17 @@
 use types::*;
 
 const RECORDED_FOLDER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/folder");
-/// The record's snapshot after the recovery, in hex.
+/// Snapshot of the state machine after the recovery, in hex.
 const RECOVERED: &str = include_str!("../golden/recovered.txt");
-const BYTES_OF_LINE: usize = 48;
+const HEX_LINE_BYTES: usize = 48;
 const PORT: u16 = 8_000;
-/// It holds nothing, and only a running daemon needs it.
+/// Empty lock file of the data folder, created on opening.
 const LOCK_FILE: &str = "lock";
-/// Entries between two snapshots: the last one has entries behind it.
+/// Entries between two snapshots; the log must contain entries after the last one.
 const SNAPSHOT_EVERY: u64 = 16;
 const SEATS: u32 = 2;
 const GANG: u32 = 2;
-const FAR_AHEAD: WallTime = WallTime(1_900_000_000_000);
+const FAR_FUTURE: WallTime = WallTime(1_900_000_000_000);
 const CHECKPOINT: &str = "half way";
 
 fn name<Name: std::str::FromStr<Err = InvalidName>>(text: &str) -> Name {
@@ -46,7 +44,7 @@
     document
 }
 
-/// The second version of the document.
+/// Returns the second version of the configuration.
 fn last_document() -> ClusterConfiguration {
     let mut document = licensed_document();
     document.replaces = Some(ConfigurationVersion(1));
@@ -54,8 +52,8 @@
     document
 }
 
-/// One coordinator that leads itself and writes snapshots often.
-fn alone(server: Server) -> TestCluster {
+/// Starts a cluster of one coordinator that writes snapshots often.
+fn single_coordinator(server: Server) -> TestCluster {
     let mut cluster = TestCluster::new(1);
     cluster.servers = vec![server];
     cluster.options.initial_coordinators = 1;
@@ -65,21 +63,21 @@
 }
 
 fn submit(cluster: &mut TestCluster, spec: JobSpec) {
-    let answer = cluster.answer(Operation::Submit(spec));
+    let answer = cluster.request(Operation::Submit(spec));
     assert!(
         matches!(answer, Ok(OperationReply::Submitted { known: false, .. })),
         "{answer:?}"
     );
 }
 
-/// A job of one step, changed as wanted.
+/// Returns a job whose only step is modified by `change`.
 fn job(name: &str, change: impl FnOnce(&mut StepSpec)) -> JobSpec {
     let mut spec = jobs::job(name);
     change(&mut spec.steps[0]);
     spec
 }
 
-/// Open runs of a job.
+/// Returns the open runs of a job.
 fn open_runs(state_machine: &StateMachine, job: &str) -> Vec<OpenRun> {
     let number = state_machine.job_number(&jobs::key(job));
     let runs = state_machine.open_runs().into_iter();
@@ -99,15 +97,16 @@
     });
 }
 
-/// Submits a job and lets its runs go.
-fn run(cluster: &mut TestCluster, spec: JobSpec, count: usize) {
+/// Submits a job and waits until `count` of its runs are active.
+fn start_job(cluster: &mut TestCluster, spec: JobSpec, count: usize) {
     let name = spec.job.clone();
     submit(cluster, spec);
     wait_for_runs(cluster, name.as_str(), count);
 }
 
-/// Ends the only run of a job on its runner.
-fn end(cluster: &mut TestCluster, job: &str, outcome: Outcome, checkpoint: Option<&str>) {
+/// Ends the first open run of a job on its runner and waits until the end is
+/// recorded.
+fn end_run(cluster: &mut TestCluster, job: &str, outcome: Outcome, checkpoint: Option<&str>) {
     let run = open_runs(cluster.state_machine(), job)[0].run;
     let mut agents = cluster.agents.iter_mut();
     let agent = agents.find(|a| a.active.contains_key(&run)).unwrap();
@@ -117,22 +116,22 @@
         outcome,
         checkpoint: checkpoint.map(str::to_owned),
     });
-    cluster.run_until(2_000, "the end in the record", |cluster| {
+    cluster.run_until(2_000, "the recorded end of the run", |cluster| {
         cluster.state_machine().is_closed(run)
     });
 }
 
-/// A run that was given up as lost and may still be told of; its task runs
-/// again.
-fn lose_a_run(cluster: &mut TestCluster) {
+/// Declares the runner of an active run lost. The task gets a new run, and the
+/// runner may still report the lost one.
+fn declare_runner_lost(cluster: &mut TestCluster) {
     cluster.add_agent(1);
-    run(cluster, job("given-up", |_| {}), 1);
-    // Nothing new starts on it once it is known to leave.
+    start_job(cluster, job("given-up", |_| {}), 1);
+    // A draining runner gets no further runs of the task.
     cluster.agents[0].draining = true;
     cluster.run(500);
-    cluster.agents[0].silent = true;
+    cluster.agents[0].unresponsive = true;
     let runner = cluster.agents[0].runner.clone();
-    let answer = cluster.answer(Operation::DeclareRunnerLost { runner });
+    let answer = cluster.request(Operation::DeclareRunnerLost { runner });
     assert!(matches!(answer, Ok(OperationReply::RunsLost { .. })));
     cluster.add_agent(2);
     cluster.add_agent(3);
@@ -140,68 +139,68 @@
 }
 
 fn end_jobs(cluster: &mut TestCluster) {
-    run(cluster, job("ended", |_| {}), 1);
-    end(cluster, "ended", Outcome::Done, None);
-    let broke = Outcome::Failed("it broke".to_owned());
-    run(cluster, job("broken", |step| step.allowed_failures = 0), 1);
-    end(cluster, "broken", broke, None);
-    run(cluster, job("stopped", |_| {}), 1);
+    start_job(cluster, job("ended", |_| {}), 1);
+    end_run(cluster, "ended", Outcome::Done, None);
+    let failure = Outcome::Failed("it broke".to_owned());
+    start_job(cluster, job("broken", |step| step.allowed_failures = 0), 1);
+    end_run(cluster, "broken", failure, None);
+    start_job(cluster, job("stopped", |_| {}), 1);
     let selector = CancelSelector::Jobs(vec![jobs::key("stopped")]);
-    cluster.answer(Operation::Cancel(selector)).unwrap();
-    cluster.run_until(2_000, "the cancelled run's end", |cluster| {
+    cluster.request(Operation::Cancel(selector)).unwrap();
+    cluster.run_until(2_000, "the end of the cancelled run", |cluster| {
         open_runs(cluster.state_machine(), "stopped").is_empty()
     });
 }
 
 fn keep_jobs_running(cluster: &mut TestCluster) {
-    run(cluster, job("goes", |step| step.allowed_failures = 3), 1);
-    let broke = Outcome::Failed("it broke".to_owned());
-    end(cluster, "goes", broke, Some(CHECKPOINT));
+    start_job(cluster, job("goes", |step| step.allowed_failures = 3), 1);
+    let failure = Outcome::Failed("it broke".to_owned());
+    end_run(cluster, "goes", failure, Some(CHECKPOINT));
     wait_for_runs(cluster, "goes", 1);
     let gang = job("together", |step| {
         step.tasks = GANG;
         step.rules.gang = true;
     });
-    run(cluster, gang, GANG as usize);
+    start_job(cluster, gang, GANG as usize);
     let seated = job("seated", |step| {
         step.tasks = SEATS + 1;
         step.rules.licence = Some(licence());
     });
-    run(cluster, seated, SEATS as usize);
+    start_job(cluster, seated, SEATS as usize);
 }
 
-fn let_jobs_wait(cluster: &mut TestCluster) {
-    let mut waits = job("waits", |_| {});
-    waits.start_at = Some(FAR_AHEAD);
-    submit(cluster, waits);
+fn submit_waiting_job(cluster: &mut TestCluster) {
+    let mut spec = job("waits", |_| {});
+    spec.start_at = Some(FAR_FUTURE);
+    submit(cluster, spec);
 }
 
-fn drain_a_runner(cluster: &mut TestCluster) {
+fn drain_runner(cluster: &mut TestCluster) {
     let drain = Operation::DrainRunner {
         runner: name("rowan-9"),
         draining: true,
     };
-    assert_eq!(cluster.answer(drain), Ok(OperationReply::Accepted));
+    assert_eq!(cluster.request(drain), Ok(OperationReply::Accepted));
 }
 
 fn configure(cluster: &mut TestCluster, version: u64, document: ClusterConfiguration) {
     let version = ConfigurationVersion(version);
     let put = Operation::PutConfiguration { version, document };
     let known = false;
-    let taken = OperationReply::Configured { version, known };
-    assert_eq!(cluster.answer(put), Ok(taken));
+    let expected = OperationReply::Configured { version, known };
+    assert_eq!(cluster.request(put), Ok(expected));
 }
 
-/// The incarnation of a coordinator up to a sudden end; gives its files.
-fn told() -> Files {
-    let mut cluster = alone(Server::new(PORT, 1));
+/// Runs the scenario up to a crash of the coordinator and returns its files.
+fn run_scenario() -> Files {
+    let mut cluster = single_coordinator(Server::new(PORT, 1));
     cluster.run_until(10_000, "a leader", |cluster| cluster.leader().is_some());
     configure(&mut cluster, 1, licensed_document());
-    lose_a_run(&mut cluster);
+    declare_runner_lost(&mut cluster);
     end_jobs(&mut cluster);
     keep_jobs_running(&mut cluster);
-    let_jobs_wait(&mut cluster);
-    drain_a_runner(&mut cluster);
+    submit_waiting_job(&mut cluster);
+    drain_runner(&mut cluster);
     configure(&mut cluster, 2, last_document());
     cluster.kill(0);
     let disk = cluster.servers[0].store.take().unwrap().into_disk();
@@ -225,7 +224,7 @@
         .collect()
 }
 
-fn fresh_folder(name: &str) -> PathBuf {
+fn empty_folder(name: &str) -> PathBuf {
     let folders = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let folder = folders.join("golden-data").join(name);
     let _ = fs::remove_dir_all(&folder);
@@ -249,15 +248,15 @@
     Store::open(disk).unwrap().store
 }
 
-/// A coordinator started from files, as soon as it has applied its log.
+/// Starts a coordinator from files and waits until it has applied its log.
 fn recovered(files: &Files) -> TestCluster {
-    let mut cluster = alone(Server::from_disk(PORT, Some(store_of(files))));
+    let mut cluster = single_coordinator(Server::from_disk(PORT, Some(store_of(files))));
     cluster.input(0, Input::Tick);
     cluster.run_until(10_000, "a leader", |cluster| cluster.leader().is_some());
     cluster
 }
 
-fn assert_jobs_stand(state_machine: &StateMachine) {
+fn assert_job_states(state_machine: &StateMachine) {
     let jobs = state_machine.jobs(None, None, None, usize::MAX).into_iter();
     let states: Vec<(String, JobState)> = jobs
         .map(|(_, view)| (view.job.to_string(), view.state))
@@ -282,7 +281,7 @@
     assert_eq!(state_machine.unfinished_of_tenant(&document::tenant()), 5);
 }
 
-fn assert_runs_stand(state_machine: &StateMachine) {
+fn assert_runs(state_machine: &StateMachine) {
     let counts = ["given-up", "goes", "together", "seated"];
     let counts = counts.map(|job| open_runs(state_machine, job).len());
     assert_eq!(counts, [1, 1, GANG as usize, SEATS as usize]);
@@ -291,20 +290,20 @@
         counts.iter().sum::<usize>()
     );
     assert_eq!(state_machine.seats_used(&licence()), SEATS);
-    let again = &open_runs(state_machine, "goes")[0];
-    assert_eq!(again.attempt, 2);
-    let start = state_machine.run_spec(again.run).unwrap();
+    let retried = &open_runs(state_machine, "goes")[0];
+    assert_eq!(retried.attempt, 2);
+    let start = state_machine.run_spec(retried.run).unwrap();
     assert_eq!(start.checkpoint.as_deref(), Some(CHECKPOINT));
-    let moved = &open_runs(state_machine, "given-up")[0];
-    assert_eq!(moved.attempt, 2);
-    let earlier = (0..moved.run.sequence).map(|sequence| RunId {
+    let replacement = &open_runs(state_machine, "given-up")[0];
+    assert_eq!(replacement.attempt, 2);
+    let earlier = (0..replacement.run.sequence).map(|sequence| RunId {
         sequence,
-        ..moved.run
+        ..replacement.run
     });
-    let awaited = earlier
+    let awaited_reports = earlier
         .filter(|run| state_machine.awaits_late_report(*run))
         .count();
-    assert_eq!(awaited, 1);
+    assert_eq!(awaited_reports, 1);
     let ready: BTreeSet<JobNumber> = state_machine
         .ready_tasks(None, usize::MAX)
         .iter()
@@ -314,28 +313,28 @@
     assert_eq!(ready, BTreeSet::from(waiting));
 }
 
-fn assert_operators_words_stand(state_machine: &StateMachine) {
+fn assert_operator_settings(state_machine: &StateMachine) {
     let (version, document) = state_machine.configuration();
     assert_eq!(version, ConfigurationVersion(2));
     assert_eq!(*document, last_document());
     assert_eq!(state_machine.draining_runners(), [name("rowan-9")]);
 }
 
-fn assert_stands(state_machine: &StateMachine) {
-    assert_jobs_stand(state_machine);
-    assert_runs_stand(state_machine);
-    assert_operators_words_stand(state_machine);
+fn assert_recovered_state(state_machine: &StateMachine) {
+    assert_job_states(state_machine);
+    assert_runs(state_machine);
+    assert_operator_settings(state_machine);
 }
 
 fn to_hex(bytes: &[u8]) -> String {
     let hex = |line: &[u8]| -> String { line.iter().map(|byte| format!("{byte:02x}")).collect() };
-    let lines: Vec<String> = bytes.chunks(BYTES_OF_LINE).map(hex).collect();
+    let lines: Vec<String> = bytes.chunks(HEX_LINE_BYTES).map(hex).collect();
     lines.join("\n")
 }
 
 #[test]
-fn the_recorded_folder_holds_a_snapshot_and_entries_behind_it() {
-    let folder = fresh_folder("recorded");
+fn recorded_folder_contains_a_snapshot_and_later_entries() {
+    let folder = empty_folder("recorded");
     write_files(&folder, &recorded_files());
     let opened = Store::open(RealDisk::open(&folder).unwrap()).unwrap();
     assert_eq!(opened.truncated_bytes, 0);
@@ -343,38 +342,41 @@
     assert_eq!(identity.node, NodeId(1));
     assert!(identity.cluster.is_some());
     let snapshot = opened.recovered.snapshot.unwrap();
-    let taken = StateMachine::restore(&snapshot.data).unwrap();
+    let restored = StateMachine::restore(&snapshot.data).unwrap();
     assert_eq!(
-        taken.job_state(&jobs::key("broken")),
+        restored.job_state(&jobs::key("broken")),
         Some(JobState::Failed)
     );
-    assert_eq!(taken.job_state(&jobs::key("goes")), None);
+    assert_eq!(restored.job_state(&jobs::key("goes")), None);
     assert!(!opened.recovered.entries.is_empty());
     assert!(fs::exists(folder.join(LOCK_FILE)).unwrap());
 }
 
 #[test]
-fn the_recorded_folder_is_recovered_to_the_recorded_record() {
+fn recorded_folder_recovers_to_the_recorded_state() {
     let cluster = recovered(&recorded_files());
-    assert_stands(cluster.state_machine());
+    assert_recovered_state(cluster.state_machine());
     let snapshot = to_hex(&cluster.state_machine().snapshot().unwrap());
-    assert!(snapshot == RECOVERED.trim_end(), "it is\n{snapshot}");
+    assert!(
+        snapshot == RECOVERED.trim_end(),
+        "recovered snapshot:\n{snapshot}"
+    );
 }
 
 #[test]
-fn the_same_story_leaves_a_folder_that_stands_the_same() {
-    let files = told();
-    write_files(&fresh_folder("story"), &files);
-    assert_stands(recovered(&files).state_machine());
+fn rerun_of_the_scenario_recovers_to_an_equivalent_state() {
+    let files = run_scenario();
+    write_files(&empty_folder("rerun"), &files);
+    assert_recovered_state(recovered(&files).state_machine());
 }
 
 #[test]
-fn the_recovered_coordinator_serves_on() {
+fn recovered_coordinator_accepts_further_requests() {
     let mut cluster = recovered(&recorded_files());
-    let again = cluster.answer(Operation::Submit(jobs::job("ended")));
+    let resent = cluster.request(Operation::Submit(jobs::job("ended")));
     assert!(
-        matches!(again, Ok(OperationReply::Submitted { known: true, .. })),
-        "{again:?}"
+        matches!(resent, Ok(OperationReply::Submitted { known: true, .. })),
+        "{resent:?}"
     );
     submit(&mut cluster, jobs::job("new"));
     configure(&mut cluster, 3, licensed_document());
--- a/crates/coordinator/tests/coordinator/main.rs
+++ b/crates/coordinator/tests/coordinator/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the coordinator's core in a cluster with virtual time.
+//! Tests of the coordinator core, in a cluster with virtual time.
 
 mod faults;
 mod first_start;
--- a/crates/coordinator/tests/coordinator/relay.rs
+++ b/crates/coordinator/tests/coordinator/relay.rs
@@ -1,4 +1,4 @@
-//! Relays: passed on once, from their origin only, and never round.
+//! Relays: forwarded at most once, only from their origin, and never in a loop.
 
 use crate::test_cluster::{TestCluster, address, socket};
 use coordinator::{Effect, Input};
@@ -6,7 +6,7 @@
 use transport::{Envelope, PeerMessage, Relay};
 use types::{Address, Role};
 
-const ELSEWHERE: u16 = 9_500;
+const OTHER_PORT: u16 = 9_500;
 
 fn relay(origin: &Address, destination: SocketAddr, body: PeerMessage) -> PeerMessage {
     PeerMessage::Relay(Relay {
@@ -16,8 +16,8 @@
     })
 }
 
-/// What the first coordinator sends when a message arrives.
-fn sent_on(cluster: &mut TestCluster, from: &Address, body: PeerMessage) -> Vec<Effect> {
+/// Delivers a message to the first coordinator and returns the messages it sends.
+fn sent_after(cluster: &mut TestCluster, from: &Address, body: PeerMessage) -> Vec<Effect> {
     let envelope = Envelope {
         from: from.clone(),
         via: None,
@@ -28,8 +28,8 @@
     effects
 }
 
-/// A coordinator that waits for others and says nothing by itself.
-fn lone() -> TestCluster {
+/// Starts a coordinator without seeds, which sends nothing on its own.
+fn single_coordinator() -> TestCluster {
     let mut cluster = TestCluster::new(1);
     cluster.options.seeds.clear();
     cluster.start(0);
@@ -37,28 +37,31 @@
 }
 
 #[test]
-fn a_relay_is_passed_on_from_its_origin_only() {
-    let mut cluster = lone();
+fn relay_is_forwarded_only_from_its_origin() {
+    let mut cluster = single_coordinator();
     let agent = address(500, Role::Agent, 7_000);
     let other = address(501, Role::Agent, 7_001);
-    let to = socket(ELSEWHERE);
+    let to = socket(OTHER_PORT);
     let message = relay(&agent, to, PeerMessage::Discover);
-    let passed_on = Effect::Send {
+    let forwarded = Effect::Send {
         to,
         message: message.clone(),
     };
-    assert_eq!(sent_on(&mut cluster, &agent, message.clone()), [passed_on]);
-    assert_eq!(sent_on(&mut cluster, &other, message), []);
+    assert_eq!(
+        sent_after(&mut cluster, &agent, message.clone()),
+        [forwarded]
+    );
+    assert_eq!(sent_after(&mut cluster, &other, message), []);
 }
 
 #[test]
-fn relays_that_would_go_round_are_dropped() {
-    let mut cluster = lone();
+fn nested_or_looping_relays_are_dropped() {
+    let mut cluster = single_coordinator();
     let agent = address(500, Role::Agent, 7_000);
     let own = address(1, Role::Coordinator, 8_000);
-    let to = socket(ELSEWHERE);
+    let to = socket(OTHER_PORT);
     let nested = relay(&agent, to, PeerMessage::Discover);
-    let hostile = [
+    let invalid = [
         (&agent, relay(&agent, to, nested.clone())),
         (&agent, relay(&agent, own.socket, nested)),
         (&agent, relay(&agent, agent.socket, PeerMessage::Discover)),
@@ -67,20 +70,20 @@
         (&own, relay(&own, to, PeerMessage::Discover)),
         (&own, relay(&own, own.socket, PeerMessage::Discover)),
     ];
-    for (from, message) in hostile {
-        let sent = sent_on(&mut cluster, from, message.clone());
+    for (from, message) in invalid {
+        let sent = sent_after(&mut cluster, from, message.clone());
         assert_eq!(sent, [], "{message:?}");
     }
 }
 
 #[test]
-fn the_answer_to_a_relayed_message_takes_the_same_way_back() {
-    let mut cluster = lone();
+fn answer_to_a_relayed_message_is_relayed_back() {
+    let mut cluster = single_coordinator();
     let agent = address(500, Role::Agent, 7_000);
     let follower = address(2, Role::Coordinator, 8_001);
     let own = socket(8_000);
     let message = relay(&agent, own, PeerMessage::Discover);
-    let sent = sent_on(&mut cluster, &follower, message);
+    let sent = sent_after(&mut cluster, &follower, message);
     let [Effect::Send { to, message }] = sent.as_slice() else {
         panic!("{sent:?}");
     };
--- a/crates/coordinator/tests/coordinator/requests.rs
+++ b/crates/coordinator/tests/coordinator/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: acknowledgement, rejection, configuration, reads.
+//! Requests: acknowledgement, rejection, resending, configuration and reads.
 
 use crate::test_cluster::{TestCluster, document, jobs};
 use coordinator::Effect;
@@ -7,14 +7,14 @@
 use types::{ConfigurationVersion, JobState, Milliseconds};
 
 #[test]
-fn a_submit_is_acknowledged_only_after_a_majority_has_synced() {
-    let mut cluster = TestCluster::served();
+fn submit_is_acknowledged_only_after_a_majority_synced() {
+    let mut cluster = TestCluster::ready();
     let leader = cluster.leader().unwrap();
     let followers = [(leader + 1) % 3, (leader + 2) % 3];
     for follower in followers {
         cluster.servers[follower].disk_held = true;
     }
-    let id = cluster.ask(Operation::Submit(jobs::job("job")));
+    let id = cluster.send_request(Operation::Submit(jobs::job("job")));
     cluster.run(300);
     assert!(!cluster.replies.contains_key(&id));
     cluster.release_disk(followers[0]);
@@ -26,39 +26,40 @@
 }
 
 #[test]
-fn a_resent_submit_is_the_same_job_and_other_content_a_conflict() {
-    let mut cluster = TestCluster::served();
-    let first = cluster.answer(Operation::Submit(jobs::job("job")));
+fn resent_submit_returns_the_same_job_and_changed_content_conflicts() {
+    let mut cluster = TestCluster::ready();
+    let first = cluster.request(Operation::Submit(jobs::job("job")));
     let Ok(OperationReply::Submitted { number, .. }) = first else {
         panic!("{first:?}");
     };
-    let again = cluster.answer(Operation::Submit(jobs::job("job")));
+    let again = cluster.request(Operation::Submit(jobs::job("job")));
     let known = true;
     assert_eq!(again, Ok(OperationReply::Submitted { number, known }));
     let mut other = jobs::job("job");
     other.steps[0].tasks = 2;
-    let conflict = cluster.answer(Operation::Submit(other)).unwrap_err();
+    let conflict = cluster.request(Operation::Submit(other)).unwrap_err();
     assert_eq!(conflict.code, RejectionCode::Conflict);
 }
 
-/// A cluster whose tenant may send so many submits a second, and no burst.
-fn served_with_rate(submits_per_second: u32) -> TestCluster {
-    let mut cluster = TestCluster::served();
-    let mut slow = document::document();
-    let contract = slow.tenants.get_mut(&document::tenant()).unwrap();
-    contract.submits_per_second = submits_per_second;
-    contract.submit_burst = 1;
-    let put = cluster.put_configuration(2, slow);
+/// Starts a cluster that limits its tenant to `submits_per_second`, with a burst
+/// of one.
+fn ready_with_rate(submits_per_second: u32) -> TestCluster {
+    let mut cluster = TestCluster::ready();
+    let mut document = document::document();
+    let settings = document.tenants.get_mut(&document::tenant()).unwrap();
+    settings.submits_per_second = submits_per_second;
+    settings.submit_burst = 1;
+    let put = cluster.put_configuration(2, document);
     cluster.run(100);
     assert!(cluster.replies[&put].is_ok());
     cluster
 }
 
 #[test]
-fn a_tenant_over_its_rate_is_refused_at_once_with_the_time_to_come_back() {
-    let mut cluster = served_with_rate(2);
+fn submit_above_the_tenant_rate_is_rejected_with_a_retry_time() {
+    let mut cluster = ready_with_rate(2);
     cluster.submit("first");
-    let id = cluster.ask(Operation::Submit(jobs::job("second")));
+    let id = cluster.send_request(Operation::Submit(jobs::job("second")));
     cluster.run(3);
     let rejection = cluster.replies[&id].clone().unwrap_err();
     assert_eq!(rejection.code, RejectionCode::Overloaded);
@@ -71,28 +72,34 @@
     cluster.submit("second");
 }
 
-/// Whether a coordinator answered a request through another.
+/// Returns whether a message relays a reply.
 fn is_relayed_reply(message: &PeerMessage) -> bool {
     matches!(message, PeerMessage::Relay(relay) if matches!(*relay.body, PeerMessage::Reply(_)))
 }
 
+/// A gateway resends a request while its entry waits for the disks of the followers.
+/// The copies must not count against the tenant's rate, add log entries or be
+/// rejected, and only the last route gets the reply.
 #[test]
-fn a_request_sent_again_while_it_waits_is_charged_once_and_answered_where_it_came_from_last() {
-    let mut cluster = served_with_rate(1);
+fn resent_pending_request_is_charged_once_and_answered_by_its_last_route() {
+    let mut cluster = ready_with_rate(1);
     let leader = cluster.leader().unwrap();
     let followers = [(leader + 1) % 3, (leader + 2) % 3];
     for follower in followers {
         cluster.servers[follower].disk_held = true;
     }
     let submit = Operation::Submit(jobs::job("job"));
-    let id = cluster.ask(submit.clone());
+    let id = cluster.send_request(submit.clone());
     cluster.run(50);
     let entries = cluster.status(leader).unwrap().last_index;
     for _ in 0..3 {
-        cluster.ask_again_through(followers[0], submit.clone());
+        cluster.resend_through(followers[0], submit.clone());
         cluster.run(20);
     }
-    assert!(!cluster.replies.contains_key(&id), "nothing was refused");
+    assert!(
+        !cluster.replies.contains_key(&id),
+        "no copy may be answered while the request is pending"
+    );
     assert_eq!(cluster.status(leader).unwrap().last_index, entries);
     assert!(!cluster.sent.iter().any(|(_, sent)| is_relayed_reply(sent)));
     for follower in followers {
@@ -110,7 +117,7 @@
 }
 
 #[test]
-fn more_requests_than_may_wait_are_refused_at_once() {
+fn requests_above_the_waiting_limit_are_rejected_immediately() {
     let mut cluster = TestCluster::new(3);
     cluster.options.max_waiting_requests = 5;
     (0..3).for_each(|server| cluster.start(server));
@@ -121,7 +128,7 @@
         cluster.servers[server].disk_held = true;
     }
     let ids: Vec<u64> = (0..8)
-        .map(|n| cluster.ask(Operation::Submit(jobs::job(&format!("job-{n}")))))
+        .map(|n| cluster.send_request(Operation::Submit(jobs::job(&format!("job-{n}")))))
         .collect();
     cluster.run(3);
     let rejected = ids.iter().filter(|id| {
@@ -132,8 +139,8 @@
 }
 
 #[test]
-fn of_two_configurations_under_one_version_exactly_one_wins() {
-    let mut cluster = TestCluster::served();
+fn only_one_of_two_configurations_with_the_same_version_is_accepted() {
+    let mut cluster = TestCluster::ready();
     let mut first = document::document();
     first.timings.run_lease = Milliseconds(11_000);
     let mut second = document::document();
@@ -144,10 +151,10 @@
     ];
     cluster.run(100);
     assert!(cluster.replies[&ids[0]].is_ok());
-    let lost = cluster.replies[&ids[1]].clone().unwrap_err();
-    assert_eq!(lost.code, RejectionCode::Conflict);
+    let rejection = cluster.replies[&ids[1]].clone().unwrap_err();
+    assert_eq!(rejection.code, RejectionCode::Conflict);
     let version = ConfigurationVersion(2);
-    let again = cluster.answer(Operation::PutConfiguration {
+    let again = cluster.request(Operation::PutConfiguration {
         version,
         document: first,
     });
@@ -155,37 +162,39 @@
     assert_eq!(again, Ok(OperationReply::Configured { version, known }));
 }
 
-/// Configuration versions of the coordinators, as the leader lists them.
+/// Returns the configuration versions of the coordinators, as listed by the leader.
 fn member_versions(cluster: &mut TestCluster) -> Vec<Option<u64>> {
-    let Ok(OperationReply::Members(members)) = cluster.answer(Operation::ListMembers) else {
-        panic!("no members");
+    let Ok(OperationReply::Members(members)) = cluster.request(Operation::ListMembers) else {
+        panic!("the leader did not list members");
     };
     let versions = members.iter().map(|member| member.configuration);
     versions.map(|version| version.map(|v| v.0)).collect()
 }
 
 #[test]
-fn members_show_the_configuration_each_coordinator_has_applied() {
-    let mut cluster = TestCluster::served();
+fn member_list_shows_the_configuration_applied_by_each_coordinator() {
+    let mut cluster = TestCluster::ready();
     cluster.run(500);
     assert_eq!(member_versions(&mut cluster), [Some(1); 3]);
     let leader = cluster.leader().unwrap();
-    let away = (leader + 1) % 3;
-    cluster.cut.insert(cluster.servers[away].port);
+    let partitioned = (leader + 1) % 3;
+    cluster
+        .partitioned
+        .insert(cluster.servers[partitioned].port);
     let put = cluster.put_configuration(2, document::document());
     cluster.run(500);
     assert!(cluster.replies[&put].is_ok());
     let mut expected = [Some(2); 3];
-    expected[away] = Some(1);
+    expected[partitioned] = Some(1);
     assert_eq!(member_versions(&mut cluster), expected);
-    cluster.cut.clear();
+    cluster.partitioned.clear();
     cluster.run(2_000);
     assert_eq!(member_versions(&mut cluster), [Some(2); 3]);
 }
 
 #[test]
-fn a_member_that_has_not_reported_to_this_leader_shows_no_configuration() {
-    let mut cluster = TestCluster::served();
+fn member_without_a_report_to_the_new_leader_shows_no_configuration() {
+    let mut cluster = TestCluster::ready();
     let old = cluster.leader().unwrap();
     cluster.kill(old);
     cluster.run_until(8_000, "a new leader", |cluster| cluster.leader().is_some());
@@ -195,15 +204,19 @@
     assert_eq!(member_versions(&mut cluster), expected);
 }
 
+/// A leader without its followers steps down and cannot know whether a proposed entry
+/// will be committed. Its callers must get an answer and not wait for their timeout.
 #[test]
-fn a_leader_that_lost_its_lease_answers_waiting_requests_at_once() {
-    let mut cluster = TestCluster::served();
+fn partitioned_leader_rejects_pending_requests_as_timed_out() {
+    let mut cluster = TestCluster::ready();
     let leader = cluster.leader().unwrap();
     let followers = [(leader + 1) % 3, (leader + 2) % 3];
     for follower in followers {
-        cluster.cut.insert(8_000 + u16::try_from(follower).unwrap());
+        cluster
+            .partitioned
+            .insert(8_000 + u16::try_from(follower).unwrap());
     }
-    let id = cluster.ask(Operation::Submit(jobs::job("job")));
+    let id = cluster.send_request(Operation::Submit(jobs::job("job")));
     cluster.run(1_500);
     let rejection = cluster.replies[&id].clone().unwrap_err();
     assert_eq!(rejection.code, RejectionCode::TimedOut);
@@ -212,14 +225,14 @@
 }
 
 #[test]
-fn a_cancelled_job_is_cancelled_and_its_run_is_stopped() {
-    let mut cluster = TestCluster::served();
+fn cancelled_job_ends_and_its_run_is_stopped() {
+    let mut cluster = TestCluster::ready();
     cluster.add_agent(1);
     cluster.submit("job");
     cluster.run(200);
     assert_eq!(cluster.agents[0].active.len(), 1);
     let selector = CancelSelector::Jobs(vec![jobs::key("job")]);
-    let answer = cluster.answer(Operation::Cancel(selector));
+    let answer = cluster.request(Operation::Cancel(selector));
     assert!(matches!(
         answer,
         Ok(OperationReply::Cancelled { cancelled: 1, .. })
@@ -231,12 +244,12 @@
 }
 
 #[test]
-fn a_drained_runner_gets_nothing_new() {
-    let mut cluster = TestCluster::served();
+fn draining_runner_gets_no_new_runs() {
+    let mut cluster = TestCluster::ready();
     cluster.add_agent(1);
     let runner = cluster.agents[0].runner.clone();
     let draining = true;
-    let answer = cluster.answer(Operation::DrainRunner { runner, draining });
+    let answer = cluster.request(Operation::DrainRunner { runner, draining });
     assert_eq!(answer, Ok(OperationReply::Accepted));
     cluster.submit("job");
     cluster.run(2_000);
@@ -247,8 +260,8 @@
 }
 
 #[test]
-fn a_member_behind_a_relay_is_served_through_it() {
-    let mut cluster = TestCluster::served();
+fn agent_behind_a_relay_gets_its_messages_through_the_relay() {
+    let mut cluster = TestCluster::ready();
     let follower = (cluster.leader().unwrap() + 1) % 3;
     let mut agent = crate::test_cluster::agent::ScriptedAgent::new(1, cluster.now);
     agent.via = Some(crate::test_cluster::socket(
@@ -264,45 +277,45 @@
 
 #[test]
 fn reads_show_queues_tenants_members_runners_and_decisions() {
-    let mut cluster = TestCluster::served();
+    let mut cluster = TestCluster::ready();
     cluster.add_agent(1);
     cluster.submit("job");
     cluster.run(300);
-    let Ok(OperationReply::Queues(queues)) = cluster.answer(Operation::ListQueues) else {
-        panic!("no queues");
+    let Ok(OperationReply::Queues(queues)) = cluster.request(Operation::ListQueues) else {
+        panic!("the leader did not list queues");
     };
     assert_eq!((queues[0].unfinished_jobs, queues[0].open_runs), (1, 1));
-    let Ok(OperationReply::Tenants(tenants)) = cluster.answer(Operation::ListTenants) else {
-        panic!("no tenants");
+    let Ok(OperationReply::Tenants(tenants)) = cluster.request(Operation::ListTenants) else {
+        panic!("the leader did not list tenants");
     };
     assert_eq!(tenants[0].usage, document::slots(1));
-    let Ok(OperationReply::Members(members)) = cluster.answer(Operation::ListMembers) else {
-        panic!("no members");
+    let Ok(OperationReply::Members(members)) = cluster.request(Operation::ListMembers) else {
+        panic!("the leader did not list members");
     };
     assert_eq!(members.len(), 4);
-    let Ok(OperationReply::Runners(runners)) = cluster.answer(Operation::ListRunners) else {
-        panic!("no runners");
+    let Ok(OperationReply::Runners(runners)) = cluster.request(Operation::ListRunners) else {
+        panic!("the leader did not list runners");
     };
     assert_eq!(runners.len(), 1);
     let log = Operation::Decisions {
         after: 0,
         limit: 10,
     };
-    let Ok(OperationReply::Decisions(decisions)) = cluster.answer(log) else {
-        panic!("no decisions");
+    let Ok(OperationReply::Decisions(decisions)) = cluster.request(log) else {
+        panic!("the leader did not list decisions");
     };
     assert!(decisions.len() >= 2);
     assert!(matches!(
-        cluster.answer(Operation::Explain(jobs::key("job"))),
+        cluster.request(Operation::Explain(jobs::key("job"))),
         Ok(OperationReply::Explained { lines }) if lines.len() == 1
     ));
 }
 
 #[test]
-fn a_request_that_waited_too_long_is_refused_and_never_taken() {
-    let mut cluster = TestCluster::served();
+fn overdue_request_is_rejected_and_not_executed() {
+    let mut cluster = TestCluster::ready();
     let submit = || Operation::Submit(jobs::job("late"));
-    let id = cluster.tell_overdue(submit());
+    let id = cluster.send_overdue(submit());
     cluster.run(300);
     let rejection = cluster.replies[&id].clone().unwrap_err();
     assert_eq!(rejection.code, RejectionCode::Overloaded);
@@ -310,16 +323,17 @@
     assert!(cluster.state_machine().job(&jobs::key("late")).is_none());
 }
 
+/// A rejected copy would answer a request whose first copy may still succeed.
 #[test]
-fn a_second_sending_that_waited_too_long_leaves_the_answer_to_the_first() {
-    let mut cluster = TestCluster::served();
+fn overdue_copy_of_a_pending_request_is_not_rejected() {
+    let mut cluster = TestCluster::ready();
     let leader = cluster.leader().unwrap();
     for follower in [(leader + 1) % 3, (leader + 2) % 3] {
         cluster.servers[follower].disk_held = true;
     }
-    let id = cluster.ask(Operation::Submit(jobs::job("twice")));
+    let id = cluster.send_request(Operation::Submit(jobs::job("twice")));
     cluster.run(20);
-    cluster.tell_overdue_again(Operation::Submit(jobs::job("twice")));
+    cluster.resend_overdue(Operation::Submit(jobs::job("twice")));
     cluster.run(50);
     assert!(!cluster.replies.contains_key(&id));
     for follower in [(leader + 1) % 3, (leader + 2) % 3] {
@@ -330,8 +344,8 @@
 }
 
 #[test]
-fn requests_that_are_there_together_share_one_write_and_one_message_a_follower() {
-    let mut cluster = TestCluster::served();
+fn requests_handled_together_share_one_write_and_one_message_per_follower() {
+    let mut cluster = TestCluster::ready();
     let submits = (0..20).map(|number| Operation::Submit(jobs::job(&format!("job-{number}"))));
     let effects = cluster.effects_of_all(submits.collect());
     let is_write = |effect: &&Effect| matches!(effect, Effect::Persist { .. });
@@ -352,49 +366,55 @@
     }
     cluster.run(100);
     let answered = cluster.replies.values();
-    let taken = answered.filter(|reply| matches!(reply, Ok(OperationReply::Submitted { .. })));
-    assert_eq!(taken.count(), 20);
+    let accepted = answered.filter(|reply| matches!(reply, Ok(OperationReply::Submitted { .. })));
+    assert_eq!(accepted.count(), 20);
 }
 
 fn followers_of(leader: usize) -> [usize; 2] {
     [(leader + 1) % 3, (leader + 2) % 3]
 }
 
-/// Asks for a job; then followers hear the leader and cannot answer, until its
-/// lease lapses.
-fn lapse(cluster: &mut TestCluster) -> u64 {
+/// Submits a job and holds the disks of the followers until the lease lapses: they
+/// receive the leader's messages but cannot answer before a sync. Returns the
+/// number of the request.
+fn let_lease_lapse(cluster: &mut TestCluster) -> u64 {
     for follower in followers_of(cluster.leader().unwrap()) {
         cluster.servers[follower].disk_held = true;
     }
-    let id = cluster.ask(Operation::Submit(jobs::job("job")));
-    cluster.run_until(2_000, "a lapse", |cluster| cluster.leader().is_none());
+    let id = cluster.send_request(Operation::Submit(jobs::job("job")));
+    cluster.run_until(2_000, "a lapse of the lease", |cluster| {
+        cluster.leader().is_none()
+    });
     id
 }
 
+/// A lapse of the lease alone must not answer a pending request, since the lease may be
+/// renewed. The loss of leadership must.
 #[test]
-fn a_request_that_waits_is_answered_at_once_when_leadership_is_lost() {
-    let mut cluster = TestCluster::served();
+fn pending_request_is_rejected_when_leadership_is_lost() {
+    let mut cluster = TestCluster::ready();
     let leader = cluster.leader().unwrap();
-    let id = lapse(&mut cluster);
+    let id = let_lease_lapse(&mut cluster);
     assert!(!cluster.replies.contains_key(&id));
-    // From here on it hears nobody, and steps down after an election timeout.
+    // Without messages from its followers the leader steps down after an election
+    // timeout.
     for follower in followers_of(leader) {
-        cluster.cut.insert(cluster.servers[follower].port);
+        cluster.partitioned.insert(cluster.servers[follower].port);
     }
     cluster.run(1_000);
     let rejection = cluster.replies[&id].clone().unwrap_err();
     assert_eq!(
         rejection.code,
         RejectionCode::TimedOut,
-        "it may be taken yet"
+        "the entry may still be committed"
     );
 }
 
 #[test]
-fn a_request_that_waits_is_answered_when_the_lease_holds_again() {
-    let mut cluster = TestCluster::served();
+fn pending_request_is_answered_after_the_lease_is_renewed() {
+    let mut cluster = TestCluster::ready();
     let leader = cluster.leader().unwrap();
-    let id = lapse(&mut cluster);
+    let id = let_lease_lapse(&mut cluster);
     assert!(
         !cluster.replies.contains_key(&id),
         "{:?}",
@@ -403,20 +423,20 @@
     for follower in followers_of(leader) {
         cluster.release_disk(follower);
     }
-    cluster.run_until(500, "the lease", |cluster| cluster.leader().is_some());
+    cluster.run_until(500, "a renewed lease", |cluster| cluster.leader().is_some());
     cluster.run(50);
     assert_eq!(cluster.leader(), Some(leader));
     assert!(cluster.replies[&id].is_ok(), "{:?}", cluster.replies[&id]);
 }
 
 #[test]
-fn leases_name_gateways_and_agents_now_and_then_only() {
-    let mut cluster = TestCluster::served();
+fn at_most_one_lease_in_twelve_lists_gateways_and_agents() {
+    let mut cluster = TestCluster::ready();
     cluster.add_agent(1);
     cluster.add_agent(2);
     cluster.run(20_000);
-    let named = &cluster.agents[0].named;
-    let told = named.iter().filter(|others| **others > 0).count();
-    assert!(told >= 1, "{named:?}");
-    assert!(told * 12 <= named.len(), "{named:?}");
+    let counts = &cluster.agents[0].listed_counts;
+    let with_list = counts.iter().filter(|others| **others > 0).count();
+    assert!(with_list >= 1, "{counts:?}");
+    assert!(with_list * 12 <= counts.len(), "{counts:?}");
 }
--- a/crates/coordinator/tests/coordinator/runs.rs
+++ b/crates/coordinator/tests/coordinator/runs.rs
@@ -1,4 +1,5 @@
-//! Runs: one start, revocations, lease expiry, leader changes, freezes.
+//! Runs: at most one start per run, revocation, lease expiry, leader changes and
+//! freezes.
 
 use crate::test_cluster::{TestCluster, document, jobs};
 use configuration::Timings;
@@ -8,20 +9,21 @@
     EndpointName, JobState, OrderAnswer, Outcome, RejectionReason, RunnerId, RunnerOrder, Term,
 };
 
-/// Milliseconds of silence after which a leader gives a runner's runs up.
-fn given_up_after() -> u64 {
+/// Returns the milliseconds without a heartbeat after which a leader closes the
+/// runs of a runner.
+fn expiry_of_runs() -> u64 {
     let timings = Timings::default();
     (timings.run_lease + timings.run_lease_margin).0
 }
 
 fn with_runner() -> TestCluster {
-    let mut cluster = TestCluster::served();
+    let mut cluster = TestCluster::ready();
     cluster.add_agent(1);
     cluster
 }
 
 #[test]
-fn a_task_is_started_once_and_its_end_is_recorded() {
+fn task_is_started_once_and_its_end_is_recorded() {
     let mut cluster = with_runner();
     cluster.submit("job");
     cluster.run(5_000);
@@ -29,43 +31,56 @@
     cluster.agents[0].end_all(Outcome::Done);
     cluster.run(500);
     assert_eq!(cluster.job("job").state, JobState::Done);
-    assert!(cluster.agents[0].ended.is_empty(), "the record has it");
+    assert!(
+        cluster.agents[0].ended.is_empty(),
+        "the leader must confirm the recorded end"
+    );
     cluster.run(5_000);
     assert_eq!(cluster.starts().len(), 1);
 }
 
 #[test]
-fn a_task_with_a_start_time_starts_on_time() {
-    // A pass through the log, and the way to the agent.
-    const WAY: u64 = 12;
+fn task_with_a_start_time_starts_on_time() {
+    // Milliseconds for committing the reservation and sending the start.
+    const START_LATENCY: u64 = 12;
     let mut cluster = with_runner();
     for number in 0..10_usize {
         let mut job = jobs::job(&format!("job-{number}"));
         let wait = types::Milliseconds(300 + 13 * number as u64);
         let due = cluster.clock().wall + wait;
         job.start_at = Some(due);
-        cluster.answer(transport::Operation::Submit(job)).unwrap();
+        cluster.request(transport::Operation::Submit(job)).unwrap();
         cluster.run(due.0 - cluster.clock().wall.0);
-        assert_eq!(cluster.starts().len(), number, "not before its time");
-        cluster.run(WAY);
-        assert_eq!(cluster.starts().len(), number + 1, "job {number} is late");
+        assert_eq!(
+            cluster.starts().len(),
+            number,
+            "job {number} started before its time"
+        );
+        cluster.run(START_LATENCY);
+        assert_eq!(
+            cluster.starts().len(),
+            number + 1,
+            "job {number} started late"
+        );
         cluster.agents[0].end_all(Outcome::Done);
         cluster.run(300);
     }
 }
 
+/// The runner executes a start but its answer is lost. The leader must revoke the run
+/// before it starts the task again; the runner answers that the run is active.
 #[test]
-fn a_lost_answer_is_followed_by_a_void_and_no_second_start() {
+fn lost_start_answer_leads_to_revocation_and_no_second_start() {
     let mut cluster = with_runner();
     cluster.agents[0].lose_answers = true;
     cluster.submit("job");
-    // Heartbeats would tell; only the revocation may.
+    // Without heartbeats the leader can learn of the run only by revoking it.
     cluster.run_until(100, "the start", |cluster| {
         !cluster.agents[0].started.is_empty()
     });
-    cluster.agents[0].silent = true;
+    cluster.agents[0].unresponsive = true;
     cluster.run(1_500);
-    cluster.agents[0].silent = false;
+    cluster.agents[0].unresponsive = false;
     cluster.run(4_000);
     cluster.agents[0].end_all(Outcome::Done);
     cluster.run(500);
@@ -74,8 +89,10 @@
     assert_eq!(cluster.job("job").state, JobState::Done);
 }
 
+/// A start is delayed in the network and arrives after the task got a new run. It must
+/// not lead to two active runs of the task.
 #[test]
-fn a_start_that_never_arrives_is_voided_and_the_task_gets_a_new_run() {
+fn revocation_precedes_new_run_of_undelivered_start() {
     let mut cluster = with_runner();
     cluster.agents[0].hold_starts = true;
     cluster.submit("job");
@@ -86,41 +103,44 @@
     });
     assert_eq!(cluster.starts().len(), 2);
     assert!(cluster.each_start_is_sent_once());
-    // The first start crosses late: its tombstone rejects it.
-    let (_, late) = cluster.agents[0].kept_starts[0].clone();
+    // The tombstone of the revoked run rejects the delayed first start.
+    let (_, delayed) = cluster.agents[0].held_starts[0].clone();
     let now = cluster.now;
     assert_eq!(
-        cluster.agents[0].carry_out(now, &late),
+        cluster.agents[0].execute(now, &delayed),
         OrderAnswer::Rejected(RejectionReason::KnownRun)
     );
     assert_eq!(cluster.agents[0].active.len(), 1);
 }
 
+/// A runner stops its runs when the run lease expires. If the leader closed them
+/// earlier, two runs of one task could be active.
 #[test]
-fn a_silent_runner_s_run_is_lost_after_lease_and_margin_and_stays_closed() {
+fn run_of_unresponsive_runner_is_closed_after_lease_and_margin_and_stays_closed() {
     let mut cluster = with_runner();
     cluster.submit("job");
     cluster.run(500);
     let old = cluster.agents[0].started[0];
-    cluster.agents[0].silent = true;
+    cluster.agents[0].unresponsive = true;
     cluster.add_agent(2);
-    // The runner was silent for a second while the other one was added.
-    cluster.run(given_up_after() - 1_500);
+    // The runner sent nothing during the second in which the other one was added.
+    cluster.run(expiry_of_runs() - 1_500);
     assert!(
         cluster.agents[1].started.is_empty(),
-        "lease and margin not over"
+        "the lease and its margin have not expired"
     );
     cluster.run_until(2_000, "the task on another runner", |cluster| {
         cluster.agents[1].started.len() == 1
     });
-    // The old run ends late; it reopens and finishes nothing.
+    // The late end of the old run must neither reopen the run nor complete the
+    // task.
     cluster.agents[0].end_all(Outcome::Done);
-    cluster.agents[0].silent = false;
+    cluster.agents[0].unresponsive = false;
     cluster.run(1_000);
     assert_eq!(cluster.job("job").state, JobState::Running);
     assert!(
         cluster.agents[0].ended.is_empty(),
-        "confirmed, for it is closed"
+        "the end of a closed run must be confirmed"
     );
     assert!(cluster.state_machine().open_run(old).is_none());
     cluster.agents[1].end_all(Outcome::Done);
@@ -128,98 +148,117 @@
     assert_eq!(cluster.job("job").state, JobState::Done);
 }
 
+/// Each lapse of the leader's lease delays the expiry of runs by the duration of the
+/// lapse. It must not restart the wait, or runs would never be closed under repeated
+/// lapses.
 #[test]
-fn a_lease_that_lapses_now_and_then_does_not_keep_a_silent_runner_s_runs() {
+fn runs_of_unresponsive_runner_are_closed_despite_leader_lease_lapses() {
     let mut cluster = with_runner();
     cluster.submit("job");
     cluster.run(500);
-    cluster.agents[0].silent = true;
+    cluster.agents[0].unresponsive = true;
     let leader = cluster.leader().unwrap();
     let followers = [(leader + 1) % 3, (leader + 2) % 3];
     let term = cluster.status(leader).unwrap().term;
     let mut lapses = 0;
     let mut lapsed_for = 0;
-    let silent_since = cluster.now;
-    while cluster.now - silent_since < given_up_after() + lapsed_for + 1_000 {
+    let unresponsive_since = cluster.now;
+    while cluster.now - unresponsive_since < expiry_of_runs() + lapsed_for + 1_000 {
         cluster.run(2_000);
-        // Followers hear the leader and cannot answer: it stays leader.
-        let heard = cluster.now;
+        // The followers receive messages but cannot answer before a sync: the
+        // lease lapses, but the leader does not change.
+        let held_at = cluster.now;
         for follower in followers {
             cluster.servers[follower].disk_held = true;
         }
-        cluster.ask(transport::Operation::Submit(jobs::job(&format!(
-            "at-{heard}"
+        cluster.send_request(transport::Operation::Submit(jobs::job(&format!(
+            "at-{held_at}"
         ))));
-        cluster.run_until(2_000, "a lapse", |cluster| cluster.leader().is_none());
+        cluster.run_until(2_000, "a lapse of the lease", |cluster| {
+            cluster.leader().is_none()
+        });
         for follower in followers {
             cluster.release_disk(follower);
         }
-        cluster.run_until(1_000, "the lease", |cluster| cluster.leader().is_some());
+        cluster.run_until(1_000, "a renewed lease", |cluster| {
+            cluster.leader().is_some()
+        });
         lapses += 1;
-        lapsed_for += cluster.now - heard;
+        lapsed_for += cluster.now - held_at;
     }
     assert_eq!(cluster.leader(), Some(leader));
     assert_eq!(cluster.status(leader).unwrap().term, term);
     assert!(lapses > 4, "{lapses}");
-    assert_eq!(cluster.job("job").steps[0].running, 0, "given up");
+    assert_eq!(
+        cluster.job("job").steps[0].running,
+        0,
+        "the run must be closed"
+    );
 }
 
+/// The runner reports a run as done after the leader closed it as lost, and before the
+/// task got a new run. The work must not be repeated.
 #[test]
-fn a_late_done_end_settles_a_lost_run_s_task_before_it_starts_again() {
+fn late_done_report_of_a_lost_run_completes_its_task() {
     let mut cluster = with_runner();
     cluster.submit("job");
     cluster.run(500);
-    cluster.agents[0].silent = true;
+    cluster.agents[0].unresponsive = true;
     cluster.agents[0].end_all(Outcome::Done);
-    cluster.run(given_up_after() + 1_000);
-    assert!(cluster.state_machine().open_runs().is_empty(), "given up");
+    cluster.run(expiry_of_runs() + 1_000);
+    assert!(
+        cluster.state_machine().open_runs().is_empty(),
+        "the run must be closed"
+    );
     assert_eq!(cluster.job("job").state, JobState::Running);
-    cluster.agents[0].silent = false;
+    cluster.agents[0].unresponsive = false;
     cluster.run(2_000);
     assert_eq!(cluster.job("job").state, JobState::Done);
     assert_eq!(
         cluster.agents[0].started.len(),
         1,
-        "done is not started again"
+        "a completed task must not start again"
     );
     assert!(
         cluster.agents[0].ended.is_empty(),
-        "confirmed once it is in"
+        "the recorded end must be confirmed"
     );
 }
 
 #[test]
-fn a_runner_without_self_stop_keeps_its_runs_until_declared_lost() {
+fn runner_without_self_stop_keeps_its_runs_until_declared_lost() {
     let mut cluster = with_runner();
     cluster.agents[0].self_stop = false;
     cluster.submit("job");
     cluster.run(500);
-    cluster.agents[0].silent = true;
+    cluster.agents[0].unresponsive = true;
     cluster.run(60_000);
     assert_eq!(cluster.state_machine().open_runs().len(), 1);
     let runner = cluster.agents[0].runner.clone();
-    let answer = cluster.answer(transport::Operation::DeclareRunnerLost { runner });
+    let answer = cluster.request(transport::Operation::DeclareRunnerLost { runner });
     assert!(matches!(answer, Ok(transport::OperationReply::RunsLost { runs }) if runs.len() == 1));
     assert!(cluster.state_machine().open_runs().is_empty());
 }
 
 #[test]
-fn a_new_leader_keeps_the_runs_of_a_silent_runner_without_self_stop() {
+fn new_leader_keeps_runs_of_unresponsive_runner_without_self_stop() {
     let mut cluster = with_runner();
     cluster.agents[0].self_stop = false;
     cluster.run(500);
     cluster.submit("job");
     cluster.run(500);
     assert_eq!(cluster.agents[0].started.len(), 1);
-    cluster.agents[0].silent = true;
+    cluster.agents[0].unresponsive = true;
     let leader = cluster.leader().unwrap();
     cluster.kill(leader);
     cluster.run(60_000);
     assert_eq!(cluster.state_machine().open_runs().len(), 1);
 }
 
+/// A runner restarts without its state while its run is open. Its new heartbeats must
+/// not keep that run open.
 #[test]
-fn runs_of_an_earlier_life_are_lost_with_it() {
+fn runs_of_an_earlier_incarnation_are_lost() {
     let mut cluster = with_runner();
     cluster.submit("job");
     cluster.run(500);
@@ -231,8 +270,10 @@
     assert!(cluster.each_start_is_sent_once());
 }
 
+/// Two runners cannot listen on one endpoint, so a new runner there proves that the
+/// previous one has ended.
 #[test]
-fn another_runner_at_the_same_place_ends_the_runs_of_the_one_before() {
+fn new_runner_at_the_same_endpoint_ends_runs_of_the_previous_runner() {
     let mut cluster = with_runner();
     cluster.agents[0].endpoint = EndpointName::new("10.0.0.1:80").ok();
     cluster.run(500);
@@ -240,7 +281,7 @@
     cluster.run(500);
     assert_eq!(cluster.agents[0].started.len(), 1);
     let agent = &mut cluster.agents[0];
-    agent.runner = RunnerId::new("its-successor").unwrap();
+    agent.runner = RunnerId::new("successor").unwrap();
     agent.active.clear();
     cluster.run(1_000);
     assert_eq!(cluster.agents[0].started.len(), 2);
@@ -248,7 +289,7 @@
 }
 
 #[test]
-fn another_runner_at_another_place_ends_nothing() {
+fn new_runner_at_another_endpoint_ends_no_runs() {
     let mut cluster = with_runner();
     cluster.agents[0].endpoint = EndpointName::new("10.0.0.1:80").ok();
     cluster.run(500);
@@ -262,13 +303,15 @@
     assert_eq!(cluster.agents[0].started.len(), 1);
 }
 
+/// The leader crashes after it sent a start that the runner has not received. The new
+/// leader cannot tell whether the start will arrive.
 #[test]
-fn a_new_leader_voids_runs_whose_start_is_not_known_to_have_landed() {
+fn new_leader_revokes_runs_with_an_unconfirmed_start() {
     let mut cluster = with_runner();
     cluster.agents[0].hold_starts = true;
     cluster.submit("job");
     cluster.run_until(500, "the start", |cluster| {
-        !cluster.agents[0].kept_starts.is_empty()
+        !cluster.agents[0].held_starts.is_empty()
     });
     let old = cluster.starts()[0];
     let leader = cluster.leader().unwrap();
@@ -281,6 +324,8 @@
     assert!(cluster.each_start_is_sent_once());
 }
 
+/// An answer to an order of an earlier leader must not close a run, since the current
+/// leader may have sent another order for it.
 #[test]
 fn answers_to_orders_of_another_term_are_ignored() {
     let mut cluster = with_runner();
@@ -301,10 +346,10 @@
             },
             answer: OrderAnswer::Revoked,
         }];
-        // The runner is silent, so nothing else speaks of the run.
-        cluster.agents[0].silent = true;
+        // Without heartbeats only this answer can close the run.
+        cluster.agents[0].unresponsive = true;
         let from = cluster.agents[0].address.clone();
-        cluster.tell_leader(from, PeerMessage::OrderResults { results });
+        cluster.deliver_to_leader(from, PeerMessage::OrderResults { results });
         cluster.run(100);
         let open = cluster.state_machine().open_run(order.kind.run()).is_some();
         assert_eq!(open, stays_open, "{term}");
@@ -312,7 +357,7 @@
 }
 
 #[test]
-fn a_new_leader_keeps_runs_that_go_on() {
+fn new_leader_keeps_active_runs() {
     let mut cluster = with_runner();
     cluster.submit("job");
     cluster.run(500);
@@ -325,23 +370,25 @@
     assert_eq!(cluster.job("job").state, JobState::Done);
 }
 
+/// A new leader does not know when the runner last got a lease, so it must assume that
+/// it was just before the election.
 #[test]
-fn a_new_leader_waits_lease_and_margin_for_a_runner_it_never_heard() {
+fn new_leader_waits_lease_and_margin_for_a_runner_without_heartbeat() {
     let mut cluster = with_runner();
     cluster.submit("job");
     cluster.run(500);
-    cluster.agents[0].silent = true;
+    cluster.agents[0].unresponsive = true;
     let leader = cluster.leader().unwrap();
     cluster.kill(leader);
     cluster.run_until(5_000, "a new leader", |cluster| cluster.leader().is_some());
-    cluster.run(given_up_after() - 500);
+    cluster.run(expiry_of_runs() - 500);
     assert_eq!(cluster.state_machine().open_runs().len(), 1);
     cluster.run(1_000);
     assert!(cluster.state_machine().open_runs().is_empty());
 }
 
-/// What only a leader under its lease may say.
-fn is_act_of_a_leader(effect: &Effect) -> bool {
+/// Returns whether only a leader with a valid lease may send a message.
+fn requires_lease(effect: &Effect) -> bool {
     matches!(
         effect,
         Effect::Send {
@@ -355,26 +402,30 @@
     )
 }
 
+/// A leader freezes, another is elected, and the first one resumes with queued inputs.
+/// It must notice the loss of its lease before it handles them.
 #[test]
-fn a_leader_that_wakes_from_a_freeze_does_nothing_it_had_in_hand() {
+fn leader_without_lease_sends_no_orders_after_freeze() {
     let mut cluster = with_runner();
     let frozen = cluster.leader().unwrap();
-    // A submit, reports and syncs are under way when it freezes.
-    cluster.ask(transport::Operation::Submit(jobs::job("job")));
+    // The leader freezes while a submit, reports and syncs are in progress.
+    cluster.send_request(transport::Operation::Submit(jobs::job("job")));
     cluster.servers[frozen].frozen = true;
     cluster.run(25_000);
     assert!(cluster.leader().is_some_and(|leader| leader != frozen));
-    let effects = cluster.wake(frozen);
-    assert!(!effects.iter().any(is_act_of_a_leader));
+    let effects = cluster.resume(frozen);
+    assert!(!effects.iter().any(requires_lease));
 }
 
+/// The entry of a reservation commits after a lapse of the lease. Its run must not be
+/// started twice, and the task must have one active run in the end.
 #[test]
-fn a_reservation_committed_after_a_lapse_of_the_lease_is_not_started() {
+fn reservation_committed_after_a_lease_lapse_is_not_started_twice() {
     let mut cluster = with_runner();
     let leader = cluster.leader().unwrap();
     let followers = [(leader + 1) % 3, (leader + 2) % 3];
     cluster.submit("job");
-    // The reservation waits for the disks while the lease lapses.
+    // The lease lapses before the reservation is synced by a quorum.
     for follower in followers {
         cluster.servers[follower].disk_held = true;
     }
@@ -388,19 +439,20 @@
 }
 
 #[test]
-fn a_run_past_its_time_limit_is_stopped_and_counts_as_a_failure() {
+fn run_above_its_time_limit_is_stopped_and_counts_as_a_failure() {
     let mut cluster = with_runner();
     let mut job = jobs::job("job");
     job.steps[0].time_limit = types::Milliseconds(1_000);
     job.steps[0].allowed_failures = 0;
-    cluster.answer(transport::Operation::Submit(job)).unwrap();
+    cluster.request(transport::Operation::Submit(job)).unwrap();
     cluster.run(4_000);
     assert_eq!(cluster.job("job").state, JobState::Failed);
     assert!(cluster.agents[0].active.is_empty());
 }
 
+/// The entries that the member missed have been compacted from the leader's log.
 #[test]
-fn snapshots_carry_a_member_that_was_away() {
+fn offline_member_catches_up_by_snapshot() {
     let mut cluster = TestCluster::new(3);
     cluster.options.snapshot_every = 20;
     cluster.options.consensus.retained_entries = 5;
@@ -408,20 +460,22 @@
     cluster.run(4_000);
     cluster.put_configuration(1, document::document());
     cluster.run(100);
-    let away = (cluster.leader().unwrap() + 1) % 3;
-    cluster.kill(away);
+    let offline = (cluster.leader().unwrap() + 1) % 3;
+    cluster.kill(offline);
     for number in 0..60 {
         cluster.submit(&format!("job-{number}"));
     }
-    cluster.start(away);
+    cluster.start(offline);
     cluster.run(2_000);
-    let state_machine = cluster.core(away).state_machine().unwrap();
+    let state_machine = cluster.core(offline).state_machine().unwrap();
     assert!(state_machine.job(&jobs::key("job-59")).is_some());
     assert_eq!(state_machine, cluster.state_machine());
 }
 
+/// If all members wrote their snapshots at the same index, no quorum would sync new
+/// entries meanwhile.
 #[test]
-fn members_write_their_snapshots_apart() {
+fn members_write_snapshots_at_different_indexes() {
     let mut cluster = TestCluster::new(3);
     cluster.options.snapshot_every = 20;
     for server in 0..3 {
@@ -437,12 +491,12 @@
     cluster.run(200);
     let written = cluster.snapshots.len();
     assert!(written >= 6, "{written}");
-    let apart: std::collections::BTreeSet<_> = cluster.snapshots.iter().collect();
-    assert_eq!(apart.len(), written, "{:?}", cluster.snapshots);
+    let distinct: std::collections::BTreeSet<_> = cluster.snapshots.iter().collect();
+    assert_eq!(distinct.len(), written, "{:?}", cluster.snapshots);
 }
 
 #[test]
-fn a_task_that_failed_once_is_tried_on_another_runner_first() {
+fn failed_task_is_retried_on_another_runner_first() {
     let mut cluster = with_runner();
     cluster.add_agent(2);
     for number in 0..6 {
@@ -459,7 +513,7 @@
         });
         assert!(
             cluster.agents[first].active.is_empty(),
-            "{job} went back to the runner it failed on"
+            "{job} was retried on the runner that it failed on"
         );
         cluster.agents[1 - first].end_all(Outcome::Done);
         cluster.run(500);
--- a/crates/coordinator/tests/coordinator/snapshots.rs
+++ b/crates/coordinator/tests/coordinator/snapshots.rs
@@ -1,12 +1,13 @@
-//! Snapshots of a large record: apart, and not by a leader.
+//! Schedule of snapshots: members write a large state in turn, and a leader
+//! transfers leadership before it writes one.
 
 use coordinator::snapshots::{SnapshotDue, SnapshotSchedule, VoterTurn};
 use types::{LogIndex, NodeId};
 
 const EVERY: u64 = 100;
 const MIB: usize = 1024 * 1024;
-const FOLLOWS: bool = false;
-const LEADS: bool = true;
+const FOLLOWER: bool = false;
+const LEADER: bool = true;
 
 fn turn(applied: u64, position: usize) -> VoterTurn {
     VoterTurn {
@@ -16,10 +17,15 @@
     }
 }
 
-/// Index at which a snapshot is due, with entries of `bytes` each.
-fn due_at(schedule: &mut SnapshotSchedule, bytes: usize, leads: bool, position: usize) -> u64 {
+/// Applies entries of `bytes` bytes until a snapshot is due; returns their number.
+fn entries_until_due(
+    schedule: &mut SnapshotSchedule,
+    bytes: usize,
+    is_leader: bool,
+    position: usize,
+) -> u64 {
     let mut applied = 0;
-    while schedule.due(leads, turn(applied, position)) == SnapshotDue::No {
+    while schedule.due(is_leader, turn(applied, position)) == SnapshotDue::No {
         schedule.record_applied(bytes);
         applied += 1;
     }
@@ -27,39 +33,46 @@
 }
 
 #[test]
-fn a_small_record_is_written_each_so_many_entries_by_leaders_too() {
-    for leads in [FOLLOWS, LEADS] {
+fn snapshot_of_a_small_state_is_due_after_a_fixed_number_of_entries() {
+    for is_leader in [FOLLOWER, LEADER] {
         let mut schedule = SnapshotSchedule::new(EVERY, NodeId(30), 0);
-        assert_eq!(due_at(&mut schedule, 10, leads, 3), 70, "it began ahead");
+        assert_eq!(
+            entries_until_due(&mut schedule, 10, is_leader, 3),
+            70,
+            "starts at an offset of 30 entries"
+        );
         schedule.restart(MIB / 2);
-        assert_eq!(due_at(&mut schedule, 10, leads, 3), 100);
-        assert_eq!(schedule.due(leads, turn(100, 3)), SnapshotDue::Yes);
+        assert_eq!(entries_until_due(&mut schedule, 10, is_leader, 3), 100);
+        assert_eq!(schedule.due(is_leader, turn(100, 3)), SnapshotDue::Yes);
     }
 }
 
 #[test]
-fn a_large_record_is_written_when_as_much_was_applied_as_it_is_large() {
+fn snapshot_of_a_large_state_is_due_after_entries_of_its_size() {
     let mut schedule = SnapshotSchedule::new(EVERY, NodeId(0), 0);
     schedule.restart(10 * MIB);
-    assert_eq!(due_at(&mut schedule, MIB / 100, FOLLOWS, 0), 1_001);
+    assert_eq!(
+        entries_until_due(&mut schedule, MIB / 100, FOLLOWER, 0),
+        1_001
+    );
 }
 
 #[test]
-fn voters_that_are_due_at_once_write_one_after_the_other() {
+fn voters_due_at_the_same_time_write_in_turn() {
     let mut written: Vec<u64> = (0..5)
         .map(|position| {
             let mut schedule = SnapshotSchedule::new(EVERY, NodeId(0), 0);
             schedule.restart(10 * MIB);
-            due_at(&mut schedule, MIB / 100, FOLLOWS, position)
+            entries_until_due(&mut schedule, MIB / 100, FOLLOWER, position)
         })
         .collect();
     written.sort_unstable();
-    let apart = written.windows(2).map(|pair| pair[1] - pair[0]).min();
-    assert!(apart >= Some(1_000), "{written:?}");
+    let min_distance = written.windows(2).map(|pair| pair[1] - pair[0]).min();
+    assert!(min_distance >= Some(1_000), "{written:?}");
 }
 
 #[test]
-fn a_member_that_is_no_voter_need_not_wait() {
+fn learner_writes_without_waiting_for_a_turn() {
     let mut schedule = SnapshotSchedule::new(EVERY, NodeId(0), 0);
     schedule.restart(2 * MIB);
     for _ in 0..300 {
@@ -69,19 +82,22 @@
         position: None,
         ..turn(5_000, 0)
     };
-    assert_eq!(schedule.due(FOLLOWS, learner), SnapshotDue::Yes);
+    assert_eq!(schedule.due(FOLLOWER, learner), SnapshotDue::Yes);
 }
 
 #[test]
-fn a_leader_puts_a_large_one_off_and_then_hands_over() {
+fn leader_delays_a_large_snapshot_and_then_transfers_leadership() {
     let mut schedule = SnapshotSchedule::new(EVERY, NodeId(0), 0);
     schedule.restart(10 * MIB);
-    assert_eq!(due_at(&mut schedule, MIB / 100, LEADS, 0), 4_001);
+    assert_eq!(
+        entries_until_due(&mut schedule, MIB / 100, LEADER, 0),
+        4_001
+    );
     let at = turn(4_001, 1);
-    assert_eq!(schedule.due(LEADS, at), SnapshotDue::AfterHandingOver);
+    assert_eq!(schedule.due(LEADER, at), SnapshotDue::AfterHandingOver);
     assert_eq!(
-        schedule.due(FOLLOWS, at),
+        schedule.due(FOLLOWER, at),
         SnapshotDue::Yes,
-        "it is its turn"
+        "voter 1 has the turn"
     );
 }
--- a/crates/coordinator/tests/coordinator/test_cluster/agent.rs
+++ b/crates/coordinator/tests/coordinator/test_cluster/agent.rs
@@ -1,5 +1,5 @@
-//! An agent with one runner, scripted: it keeps tombstones and ended runs as
-//! a runner must, and loses or holds back what it is told to.
+//! Scripted agent with one runner. It keeps tombstones and ended runs as a real
+//! runner does, and loses or holds back messages as the test requires.
 
 use super::{address, document};
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,38 +11,42 @@
     RunId, RunnerId, RunnerIncarnation, RunnerOrder, RunnerReport, Term,
 };
 
-const INTERVAL: u64 = 100;
+/// Milliseconds between two heartbeats.
+const HEARTBEAT_INTERVAL: u64 = 100;
 
 pub struct ScriptedAgent {
     pub address: Address,
     pub runner: RunnerId,
     pub incarnation: u64,
+    /// Active runs, with the time of their start.
     pub active: BTreeMap<RunId, u64>,
     pub ended: Vec<EndedRun>,
     pub tombstones: BTreeSet<RunId>,
     pub started: Vec<RunId>,
-    /// How many gateways and agents each lease named.
-    pub named: Vec<usize>,
+    /// Number of gateways and agents listed in each lease received.
+    pub listed_counts: Vec<usize>,
     pub updates: Vec<RunnerUpdate>,
-    /// Sends neither keep-alives nor heartbeats.
-    pub silent: bool,
+    /// Whether the agent sends no messages and ignores those it receives.
+    pub unresponsive: bool,
     pub draining: bool,
-    /// Where the runner says that it stands.
+    /// Endpoint in the heartbeats.
     pub endpoint: Option<EndpointName>,
     pub self_stop: bool,
-    /// Starts are kept aside instead of carried out.
+    /// Whether start orders are held back instead of executed.
     pub hold_starts: bool,
-    pub kept_starts: Vec<(SocketAddr, RunnerOrder)>,
-    /// Answers to starts are lost.
+    pub held_starts: Vec<(SocketAddr, RunnerOrder)>,
+    /// Whether answers to start orders are lost.
     pub lose_answers: bool,
-    /// All messages go by this member.
+    /// Member that relays all messages of the agent.
     pub via: Option<SocketAddr>,
-    /// Ends its runs by itself after this time.
-    pub work: Option<u64>,
+    /// Milliseconds after which a run ends as done; `None` if only the test ends
+    /// runs.
+    pub run_duration: Option<u64>,
     sequence: u64,
-    next: u64,
-    /// When each heartbeat was sent, and the newest confirmed one.
+    next_heartbeat: u64,
+    /// Time at which each heartbeat was sent, by sequence number.
     sent: BTreeMap<u64, u64>,
+    /// Time at which the newest confirmed heartbeat was sent.
     confirmed_sent: u64,
     highest_term: Term,
     lease: u64,
@@ -58,19 +62,19 @@
             ended: Vec::new(),
             tombstones: BTreeSet::new(),
             started: Vec::new(),
-            named: Vec::new(),
+            listed_counts: Vec::new(),
             updates: Vec::new(),
-            silent: false,
+            unresponsive: false,
             draining: false,
             endpoint: None,
             self_stop: true,
             hold_starts: false,
-            kept_starts: Vec::new(),
+            held_starts: Vec::new(),
             lose_answers: false,
             via: None,
-            work: None,
+            run_duration: None,
             sequence: 0,
-            next: now,
+            next_heartbeat: now,
             sent: BTreeMap::new(),
             confirmed_sent: now,
             highest_term: Term(0),
@@ -78,14 +82,14 @@
         }
     }
 
-    /// A keep-alive and a heartbeat to every coordinator; all but the leader pass
-    /// over them.
+    /// Ends due runs. Returns a keep-alive and a heartbeat to every coordinator, if
+    /// due; only the leader processes them.
     pub fn tick(&mut self, now: u64, to: &[SocketAddr]) -> Vec<(SocketAddr, PeerMessage)> {
-        self.work_on(now);
-        if self.silent || now < self.next {
+        self.end_due_runs(now);
+        if self.unresponsive || now < self.next_heartbeat {
             return Vec::new();
         }
-        self.next = now + INTERVAL;
+        self.next_heartbeat = now + HEARTBEAT_INTERVAL;
         self.sequence += 1;
         self.sent.insert(self.sequence, now);
         let keep_alive = PeerMessage::KeepAlive(KeepAlive {
@@ -146,7 +150,7 @@
     }
 
     pub fn receive(&mut self, now: u64, envelope: Envelope) -> Vec<(SocketAddr, PeerMessage)> {
-        if self.silent {
+        if self.unresponsive {
             return Vec::new();
         }
         let (from, body) = match envelope.body {
@@ -156,10 +160,10 @@
         match body {
             PeerMessage::Orders { orders, .. } => orders
                 .into_iter()
-                .filter_map(|order| self.order(now, from, order))
+                .filter_map(|order| self.receive_order(now, from, order))
                 .collect(),
             PeerMessage::Lease(lease) => {
-                self.named.push(lease.others.len());
+                self.listed_counts.push(lease.others.len());
                 Vec::new()
             }
             PeerMessage::RunnerUpdate(update) => {
@@ -182,19 +186,20 @@
         }
     }
 
-    /// Ends what is done, and everything when the lease is over.
-    fn work_on(&mut self, now: u64) {
+    /// Ends runs that reached their duration. Stops all runs when the run lease
+    /// has expired.
+    fn end_due_runs(&mut self, now: u64) {
         if self.self_stop && now.saturating_sub(self.confirmed_sent) >= self.lease {
             self.end_all(Outcome::Stopped);
         }
-        let Some(work) = self.work else {
+        let Some(duration) = self.run_duration else {
             return;
         };
-        let over = |since: &u64| now - since >= work;
+        let is_done = |since: &u64| now - since >= duration;
         let done: Vec<RunId> = self
             .active
             .iter()
-            .filter(|(_, since)| over(since))
+            .filter(|(_, since)| is_done(since))
             .map(|(run, _)| *run)
             .collect();
         for run in done {
@@ -202,7 +207,8 @@
         }
     }
 
-    /// The process dies and comes back with nothing.
+    /// Restarts the agent process without its state: a new incarnation with no runs
+    /// and no tombstones.
     pub fn restart(&mut self, now: u64) {
         self.incarnation += 1;
         self.address.node = types::NodeId(self.address.node.0 + 1_000);
@@ -213,27 +219,27 @@
         self.confirmed_sent = now;
     }
 
-    fn order(
+    fn receive_order(
         &mut self,
         now: u64,
         from: SocketAddr,
         order: RunnerOrder,
     ) -> Option<(SocketAddr, PeerMessage)> {
-        let start = matches!(order.kind, OrderKind::Start { .. });
-        if start && self.hold_starts {
-            self.kept_starts.push((from, order));
+        let is_start = matches!(order.kind, OrderKind::Start { .. });
+        if is_start && self.hold_starts {
+            self.held_starts.push((from, order));
             return None;
         }
-        let answer = self.carry_out(now, &order);
-        if start && self.lose_answers {
+        let answer = self.execute(now, &order);
+        if is_start && self.lose_answers {
             return None;
         }
         let results = vec![OrderResult { order, answer }];
         Some(self.route(from, PeerMessage::OrderResults { results }))
     }
 
-    /// What a runner does with an order.
-    pub fn carry_out(&mut self, now: u64, order: &RunnerOrder) -> OrderAnswer {
+    /// Executes an order as a runner does, and returns the answer.
+    pub fn execute(&mut self, now: u64, order: &RunnerOrder) -> OrderAnswer {
         let run = order.kind.run();
         if order.incarnation.0 != self.incarnation {
             return OrderAnswer::Rejected(RejectionReason::OtherIncarnation);
@@ -251,10 +257,10 @@
                 return OrderAnswer::Rejected(RejectionReason::StaleHeartbeat);
             }
         }
-        let active = self.active.contains_key(&run);
-        let ended = self.ended.iter().any(|ended| ended.run == run);
+        let is_active = self.active.contains_key(&run);
+        let has_ended = self.ended.iter().any(|ended| ended.run == run);
         match order.kind {
-            OrderKind::Start { .. } if active || ended || self.tombstones.contains(&run) => {
+            OrderKind::Start { .. } if is_active || has_ended || self.tombstones.contains(&run) => {
                 OrderAnswer::Rejected(RejectionReason::KnownRun)
             }
             OrderKind::Start { .. } => {
@@ -262,12 +268,12 @@
                 self.started.push(run);
                 OrderAnswer::Started
             }
-            OrderKind::Stop { .. } if active => {
+            OrderKind::Stop { .. } if is_active => {
                 self.end(run, Outcome::Stopped);
                 OrderAnswer::Stopping
             }
-            OrderKind::Revoke { .. } if active => OrderAnswer::Active,
-            _ if ended => OrderAnswer::Ended,
+            OrderKind::Revoke { .. } if is_active => OrderAnswer::Active,
+            _ if has_ended => OrderAnswer::Ended,
             _ => {
                 self.tombstones.insert(run);
                 OrderAnswer::Revoked
@@ -275,7 +281,7 @@
         }
     }
 
-    /// Ends a held run.
+    /// Ends an active run and keeps its outcome for the heartbeats.
     pub fn end(&mut self, run: RunId, outcome: Outcome) {
         self.active.remove(&run);
         self.ended.push(EndedRun {
@@ -285,7 +291,7 @@
         });
     }
 
-    /// Ends everything it holds.
+    /// Ends all active runs with the same outcome.
     pub fn end_all(&mut self, outcome: Outcome) {
         for run in self.active.keys().copied().collect::<Vec<_>>() {
             self.end(run, outcome.clone());
--- a/crates/coordinator/tests/coordinator/test_cluster/document.rs
+++ b/crates/coordinator/tests/coordinator/test_cluster/document.rs
@@ -1,4 +1,4 @@
-//! Configuration of the tests.
+//! Cluster configuration used by the tests.
 
 use configuration::{
     ClusterConfiguration, ErrorBudget, PoolSettings, QueueMode, QueueSettings, TenantSettings,
@@ -18,16 +18,16 @@
     }
 }
 
-/// One pool, one queue, one tenant.
+/// Returns a configuration with one pool, one queue and one tenant.
 pub fn document() -> ClusterConfiguration {
     let pool = PoolName::new("pool").unwrap();
-    let queue = QueueSettings {
+    let queue_settings = QueueSettings {
         priority: 0,
         pool: pool.clone(),
         mode: QueueMode::Active,
         max_unfinished_jobs: 1_000,
     };
-    let contract = TenantSettings {
+    let tenant_settings = TenantSettings {
         share_percent: 100,
         resource_limit: Resources::UNLIMITED,
         error_budget: ErrorBudget {
@@ -39,7 +39,7 @@
         submit_burst: 200,
         max_unfinished_jobs: 1_000,
     };
-    let settings = PoolSettings {
+    let pool_settings = PoolSettings {
         largest_runner: slots(8),
     };
     ClusterConfiguration {
@@ -47,9 +47,9 @@
         left_out: configuration::LeftOutQueues::Refuse,
         source: None,
         licences: Default::default(),
-        pools: BTreeMap::from([(pool, settings)]),
-        queues: BTreeMap::from([(QueueName::new("queue").unwrap(), queue)]),
-        tenants: BTreeMap::from([(tenant(), contract)]),
+        pools: BTreeMap::from([(pool, pool_settings)]),
+        queues: BTreeMap::from([(QueueName::new("queue").unwrap(), queue_settings)]),
+        tenants: BTreeMap::from([(tenant(), tenant_settings)]),
         keys: Vec::new(),
         timings: Timings::default(),
     }
--- a/crates/coordinator/tests/coordinator/test_cluster/jobs.rs
+++ b/crates/coordinator/tests/coordinator/test_cluster/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs of the tests.
+//! Job specifications used by the tests.
 
 use super::document::{slots, tenant};
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
     }
 }
 
-/// A job of one task.
+/// Returns a job with one step of one task, which needs one slot.
 pub fn job(job: &str) -> JobSpec {
     JobSpec {
         payload: String::new(),
--- a/crates/coordinator/tests/coordinator/test_cluster/mod.rs
+++ b/crates/coordinator/tests/coordinator/test_cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A small cluster for the coordinator's core: virtual time, a network without
-//! loss, disks in memory, scripted agents with their runners.
+//! Test cluster for the coordinator core, with virtual time, a simulated network,
+//! disks in memory and scripted agents.
 
 pub mod agent;
 pub mod document;
@@ -18,8 +18,9 @@
 use transport::{Envelope, OperationReply, PeerMessage, Rejection, Reply};
 use types::{Address, Milliseconds, Monotonic, NodeId, Now, Role, WallTime, ZoneName};
 
+/// Least delay of a message in milliseconds.
 const LATENCY: u64 = 1;
-/// Wall time at the start of the cluster.
+/// Wall time at the origin of the monotonic clock, in milliseconds.
 const WALL_START: u64 = 1_700_000_000_000;
 const GATEWAY_PORT: u16 = 9_000;
 
@@ -41,24 +42,26 @@
     pub servers: Vec<Server>,
     pub agents: Vec<ScriptedAgent>,
     pub replies: BTreeMap<u64, Result<OperationReply, Rejection>>,
-    /// Every message sent, with the port of its sender.
+    /// All messages sent, with the port of the sender.
     pub sent: Vec<(u16, PeerMessage)>,
-    /// Indexes of the snapshots that coordinators wrote.
+    /// Indexes of the snapshots written by coordinators.
     pub snapshots: Vec<types::LogIndex>,
-    /// Ports whose messages are lost, both ways.
-    pub cut: BTreeSet<u16>,
+    /// Ports whose messages are lost in both directions.
+    pub partitioned: BTreeSet<u16>,
     pub options: CoordinatorOptions,
-    /// Messages lost in a thousand, and the longest extra delay.
+    /// Share of messages that are lost, per thousand.
     pub loss_per_thousand: u32,
+    /// Longest delay of a message beyond [`LATENCY`], in milliseconds.
     pub extra_delay: u64,
     pub random: ChaCha8Rng,
-    mail: BTreeMap<(u64, u64), (SocketAddr, Envelope)>,
-    next_mail: u64,
+    /// Messages in flight, by time of delivery and order of sending.
+    in_flight: BTreeMap<(u64, u64), (SocketAddr, Envelope)>,
+    next_message: u64,
     next_request: u64,
 }
 
 impl TestCluster {
-    /// `count` empty coordinators on ports from 8000, none started.
+    /// Creates `count` empty coordinators on ports from 8000 without starting them.
     pub fn new(count: u16) -> Self {
         let seeds: Vec<SocketAddr> = (0..count).map(|n| socket(8_000 + n)).collect();
         let servers = (0..count).map(|n| Server::new(8_000 + n, 1 + u64::from(n)));
@@ -69,24 +72,25 @@
             replies: BTreeMap::new(),
             sent: Vec::new(),
             snapshots: Vec::new(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             options: options(seeds),
             loss_per_thousand: 0,
             extra_delay: 0,
             random: ChaCha8Rng::seed_from_u64(1),
-            mail: BTreeMap::new(),
-            next_mail: 0,
+            in_flight: BTreeMap::new(),
+            next_message: 0,
             next_request: 0,
         }
     }
 
-    /// Three coordinators with a leader and a configuration.
-    pub fn served() -> Self {
-        Self::served_with(None)
+    /// Starts three coordinators, with a leader and a configuration.
+    pub fn ready() -> Self {
+        Self::ready_with(None)
     }
 
-    /// The same, with a mechanism switched off.
-    pub fn served_with(mutation: Option<coordinator::Mutation>) -> Self {
+    /// Starts a cluster like [`TestCluster::ready`], with a fault in its
+    /// coordinators.
+    pub fn ready_with(mutation: Option<coordinator::Mutation>) -> Self {
         let mut cluster = Self::new(3);
         cluster.options.mutation = mutation;
         for server in 0..3 {
@@ -107,7 +111,7 @@
         }
     }
 
-    /// Starts a coordinator from its disk, or from an empty one.
+    /// Starts a coordinator from its disk, which is created empty if missing.
     pub fn start(&mut self, server: usize) {
         let now = self.clock();
         let mut options = self.options.clone();
@@ -128,7 +132,7 @@
         server.stopped = false;
     }
 
-    /// Ends a coordinator without warning; its disk stays.
+    /// Kills a coordinator without a graceful shutdown. Its disk is kept.
     pub fn kill(&mut self, server: usize) {
         let server = &mut self.servers[server];
         server.core = None;
@@ -136,14 +140,15 @@
         server.waiting.clear();
     }
 
-    /// Empties the disk of a killed coordinator.
+    /// Wipes the disk of a killed coordinator, which gets a new identity.
     pub fn wipe(&mut self, server: usize) {
         let server = &mut self.servers[server];
         server.store = None;
         server.next_identity += 100;
     }
 
-    /// The coordinator that leads and may act.
+    /// Returns the coordinator that is the leader with a valid lease and is not
+    /// frozen.
     pub fn leader(&self) -> Option<usize> {
         let now = self.clock();
         (0..self.servers.len()).find(|server| {
@@ -169,7 +174,7 @@
         self.core(leader).state_machine().unwrap()
     }
 
-    /// Lets time pass, a millisecond a step.
+    /// Advances the time in steps of one millisecond.
     pub fn run(&mut self, milliseconds: u64) {
         for _ in 0..milliseconds {
             self.now += 1;
@@ -187,7 +192,7 @@
         }
     }
 
-    /// Runs until the condition holds; fails after `limit` milliseconds.
+    /// Runs until the condition holds; panics after `limit` milliseconds.
     pub fn run_until(&mut self, limit: u64, what: &str, holds: impl Fn(&Self) -> bool) {
         for _ in 0..limit {
             if holds(self) {
@@ -195,7 +200,7 @@
             }
             self.run(1);
         }
-        panic!("not within {limit} ms: {what}");
+        panic!("timed out after {limit} ms waiting for {what}");
     }
 
     fn tick_agents(&mut self) {
@@ -208,35 +213,36 @@
             }
         }
         for (port, from, to, message) in out {
-            self.post(port, from, to, message);
+            self.send(port, from, to, message);
         }
     }
 
-    fn post(&mut self, port: u16, from: Address, to: SocketAddr, message: PeerMessage) {
+    fn send(&mut self, port: u16, from: Address, to: SocketAddr, message: PeerMessage) {
         self.sent.push((port, message.clone()));
-        if self.cut.contains(&port) || self.cut.contains(&to.port()) {
+        if self.partitioned.contains(&port) || self.partitioned.contains(&to.port()) {
             return;
         }
         if self.random.random_range(0..1_000) < self.loss_per_thousand {
             return;
         }
         let at = self.now + LATENCY + self.random.random_range(0..=self.extra_delay);
-        self.next_mail += 1;
+        self.next_message += 1;
         let envelope = Envelope {
             from,
             via: None,
             body: message,
         };
-        self.mail.insert((at, self.next_mail), (to, envelope));
+        self.in_flight
+            .insert((at, self.next_message), (to, envelope));
     }
 
     fn deliver(&mut self) {
-        while let Some(entry) = self.mail.first_entry() {
+        while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
             let (to, envelope) = entry.remove();
-            if self.cut.contains(&to.port()) {
+            if self.partitioned.contains(&to.port()) {
                 continue;
             }
             self.deliver_one(to, envelope);
@@ -251,16 +257,16 @@
             let port = agent.address.socket.port();
             let from = agent.address.clone();
             for (to, message) in agent.receive(now, envelope) {
-                self.post(port, from.clone(), to, message);
+                self.send(port, from.clone(), to, message);
             }
         } else if to.port() == GATEWAY_PORT
-            && let PeerMessage::Reply(Reply { id, result }) = open(envelope.body)
+            && let PeerMessage::Reply(Reply { id, result }) = unwrap_relay(envelope.body)
         {
             self.replies.insert(id.0, result);
         }
     }
 
-    /// Gives an input to a coordinator and carries out the effects.
+    /// Passes an input to a coordinator and carries out the effects.
     pub fn input(&mut self, server: usize, input: Input) {
         if self.servers[server].core.is_none() {
             return;
@@ -276,14 +282,14 @@
             let input = inputs.remove(0);
             let effects = self.effects(server, input);
             for effect in effects {
-                inputs.extend(self.carry_out(server, effect));
+                inputs.extend(self.execute(server, effect));
             }
         }
     }
 
-    /// Wakes a frozen coordinator: what waited comes at once, in order.
-    /// Gives the effects of all of it, without carrying out its messages.
-    pub fn wake(&mut self, server: usize) -> Vec<Effect> {
+    /// Resumes a frozen coordinator, which handles the waiting inputs in order.
+    /// Returns the effects, which are not carried out.
+    pub fn resume(&mut self, server: usize) -> Vec<Effect> {
         self.servers[server].frozen = false;
         let mut all = Vec::new();
         for input in std::mem::take(&mut self.servers[server].waiting) {
@@ -292,14 +298,15 @@
         all
     }
 
-    /// Carries out one effect and what follows from it.
+    /// Carries out an effect and those that result from it.
     pub fn apply(&mut self, server: usize, effect: Effect) {
-        if let Some(input) = self.carry_out(server, effect) {
+        if let Some(input) = self.execute(server, effect) {
             self.input(server, input);
         }
     }
 
-    /// What a coordinator does at an input; nothing is carried out.
+    /// Passes an input to a coordinator and returns the effects, which are not
+    /// carried out.
     pub fn effects(&mut self, server: usize, input: Input) -> Vec<Effect> {
         let now = self.clock();
         let mut effects = Vec::new();
@@ -309,17 +316,18 @@
         effects
     }
 
-    fn carry_out(&mut self, server: usize, effect: Effect) -> Option<Input> {
+    fn execute(&mut self, server: usize, effect: Effect) -> Option<Input> {
         let port = self.servers[server].port;
         match effect {
             Effect::Send { to, message } => {
                 let node = self.servers[server].next_identity;
-                self.post(port, address(node, Role::Coordinator, port), to, message);
+                self.send(port, address(node, Role::Coordinator, port), to, message);
                 None
             }
             Effect::Persist { number, batch } => {
                 let snapshot = batch.snapshot.as_ref();
-                self.snapshots.extend(snapshot.map(|one| one.meta.index));
+                self.snapshots
+                    .extend(snapshot.map(|snapshot| snapshot.meta.index));
                 let server = &mut self.servers[server];
                 if server.disk_held {
                     server.held_syncs.push(number);
@@ -341,7 +349,7 @@
         }
     }
 
-    /// Ends the syncs that were held.
+    /// Completes the syncs that were held.
     pub fn release_disk(&mut self, server: usize) {
         self.servers[server].disk_held = false;
         for number in std::mem::take(&mut self.servers[server].held_syncs) {
@@ -350,7 +358,7 @@
     }
 }
 
-fn open(message: PeerMessage) -> PeerMessage {
+fn unwrap_relay(message: PeerMessage) -> PeerMessage {
     match message {
         PeerMessage::Relay(relay) => *relay.body,
         other => other,
--- a/crates/coordinator/tests/coordinator/test_cluster/requests.rs
+++ b/crates/coordinator/tests/coordinator/test_cluster/requests.rs
@@ -1,4 +1,4 @@
-//! What gateways ask of the cluster, and what can be read from it.
+//! Requests of a gateway to the test cluster, and queries of its state.
 
 use super::agent::ScriptedAgent;
 use super::{GATEWAY_PORT, TestCluster, address, jobs, socket};
@@ -8,9 +8,9 @@
 use types::{Address, Milliseconds, Role};
 
 impl TestCluster {
-    /// Hands the leader a message at once.
-    pub fn tell_leader(&mut self, from: Address, body: PeerMessage) {
-        let leader = self.leader().expect("no leader to tell");
+    /// Delivers a message to the leader without network delay.
+    pub fn deliver_to_leader(&mut self, from: Address, body: PeerMessage) {
+        let leader = self.leader().expect("no leader to send to");
         let envelope = Envelope {
             from,
             via: None,
@@ -19,37 +19,37 @@
         self.input(leader, Input::Peer(envelope));
     }
 
-    /// Sends a request to the leader; gives its number.
-    pub fn ask(&mut self, operation: Operation) -> u64 {
-        let leader = self.leader().expect("no leader to ask");
+    /// Sends a request to the leader and returns its number.
+    pub fn send_request(&mut self, operation: Operation) -> u64 {
+        let leader = self.leader().expect("no leader to send to");
         self.next_request += 1;
         let to = socket(self.servers[leader].port);
         let request = numbered_request(self.next_request, operation);
-        self.post(GATEWAY_PORT, gateway(), to, request);
+        self.send(GATEWAY_PORT, gateway(), to, request);
         self.next_request
     }
 
-    /// Sends the newest request once more, through a follower.
-    pub fn ask_again_through(&mut self, follower: usize, operation: Operation) {
-        let leader = self.leader().expect("no leader to ask");
+    /// Resends the newest request, relayed by a follower.
+    pub fn resend_through(&mut self, follower: usize, operation: Operation) {
+        let leader = self.leader().expect("no leader to send to");
         let relay = PeerMessage::Relay(transport::Relay {
             origin: gateway(),
             destination: socket(self.servers[leader].port),
             body: Box::new(numbered_request(self.next_request, operation)),
         });
-        let by = socket(self.servers[follower].port);
-        self.post(GATEWAY_PORT, gateway(), by, relay);
+        let relayed_by = socket(self.servers[follower].port);
+        self.send(GATEWAY_PORT, gateway(), relayed_by, relay);
     }
 
-    /// Hands the leader a request that has waited too long for it.
-    pub fn tell_overdue(&mut self, operation: Operation) -> u64 {
+    /// Delivers a request to the leader as overdue and returns its number.
+    pub fn send_overdue(&mut self, operation: Operation) -> u64 {
         self.next_request += 1;
-        self.tell_overdue_again(operation)
+        self.resend_overdue(operation)
     }
 
-    /// The same under the number of the newest request.
-    pub fn tell_overdue_again(&mut self, operation: Operation) -> u64 {
-        let leader = self.leader().expect("no leader to ask");
+    /// Delivers a request as overdue under the number of the newest request.
+    pub fn resend_overdue(&mut self, operation: Operation) -> u64 {
+        let leader = self.leader().expect("no leader to send to");
         let envelope = Envelope {
             from: gateway(),
             via: None,
@@ -59,9 +59,10 @@
         self.next_request
     }
 
-    /// What the leader does at once when requests are there together.
+    /// Passes requests to the leader in one step and returns its effects, which are
+    /// not carried out.
     pub fn effects_of_all(&mut self, operations: Vec<Operation>) -> Vec<coordinator::Effect> {
-        let leader = self.leader().expect("no leader to ask");
+        let leader = self.leader().expect("no leader to send to");
         let mut inputs = Vec::new();
         for operation in operations {
             self.next_request += 1;
@@ -74,7 +75,7 @@
         let now = self.clock();
         let mut effects = Vec::new();
         let core = self.servers[leader].core.as_mut();
-        core.expect("it leads")
+        core.expect("the leader is running")
             .handle_all(now, inputs, &mut effects);
         effects
     }
@@ -85,13 +86,13 @@
         document: configuration::ClusterConfiguration,
     ) -> u64 {
         let version = types::ConfigurationVersion(version);
-        self.ask(Operation::PutConfiguration { version, document })
+        self.send_request(Operation::PutConfiguration { version, document })
     }
 
-    /// Asks and gives the answer.
-    pub fn answer(&mut self, operation: Operation) -> Result<OperationReply, Rejection> {
-        let id = self.ask(operation);
-        self.run_until(2_000, "an answer", |cluster| {
+    /// Sends a request to the leader and waits for the reply.
+    pub fn request(&mut self, operation: Operation) -> Result<OperationReply, Rejection> {
+        let id = self.send_request(operation);
+        self.run_until(2_000, "a reply", |cluster| {
             cluster.replies.contains_key(&id)
         });
         self.replies[&id].clone()
@@ -99,7 +100,7 @@
 
     /// Submits a job of one task and waits for the acknowledgement.
     pub fn submit(&mut self, job: &str) {
-        let answer = self.answer(Operation::Submit(jobs::job(job)));
+        let answer = self.request(Operation::Submit(jobs::job(job)));
         assert!(
             matches!(answer, Ok(OperationReply::Submitted { .. })),
             "{answer:?}"
@@ -112,13 +113,14 @@
             .expect("unknown job")
     }
 
-    /// Adds an agent with one runner and lets it be heard.
+    /// Adds an agent with one runner and runs for a second, in which the leader gets
+    /// its first heartbeats.
     pub fn add_agent(&mut self, number: u16) {
         self.agents.push(ScriptedAgent::new(number, self.now));
         self.run(1_000);
     }
 
-    /// All orders that coordinators sent, in order.
+    /// Returns all orders sent by coordinators, oldest first.
     pub fn orders(&self) -> Vec<types::RunnerOrder> {
         let sent = self.sent.iter();
         sent.filter_map(|(_, message)| match message {
@@ -129,7 +131,7 @@
         .collect()
     }
 
-    /// Start orders sent so far.
+    /// Returns the runs of all start orders sent so far.
     pub fn starts(&self) -> Vec<types::RunId> {
         let starts = self
             .orders()
@@ -141,7 +143,7 @@
         starts.collect()
     }
 
-    /// Returns whether no run identifier was sent in two starts.
+    /// Returns whether no run was sent in two start orders.
     pub fn each_start_is_sent_once(&self) -> bool {
         let starts = self.starts();
         let distinct: BTreeSet<_> = starts.iter().collect();
--- a/crates/coordinator/tests/coordinator/test_cluster/server.rs
+++ b/crates/coordinator/tests/coordinator/test_cluster/server.rs
@@ -1,19 +1,23 @@
-//! A coordinator and what belongs to its machine.
+//! A coordinator with the simulated disk and state of its machine.
 
 use coordinator::{Coordinator, Input};
 use storage::{MemoryDisk, Store};
 
-/// A coordinator with its disk.
+/// Machine of one coordinator.
 pub struct Server {
+    /// Running coordinator; `None` if it is stopped or was killed.
     pub core: Option<Coordinator>,
     pub port: u16,
     pub store: Option<Store<MemoryDisk>>,
-    /// While true its syncs do not end.
+    /// Whether syncs of the disk do not complete.
     pub disk_held: bool,
+    /// Numbers of the writes whose sync has not completed.
     pub held_syncs: Vec<u64>,
-    /// While true nothing reaches it and its clock does not tick.
+    /// Whether the process is frozen: it handles no input and gets no ticks.
     pub frozen: bool,
+    /// Inputs that arrived during the freeze.
     pub waiting: Vec<Input>,
+    /// Identity of the process if the disk contains none.
     pub next_identity: u64,
     pub stopped: bool,
 }
@@ -33,7 +37,7 @@
         }
     }
 
-    /// One more coordinator with a disk that was taken from another.
+    /// Creates a machine with the disk of another one.
     pub fn from_disk(port: u16, store: Option<Store<MemoryDisk>>) -> Self {
         Self {
             store,
--- a/crates/coordinator/tests/shell.rs
+++ b/crates/coordinator/tests/shell.rs
@@ -1,5 +1,5 @@
-//! Three coordinators with real sockets, disks and clocks on loopback: a first
-//! start, a configuration, a polite stop of all, and what their disks kept.
+//! Three coordinators with real sockets, disks and clocks on loopback: bootstrap,
+//! a configuration change, a graceful shutdown of all, and recovery from disk.
 
 #[path = "coordinator/test_cluster/document.rs"]
 mod document;
@@ -17,10 +17,11 @@
 };
 use types::{Address, ConfigurationVersion, Milliseconds, NodeId, Role, ZoneName};
 
-/// Only guards against a test that hangs.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time after which the test counts as hanging.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Sockets that were free a moment ago.
+/// Returns free sockets. Their listeners are closed again, so another process may
+/// take one of them.
 fn free_sockets(count: usize) -> Vec<SocketAddr> {
     let listeners: Vec<TcpListener> = (0..count)
         .map(|_| TcpListener::bind("127.0.0.1:0").unwrap())
@@ -69,33 +70,33 @@
             mutation: None,
         },
         transport: transport_options(peer),
-        cluster_key: ClusterKey::new("a key of the tests"),
+        cluster_key: ClusterKey::new("test cluster key"),
         admin_listen: SocketAddr::from(([127, 0, 0, 1], 0)),
         data,
         grace: Milliseconds(5_000),
     }
 }
 
-struct Fleet {
+struct Cluster {
     stop: watch::Sender<bool>,
     tasks: Vec<JoinHandle<Result<(), CoordinatorError>>>,
 }
 
-fn start_fleet(peers: &[SocketAddr], folder: &Path) -> Fleet {
+fn start_cluster(peers: &[SocketAddr], folder: &Path) -> Cluster {
     let (stop, stopped) = watch::channel(false);
     let tasks = peers.iter().enumerate().map(|(number, peer)| {
         let data = folder.join(number.to_string());
         let options = shell_options(*peer, peers, data);
         tokio::spawn(coordinator::run(options, stopped.clone()))
     });
-    Fleet {
+    Cluster {
         tasks: tasks.collect(),
         stop,
     }
 }
 
-impl Fleet {
-    async fn end(self) {
+impl Cluster {
+    async fn shut_down(self) {
         self.stop.send_replace(true);
         for task in self.tasks {
             task.await.unwrap().unwrap();
@@ -113,7 +114,7 @@
     async fn start() -> Self {
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
         let options = transport_options(listen);
-        let key = ClusterKey::new("a key of the tests");
+        let key = ClusterKey::new("test cluster key");
         let (transport, inbox) = Transport::start(options, key, address(Role::Gateway, listen))
             .await
             .unwrap();
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Sends to every coordinator until one, the leader, answers.
-    async fn ask(&mut self, peers: &[SocketAddr], operation: Operation) -> OperationReply {
+    /// Sends a request to all coordinators, repeatedly, until the leader accepts it.
+    async fn request(&mut self, peers: &[SocketAddr], operation: Operation) -> OperationReply {
         loop {
             self.next += 1;
             for peer in peers {
@@ -136,14 +137,14 @@
                 };
                 self.transport.send(*peer, PeerMessage::Request(request));
             }
-            let round = tokio::time::timeout(Duration::from_millis(300), self.accepted());
-            if let Ok(reply) = round.await {
+            let attempt = tokio::time::timeout(Duration::from_millis(300), self.accepted_reply());
+            if let Ok(reply) = attempt.await {
                 return reply;
             }
         }
     }
 
-    async fn accepted(&mut self) -> OperationReply {
+    async fn accepted_reply(&mut self) -> OperationReply {
         loop {
             let envelope = self.inbox.recv().await.unwrap();
             if let PeerMessage::Reply(Reply {
@@ -156,34 +157,34 @@
     }
 }
 
-async fn first_start_stop_and_return(folder: &Path) {
+async fn configure_and_restart(folder: &Path) {
     let peers = free_sockets(3);
     let mut client = Client::start().await;
-    let fleet = start_fleet(&peers, folder);
+    let cluster = start_cluster(&peers, folder);
     let version = ConfigurationVersion(1);
     let put = Operation::PutConfiguration {
         version,
         document: document::document(),
     };
-    let reply = client.ask(&peers, put).await;
+    let reply = client.request(&peers, put).await;
     assert!(matches!(reply, OperationReply::Configured { .. }));
-    fleet.end().await;
+    cluster.shut_down().await;
 
-    let fleet = start_fleet(&peers, folder);
-    let reply = client.ask(&peers, Operation::GetConfiguration).await;
+    let cluster = start_cluster(&peers, folder);
+    let reply = client.request(&peers, Operation::GetConfiguration).await;
     let document = document::document();
     assert_eq!(reply, OperationReply::Configuration { version, document });
-    fleet.end().await;
+    cluster.shut_down().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn three_real_coordinators_start_stop_and_come_back_with_what_they_had() {
+async fn configuration_survives_a_restart_of_three_real_coordinators() {
     let name = format!("coordinator-shell-{}", std::process::id());
     let folder = std::env::temp_dir().join(name);
-    // The folder above the data folders is the platform's to make.
+    // The platform creates the parent of the data folders, the coordinator does not.
     std::fs::create_dir_all(&folder).unwrap();
-    let run = first_start_stop_and_return(&folder);
-    let result = tokio::time::timeout(PATIENCE, run).await;
+    let run = configure_and_restart(&folder);
+    let result = tokio::time::timeout(TEST_TIMEOUT, run).await;
     std::fs::remove_dir_all(&folder).unwrap();
-    result.expect("the test hangs");
+    result.expect("the test exceeded its time limit");
 }
