--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -49,7 +49,7 @@
     /// stopped serving if it is set.
     fault: Option<ReplicaError>,
     /// Deadline of a graceful shutdown. `None` until one begins.
-    handover_deadline: Option<Monotonic>,
+    shutdown_deadline: Option<Monotonic>,
     stopped: bool,
     reported_readiness: Option<Readiness>,
     last_input: Now,
@@ -79,7 +79,7 @@
             replica: None,
             leader: None,
             fault: None,
-            handover_deadline: None,
+            shutdown_deadline: None,
             stopped: false,
             reported_readiness: None,
             last_input: now,
@@ -188,7 +188,7 @@
     /// leadership must not act even under a valid lease, since its successor
     /// does not wait for that lease to expire.
     fn may_serve(&self, now: Now) -> bool {
-        if self.handover_deadline.is_some() || self.fault.is_some() {
+        if self.shutdown_deadline.is_some() || self.fault.is_some() {
             return false;
         }
         let Some(replica) = &self.replica else {
--- a/crates/coordinator/src/core/joining.rs
+++ b/crates/coordinator/src/core/joining.rs
@@ -1,5 +1,5 @@
-//! Discovery of other processes, joining a cluster, and answers to processes
-//! that do the same.
+//! Discovery of other processes, admission of this process to a cluster, and
+//! answers to discovery messages.
 
 use super::Coordinator;
 use crate::effect::Effect;
--- a/crates/coordinator/src/core/leadership.rs
+++ b/crates/coordinator/src/core/leadership.rs
@@ -1,4 +1,4 @@
-//! Begin, renewal and loss of leadership, and the leader's periodic work,
+//! Start, renewal and loss of leadership, and the leader's periodic work,
 //! proposals and messages.
 
 use super::Coordinator;
--- a/crates/coordinator/src/core/readiness.rs
+++ b/crates/coordinator/src/core/readiness.rs
@@ -15,7 +15,7 @@
     /// Begins a graceful shutdown. A leader transfers leadership if another voter
     /// can take over.
     pub(super) fn begin_stop(&mut self, now: Now) {
-        if self.handover_deadline.is_some() {
+        if self.shutdown_deadline.is_some() {
             return;
         }
         let successor = self
@@ -26,13 +26,13 @@
             Some(_) => HANDOVER_WAIT,
             None => Milliseconds(0),
         };
-        self.handover_deadline = Some(now.monotonic + wait);
+        self.shutdown_deadline = Some(now.monotonic + wait);
     }
 
     /// Completes a graceful shutdown when this process is not the leader any more
     /// or the deadline has passed.
     pub(super) fn finish_stop(&mut self, now: Now, effects: &mut Vec<Effect>) {
-        let Some(deadline) = self.handover_deadline else {
+        let Some(deadline) = self.shutdown_deadline else {
             return;
         };
         let status = self.status(now);
@@ -60,7 +60,7 @@
             let error = error.to_string();
             return Some(NotReadyReason::StateUnreadable { error });
         }
-        if self.handover_deadline.is_some() {
+        if self.shutdown_deadline.is_some() {
             return Some(NotReadyReason::Stopping);
         }
         let Some(status) = self.status(now) else {
--- a/crates/coordinator/src/core/sessions.rs
+++ b/crates/coordinator/src/core/sessions.rs
@@ -55,9 +55,9 @@
     /// Records a coordinator that requests admission, and the configuration version
     /// that a member reports. Returns whether the sender gets a lease.
     ///
-    /// A voter named by the bootstrap proposal that has not saved that proposal
-    /// gets the proposal instead: with a lease it would join the cluster without
-    /// a list of voters.
+    /// A voter without a cluster has not saved the bootstrap proposal. It gets the
+    /// proposal instead of a lease, with which it would join the cluster without a
+    /// list of voters.
     fn record_coordinator(&mut self, now: Now, sender: &Sender, keep_alive: &KeepAlive) -> bool {
         let (Some(leader), Some(replica)) = (&mut self.leader, &self.replica) else {
             return false;
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -349,7 +349,7 @@
         }
         match self.schedule.due(self.node.is_leader(), self.voter_turn()) {
             SnapshotDue::No => return Ok(()),
-            SnapshotDue::AfterHandingOver => {
+            SnapshotDue::AfterLeadershipTransfer => {
                 if self.node.transfer_leadership(now).is_some() {
                     return Ok(());
                 }
--- a/crates/coordinator/src/replica/snapshots.rs
+++ b/crates/coordinator/src/replica/snapshots.rs
@@ -29,7 +29,7 @@
     /// The member should write a snapshot now.
     Yes,
     /// The member is the leader and should transfer leadership first.
-    AfterHandingOver,
+    AfterLeadershipTransfer,
 }
 
 /// Counts entries and bytes applied since the last snapshot.
@@ -88,7 +88,7 @@
         if !is_due {
             SnapshotDue::No
         } else if is_leader {
-            SnapshotDue::AfterHandingOver
+            SnapshotDue::AfterLeadershipTransfer
         } else if turn.is_own() {
             SnapshotDue::Yes
         } else {
--- a/crates/coordinator/tests/coordinator/snapshots.rs
+++ b/crates/coordinator/tests/coordinator/snapshots.rs
@@ -94,7 +94,10 @@
         4_001
     );
     let at = turn(4_001, 1);
-    assert_eq!(schedule.due(LEADER, at), SnapshotDue::AfterHandingOver);
+    assert_eq!(
+        schedule.due(LEADER, at),
+        SnapshotDue::AfterLeadershipTransfer
+    );
     assert_eq!(
         schedule.due(FOLLOWER, at),
         SnapshotDue::Yes,
