--- a/crates/coordinator/tests/coordinator/requests.rs
+++ b/crates/coordinator/tests/coordinator/requests.rs
@@ -374,27 +374,27 @@
     [(leader + 1) % 3, (leader + 2) % 3]
 }
 
-/// Submits a job and holds the disks of the followers until the lease lapses: they
+/// Submits a job and holds the disks of the followers until the lease expires: they
 /// receive the leader's messages but cannot answer before a sync. Returns the
 /// number of the request.
-fn let_lease_lapse(cluster: &mut TestCluster) -> u64 {
+fn let_lease_expire(cluster: &mut TestCluster) -> u64 {
     for follower in followers_of(cluster.leader().unwrap()) {
         cluster.servers[follower].disk_held = true;
     }
     let id = cluster.send_request(Operation::Submit(jobs::job("job")));
-    cluster.run_until(2_000, "a lapse of the lease", |cluster| {
+    cluster.run_until(2_000, "the expiry of the lease", |cluster| {
         cluster.leader().is_none()
     });
     id
 }
 
-/// A lapse of the lease alone must not answer a pending request, since the lease may be
+/// The expiry of the lease alone must not answer a pending request, since the lease may be
 /// renewed. The loss of leadership must.
 #[test]
 fn pending_request_is_rejected_when_leadership_is_lost() {
     let mut cluster = TestCluster::ready();
     let leader = cluster.leader().unwrap();
-    let id = let_lease_lapse(&mut cluster);
+    let id = let_lease_expire(&mut cluster);
     assert!(!cluster.replies.contains_key(&id));
     // Without messages from its followers the leader steps down after an election
     // timeout.
@@ -414,7 +414,7 @@
 fn pending_request_is_answered_after_the_lease_is_renewed() {
     let mut cluster = TestCluster::ready();
     let leader = cluster.leader().unwrap();
-    let id = let_lease_lapse(&mut cluster);
+    let id = let_lease_expire(&mut cluster);
     assert!(
         !cluster.replies.contains_key(&id),
         "{:?}",
--- a/crates/coordinator/tests/coordinator/runs.rs
+++ b/crates/coordinator/tests/coordinator/runs.rs
@@ -148,11 +148,11 @@
     assert_eq!(cluster.job("job").state, JobState::Done);
 }
 
-/// Each lapse of the leader's lease delays the expiry of runs by the duration of the
-/// lapse. It must not restart the wait, or runs would never be closed under repeated
-/// lapses.
+/// While the leader's lease is expired, the time until runs are closed is extended. It
+/// must not start over, or a lease that expires repeatedly would keep runs open
+/// forever.
 #[test]
-fn runs_of_unresponsive_runner_are_closed_despite_leader_lease_lapses() {
+fn runs_of_unresponsive_runner_are_closed_despite_expiries_of_the_leader_lease() {
     let mut cluster = with_runner();
     cluster.submit("job");
     cluster.run(500);
@@ -160,13 +160,13 @@
     let leader = cluster.leader().unwrap();
     let followers = [(leader + 1) % 3, (leader + 2) % 3];
     let term = cluster.status(leader).unwrap().term;
-    let mut lapses = 0;
-    let mut lapsed_for = 0;
+    let mut expiries = 0;
+    let mut expired_for = 0;
     let unresponsive_since = cluster.now;
-    while cluster.now - unresponsive_since < expiry_of_runs() + lapsed_for + 1_000 {
+    while cluster.now - unresponsive_since < expiry_of_runs() + expired_for + 1_000 {
         cluster.run(2_000);
         // The followers receive messages but cannot answer before a sync: the
-        // lease lapses, but the leader does not change.
+        // lease expires, but the leader does not change.
         let held_at = cluster.now;
         for follower in followers {
             cluster.servers[follower].disk_held = true;
@@ -174,7 +174,7 @@
         cluster.send_request(transport::Operation::Submit(jobs::job(&format!(
             "at-{held_at}"
         ))));
-        cluster.run_until(2_000, "a lapse of the lease", |cluster| {
+        cluster.run_until(2_000, "the expiry of the lease", |cluster| {
             cluster.leader().is_none()
         });
         for follower in followers {
@@ -183,12 +183,12 @@
         cluster.run_until(1_000, "a renewed lease", |cluster| {
             cluster.leader().is_some()
         });
-        lapses += 1;
-        lapsed_for += cluster.now - held_at;
+        expiries += 1;
+        expired_for += cluster.now - held_at;
     }
     assert_eq!(cluster.leader(), Some(leader));
     assert_eq!(cluster.status(leader).unwrap().term, term);
-    assert!(lapses > 4, "{lapses}");
+    assert!(expiries > 4, "{expiries}");
     assert_eq!(
         cluster.job("job").steps[0].running,
         0,
@@ -304,7 +304,7 @@
 }
 
 /// The leader crashes after it sent a start that the runner has not received. The new
-/// leader cannot tell whether the start will arrive.
+/// leader cannot determine whether the start will arrive.
 #[test]
 fn new_leader_revokes_runs_with_an_unconfirmed_start() {
     let mut cluster = with_runner();
@@ -417,15 +417,15 @@
     assert!(!effects.iter().any(requires_lease));
 }
 
-/// The entry of a reservation commits after a lapse of the lease. Its run must not be
+/// The entry of a reservation commits after the lease has expired. Its run must not be
 /// started twice, and the task must have one active run in the end.
 #[test]
-fn reservation_committed_after_a_lease_lapse_is_not_started_twice() {
+fn reservation_committed_after_lease_expiry_is_not_started_twice() {
     let mut cluster = with_runner();
     let leader = cluster.leader().unwrap();
     let followers = [(leader + 1) % 3, (leader + 2) % 3];
     cluster.submit("job");
-    // The lease lapses before the reservation is synced by a quorum.
+    // The lease expires before the reservation is synced by a quorum.
     for follower in followers {
         cluster.servers[follower].disk_held = true;
     }
