--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -1,5 +1,5 @@
-//! State that a leader keeps for its term: the progress of each other member,
-//! the rounds of heartbeats, and a transfer in progress.
+//! State of a leader in its term: the replication progress of each other
+//! member, the rounds of heartbeats, and a transfer in progress.
 
 use crate::link_health::{LinkHealth, LinkMonitor};
 use crate::progress::{Progress, SendContext};
@@ -13,13 +13,15 @@
 /// Heartbeat intervals for which a leader's links must stay degraded before it
 /// transfers leadership.
 const DEGRADED_HEARTBEATS: u64 = 6;
-/// Heartbeat intervals that a leader leads before it may transfer leadership
-/// because its links are degraded: its window of replies has to fill.
+/// Heartbeat intervals that must pass after an election before the leader may
+/// transfer leadership because its links are degraded: its window of replies
+/// has to fill first.
 const MIN_LEADERSHIP_HEARTBEATS: u64 = 20;
-/// The same for a leader that was elected by a transfer.
+/// Heartbeat intervals that must pass instead if the leader was elected by a
+/// transfer.
 const MIN_LEADERSHIP_AFTER_TRANSFER_HEARTBEATS: u64 = 80;
-/// Entries that the target of a transfer may lack when the transfer begins:
-/// they follow while proposals wait.
+/// Entries that the target of a transfer may lack when a transfer because of
+/// degraded links begins. They are sent while proposals are rejected.
 const MAX_TARGET_LAG: u64 = 512;
 
 /// State of a leader in its term.
@@ -28,18 +30,18 @@
     progress: BTreeMap<NodeId, Progress>,
     rounds: Rounds,
     next_heartbeat: Monotonic,
-    /// Index of the first entry of its own term.
+    /// Index of the first entry of the leader's term.
     first_index: LogIndex,
     transfer: Option<Transfer>,
     elected_at: Monotonic,
     elected_by_transfer: bool,
-    /// Since when the leader's links have been degraded.
+    /// When the leader's links became degraded; `None` while they are not.
     degraded_since: Option<Monotonic>,
 }
 
 impl Leadership {
-    /// A leader elected at `now` that appended the first entry of its term at
-    /// `first_index`.
+    /// Creates the state of a leader elected at `now` that appended the first
+    /// entry of its term at `first_index`.
     pub fn new(first_index: LogIndex, now: Monotonic, elected_by_transfer: bool) -> Self {
         Self {
             progress: BTreeMap::new(),
@@ -58,12 +60,13 @@
         self.first_index
     }
 
-    /// Progress of each other member.
+    /// Returns the replication progress of each other member.
     pub fn members(&self) -> impl Iterator<Item = (NodeId, &Progress)> {
         self.progress.iter().map(|(node, member)| (*node, member))
     }
 
-    /// Progress of one other member, to change it.
+    /// Returns the replication progress of one other member, to be modified;
+    /// `None` if `node` is not another member.
     pub fn member_mut(&mut self, node: NodeId) -> Option<&mut Progress> {
         self.progress.get_mut(&node)
     }
@@ -83,7 +86,8 @@
         now >= self.next_heartbeat
     }
 
-    /// When the leader has something to do without input.
+    /// Returns when the next round is due or the transfer times out, whichever
+    /// comes first.
     pub fn next_wakeup(&self) -> Monotonic {
         match &self.transfer {
             Some(transfer) => self.next_heartbeat.min(transfer.deadline()),
@@ -91,18 +95,18 @@
         }
     }
 
-    /// Begins a round of heartbeats.
+    /// Begins a round of heartbeats and schedules the next one.
     pub fn begin_round(&mut self, now: Monotonic, options: &Options) {
         self.rounds.begin(now, options.election_timeout);
         self.next_heartbeat = now + options.heartbeat_interval;
     }
 
-    /// Number of the current round.
+    /// Returns the number of the newest round.
     pub fn current_round(&self) -> u64 {
         self.rounds.current()
     }
 
-    /// Has `send` queue messages to each other member.
+    /// Calls `send` for each other member, to queue messages to it.
     pub fn send_to_members(
         &mut self,
         context: &SendContext<'_>,
@@ -114,21 +118,22 @@
         }
     }
 
-    /// The start of the newest round that a quorum answered. The leader
-    /// counts as answering at `now`.
-    pub fn quorum_answered_at(
+    /// Returns the start of the newest round that a quorum answered; `None` if
+    /// there is none. The leader counts as answering at `now`.
+    pub fn quorum_round_begun_at(
         &self,
         own_id: NodeId,
         membership: &Membership,
         now: Monotonic,
     ) -> Option<Monotonic> {
-        let answered_at = |voter: &NodeId| {
+        let round_begun_at = |voter: &NodeId| {
             if *voter == own_id {
                 return Some(now);
             }
             self.progress.get(voter)?.answered_round_begun_at()
         };
-        let mut times: Vec<Option<Monotonic>> = membership.voters.keys().map(answered_at).collect();
+        let mut times: Vec<Option<Monotonic>> =
+            membership.voters.keys().map(round_begun_at).collect();
         times.sort_unstable();
         times
             .into_iter()
@@ -160,8 +165,8 @@
         voters.filter(replied_recently).count() >= membership.quorum()
     }
 
-    /// The highest index that a quorum has synced; the leader's own log is
-    /// synced up to `own_synced`.
+    /// Returns the highest index that a quorum has synced. The leader's own log
+    /// is synced up to `own_synced`.
     pub fn quorum_matched(
         &self,
         own_id: NodeId,
@@ -180,20 +185,24 @@
         indexes.into_iter().rev().nth(membership.quorum() - 1)
     }
 
-    /// Records the reply of a member to a round, and whether it came late.
-    /// With `date_from_reply` (a mutation of tests) the reply's arrival counts
-    /// as the start of the round.
+    /// Records a member's reply to a round, and whether it was late. If
+    /// `lease_from_reply` is set, as only a mutation test does, the arrival of
+    /// the reply counts as the start of the round.
     pub fn record_reply(
         &mut self,
         from: NodeId,
         round: u64,
-        date_from_reply: bool,
+        lease_from_reply: bool,
         now: Monotonic,
         monitor: &LinkMonitor,
         options: &Options,
     ) {
         let begun_at = self.rounds.begun_at(round);
-        let lease_start = if date_from_reply { Some(now) } else { begun_at };
+        let lease_start = if lease_from_reply {
+            Some(now)
+        } else {
+            begun_at
+        };
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
@@ -204,7 +213,7 @@
         }
     }
 
-    /// Health of the leader's links to the voters.
+    /// Returns the health of the leader's links to the voters.
     pub fn link_health(&self, membership: &Membership, monitor: &LinkMonitor) -> LinkHealth {
         let members = self.progress.iter();
         let voters = members.filter(|(node, _)| membership.voters.contains_key(node));
@@ -212,7 +221,8 @@
     }
 
     /// Records whether the links are degraded. Returns whether they have been
-    /// for long enough to transfer leadership.
+    /// degraded for long enough, and the leader was elected long enough ago, to
+    /// transfer leadership.
     pub fn update_degraded(
         &mut self,
         is_degraded: bool,
@@ -233,9 +243,9 @@
             && now.since(self.elected_at) >= options.heartbeats(min_leadership)
     }
 
-    /// The voter with the longest matching log; among equals the one that
-    /// replied last. With `max_reply_age` only voters that replied more recently
-    /// count.
+    /// Returns the voter with the longest matching log; among equals the one
+    /// that replied last. With `max_reply_age`, only voters whose last reply is
+    /// more recent count.
     pub fn voter_with_longest_log(
         &self,
         membership: &Membership,
@@ -252,9 +262,9 @@
             .map(|(node, _)| node)
     }
 
-    /// The voter that is fit to lead, has a nearly complete log and the fewest
-    /// bad links; among equals the one that replied last, since its link works
-    /// at present.
+    /// Returns the voter that is fit to lead, has a nearly complete log and has
+    /// the fewest bad links; among equals the one that replied last, since its
+    /// link works at present.
     pub fn healthiest_voter(
         &self,
         membership: &Membership,
@@ -268,8 +278,8 @@
             .filter(|(node, _)| membership.voters.contains_key(node))
             .filter_map(|(node, bad_links)| {
                 let progress = self.progress.get(&node)?;
-                let reach = progress.matched().0.saturating_add(MAX_TARGET_LAG);
-                (reach >= last_index.0).then_some((node, bad_links, progress.last_contact()))
+                let max_index = progress.matched().0.saturating_add(MAX_TARGET_LAG);
+                (max_index >= last_index.0).then_some((node, bad_links, progress.last_contact()))
             })
             .min_by_key(|(_, bad_links, last_contact)| (*bad_links, Reverse(*last_contact)))
             .map(|(node, ..)| node)
@@ -280,12 +290,13 @@
         self.transfer.is_some()
     }
 
-    /// The transfer in progress.
+    /// Returns the transfer in progress.
     pub fn transfer(&self) -> Option<&Transfer> {
         self.transfer.as_ref()
     }
 
-    /// Returns whether the lease of this term is given up to a transfer.
+    /// Returns whether the leader gave up its lease of this term because it
+    /// sent `TimeoutNow`.
     pub fn has_given_up_lease(&self) -> bool {
         self.transfer
             .as_ref()
@@ -302,8 +313,9 @@
         self.transfer = None;
     }
 
-    /// If the target of the transfer has the whole log, gives up the lease and
-    /// returns the target, which must now receive `TimeoutNow`.
+    /// Gives up the lease and returns the target of the transfer, with the
+    /// reason, if the target has the whole log. The caller must then send
+    /// `TimeoutNow` to it.
     pub fn take_ready_target(&mut self, last_index: LogIndex) -> Option<(NodeId, TransferReason)> {
         let transfer = self.transfer.as_mut()?;
         let progress = self.progress.get(&transfer.target())?;
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Node`] takes messages, ticks and proposals with the time at which they
 //! arrived, and returns a [`Ready`]: what to persist, what to send, what was
-//! committed. Disk, network and clock belong to the caller, so the same code
+//! committed. Disk, network and clock are left to the caller, so the same code
 //! runs in the daemon and in the seeded simulation.
 //!
 //! Source: Ongaro, "Consensus: Bridging Theory and Practice" (2014), called
@@ -10,11 +10,12 @@
 //! by one server at a time (4.1), learners (4.2.1), log compaction (5),
 //! check-quorum and leader lease (6.2, 6.4), pre-vote (9.6).
 //!
-//! Imports point one way: data types (`state`, `message`, `options`, `error`,
-//! `status`, `ready`); components that own their state and do not know
-//! [`Node`] (`log`, `membership`, `rounds`, `snapshot`, `progress`,
-//! `transfer`, `link_health`, `leadership`, `role`, `election_timer`,
-//! `persist_queue`); and on top `node`, which composes them.
+//! Modules depend on one another in one direction: first the data types
+//! (`state`, `message`, `options`, `error`, `status`, `ready`); then the
+//! components, which own their state and do not use [`Node`] (`log`,
+//! `membership`, `rounds`, `snapshot`, `progress`, `transfer`, `link_health`,
+//! `leadership`, `role`, `election_timer`, `persist_queue`); and last `node`,
+//! which composes them.
 
 mod election_timer;
 mod error;
--- a/crates/consensus/src/link_health.rs
+++ b/crates/consensus/src/link_health.rs
@@ -1,22 +1,23 @@
 //! Health of the links between voters, as measured by this node.
 //!
-//! A leader whose links lose packets, or whose machine is slow, is worse than
-//! a crashed one: its lease expires and is renewed again and again, and no
-//! voter replaces it, since a quorum replies each time. So every voter
-//! measures how many replies of the others come late:
+//! A leader whose links lose packets, or whose machine is slow, is worse than a
+//! crashed one: its lease expires and is renewed again and again, and no voter
+//! replaces it, since a quorum replies each time. So every voter measures how
+//! many replies of the other voters are late:
 //!
 //! * the leader by its rounds of heartbeats, which it sends anyway;
-//! * a follower by probes to the other followers. It leaves out its link to
-//!   the leader, which says nothing about itself. Each probe carries the
-//!   sender's [`LinkHealth`], so the leader receives it as well.
+//! * a follower by probes to the other followers. Its link to the leader does
+//!   not count, since late replies on it do not show that the follower's end
+//!   is at fault. Each probe carries the sender's [`LinkHealth`], and the
+//!   leader receives probes as well.
 //!
 //! If one link of the leader is bad, the cause may be the other end. If more
 //! than half of its links are bad, the leader counts as degraded. It transfers
 //! leadership if that lasts and if a voter with a complete enough log has good
-//! links to a quorum without the leader; if the links of all voters are bad,
-//! it remains. A voter that transferred leadership is no target for a while,
-//! and a leader elected by such a transfer remains for a while, so leadership
-//! does not oscillate.
+//! links to a quorum without the leader; if the links of all voters are bad, it
+//! remains leader. A voter that transferred leadership is not chosen as target
+//! for a while, and a leader elected by such a transfer remains for a while, so
+//! leadership does not oscillate.
 //!
 //! Safety does not depend on these measurements: a wrong one costs a transfer.
 
@@ -28,20 +29,22 @@
 const PROBE_INTERVAL_HEARTBEATS: u64 = 2;
 /// Heartbeat intervals in the leader's window of replies.
 const ROUND_WINDOW_HEARTBEATS: u64 = 20;
-/// Probe intervals in a follower's window of replies: probes are few, and a
-/// link that loses one packet in forty must show.
+/// Probe intervals in a follower's window of replies. Probes are rare, and the
+/// window must show a link that loses one packet in forty.
 const PROBE_WINDOW_INTERVALS: u64 = 40;
 /// Late replies to rounds from which on a link may count as bad.
 const MIN_LATE_ROUNDS: usize = 3;
 /// Share of late replies to rounds from which on a link may count as bad, in
 /// percent.
 const MIN_LATE_ROUNDS_PERCENT: usize = 15;
-/// A round and its reply wait for the leader's event loop four times at most:
-/// the round to be queued and to be written, the reply to be read and handled.
+/// Multiple of the process's lag that is subtracted from a round trip: a round
+/// and its reply wait for the leader's event loop at most four times, for the
+/// round to be queued and to be written, and for the reply to be read and to be
+/// handled.
 const LAG_FACTOR: u64 = 4;
 /// Late replies to probes from which on a link counts as bad.
 const MIN_LATE_PROBES: usize = 2;
-/// Replies below which a link has no known health.
+/// Smallest number of replies from which the health of a link is known.
 const MIN_REPLIES: usize = 5;
 /// Heartbeat intervals for which a disk counts as slow after a late sync:
 /// longer than the leader's window of replies.
@@ -49,7 +52,8 @@
 /// Heartbeat intervals for which a voter that transferred leadership is not a
 /// target of a transfer.
 const TRANSFER_COOLDOWN_HEARTBEATS: u64 = 600;
-/// A voter is fit to lead while at most one link in so many is bad.
+/// Divisor of a voter's number of links that gives the largest number of bad
+/// links with which the voter is fit to lead.
 const FIT_BAD_LINKS_DIVISOR: u8 = 3;
 
 /// Health of a voter's links to the other voters except the leader.
@@ -72,7 +76,7 @@
         self.bad_links > self.good_links
     }
 
-    /// Returns whether the voter could lead without the present leader: it
+    /// Returns whether the voter could lead without the current leader: it
     /// reaches `quorum` voters, itself included, and at most a third of its
     /// links are bad.
     fn could_lead(&self, quorum: usize) -> bool {
@@ -148,7 +152,7 @@
     }
 }
 
-/// A probe without a reply.
+/// A probe that is not answered yet.
 #[derive(Debug, Clone, Copy)]
 struct PendingProbe {
     number: u64,
@@ -212,27 +216,30 @@
 }
 
 impl LinkMonitor {
-    /// When the next probes are due.
+    /// Returns when the next probes are due.
     pub fn next_probe(&self) -> Monotonic {
         self.next_probe
     }
 
-    /// Transfers of leadership because the links were degraded.
+    /// Returns the number of leadership transfers by this process because its
+    /// links were degraded.
     pub fn degraded_transfers(&self) -> u32 {
         self.degraded_transfers
     }
 
-    /// How long this process delays its own messages.
+    /// Returns the lag of this process, the time by which it delays its own
+    /// messages.
     pub fn lag(&self) -> Milliseconds {
         self.lag
     }
 
-    /// Records how long this process delays its own messages.
+    /// Records the lag of this process, the time by which it delays its own
+    /// messages.
     pub fn record_lag(&mut self, lag: Milliseconds) {
         self.lag = lag;
     }
 
-    /// The last report of each peer.
+    /// Returns the last report of each peer.
     pub fn peer_reports(&self) -> Vec<(NodeId, LinkHealth)> {
         let reports = self.peer_reports.iter();
         reports
@@ -254,13 +261,13 @@
         self.next_probe = now + options.heartbeats(PROBE_INTERVAL_HEARTBEATS);
     }
 
-    /// Forgets the probed links: this node leads, or has no vote.
+    /// Removes the probed links, since this node is the leader or not a voter.
     pub fn clear_links(&mut self) {
         self.links.clear();
     }
 
-    /// Begins probes to `voters` and returns their number. Their replies are
-    /// measured except for the link to `leader`.
+    /// Begins probes to `voters` and returns their number. Replies are measured
+    /// except on the link to `leader`.
     pub fn begin_probe(
         &mut self,
         voters: &[NodeId],
@@ -289,7 +296,7 @@
         }
     }
 
-    /// Records how long a sync took.
+    /// Records the duration of a sync.
     pub fn record_sync(&mut self, elapsed: Milliseconds, now: Monotonic, options: &Options) {
         if elapsed > options.late_threshold() {
             self.last_late_sync = Some(now);
@@ -303,8 +310,9 @@
         self.degraded_transfers = self.degraded_transfers.saturating_add(1);
     }
 
-    /// Health of a follower's links without the one to `leader`.
-    /// `oldest_sync` is when the oldest unfinished sync began.
+    /// Returns the health of a follower's links except the one to `leader`.
+    /// `oldest_sync` is when the oldest unfinished sync began; `None` if there
+    /// is none.
     pub fn follower_health(
         &self,
         leader: Option<NodeId>,
@@ -342,21 +350,23 @@
         now: Monotonic,
         options: &Options,
     ) -> bool {
-        let memory = options.heartbeats(SLOW_DISK_HEARTBEATS);
-        let was_late = self.last_late_sync.is_some_and(|at| now.since(at) < memory);
+        let slow_duration = options.heartbeats(SLOW_DISK_HEARTBEATS);
+        let was_late = self
+            .last_late_sync
+            .is_some_and(|at| now.since(at) < slow_duration);
         let is_late = oldest_sync.is_some_and(|at| now.since(at) > options.late_threshold());
         was_late || is_late
     }
 
-    /// Returns whether a follower's reply to a round took too long on the
-    /// way, without the lag of this process.
+    /// Returns whether the time from a round to a follower's reply is too long
+    /// after subtraction of this process's lag.
     pub fn is_late_round_trip(&self, elapsed: Milliseconds, options: &Options) -> bool {
         let own_lag = self.lag.0.saturating_mul(LAG_FACTOR);
         Milliseconds(elapsed.0.saturating_sub(own_lag)) > options.late_threshold()
     }
 
-    /// Health of the leader's links, given the replies of each voter to its
-    /// rounds. Voters that report a slow disk do not count.
+    /// Returns the health of the leader's links, given the replies of each
+    /// voter to its rounds. Voters that report a slow disk do not count.
     pub fn leader_health<'a>(
         &self,
         voters: impl Iterator<Item = (&'a NodeId, &'a ReplyWindow)>,
@@ -376,8 +386,8 @@
         health
     }
 
-    /// Peers whose report is younger than `max_age` and says that they could
-    /// lead with `quorum` voters, each with its number of bad links.
+    /// Returns the peers whose report is younger than `max_age` and shows that
+    /// they could lead with `quorum` voters, each with its number of bad links.
     pub fn fit_peers(
         &self,
         quorum: usize,
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,26 +1,26 @@
-//! The log in memory: a base, the entries after it, and the index up to which
-//! they are synced.
+//! The log in memory: the entries after a base, and the index up to which they
+//! are synced.
 
 use crate::{Entry, Payload};
 use std::collections::VecDeque;
 use types::{LogIndex, Term};
 
-/// Bytes an entry takes besides its payload, as counted for batches.
+/// Bytes that an entry counts in a batch besides its payload.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// The index after `index`. Indexes come from the network, so this never
-/// overflows.
+/// Returns the index after `index`. Indexes come from the network, so the
+/// addition saturates.
 pub(crate) fn after(index: LogIndex) -> LogIndex {
     LogIndex(index.0.saturating_add(1))
 }
 
-/// The index before `index`, or 0.
+/// Returns the index before `index`, or 0.
 pub(crate) fn before(index: LogIndex) -> LogIndex {
     LogIndex(index.0.saturating_sub(1))
 }
 
-/// The bytes an entry is counted with.
-fn size_of(entry: &Entry) -> usize {
+/// Returns the size of an entry as counted for batches, in bytes.
+fn counted_bytes(entry: &Entry) -> usize {
     entry.payload.bytes().saturating_add(ENTRY_OVERHEAD_BYTES)
 }
 
@@ -32,21 +32,22 @@
     pub index: LogIndex,
 }
 
-/// The entries after a base that is known committed.
+/// The log entries after a base, which is the last compacted entry. All entries
+/// up to the base are known to be committed.
 #[derive(Debug)]
 pub(crate) struct Log {
     base_index: LogIndex,
     base_term: Term,
     entries: VecDeque<Entry>,
-    /// First index that was not yet handed out to be written.
+    /// Index of the first entry that was not yet handed out to be written.
     unwritten_from: LogIndex,
-    /// Last index known synced on this node's own disk.
+    /// Last index known to be synced on this node's own disk.
     synced: LogIndex,
 }
 
 impl Log {
-    /// A log whose base and entries are all on disk. Entries that do not
-    /// follow the base without holes are left out.
+    /// Creates a log whose base and entries are all on disk. Leaves out entries
+    /// that do not follow the base without gaps.
     pub fn new(base_index: LogIndex, base_term: Term, recovered: Vec<Entry>) -> Self {
         let mut entries = VecDeque::new();
         let mut next = after(base_index);
@@ -65,22 +66,22 @@
         }
     }
 
-    /// Index after the base.
+    /// Returns the index after the base.
     pub fn first_index(&self) -> LogIndex {
         after(self.base_index)
     }
 
-    /// Index of the last entry, or of the base.
+    /// Returns the index of the last entry, or of the base if there is none.
     pub fn last_index(&self) -> LogIndex {
         self.entries.back().map_or(self.base_index, |e| e.index)
     }
 
-    /// Term of the last entry, or of the base.
+    /// Returns the term of the last entry, or of the base if there is none.
     pub fn last_term(&self) -> Term {
         self.entries.back().map_or(self.base_term, |e| e.term)
     }
 
-    /// Position of the last entry, or of the base.
+    /// Returns the position of the last entry, or of the base if there is none.
     pub fn end(&self) -> LogPosition {
         LogPosition {
             term: self.last_term(),
@@ -88,12 +89,13 @@
         }
     }
 
-    /// Last index known synced on this node's own disk.
+    /// Returns the last index known to be synced on this node's own disk.
     pub fn synced(&self) -> LogIndex {
         self.synced
     }
 
-    /// Term of the entry at `index`; none before the base and after the end.
+    /// Returns the term of the entry at `index`; `None` before the base and
+    /// after the last entry.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -101,7 +103,7 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// The entry at `index`, if it is in memory.
+    /// Returns the entry at `index`; `None` if it is not in memory.
     pub fn get(&self, index: LogIndex) -> Option<&Entry> {
         self.entries.get(self.position(index)?)
     }
@@ -111,12 +113,13 @@
         usize::try_from(distance.checked_sub(1)?).ok()
     }
 
-    /// All entries held, from the first to the last.
+    /// Returns the entries after the base in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = &Entry> {
         self.entries.iter()
     }
 
-    /// Entries from `from` on, as many as fit in `max_bytes` but at least one.
+    /// Returns the entries from `from` on, as many as fit in `max_bytes` but at
+    /// least one.
     pub fn batch(&self, from: LogIndex, max_bytes: usize) -> Vec<Entry> {
         let Some(start) = self.position(from) else {
             return Vec::new();
@@ -124,7 +127,7 @@
         let mut bytes = 0_usize;
         let mut batch = Vec::new();
         for entry in self.entries.iter().skip(start) {
-            bytes = bytes.saturating_add(size_of(entry));
+            bytes = bytes.saturating_add(counted_bytes(entry));
             if !batch.is_empty() && bytes > max_bytes {
                 break;
             }
@@ -133,7 +136,7 @@
         batch
     }
 
-    /// Entries from `from` to `to`, both included.
+    /// Returns the entries from `from` to `to`, both included.
     pub fn range(&self, from: LogIndex, to: LogIndex) -> Vec<Entry> {
         let Some(start) = self.position(from) else {
             return Vec::new();
@@ -157,7 +160,7 @@
         index
     }
 
-    /// Drops the entries from `index` on.
+    /// Removes the entries from `index` on.
     pub fn truncate_from(&mut self, index: LogIndex) {
         let Some(length) = self.position(index) else {
             return;
@@ -167,23 +170,26 @@
         self.synced = self.synced.min(before(index));
     }
 
-    /// Takes the entries that were not yet handed out to be written.
+    /// Returns the entries that were not yet handed out to be written, and
+    /// counts them as handed out.
     pub fn take_unwritten(&mut self) -> Vec<Entry> {
         let entries = self.range(self.unwritten_from, self.last_index());
         self.unwritten_from = after(self.last_index());
         entries
     }
 
-    /// Records that the log is synced up to `end`. If that entry is gone, a
-    /// later batch overwrote it and nothing is recorded; if it is present, so
-    /// is all before it (Log Matching Property, thesis 3.5).
+    /// Records that the log is synced up to `end`. If the log no longer has
+    /// that entry, a later batch overwrote it, and nothing is recorded. If the
+    /// log has it, it also has all entries before it (Log Matching Property,
+    /// thesis 3.5).
     pub fn mark_synced(&mut self, end: LogPosition) {
         if self.term_at(end.index) == Some(end.term) {
             self.synced = self.synced.max(end.index);
         }
     }
 
-    /// Moves the base up to `index`; what lies before is in a synced snapshot.
+    /// Moves the base up to `index`. A synced snapshot must cover the removed
+    /// entries.
     pub fn compact(&mut self, index: LogIndex) {
         let Some(term) = self.term_at(index) else {
             return;
@@ -197,14 +203,15 @@
         }
     }
 
-    /// Records that a synced snapshot covers everything up to `index`.
-    pub fn cover(&mut self, index: LogIndex) {
+    /// Records that a synced snapshot covers everything up to `index`, which
+    /// thus counts as synced.
+    pub fn mark_covered(&mut self, index: LogIndex) {
         self.synced = self.synced.max(index.min(self.last_index()));
     }
 
-    /// Installs a received snapshot as base. The tail is kept only if the log
-    /// held the snapshot's last entry. The base counts as synced once the
-    /// batch that carries the snapshot is.
+    /// Makes a received snapshot the base. The entries after it remain only if
+    /// the log has the last entry that the snapshot covers. The base counts as
+    /// synced once the batch that carries the snapshot is synced.
     pub fn install(&mut self, index: LogIndex, term: Term) {
         if self.term_at(index) == Some(term) {
             self.compact(index);
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -10,7 +10,7 @@
 /// start.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks whether the receiver would grant a vote; changes no term (thesis,
+    /// Asks whether the receiver would grant a vote. Changes no term (thesis,
     /// 9.6).
     PreVote {
         /// The term of the election that the sender would start.
@@ -35,8 +35,8 @@
         last_index: LogIndex,
         /// Term of that index.
         last_term: Term,
-        /// Set by a leadership transfer: voters grant their vote despite a live
-        /// leader.
+        /// Whether a leadership transfer started the election: voters then
+        /// grant their vote despite a live leader.
         transfer: bool,
     },
     /// Reply to a vote request.
@@ -68,10 +68,11 @@
         term: Term,
         /// Whether the entries were appended and synced.
         success: bool,
-        /// On success the last index known to match; otherwise a hint where the
-        /// logs may match.
+        /// On success the last index known to match; otherwise an index at
+        /// which the logs may match.
         index: LogIndex,
-        /// Echo of the round.
+        /// Round of the message that this answers; 0 if that message was of an
+        /// earlier term.
         round: u64,
     },
     /// A chunk of a snapshot (thesis, 5.3).
@@ -86,7 +87,7 @@
         total: u64,
         /// Bytes of the chunk.
         data: Arc<[u8]>,
-        /// As in [`Message::Append`].
+        /// Number of the round of heartbeats, as in [`Message::Append`].
         round: u64,
     },
     /// Reply to a chunk of a snapshot.
@@ -95,10 +96,11 @@
         term: Term,
         /// Last index that the snapshot covers.
         index: LogIndex,
-        /// Next offset wanted; the total once the snapshot is installed and
-        /// synced.
+        /// Offset of the next chunk to send, in bytes; the total length once
+        /// the snapshot is installed and synced.
         next_offset: u64,
-        /// Echo of the round.
+        /// Round of the message that this answers; 0 if that message was of an
+        /// earlier term.
         round: u64,
     },
     /// The leader transfers leadership: the receiver starts an election at once
@@ -107,7 +109,7 @@
         /// The leader's term.
         term: Term,
     },
-    /// Measures the link between two voters; belongs to no term.
+    /// Measures the link between two voters. Belongs to no term.
     Probe {
         /// Number of the probe, which the reply echoes.
         number: u64,
@@ -122,7 +124,7 @@
 }
 
 impl Message {
-    /// The term of the message; 0 for probes, which belong to no term.
+    /// Returns the term of the message; 0 for probes, which belong to no term.
     pub fn term(&self) -> Term {
         match self {
             Self::Probe { .. } | Self::ProbeReply { .. } => Term(0),
@@ -139,11 +141,11 @@
     }
 }
 
-/// A message with its receiver.
+/// A message to one other node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outgoing {
-    /// The receiver.
+    /// Node that receives the message.
     pub to: NodeId,
-    /// The message.
+    /// Message to send to that node.
     pub message: Message,
 }
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -27,44 +27,50 @@
 use std::sync::Arc;
 use types::{LogIndex, Milliseconds, Monotonic, NodeId, Term};
 
-/// A Raft node without I/O; the crate's page says how it is driven.
+/// A Raft node without I/O. The caller passes in messages, ticks and proposals
+/// and carries out each [`crate::Ready`]; see the crate documentation.
 #[derive(Debug)]
 pub struct Node {
     id: NodeId,
     options: Options,
-    /// The latest time seen; it never decreases.
+    /// Latest time that the caller passed in; never decreases.
     clock: Monotonic,
     term: Term,
     voted_for: Option<NodeId>,
     commit: LogIndex,
-    /// Last index handed to the state machine, as an entry or in a snapshot.
+    /// Last index handed out to be applied, as an entry or in a snapshot.
     delivered: LogIndex,
     log: Log,
-    history: MembershipHistory,
-    /// The newest snapshot, for followers that need compacted entries.
+    membership_history: MembershipHistory,
+    /// Newest snapshot, for followers that need compacted entries; `None`
+    /// before the first one.
     snapshot: Option<Snapshot>,
     snapshot_receiver: SnapshotReceiver,
     role: Role,
     leader: Option<NodeId>,
-    /// When a message of a live leader was last accepted, in whatever term.
+    /// When this node last accepted a message from a leader, in any term;
+    /// `None` before the first one since its start.
     leader_last_contact: Option<Monotonic>,
-    /// A restarted voter grants no vote before, since it lost its promises.
-    votes_from: Monotonic,
+    /// Time from which this node may grant votes. A restarted voter has lost
+    /// its vote restriction (see [`lease`]) and waits until it would have
+    /// ended.
+    may_vote_from: Monotonic,
     election_timer: ElectionTimer,
     outbox: Outbox,
     persist_queue: PersistQueue,
     link_monitor: LinkMonitor,
-    /// Whether the node's last election was started by a transfer.
-    campaigns_by_transfer: bool,
+    /// Whether a leadership transfer started the node's last election.
+    last_election_by_transfer: bool,
 }
 
 impl Node {
     /// Creates a node from the data recovered from its disk.
     ///
-    /// `membership` is used only while neither snapshot nor log has one: the
-    /// voters of the first start, or an empty one for a node that waits to be
-    /// added. The state machine starts from the recovered snapshot, if any:
-    /// the first committed entry handed out is the one after it.
+    /// `membership` is used only while neither the snapshot nor the log has
+    /// one: it holds the voters of the first start, or is empty for a node that
+    /// is to be added later. The state machine starts from the recovered
+    /// snapshot, if there is one: the first committed entry handed out is the
+    /// one after it.
     pub fn new(
         id: NodeId,
         options: Options,
@@ -76,9 +82,9 @@
         let hard_state = recovered.hard_state;
         let base = recovered.snapshot.as_ref().map(|s| s.meta.clone());
         let base = base.unwrap_or_default();
-        let is_recorded =
+        let has_recorded_membership =
             !base.membership.voters.is_empty() || !base.membership.learners.is_empty();
-        let membership = if is_recorded {
+        let membership = if has_recorded_membership {
             base.membership
         } else {
             membership
@@ -94,47 +100,49 @@
                 .filter(|_| hard_state.term >= log.last_term()),
             commit,
             delivered: base.index,
-            history: MembershipHistory::new(base.index, membership),
+            membership_history: MembershipHistory::new(base.index, membership),
             snapshot: recovered.snapshot,
             snapshot_receiver: SnapshotReceiver::default(),
             role: Role::Follower,
             leader: None,
             leader_last_contact: None,
-            votes_from: now,
+            may_vote_from: now,
             election_timer: ElectionTimer::new(seed, now),
             outbox: Outbox::default(),
             persist_queue: PersistQueue::new(hard_state),
             log,
             options,
             link_monitor: LinkMonitor::default(),
-            campaigns_by_transfer: false,
+            last_election_by_transfer: false,
         };
         node.recover_memberships();
-        node.begin_after_restart(hard_state);
+        node.start_election_timer(hard_state);
         node
     }
 
     fn recover_memberships(&mut self) {
         for entry in self.log.iter() {
             if let Payload::Membership(membership) = &entry.payload {
-                self.history.push(entry.index, membership.clone());
+                self.membership_history
+                    .push(entry.index, membership.clone());
             }
         }
     }
 
-    /// A node that never saw a term made no promise and may vote at once. Any
-    /// other waits until the promises that it lost have expired.
-    fn begin_after_restart(&mut self, hard_state: HardState) {
-        let may_have_promised = hard_state.term > Term(0);
-        if may_have_promised && !self.options.disables(Mutation::VoteAfterRestart) {
-            self.votes_from = self.clock + self.options.election_timeout;
+    /// Starts the election timer. A node that has seen a term may have accepted
+    /// a message from a leader just before it restarted, so it grants no vote
+    /// for one election timeout. A node that never saw a term may vote at once.
+    fn start_election_timer(&mut self, hard_state: HardState) {
+        let has_seen_term = hard_state.term > Term(0);
+        if has_seen_term && !self.options.disables(Mutation::VoteAfterRestart) {
+            self.may_vote_from = self.clock + self.options.election_timeout;
         }
         self.reset_election_timer();
     }
 
     /// Handles a message from another node.
     pub fn step(&mut self, now: Monotonic, from: NodeId, message: Message) {
-        self.observe(now);
+        self.advance_clock(now);
         if from == self.id {
             return;
         }
@@ -154,9 +162,10 @@
         }
     }
 
-    /// Acts on the passage of time: elections, heartbeats, probes, timeouts.
+    /// Handles what is due at `now`: elections, heartbeats, probes and
+    /// timeouts.
     pub fn tick(&mut self, now: Monotonic) {
-        self.observe(now);
+        self.advance_clock(now);
         if let Role::Leader(leadership) = &self.role {
             if leadership.heartbeat_is_due(self.clock) {
                 self.begin_round();
@@ -169,18 +178,19 @@
         self.probe_if_due();
     }
 
-    /// Advances the clock before an input is handled: a leader that was
-    /// suspended for too long must step down before it acts.
-    fn observe(&mut self, now: Monotonic) {
+    /// Advances the clock before an input is handled. A leader without the
+    /// replies of a quorum steps down here, so one that was suspended for too
+    /// long does so before it acts.
+    fn advance_clock(&mut self, now: Monotonic) {
         self.clock = self.clock.max(now);
         if !self.has_quorum_contact() {
             tracing::info!(node = %self.id, term = %self.term, "stepped down: no quorum");
-            self.release_followers();
+            self.request_successor_election();
             self.become_follower(self.term, None);
         }
     }
 
-    /// When the caller must call [`Node::tick`] next.
+    /// Returns when the caller must call [`Node::tick`] next.
     pub fn next_wakeup(&self) -> Monotonic {
         match &self.role {
             Role::Leader(leadership) => leadership.next_wakeup(),
@@ -200,7 +210,7 @@
     /// [`ProposeError::NotLeader`] if this node is not the leader or is
     /// transferring leadership.
     pub fn propose(&mut self, now: Monotonic, command: Vec<u8>) -> Result<LogIndex, ProposeError> {
-        self.observe(now);
+        self.advance_clock(now);
         self.check_may_propose()?;
         let payload = Payload::Command(Arc::from(command));
         Ok(self.log.push(self.term, payload))
@@ -215,12 +225,13 @@
         }
     }
 
-    /// Queues a message that promises nothing about the disk.
+    /// Queues a message that may be sent before any sync.
     fn send(&mut self, to: NodeId, message: Message) {
         self.outbox.messages.push(Outgoing { to, message });
     }
 
-    /// Queues a message that may be sent once all output before it is synced.
+    /// Queues a message that may be sent only once all output before it is
+    /// synced.
     fn send_after_persist(&mut self, to: NodeId, message: Message) {
         if self.options.disables(Mutation::ReplyBeforeSync) {
             self.send(to, message);
@@ -229,23 +240,24 @@
         self.outbox.after_persist.push(Outgoing { to, message });
     }
 
-    /// Returns whether this node leads its term, with or without the lease.
+    /// Returns whether this node is the leader of its term, with or without the
+    /// lease.
     pub fn is_leader(&self) -> bool {
         self.role.is_leader()
     }
 
-    /// Records how long this process delays its own messages, so that its own
-    /// lag does not count against its links.
+    /// Records the lag of this process, the time by which it delays its own
+    /// messages. The lag does not count against the node's links.
     pub fn record_lag(&mut self, lag: Milliseconds) {
         self.link_monitor.record_lag(lag);
     }
 
-    /// This node's identity.
+    /// Returns this node's id.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
-    /// The state of the node at `now`.
+    /// Returns the state of the node at `now`, for operators and tests.
     pub fn status(&self, now: Monotonic) -> Status {
         let mut status = Status {
             role: self.public_role(),
--- a/crates/consensus/src/node/election.rs
+++ b/crates/consensus/src/node/election.rs
@@ -9,7 +9,7 @@
 use types::{LogIndex, NodeId, Term};
 
 impl Node {
-    /// Handles a message of an election.
+    /// Handles a vote or pre-vote request, or a reply to one.
     pub(super) fn step_election(&mut self, from: NodeId, message: &Message) {
         match *message {
             Message::PreVote {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Restarts the election timeout.
+    /// Restarts the election timer. A voter that is unfit to lead waits longer.
     pub(super) fn reset_election_timer(&mut self) {
         let is_degraded =
             self.options.transfer_when_degraded && self.follower_link_health().is_unfit_to_lead();
@@ -38,18 +38,18 @@
     }
 
     fn reset_election_timer_for_retry(&mut self) {
-        let promised_at = self.leader_last_contact;
-        let promise_ends = promised_at.map(|at| at + self.options.election_timeout);
-        let not_before = promise_ends.unwrap_or_default().max(self.votes_from);
+        let last_contact = self.leader_last_contact;
+        let restriction_ends = last_contact.map(|at| at + self.options.election_timeout);
+        let not_before = restriction_ends.unwrap_or_default().max(self.may_vote_from);
         self.election_timer
             .reset_for_retry(self.clock, &self.options, not_before);
     }
 
-    /// Returns whether this node has promised to grant no vote: it leads, it
-    /// accepted a message of a leader less than an election timeout ago, or it
-    /// may have done so before it restarted. The lease depends on this promise
+    /// Returns whether this node must not grant a vote: it leads, it accepted a
+    /// message from a leader less than an election timeout ago, or it may have
+    /// done so before it restarted. The lease depends on this restriction
     /// (thesis, 6.4.1).
-    fn is_bound_to_leader(&self) -> bool {
+    fn is_vote_restricted(&self) -> bool {
         if self.role.is_leader() {
             return true;
         }
@@ -57,10 +57,10 @@
             return false;
         }
         let is_recent = |at| self.clock.since(at) < self.options.election_timeout;
-        self.clock < self.votes_from || self.leader_last_contact.is_some_and(is_recent)
+        self.clock < self.may_vote_from || self.leader_last_contact.is_some_and(is_recent)
     }
 
-    /// Starts a pre-vote, if this node has a vote.
+    /// Starts a pre-vote. A node that is not a voter only restarts its timer.
     pub(super) fn on_election_timeout(&mut self) {
         if !self.is_voter() {
             self.leader = None;
@@ -91,21 +91,22 @@
         self.count_pre_votes();
     }
 
-    /// The voters except this node.
+    /// Returns the voters except this node.
     pub(super) fn other_voters(&self) -> Vec<NodeId> {
         let voters = self.membership().voters.keys();
         voters.filter(|n| **n != self.id).copied().collect()
     }
 
-    /// Becomes a candidate in the next term. The requests wait for the sync: a
-    /// candidate that crashed could otherwise win by votes that were granted
+    /// Becomes a candidate in the next term; `transfer` is set if a leadership
+    /// transfer started the election. The vote requests wait for the sync:
+    /// otherwise a candidate that crashed could win by votes that were granted
     /// for log entries that it lost.
     pub(super) fn start_election(&mut self, transfer: bool) {
         if !self.is_voter() {
             self.become_follower(self.term, None);
             return;
         }
-        self.campaigns_by_transfer = transfer;
+        self.last_election_by_transfer = transfer;
         self.term = next_term(self.term);
         self.voted_for = Some(self.id);
         self.leader = None;
@@ -125,8 +126,8 @@
         }
     }
 
-    /// Becomes a follower of `leader` in `term`, which is not below the node's
-    /// own.
+    /// Becomes a follower in `term`, which is not below the node's own, with
+    /// `leader` if it is known.
     pub(super) fn become_follower(&mut self, term: Term, leader: Option<NodeId>) {
         if term > self.term {
             self.term = term;
@@ -143,7 +144,7 @@
     fn become_leader(&mut self) {
         tracing::info!(node = %self.id, term = %self.term, "won election");
         let first_index = self.log.push(self.term, Payload::Noop);
-        let leadership = Leadership::new(first_index, self.clock, self.campaigns_by_transfer);
+        let leadership = Leadership::new(first_index, self.clock, self.last_election_by_transfer);
         self.role = Role::Leader(leadership);
         self.leader = Some(self.id);
         self.update_members();
@@ -151,7 +152,7 @@
     }
 
     fn on_pre_vote(&mut self, from: NodeId, term: Term, log_end: LogPosition) {
-        let granted = term > self.term && !self.is_bound_to_leader() && log_end >= self.log.end();
+        let granted = term > self.term && !self.is_vote_restricted() && log_end >= self.log.end();
         let reply = Message::PreVoteReply {
             term: if granted { term } else { self.term },
             granted,
@@ -161,7 +162,7 @@
 
     fn on_pre_vote_reply(&mut self, from: NodeId, term: Term, granted: bool) {
         if !granted {
-            self.step_down_for(term);
+            self.step_down_if_outdated(term);
             return;
         }
         if term != next_term(self.term) {
@@ -182,17 +183,17 @@
     }
 
     fn on_vote(&mut self, from: NodeId, term: Term, log_end: LogPosition, transfer: bool) {
-        // The promise comes before the term: a voter bound by it does not
-        // adopt the higher term either, since the leader would step down.
-        if term >= self.term && !transfer && self.is_bound_to_leader() {
+        // Checked before the term is adopted: if a voter whose votes are
+        // restricted adopted the higher term, the leader would step down.
+        if term >= self.term && !transfer && self.is_vote_restricted() {
             return;
         }
-        self.step_down_for(term);
-        let is_free_to_vote = match self.voted_for {
+        self.step_down_if_outdated(term);
+        let may_vote_for_candidate = match self.voted_for {
             Some(candidate) => candidate == from,
             None => self.leader.is_none(),
         };
-        let granted = term == self.term && is_free_to_vote && log_end >= self.log.end();
+        let granted = term == self.term && may_vote_for_candidate && log_end >= self.log.end();
         if granted {
             self.voted_for = Some(from);
             self.reset_election_timer();
@@ -205,7 +206,7 @@
     }
 
     fn on_vote_reply(&mut self, from: NodeId, term: Term, granted: bool) {
-        self.step_down_for(term);
+        self.step_down_if_outdated(term);
         if !granted || term != self.term {
             return;
         }
@@ -215,7 +216,8 @@
         }
     }
 
-    /// Counts the votes; the node's own vote counts once it is synced.
+    /// Counts the votes and becomes leader with a quorum of them. The node's
+    /// own vote counts once it is synced.
     pub(super) fn count_votes(&mut self) {
         let Role::Candidate(votes) = &self.role else {
             return;
@@ -235,8 +237,9 @@
         voters.filter(|n| nodes.contains(n)).count() >= membership.quorum()
     }
 
-    /// Adopts a higher term, as a follower without a known leader.
-    pub(super) fn step_down_for(&mut self, term: Term) {
+    /// Becomes a follower without a known leader if `term` is above the node's
+    /// own.
+    pub(super) fn step_down_if_outdated(&mut self, term: Term) {
         if term > self.term {
             self.become_follower(term, None);
         }
--- a/crates/consensus/src/node/follower.rs
+++ b/crates/consensus/src/node/follower.rs
@@ -1,4 +1,4 @@
-//! The follower's part of replication (thesis, 3.5).
+//! Handling of appends by a follower (thesis, 3.5).
 
 use super::Node;
 use crate::log::{LogPosition, after, before};
@@ -89,9 +89,9 @@
         }
     }
 
-    /// Follows a leader of `term` that sent a message. Returns false if the
-    /// term is over, or if this node itself leads that term, which only a
-    /// malformed message can claim.
+    /// Becomes a follower of `from`, which sent a message as leader of `term`.
+    /// Returns false if the term is below the node's own, or if this node is
+    /// the leader of that term: such a message is malformed.
     pub(super) fn accept_leader(&mut self, from: NodeId, term: Term) -> bool {
         if term < self.term || (term == self.term && self.role.is_leader()) {
             return false;
@@ -150,8 +150,9 @@
         }
     }
 
-    /// Appends entries that begin before this log's base. Those that the base
-    /// covers are committed and thus match; the others follow it.
+    /// Appends entries that begin before this log's base and returns the last
+    /// index that matches. Entries that the base covers are committed and thus
+    /// match; the others follow it.
     fn append_after_base(&mut self, mut entries: Vec<Entry>) -> LogIndex {
         let base = before(self.log.first_index());
         entries.retain(|entry| entry.index > base);
@@ -159,8 +160,8 @@
     }
 
     /// Appends the entries that are new and returns the last index that
-    /// matches. Matching entries remain, since an old message that arrives
-    /// late must not truncate entries of a newer one.
+    /// matches. Matching entries remain, since an old message that arrives late
+    /// must not truncate the entries of a newer one.
     fn merge(&mut self, previous: LogIndex, entries: Vec<Entry>) -> LogIndex {
         let end = entries.last().map_or(previous, |entry| entry.index);
         for entry in entries {
@@ -178,7 +179,8 @@
                 None => {}
             }
             if let Payload::Membership(membership) = &entry.payload {
-                self.history.push(entry.index, membership.clone());
+                self.membership_history
+                    .push(entry.index, membership.clone());
             }
             self.log.push(entry.term, entry.payload);
         }
@@ -187,11 +189,11 @@
 
     fn truncate_from(&mut self, index: LogIndex) {
         self.log.truncate_from(index);
-        self.history.truncate_from(index);
+        self.membership_history.truncate_from(index);
     }
 
-    /// The last index before the entries of the conflicting `term`
-    /// (thesis, 3.5, end).
+    /// Returns the last index before the entries of the conflicting `term`, or
+    /// the commit index if that is higher (thesis, 3.5, end).
     fn hint_before(&self, index: LogIndex, term: Term) -> LogIndex {
         let mut hint = before(index);
         while hint > self.commit && self.log.term_at(hint) == Some(term) {
--- a/crates/consensus/src/node/leadership_transfer.rs
+++ b/crates/consensus/src/node/leadership_transfer.rs
@@ -1,16 +1,16 @@
 //! Leadership transfer (thesis, 3.10).
 //!
 //! The target of `TimeoutNow` starts an election at once, and voters grant it
-//! their votes despite their promise to the live leader. So from the time that
-//! `TimeoutNow` is queued the leader of term T must not hold its lease, and
-//! not only until the transfer times out: the message may arrive at any later
-//! time. A transfer that failed therefore ends by an election of this node
-//! itself for term T+1, again with the transfer flag. The flag overrides only
-//! promises to a leader of term T or before, and that leader is this node,
-//! which gave up its lease. If the target starts its election for T+1 as well,
-//! each voter grants its one vote of that term to one of them. A leader that
-//! transferred leadership since its links are degraded (see
-//! [`crate::link_health`]) starts no election: it becomes a follower.
+//! their votes despite the vote restriction (see [`super::lease`]). So the
+//! leader of term T gives up its lease as soon as it queues `TimeoutNow`. It
+//! does not regain the lease when the transfer times out, since the message may
+//! arrive at any later time. Instead, if the transfer fails, this node starts
+//! an election for term T+1 itself, again with the transfer flag. The flag
+//! overrides only a restriction due to a leader of term T or before, and that
+//! leader is this node, which gave up its lease. If the target starts its
+//! election for T+1 as well, each voter grants its one vote of that term to one
+//! of them. A leader that transferred leadership because its links are degraded
+//! (see [`crate::link_health`]) starts no election: it becomes a follower.
 
 use super::Node;
 use crate::Message;
@@ -20,24 +20,30 @@
 use types::{Monotonic, NodeId, Term};
 
 impl Node {
-    /// Returns whether a transfer is in progress: proposals are rejected.
+    /// Returns whether this node is the leader and transfers leadership.
+    /// Proposals are rejected meanwhile.
     pub fn is_handing_over(&self) -> bool {
         let leadership = self.role.leadership();
         leadership.is_some_and(Leadership::is_transferring)
     }
 
-    /// Transfers leadership to the most advanced voter and returns it, if there
-    /// is one. Proposals are rejected from now on. If the target has not been
-    /// elected within an election timeout, this node continues to lead, in a
-    /// new term if it had sent `TimeoutNow`.
+    /// Transfers leadership to the voter with the longest log and returns that
+    /// voter; `None` if this node is not the leader or no other voter replied
+    /// within the last election timeout. If a transfer is in progress, returns
+    /// its target instead.
+    ///
+    /// Proposals are rejected from now on. If the target has not been elected
+    /// within an election timeout, this node continues to lead, in a new term
+    /// if it had sent `TimeoutNow`.
     pub fn transfer_leadership(&mut self, now: Monotonic) -> Option<NodeId> {
-        self.observe(now);
+        self.advance_clock(now);
         let target = self.voter_with_longest_log();
         self.transfer_to(target?, TransferReason::Requested)
     }
 
     /// Transfers leadership to `target`, unless a transfer is in progress.
-    /// Returns the target of the transfer in progress.
+    /// Returns the target of the transfer in progress; `None` if this node is
+    /// not the leader.
     fn transfer_to(&mut self, target: NodeId, reason: TransferReason) -> Option<NodeId> {
         let deadline = self.clock + self.options.election_timeout;
         let leadership = self.role.leadership_mut()?;
@@ -49,7 +55,8 @@
         Some(target)
     }
 
-    /// The voter with the longest log among those that replied recently.
+    /// Returns the voter with the longest log among those that replied within
+    /// the last election timeout.
     pub(super) fn voter_with_longest_log(&self) -> Option<NodeId> {
         let max_reply_age = Some(self.options.election_timeout);
         let leadership = self.role.leadership()?;
@@ -71,12 +78,12 @@
         self.send(target, Message::TimeoutNow { term: self.term });
     }
 
-    /// Has the most advanced voter start an election, when this leader steps
-    /// down without a quorum. The leader never holds the lease of this term
-    /// again, so the promise to it may be overridden as by a transfer. Where
-    /// the link fails in one direction only, the voter need not wait until its
-    /// promise has expired.
-    pub(super) fn release_followers(&mut self) {
+    /// Sends `TimeoutNow` to the voter with the longest log when this leader
+    /// steps down for lack of a quorum. The leader never holds the lease of
+    /// this term again, so the vote restriction may be overridden as in a
+    /// transfer. If the link fails in one direction only, the voter thus does
+    /// not wait until its restriction ends.
+    pub(super) fn request_successor_election(&mut self) {
         let Some(leadership) = self.role.leadership() else {
             return;
         };
@@ -102,8 +109,8 @@
             return;
         }
         match transfer.reason() {
-            // Voters with better links start an election when their promise
-            // has expired.
+            // Voters with better links start an election when their vote
+            // restriction ends.
             TransferReason::Degraded => self.become_follower(self.term, None),
             TransferReason::Requested => self.start_election(true),
         }
@@ -111,26 +118,27 @@
 
     /// Starts an election at the request of the leader of `term`.
     pub(super) fn on_timeout_now(&mut self, term: Term) {
-        let is_follower = matches!(self.role, Role::Follower | Role::PreCandidate(_));
-        if term == self.term && is_follower && self.is_voter() {
+        let may_start_election = matches!(self.role, Role::Follower | Role::PreCandidate(_));
+        if term == self.term && may_start_election && self.is_voter() {
             self.start_election(true);
         }
     }
 
-    /// Leader, at each round: transfers leadership if its links have been
-    /// degraded for a while and another voter has healthy links.
+    /// Transfers leadership if the leader's links have been degraded for long
+    /// enough and another voter has healthy links. Called at each round of
+    /// heartbeats.
     pub(super) fn transfer_if_degraded(&mut self) {
         let now = self.clock;
         let Some(leadership) = self.role.leadership_mut() else {
             return;
         };
-        let health = leadership.link_health(self.history.current(), &self.link_monitor);
+        let health = leadership.link_health(self.membership_history.current(), &self.link_monitor);
         let is_due = leadership.update_degraded(health.is_degraded(), now, &self.options);
         if !self.options.transfer_when_degraded || !is_due || leadership.is_transferring() {
             return;
         }
         let target = leadership.healthiest_voter(
-            self.history.current(),
+            self.membership_history.current(),
             &self.link_monitor,
             self.log.last_index(),
             now,
--- a/crates/consensus/src/node/link_probes.rs
+++ b/crates/consensus/src/node/link_probes.rs
@@ -7,7 +7,7 @@
 
 impl Node {
     /// Sends probes to the other voters if they are due. The leader sends none:
-    /// it measures its rounds.
+    /// it measures the replies to its rounds of heartbeats.
     pub(super) fn probe_if_due(&mut self) {
         if !self.options.transfer_when_degraded || self.clock < self.link_monitor.next_probe() {
             return;
@@ -46,14 +46,14 @@
         }
     }
 
-    /// Health of this node's links without the one to the leader.
+    /// Returns the health of this node's links except the one to the leader.
     pub(super) fn follower_link_health(&self) -> LinkHealth {
         let oldest_sync = self.persist_queue.oldest_handed_out_at();
         self.link_monitor
             .follower_health(self.leader, oldest_sync, self.clock, &self.options)
     }
 
-    /// Records how long a sync took.
+    /// Records the duration of a sync, from which a slow disk is detected.
     pub(super) fn record_sync(&mut self, elapsed: Milliseconds) {
         self.link_monitor
             .record_sync(elapsed, self.clock, &self.options);
--- a/crates/consensus/src/node/membership_change.rs
+++ b/crates/consensus/src/node/membership_change.rs
@@ -5,7 +5,7 @@
 use crate::{Membership, Payload, ProposeError};
 use types::{LogIndex, Monotonic, NodeId};
 
-/// Number of voters that are in only one of the two memberships.
+/// Returns the number of voters that are in only one of the two memberships.
 fn changed_voters(old: &Membership, new: &Membership) -> usize {
     let removed = old.voters.keys().filter(|n| !new.voters.contains_key(n));
     let added = new.voters.keys().filter(|n| !old.voters.contains_key(n));
@@ -13,17 +13,17 @@
 }
 
 impl Node {
-    /// The membership in force.
+    /// Returns the membership in force, committed or not.
     pub(super) fn membership(&self) -> &Membership {
-        self.history.current()
+        self.membership_history.current()
     }
 
-    /// Returns whether this node has a vote in the membership in force.
+    /// Returns whether this node is a voter in the membership in force.
     pub(super) fn is_voter(&self) -> bool {
         self.membership().voters.contains_key(&self.id)
     }
 
-    /// The other members, voters and learners, in ascending order.
+    /// Returns the other members, voters and learners, in ascending order.
     fn other_members(&self) -> Vec<NodeId> {
         let membership = self.membership();
         let voters = membership.voters.keys();
@@ -35,15 +35,16 @@
     }
 
     /// Appends a new membership and returns its index. It may differ from the
-    /// present one by one voter, and by any number of learners.
+    /// membership in force by one voter and by any number of learners.
     ///
     /// # Errors
     ///
     /// * [`ProposeError::NotLeader`] as for [`Node::propose`].
-    /// * [`ProposeError::ChangeInProgress`] if the last change is not committed,
-    ///   or the leader has not committed an entry of its own term: a change of
-    ///   an earlier term may be in progress without its knowledge, and two such
-    ///   changes need not have a voter in common.
+    /// * [`ProposeError::ChangeInProgress`] if the last change is not
+    ///   committed, or the leader has not committed an entry of its own term: a
+    ///   change of an earlier term may be in progress that is not in the
+    ///   leader's log, and the quorums of two such changes need not have a
+    ///   voter in common.
     /// * [`ProposeError::NoVoters`] and [`ProposeError::MoreThanOneVoter`] for
     ///   a membership that is not allowed.
     pub fn propose_membership(
@@ -51,9 +52,9 @@
         now: Monotonic,
         membership: Membership,
     ) -> Result<LogIndex, ProposeError> {
-        self.observe(now);
+        self.advance_clock(now);
         self.check_may_propose()?;
-        if self.history.current_index() > self.commit || !self.has_committed_own_term() {
+        if self.membership_history.current_index() > self.commit || !self.has_committed_own_term() {
             return Err(ProposeError::ChangeInProgress);
         }
         if membership.voters.is_empty() {
@@ -64,7 +65,7 @@
         }
         let payload = Payload::Membership(membership.clone());
         let index = self.log.push(self.term, payload);
-        self.history.push(index, membership);
+        self.membership_history.push(index, membership);
         self.update_members();
         Ok(index)
     }
--- a/crates/consensus/src/node/persistence.rs
+++ b/crates/consensus/src/node/persistence.rs
@@ -7,8 +7,8 @@
 use types::Monotonic;
 
 impl Node {
-    /// The next batch of output, or none. The caller asks for it after every
-    /// other call.
+    /// Returns the next batch of output; `None` if there is no output. The
+    /// caller must call this after every other call.
     pub fn ready(&mut self) -> Option<Ready> {
         self.replicate();
         let snapshot = self.outbox.snapshot.take();
@@ -24,7 +24,8 @@
             messages: std::mem::take(&mut self.outbox.messages),
             messages_after_persist: Vec::new(),
         };
-        // Without data in this batch, a promise waits for earlier batches.
+        // If this batch has no data, its messages wait for the syncs of earlier
+        // batches.
         if ready.needs_persist() || self.persist_queue.is_synced() {
             ready.messages_after_persist = std::mem::take(&mut self.outbox.after_persist);
         }
@@ -47,8 +48,9 @@
         }
     }
 
-    /// Entries that are committed and were not handed out yet. All of them
-    /// were handed out to be written, in this batch at the latest.
+    /// Takes the entries that are committed and were not handed out to be
+    /// applied yet. All of them were handed out to be written, in this batch at
+    /// the latest.
     fn take_committed(&mut self) -> Vec<Entry> {
         if self.delivered >= self.commit {
             return Vec::new();
@@ -62,7 +64,7 @@
 
     /// Records that batch `number` and all before it are synced.
     pub fn persisted(&mut self, now: Monotonic, number: u64) {
-        self.observe(now);
+        self.advance_clock(now);
         while let Some(batch) = self.persist_queue.pop_synced(number) {
             self.log.mark_synced(batch.log_end);
             self.record_sync(self.clock.since(batch.handed_out_at));
--- a/crates/consensus/src/node/replication.rs
+++ b/crates/consensus/src/node/replication.rs
@@ -1,5 +1,4 @@
-//! The leader's part of replication: rounds, replies and commit (thesis, 3.5,
-//! 3.6.2).
+//! Replication at the leader: rounds, replies and commit (thesis, 3.5, 3.6.2).
 
 use super::Node;
 use crate::progress::{Progress, SendContext};
@@ -8,7 +7,7 @@
 use types::{LogIndex, NodeId, Term};
 
 impl Node {
-    /// Handles a follower's reply.
+    /// Handles a follower's reply to an append or to a chunk of a snapshot.
     pub(super) fn step_leader(&mut self, from: NodeId, message: &Message) {
         match *message {
             Message::AppendReply {
@@ -27,12 +26,13 @@
         }
     }
 
-    /// Sends entries to every member whose window is open.
+    /// Sends entries or chunks of a snapshot to every member that may receive
+    /// more in flight.
     pub(super) fn replicate(&mut self) {
         self.send_to_members(Progress::send_available);
     }
 
-    /// Begins a round of heartbeats.
+    /// Begins a round and sends its heartbeats.
     pub(super) fn begin_round(&mut self) {
         if let Some(leadership) = self.role.leadership_mut() {
             leadership.begin_round(self.clock, &self.options);
@@ -67,7 +67,7 @@
         index: LogIndex,
         round: u64,
     ) {
-        self.step_down_for(term);
+        self.step_down_if_outdated(term);
         if term != self.term || round == NO_ROUND || index > self.log.last_index() {
             return;
         }
@@ -93,8 +93,8 @@
         let Some(index) = self.quorum_matched() else {
             return;
         };
-        let own_term = self.log.term_at(index) == Some(self.term);
-        if index > self.commit && own_term {
+        let is_own_term = self.log.term_at(index) == Some(self.term);
+        if index > self.commit && is_own_term {
             self.commit = index;
             self.step_down_if_removed();
         }
@@ -105,11 +105,11 @@
         leadership.quorum_matched(self.id, self.membership(), self.log.synced())
     }
 
-    /// A leader that removed itself leads until the new membership is committed
-    /// (thesis, 4.2.2). Then it has the most advanced voter start an election
-    /// and steps down.
+    /// Steps down once a membership without this node is committed: a leader
+    /// that removed itself leads until then (thesis, 4.2.2). Before that, has
+    /// the voter with the longest log start an election.
     fn step_down_if_removed(&mut self) {
-        if self.is_voter() || self.history.current_index() > self.commit {
+        if self.is_voter() || self.membership_history.current_index() > self.commit {
             return;
         }
         self.begin_round();
--- a/crates/consensus/src/node/snapshots.rs
+++ b/crates/consensus/src/node/snapshots.rs
@@ -8,9 +8,9 @@
 use types::{LogIndex, NodeId, Term};
 
 impl Node {
-    /// The metadata of a snapshot that covers the log up to `index`; none for
-    /// index 0, for an index that is not committed, or if the term or
-    /// membership at `index` is compacted.
+    /// Returns the metadata of a snapshot that covers the log up to `index`;
+    /// `None` for index 0, for an index that is not committed, or if the term
+    /// or membership at `index` is compacted.
     pub fn snapshot_meta(&self, index: LogIndex) -> Option<SnapshotMeta> {
         if index == LogIndex(0) || index > self.commit {
             return None;
@@ -18,7 +18,7 @@
         Some(SnapshotMeta {
             index,
             term: self.log.term_at(index)?,
-            membership: self.history.at(index)?.clone(),
+            membership: self.membership_history.at(index)?.clone(),
         })
     }
 
@@ -27,7 +27,7 @@
     /// snapshot.
     ///
     /// Ignores a snapshot that covers entries that were never handed out, or
-    /// less than the last snapshot. Its metadata must come from
+    /// that covers no more than the last snapshot. The metadata must come from
     /// [`Node::snapshot_meta`].
     pub fn compact(&mut self, snapshot: Snapshot) {
         let index = snapshot.meta.index;
@@ -39,13 +39,13 @@
             return;
         }
         let retained = self.options.retained_entries;
-        self.log.cover(index);
-        self.history.compact(index);
+        self.log.mark_covered(index);
+        self.membership_history.compact(index);
         self.log.compact(LogIndex(index.0.saturating_sub(retained)));
         self.snapshot = Some(snapshot);
     }
 
-    /// Follower: handles a chunk of the leader's snapshot.
+    /// Handles a chunk of the leader's snapshot, as a follower.
     pub(super) fn on_snapshot_chunk(
         &mut self,
         from: NodeId,
@@ -80,8 +80,8 @@
         self.send_after_persist(to, reply);
     }
 
-    /// Adds a chunk, installs the snapshot when it is whole, and returns the
-    /// next offset wanted.
+    /// Adds a chunk, installs the snapshot once all its chunks have arrived,
+    /// and returns the offset of the next chunk to receive.
     fn receive_chunk(&mut self, chunk: &Chunk) -> u64 {
         let received = self.snapshot_receiver.receive(chunk);
         if let Some(snapshot) = received.snapshot {
@@ -95,17 +95,18 @@
         tracing::info!(node = %self.id, index = %meta.index, "installing snapshot");
         let keeps_tail = self.log.term_at(meta.index) == Some(meta.term);
         if !keeps_tail {
-            self.history.truncate_from(LogIndex(0));
+            self.membership_history.truncate_from(LogIndex(0));
         }
         self.log.install(meta.index, meta.term);
-        self.history.install(meta.index, meta.membership.clone());
+        self.membership_history
+            .install(meta.index, meta.membership.clone());
         self.commit = meta.index;
         self.delivered = meta.index;
         self.outbox.snapshot = Some(snapshot.clone());
         self.snapshot = Some(snapshot);
     }
 
-    /// Leader: handles a follower's reply to a chunk.
+    /// Handles a follower's reply to a chunk, as the leader.
     pub(super) fn on_snapshot_reply(
         &mut self,
         from: NodeId,
@@ -114,7 +115,7 @@
         next_offset: u64,
         round: u64,
     ) {
-        self.step_down_for(term);
+        self.step_down_if_outdated(term);
         if term != self.term || round == NO_ROUND || index > self.commit {
             return;
         }
--- a/crates/consensus/src/options.rs
+++ b/crates/consensus/src/options.rs
@@ -2,8 +2,8 @@
 
 use types::Milliseconds;
 
-/// A reply is late after this fraction of the lease: four such replies in a
-/// row let the lease expire.
+/// Divisor of the leader's lease that gives the time after which a reply is
+/// late: four such replies in a row let the lease expire.
 const LATE_REPLY_DIVISOR: u64 = 4;
 
 /// Timeouts and limits of a node.
@@ -13,28 +13,29 @@
     /// election.
     pub election_timeout: Milliseconds,
     /// Upper limit of the random time added to `election_timeout`, so that
-    /// voters rarely start elections at once. Should exceed a round trip and
-    /// a sync.
+    /// voters rarely start elections at the same time. Should exceed a round
+    /// trip and a sync.
     pub election_spread: Milliseconds,
     /// Time between heartbeats.
     pub heartbeat_interval: Milliseconds,
     /// Length of the leader's lease, from the start of the last round of
     /// heartbeats that a quorum answered; must be less than `election_timeout`.
     pub leader_lease: Milliseconds,
-    /// Voters probe one another, and a leader whose links are degraded
+    /// Whether voters probe one another, and a leader whose links are degraded
     /// transfers leadership to a voter with healthy links.
     pub transfer_when_degraded: bool,
-    /// Largest size of the entries in one append, in bytes; a larger single
-    /// entry is sent alone.
+    /// Largest total size of the entries in one append, in bytes. An entry
+    /// above this size is sent in an append of its own.
     pub max_append_bytes: usize,
     /// Largest number of unanswered appends to one follower.
     pub max_appends_in_flight: usize,
     /// Size of one chunk of a snapshot, in bytes.
     pub snapshot_chunk_bytes: usize,
-    /// Entries kept in memory before a snapshot's index, so that a follower
-    /// that lags a little receives entries and not a snapshot.
+    /// Number of entries kept in memory before a snapshot's index, so that a
+    /// follower with a small lag receives entries and not a snapshot.
     pub retained_entries: u64,
-    /// Disables one mechanism, so that tests can show that it is needed.
+    /// Mechanism that is disabled, so that tests can show that it is needed;
+    /// `None` disables none.
     #[doc(hidden)]
     pub mutation: Option<Mutation>,
 }
@@ -57,23 +58,23 @@
 }
 
 impl Options {
-    /// Returns whether a test disabled this mechanism.
+    /// Returns whether a test disabled the mechanism.
     pub(crate) fn disables(&self, mutation: Mutation) -> bool {
         self.mutation == Some(mutation)
     }
 
-    /// Time after which a reply, or a sync, counts as late.
+    /// Returns the time after which a reply or a sync counts as late.
     pub(crate) fn late_threshold(&self) -> Milliseconds {
         Milliseconds(self.leader_lease.0 / LATE_REPLY_DIVISOR)
     }
 
-    /// Duration of `count` heartbeat intervals.
+    /// Returns the duration of `count` heartbeat intervals.
     pub(crate) fn heartbeats(&self, count: u64) -> Milliseconds {
         Milliseconds(self.heartbeat_interval.0.saturating_mul(count))
     }
 }
 
-/// A mechanism that tests disable.
+/// A mechanism that tests can disable, named after the fault that this causes.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutation {
@@ -85,7 +86,8 @@
     SkipPreVote,
     /// Replies to votes and appends are sent before the sync.
     ReplyBeforeSync,
-    /// The lease is dated from the arrival of the reply.
+    /// The lease begins at the arrival of a reply and not at the start of the
+    /// round.
     LeaseFromReply,
     /// The leader keeps its lease after it sent `TimeoutNow`.
     LeaseDuringTransfer,
--- a/crates/consensus/src/persist_queue.rs
+++ b/crates/consensus/src/persist_queue.rs
@@ -1,4 +1,5 @@
-//! Batches that were handed out to be persisted, and messages that wait.
+//! Batches that were handed out to be persisted, and output that is not handed
+//! out yet.
 
 use crate::log::LogPosition;
 use crate::{HardState, Outgoing, Snapshot};
@@ -8,11 +9,12 @@
 /// Output that waits for the next [`crate::Ready`].
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
-    /// Messages that promise nothing about the disk.
+    /// Messages that do not depend on a sync.
     pub messages: Vec<Outgoing>,
-    /// Messages that may be sent once what precedes them is synced.
+    /// Messages that may be sent once all output before them is synced.
     pub after_persist: Vec<Outgoing>,
-    /// A snapshot received whole.
+    /// Snapshot received from the leader with all its chunks; `None` if none
+    /// was received since the last batch.
     pub snapshot: Option<Snapshot>,
 }
 
@@ -27,18 +29,18 @@
     pub handed_out_at: Monotonic,
 }
 
-/// Batches handed out so far, oldest first.
+/// Batches that were handed out and are not synced yet, oldest first.
 #[derive(Debug)]
 pub(crate) struct PersistQueue {
     last_number: u64,
-    /// The hard state handed out last.
+    /// Hard state that was handed out last.
     hard_state: HardState,
     pending: VecDeque<PendingBatch>,
     synced_term: Term,
 }
 
 impl PersistQueue {
-    /// A queue without batches; `recovered` is on disk.
+    /// Creates a queue without batches; `recovered` is on disk.
     pub fn new(recovered: HardState) -> Self {
         Self {
             last_number: 0,
@@ -48,12 +50,14 @@
         }
     }
 
-    /// The term on disk; a vote given in the same step is synced with it.
+    /// Returns the term that is synced. A vote given in the same step as a term
+    /// is synced with it.
     pub fn synced_term(&self) -> Term {
         self.synced_term
     }
 
-    /// When the oldest batch that is not synced was handed out.
+    /// Returns when the oldest batch that is not synced was handed out; `None`
+    /// if all are synced.
     pub fn oldest_handed_out_at(&self) -> Option<Monotonic> {
         self.pending.front().map(|batch| batch.handed_out_at)
     }
@@ -63,7 +67,7 @@
         self.pending.is_empty()
     }
 
-    /// Number of the batch that would be handed out next.
+    /// Returns the number of the next batch.
     pub fn next_number(&self) -> u64 {
         self.last_number + 1
     }
@@ -73,14 +77,14 @@
         self.last_number += 1;
     }
 
-    /// Takes the hard state to write: `current` if term or vote changed. The
-    /// commit index is only a hint, so it is written with other data
-    /// (`has_data`) and never alone.
+    /// Returns the hard state to write: `current` if the term or vote changed,
+    /// and otherwise `None`. The commit index is only a hint, so a change of it
+    /// is written with other data (`has_data`) and never alone.
     pub fn take_hard_state(&mut self, current: HardState, has_data: bool) -> Option<HardState> {
         let last = self.hard_state;
         let has_new_vote = (current.term, current.voted_for) != (last.term, last.voted_for);
-        let has_new_hint = has_data && current != last;
-        if !has_new_vote && !has_new_hint {
+        let has_commit_to_write = has_data && current != last;
+        if !has_new_vote && !has_commit_to_write {
             return None;
         }
         self.hard_state = current;
@@ -97,7 +101,8 @@
         });
     }
 
-    /// Removes the oldest batch up to `number`, which is synced.
+    /// Removes and returns the oldest batch if its number is at most `number`:
+    /// all batches up to `number` are synced.
     pub fn pop_synced(&mut self, number: u64) -> Option<PendingBatch> {
         if self.pending.front()?.number > number {
             return None;
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,8 +1,8 @@
 //! Replication progress of one other member, and the next message to it.
 //!
-//! A member that does not reply receives empty messages until it does: entries
-//! and chunks would queue up in its connection, and all of their repetitions
-//! would arrive once the link recovers.
+//! A member that does not reply receives empty messages until it does. Entries
+//! and chunks that are sent repeatedly would queue up in its connection, and
+//! all copies would arrive once the link recovers.
 
 use crate::link_health::ReplyWindow;
 use crate::log::{Log, after, before};
@@ -15,12 +15,13 @@
 /// lost.
 const LOSS_HEARTBEATS: u64 = 2;
 
-/// How entries are sent to a member.
+/// State of the replication to a member.
 #[derive(Debug)]
-pub(crate) enum Sending {
-    /// One append at a time, until it is known up to where the logs match.
-    Probe { waiting: bool },
-    /// Several appends in flight, with the last index of each.
+pub(crate) enum ReplicationState {
+    /// One append at a time, until it is known up to which index the logs
+    /// match.
+    Probe { awaiting_reply: bool },
+    /// Several appends in flight at once, with the last index of each.
     Replicate { in_flight: VecDeque<LogIndex> },
     /// A snapshot, since the entries that the member needs are compacted.
     Snapshot(OutgoingSnapshot),
@@ -37,33 +38,38 @@
     pub options: &'a Options,
 }
 
-/// A leader's view of one other member.
+/// Replication progress of one other member, as known to the leader.
 #[derive(Debug)]
 pub(crate) struct Progress {
-    /// Last index known to match and to be synced there.
+    /// Last index known to match and to be synced at the member.
     matched: LogIndex,
-    /// Next index to send.
+    /// Index of the next entry to send.
     next: LogIndex,
-    sending: Sending,
-    /// When it last replied in this term, or became a member.
+    state: ReplicationState,
+    /// When the member last replied in this term, or was added.
     last_contact: Monotonic,
-    /// When the newest round that it answered began.
+    /// Start of the newest round that the member answered; `None` before its
+    /// first reply.
     answered_round_begun_at: Option<Monotonic>,
-    /// Number of the newest round it answered.
+    /// Number of the newest round that the member answered.
     last_round: u64,
-    /// Its recent replies to rounds.
+    /// Recent replies of the member to rounds.
     round_replies: ReplyWindow,
-    /// When `matched` last increased, or sending began anew.
+    /// When `matched` last increased, or when the first append was sent after
+    /// none was in flight.
     advanced_at: Monotonic,
 }
 
 impl Progress {
-    /// Progress of a member that joined at `now`; sending begins at `next`.
+    /// Creates the progress of a member that was added at `now`; replication
+    /// begins at `next`.
     pub fn new(next: LogIndex, now: Monotonic) -> Self {
         Self {
             matched: LogIndex(0),
             next,
-            sending: Sending::Probe { waiting: false },
+            state: ReplicationState::Probe {
+                awaiting_reply: false,
+            },
             last_contact: now,
             answered_round_begun_at: None,
             last_round: 0,
@@ -72,34 +78,37 @@
         }
     }
 
-    /// Last index known to match and to be synced there.
+    /// Returns the last index known to match and to be synced at the member.
     pub fn matched(&self) -> LogIndex {
         self.matched
     }
 
-    /// When the member last replied in this term, or became a member.
+    /// Returns when the member last replied in this term, or was added.
     pub fn last_contact(&self) -> Monotonic {
         self.last_contact
     }
 
-    /// When the newest round that the member answered began.
+    /// Returns the start of the newest round that the member answered; `None`
+    /// before its first reply.
     pub fn answered_round_begun_at(&self) -> Option<Monotonic> {
         self.answered_round_begun_at
     }
 
-    /// The member's recent replies to rounds.
+    /// Returns the recent replies of the member to rounds.
     pub fn round_replies(&self) -> &ReplyWindow {
         &self.round_replies
     }
 
-    /// Records a reply to a round that began at `round_begun_at`, if known.
+    /// Records a reply to a round that began at `round_begun_at`; `None` if
+    /// that time is not known.
     pub fn record_contact(&mut self, now: Monotonic, round_begun_at: Option<Monotonic>) {
         self.last_contact = now;
         self.answered_round_begun_at = self.answered_round_begun_at.max(round_begun_at);
     }
 
     /// Records whether the first reply to a round was late. Later replies to
-    /// the same round answer entries sent since, and do not count.
+    /// the same round answer entries that were sent after its start, and do not
+    /// count.
     pub fn record_round_reply(
         &mut self,
         round: u64,
@@ -113,7 +122,7 @@
         }
     }
 
-    /// Sends as many messages as the window allows.
+    /// Queues as many messages as the limit of messages in flight allows.
     pub fn send_available(
         &mut self,
         context: &SendContext<'_>,
@@ -122,12 +131,12 @@
     ) {
         loop {
             let window = context.options.max_appends_in_flight.max(1);
-            let may_send = match &self.sending {
-                Sending::Probe { waiting } => !waiting,
-                Sending::Replicate { in_flight } => {
+            let may_send = match &self.state {
+                ReplicationState::Probe { awaiting_reply } => !awaiting_reply,
+                ReplicationState::Replicate { in_flight } => {
                     in_flight.len() < window && self.next <= context.log.last_index()
                 }
-                Sending::Snapshot(transfer) => !transfer.is_waiting(),
+                ReplicationState::Snapshot(transfer) => !transfer.has_chunk_in_flight(),
             };
             if !may_send {
                 return;
@@ -139,18 +148,18 @@
         }
     }
 
-    /// The next append or chunk of a snapshot; switches to a snapshot if the
-    /// entries are compacted.
+    /// Returns the next append or chunk of a snapshot. Switches to a snapshot
+    /// if the entries are compacted.
     fn next_message(&mut self, context: &SendContext<'_>) -> Message {
         let previous = before(self.next);
-        if let Sending::Snapshot(transfer) = &mut self.sending {
+        if let ReplicationState::Snapshot(transfer) = &mut self.state {
             return next_chunk(transfer, context);
         }
         match (context.log.term_at(previous), context.snapshot) {
             (None, Some(snapshot)) => {
                 let mut transfer = OutgoingSnapshot::new(snapshot.clone());
                 let chunk = next_chunk(&mut transfer, context);
-                self.sending = Sending::Snapshot(transfer);
+                self.state = ReplicationState::Snapshot(transfer);
                 chunk
             }
             (previous_term, _) => {
@@ -168,9 +177,9 @@
     }
 
     fn record_sent(&mut self, entries: &[Entry], now: Monotonic) {
-        match &mut self.sending {
-            Sending::Probe { waiting } => *waiting = true,
-            Sending::Replicate { in_flight } => {
+        match &mut self.state {
+            ReplicationState::Probe { awaiting_reply } => *awaiting_reply = true,
+            ReplicationState::Replicate { in_flight } => {
                 if let Some(last) = entries.last() {
                     if in_flight.is_empty() {
                         self.advanced_at = now;
@@ -179,11 +188,12 @@
                     self.next = after(last.index);
                 }
             }
-            Sending::Snapshot(_) => {}
+            ReplicationState::Snapshot(_) => {}
         }
     }
 
-    /// Sends the heartbeat of a new round, and entries if the window allows.
+    /// Queues the heartbeat of a new round, and entries if the limit of
+    /// messages in flight allows.
     pub fn send_heartbeat_round(
         &mut self,
         context: &SendContext<'_>,
@@ -192,16 +202,20 @@
     ) {
         if self.is_stalled(context) {
             self.restart_probing();
-            self.repeat_empty(context, to, out);
+            self.send_empty_append(context, to, out);
         } else {
-            match &mut self.sending {
-                Sending::Probe { waiting: true } => self.repeat_empty(context, to, out),
-                Sending::Probe { waiting: false } => {}
-                Sending::Snapshot(transfer) => {
+            match &mut self.state {
+                ReplicationState::Probe {
+                    awaiting_reply: true,
+                } => self.send_empty_append(context, to, out),
+                ReplicationState::Probe {
+                    awaiting_reply: false,
+                } => {}
+                ReplicationState::Snapshot(transfer) => {
                     let message = transfer.empty_chunk(context.term, context.round);
                     out.extend(message.map(|message| Outgoing { to, message }));
                 }
-                Sending::Replicate { .. } => self.send_heartbeat(context, to, out),
+                ReplicationState::Replicate { .. } => self.send_heartbeat(context, to, out),
             }
         }
         self.send_available(context, to, out);
@@ -210,15 +224,15 @@
     /// Returns whether appends in flight count as lost.
     fn is_stalled(&self, context: &SendContext<'_>) -> bool {
         let timeout = Milliseconds(context.options.heartbeat_interval.0 * LOSS_HEARTBEATS);
-        let has_appends_in_flight = match &self.sending {
-            Sending::Replicate { in_flight } => !in_flight.is_empty(),
-            Sending::Probe { .. } | Sending::Snapshot(_) => false,
+        let has_appends_in_flight = match &self.state {
+            ReplicationState::Replicate { in_flight } => !in_flight.is_empty(),
+            ReplicationState::Probe { .. } | ReplicationState::Snapshot(_) => false,
         };
         has_appends_in_flight && context.now.since(self.advanced_at) >= timeout
     }
 
-    /// Sends an empty append after `matched`. The log matches up to there, so
-    /// the append never fails and carries the commit index that far.
+    /// Queues an empty append after `matched`. The log matches up to there, so
+    /// the member accepts the append and commits up to there.
     fn send_heartbeat(&mut self, context: &SendContext<'_>, to: NodeId, out: &mut Vec<Outgoing>) {
         let Some(term) = context.log.term_at(self.matched) else {
             self.restart_probing();
@@ -230,14 +244,19 @@
         });
     }
 
-    /// Sends an empty append before the next entry, since what was sent is not
-    /// answered. Where the previous entry is compacted nothing is sent, and
+    /// Queues an empty append before the next entry, since the last message was
+    /// not answered. If the previous entry is compacted, queues nothing, and
     /// [`Progress::send_available`] begins a snapshot.
-    fn repeat_empty(&mut self, context: &SendContext<'_>, to: NodeId, out: &mut Vec<Outgoing>) {
+    fn send_empty_append(
+        &mut self,
+        context: &SendContext<'_>,
+        to: NodeId,
+        out: &mut Vec<Outgoing>,
+    ) {
         let previous = before(self.next);
         let term = context.log.term_at(previous);
-        self.sending = Sending::Probe {
-            waiting: term.is_some(),
+        self.state = ReplicationState::Probe {
+            awaiting_reply: term.is_some(),
         };
         out.extend(term.map(|term| Outgoing {
             to,
@@ -245,10 +264,13 @@
         }));
     }
 
-    /// Returns to one append at a time, from the last index known to match.
+    /// Switches back to one append at a time, from the last index known to
+    /// match.
     fn restart_probing(&mut self) {
         self.next = after(self.matched);
-        self.sending = Sending::Probe { waiting: false };
+        self.state = ReplicationState::Probe {
+            awaiting_reply: false,
+        };
     }
 
     /// Records that the member has synced the log up to `index`.
@@ -258,27 +280,28 @@
             self.advanced_at = now;
         }
         self.next = self.next.max(after(self.matched));
-        match &mut self.sending {
-            Sending::Replicate { in_flight } => {
+        match &mut self.state {
+            ReplicationState::Replicate { in_flight } => {
                 while in_flight.front().is_some_and(|last| *last <= self.matched) {
                     in_flight.pop_front();
                 }
             }
-            Sending::Snapshot(_) if after(self.matched) < log.first_index() => {}
+            ReplicationState::Snapshot(_) if after(self.matched) < log.first_index() => {}
             _ => {
                 self.next = after(self.matched);
                 self.advanced_at = now;
-                self.sending = Sending::Replicate {
+                self.state = ReplicationState::Replicate {
                     in_flight: VecDeque::new(),
                 };
             }
         }
     }
 
-    /// Records a member's reply to a chunk of the snapshot at `index`, of which
-    /// it wants `next_offset` next. Returns whether the snapshot is installed.
+    /// Records a member's reply to a chunk of the snapshot at `index`;
+    /// `next_offset` is the offset of the next chunk to send. Returns whether
+    /// the snapshot is installed.
     pub fn record_snapshot_reply(&mut self, index: LogIndex, next_offset: u64, round: u64) -> bool {
-        let Sending::Snapshot(transfer) = &mut self.sending else {
+        let ReplicationState::Snapshot(transfer) = &mut self.state else {
             return false;
         };
         if transfer.index() != index {
@@ -293,20 +316,25 @@
     }
 
     fn end_snapshot(&mut self) {
-        self.sending = Sending::Probe { waiting: false };
+        self.state = ReplicationState::Probe {
+            awaiting_reply: false,
+        };
     }
 
-    /// Records that the member rejected an append; `hint` is where the logs may
+    /// Records that the member rejected an append. `hint` is where the logs may
     /// still match, and is before the index tried. A rejection with another
-    /// hint is an old one: the appends behind a lost one are all rejected, and
-    /// must not each cause the lost one to be sent again.
+    /// hint is outdated and ignored: a member rejects all appends that follow a
+    /// lost one, and these rejections must not each cause the lost append to be
+    /// sent again.
     pub fn record_reject(&mut self, hint: LogIndex) {
         let tried = before(self.next);
-        if matches!(self.sending, Sending::Snapshot(_)) || hint >= tried {
+        if matches!(self.state, ReplicationState::Snapshot(_)) || hint >= tried {
             return;
         }
         self.next = after(hint.max(self.matched));
-        self.sending = Sending::Probe { waiting: false };
+        self.state = ReplicationState::Probe {
+            awaiting_reply: false,
+        };
     }
 }
 
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -1,8 +1,8 @@
-//! Output of a node, which its caller carries out.
+//! Output of a node, to be carried out by its caller.
 
 use crate::{Entry, HardState, Outgoing, Snapshot};
 
-/// A batch of output of a node.
+/// One batch of a node's output.
 ///
 /// The caller persists `hard_state`, `snapshot` and `entries` with one sync,
 /// applies `committed` to the state machine, and sends the messages: `messages`
@@ -10,23 +10,27 @@
 /// `Node::persisted` with `number`.
 ///
 /// The caller may take batches before earlier ones are synced. A batch without
-/// data to persist counts as persisted when those before it are; calling
-/// `Node::persisted` for it earlier would claim theirs.
+/// data to persist counts as persisted once all batches before it are. To call
+/// `Node::persisted` for it earlier would report those batches as synced too
+/// soon.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Ready {
-    /// Number of this batch; increases by one.
+    /// Number of this batch; the first is 1, and each later one is higher by
+    /// one.
     pub number: u64,
-    /// Hard state, when it changed.
+    /// Hard state to write; `None` if none needs to be written.
     pub hard_state: Option<HardState>,
-    /// A snapshot received from the leader: it replaces log and state machine.
+    /// Snapshot received from the leader, which replaces the log and the state
+    /// machine; `None` if none was received.
     pub snapshot: Option<Snapshot>,
     /// Entries to write; the first may overwrite entries already written.
     pub entries: Vec<Entry>,
     /// Entries to apply in order.
     pub committed: Vec<Entry>,
-    /// Messages that promise nothing about the disk.
+    /// Messages that do not depend on a sync.
     pub messages: Vec<Outgoing>,
-    /// Messages that promise what this batch persists.
+    /// Messages that depend on the data of this batch, or of an earlier one,
+    /// being synced.
     pub messages_after_persist: Vec<Outgoing>,
 }
 
@@ -36,7 +40,7 @@
         self.hard_state.is_some() || self.snapshot.is_some() || !self.entries.is_empty()
     }
 
-    /// Returns whether there is nothing to do.
+    /// Returns whether the batch has nothing to persist, apply or send.
     pub(crate) fn is_empty(&self) -> bool {
         !self.needs_persist()
             && self.committed.is_empty()
--- a/crates/consensus/src/role.rs
+++ b/crates/consensus/src/role.rs
@@ -14,7 +14,7 @@
     /// Candidate, with the other voters that granted their vote; its own vote
     /// counts once it is synced.
     Candidate(BTreeSet<NodeId>),
-    /// Leader.
+    /// Leader of its term, with the replication state of the other members.
     Leader(Leadership),
 }
 
@@ -24,7 +24,7 @@
         matches!(self, Self::Leader(_))
     }
 
-    /// State of the leader; none in other roles.
+    /// Returns the state of the leader; `None` in other roles.
     pub fn leadership(&self) -> Option<&Leadership> {
         match self {
             Self::Leader(leadership) => Some(leadership),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// As [`Role::leadership`], to change it.
+    /// Returns the state of the leader, to be modified; `None` in other roles.
     pub fn leadership_mut(&mut self) -> Option<&mut Leadership> {
         match self {
             Self::Leader(leadership) => Some(leadership),
--- a/crates/consensus/src/rounds.rs
+++ b/crates/consensus/src/rounds.rs
@@ -3,9 +3,10 @@
 use std::collections::VecDeque;
 use types::{Milliseconds, Monotonic};
 
-/// The round echoed to a leader of an earlier term. Rounds are counted anew in
-/// each term, and the same node may lead again by the time the reply arrives:
-/// an echo of the old round would extend its new lease without any promise.
+/// Round that a reply to a leader of an earlier term echoes. Rounds are
+/// numbered anew in each term, and the same node may be leader again when the
+/// reply arrives. The number of the old round would then extend the lease of
+/// the new term although no follower has restricted its votes for it.
 pub(crate) const NO_ROUND: u64 = 0;
 
 /// Number and start of a round.
@@ -23,7 +24,7 @@
 }
 
 impl Rounds {
-    /// No round yet.
+    /// Creates an empty list of rounds, at the start of a term.
     pub fn new() -> Self {
         Self {
             current: NO_ROUND,
@@ -31,12 +32,12 @@
         }
     }
 
-    /// Number of the newest round; [`NO_ROUND`] before the first.
+    /// Returns the number of the newest round; [`NO_ROUND`] before the first.
     pub fn current(&self) -> u64 {
         self.current
     }
 
-    /// Begins a round and forgets those begun more than `retention` ago.
+    /// Begins a round, and removes those that began more than `retention` ago.
     pub fn begin(&mut self, now: Monotonic, retention: Milliseconds) {
         self.current += 1;
         self.recent.push_back(Round {
@@ -49,7 +50,8 @@
         }
     }
 
-    /// When a round began; none if the round is unknown or forgotten.
+    /// Returns when a round began; `None` if there was no such round or it has
+    /// been removed.
     pub fn begun_at(&self, number: u64) -> Option<Monotonic> {
         let position = self
             .recent
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots on their way to or from another node, in chunks.
+//! Transfer of snapshots to and from other nodes, in chunks.
 
 use crate::rounds::NO_ROUND;
 use crate::{Message, Snapshot, SnapshotMeta};
@@ -10,40 +10,40 @@
 pub(crate) struct OutgoingSnapshot {
     snapshot: Snapshot,
     offset: u64,
-    waiting: bool,
+    chunk_in_flight: bool,
     /// Round in which the chunk in flight was sent.
     sent_in_round: u64,
 }
 
 impl OutgoingSnapshot {
-    /// A snapshot of which nothing is sent yet.
+    /// Creates the transfer of a snapshot, from its first byte.
     pub fn new(snapshot: Snapshot) -> Self {
         Self {
             snapshot,
             offset: 0,
-            waiting: false,
+            chunk_in_flight: false,
             sent_in_round: NO_ROUND,
         }
     }
 
     /// Returns whether a chunk is in flight.
-    pub fn is_waiting(&self) -> bool {
-        self.waiting
+    pub fn has_chunk_in_flight(&self) -> bool {
+        self.chunk_in_flight
     }
 
-    /// Last index that the snapshot covers.
+    /// Returns the last index that the snapshot covers.
     pub fn index(&self) -> LogIndex {
         self.snapshot.meta.index
     }
 
-    /// Length of the snapshot in bytes.
+    /// Returns the length of the snapshot in bytes.
     pub fn total(&self) -> u64 {
         self.snapshot.data.len() as u64
     }
 
-    /// The next chunk, of at most `max_bytes` and at least one byte.
+    /// Returns the next chunk, of at most `max_bytes` and at least one byte.
     pub fn next_chunk(&mut self, term: Term, round: u64, max_bytes: usize) -> Message {
-        self.waiting = true;
+        self.chunk_in_flight = true;
         self.sent_in_round = round;
         let data = &self.snapshot.data;
         let start = usize::try_from(self.offset).unwrap_or(data.len());
@@ -52,10 +52,10 @@
         self.chunk(term, round, data.get(start..end).unwrap_or_default())
     }
 
-    /// An empty chunk that asks for the next offset wanted, if a chunk is in
-    /// flight.
+    /// Returns an empty chunk, to which the follower replies with the offset of
+    /// the next chunk to send; `None` if no chunk is in flight.
     pub fn empty_chunk(&self, term: Term, round: u64) -> Option<Message> {
-        self.waiting.then(|| self.chunk(term, round, &[]))
+        self.chunk_in_flight.then(|| self.chunk(term, round, &[]))
     }
 
     fn chunk(&self, term: Term, round: u64, data: &[u8]) -> Message {
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Records the next offset that the follower wants. The chunk in flight has
-    /// arrived if the follower wants more. It is lost if a reply from a later
-    /// round still wants it, since the request of that round was sent after
-    /// it. Any other reply is old or a duplicate, and must not duplicate
-    /// chunks.
+    /// Records the follower's reply with the offset of the next chunk to send.
+    /// The chunk in flight has arrived if that offset is above the chunk's. It
+    /// is lost if a reply of a later round has the same offset, since the
+    /// request of that round was sent after the chunk. Any other reply is
+    /// outdated or a duplicate, and must not cause a chunk to be sent twice.
     pub fn resume(&mut self, next_offset: u64, round: u64) {
         if next_offset > self.offset || round > self.sent_in_round {
-            self.waiting = false;
+            self.chunk_in_flight = false;
             self.offset = next_offset.min(self.total());
         }
     }
@@ -99,7 +99,7 @@
 }
 
 impl IncomingSnapshot {
-    fn is_for(&self, chunk: &Chunk) -> bool {
+    fn includes(&self, chunk: &Chunk) -> bool {
         self.meta == chunk.meta && self.total == chunk.total
     }
 
@@ -107,7 +107,8 @@
         self.data.len() as u64
     }
 
-    /// Appends the chunk if it is the next one. Returns the next offset wanted.
+    /// Appends the chunk if it is the next one. Returns the offset of the next
+    /// chunk to receive.
     fn append(&mut self, chunk: &Chunk) -> u64 {
         if chunk.offset == self.received() {
             self.data.extend_from_slice(&chunk.data);
@@ -117,38 +118,40 @@
 }
 
 impl Chunk {
-    /// Returns whether the chunk lies within the snapshot, and the snapshot is
-    /// not from a term after `term`, that of the leader.
+    /// Returns whether the chunk lies within the snapshot, and the snapshot's
+    /// term is not above `term`, that of the leader.
     pub fn is_well_formed(&self, term: Term) -> bool {
         let end = self.offset.saturating_add(self.data.len() as u64);
         end <= self.total && self.meta.term <= term
     }
 }
 
-/// The snapshot that a follower is receiving, if any.
+/// The snapshot that a follower is receiving, if there is one.
 #[derive(Debug, Default)]
 pub(crate) struct SnapshotReceiver {
     incoming: Option<IncomingSnapshot>,
 }
 
-/// Result of a received chunk.
+/// Result of receiving a chunk.
 pub(crate) struct Received {
-    /// Next offset wanted.
+    /// Offset of the next chunk to receive; the total length once the snapshot
+    /// is complete.
     pub next_offset: u64,
-    /// The snapshot, once it is whole.
+    /// The snapshot, if this chunk completed it.
     pub snapshot: Option<Snapshot>,
 }
 
 impl SnapshotReceiver {
-    /// Drops the chunks received so far.
+    /// Discards the chunks received so far.
     pub fn clear(&mut self) {
         self.incoming = None;
     }
 
-    /// Adds a chunk; one of another snapshot begins anew.
+    /// Adds a chunk. A chunk of another snapshot discards the chunks received
+    /// so far.
     pub fn receive(&mut self, chunk: &Chunk) -> Received {
         let mut incoming = match self.incoming.take() {
-            Some(incoming) if incoming.is_for(chunk) => incoming,
+            Some(incoming) if incoming.includes(chunk) => incoming,
             _ => IncomingSnapshot {
                 meta: chunk.meta.clone(),
                 total: chunk.total,
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -11,17 +11,17 @@
 pub struct Entry {
     /// Position in the log; the first entry has index 1.
     pub index: LogIndex,
-    /// Term of the leader that appended it.
+    /// Term of the leader that appended the entry.
     pub term: Term,
-    /// Its content.
+    /// Command, new membership or no-op.
     pub payload: Payload,
 }
 
 /// Content of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// The first entry of a leader's term: with it the entries of earlier terms
-    /// commit (thesis, 6.4).
+    /// Nothing: the first entry of a leader's term. With it the entries of
+    /// earlier terms are committed (thesis, 6.4).
     Noop,
     /// A command for the state machine, opaque to Raft.
     Command(Arc<[u8]>),
@@ -33,7 +33,7 @@
 const MEMBER_BYTES: usize = 40;
 
 impl Payload {
-    /// Estimated size in bytes.
+    /// Returns the estimated size in bytes.
     pub fn bytes(&self) -> usize {
         match self {
             Self::Noop => 0,
@@ -55,7 +55,7 @@
 }
 
 impl Membership {
-    /// The peer address of a member.
+    /// Returns the peer address of a member; `None` for other nodes.
     pub fn socket(&self, node: NodeId) -> Option<SocketAddr> {
         self.voters
             .get(&node)
@@ -63,7 +63,7 @@
             .copied()
     }
 
-    /// Number of voters in a quorum, the smallest majority.
+    /// Returns the number of voters in a quorum, the smallest majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
@@ -74,16 +74,18 @@
 pub struct HardState {
     /// Highest term seen.
     pub term: Term,
-    /// The candidate that received this node's vote in that term.
+    /// Candidate that received this node's vote in that term; `None` if it gave
+    /// no vote.
     pub voted_for: Option<NodeId>,
-    /// Highest index known committed; a hint that shortens a restart.
+    /// Highest index known to be committed; only a hint, which shortens a
+    /// restart.
     pub commit: LogIndex,
 }
 
 /// Metadata of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct SnapshotMeta {
-    /// Last index it covers.
+    /// Last index that the snapshot covers.
     pub index: LogIndex,
     /// Term of that index.
     pub term: Term,
@@ -94,7 +96,7 @@
 /// A snapshot of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Its metadata.
+    /// Position in the log, and the membership there.
     pub meta: SnapshotMeta,
     /// The encoded state machine, opaque to Raft.
     pub data: Arc<[u8]>,
@@ -103,9 +105,9 @@
 /// State recovered from the disk at start.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Recovered {
-    /// The hard state; the default for a new node.
+    /// Hard state; the default for a new node.
     pub hard_state: HardState,
-    /// The newest complete snapshot.
+    /// Newest complete snapshot; `None` if there is none.
     pub snapshot: Option<Snapshot>,
     /// Entries after the snapshot, without gaps.
     pub entries: Vec<Entry>,
@@ -115,7 +117,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RaftRole {
-    /// Receives the log without a vote.
+    /// Receives the log and has no vote.
     Learner,
     /// Replicates a leader's log, or waits for a leader.
     Follower,
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -1,4 +1,4 @@
-//! The report of a node about its state, for operators and tests.
+//! State of a node, as reported to operators and tests.
 
 use crate::{LinkHealth, Membership, RaftRole};
 use types::{LogIndex, Milliseconds, NodeId, Term};
@@ -6,27 +6,31 @@
 /// State of a node at one time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
-    /// Its role.
+    /// Role of the node in `term`.
     pub role: RaftRole,
-    /// Its term.
+    /// Highest term that the node has seen.
     pub term: Term,
-    /// The leader of that term, if the node knows it.
+    /// Leader of `term`; `None` while the node has not received a message from
+    /// one.
     pub leader: Option<NodeId>,
-    /// Its commit index.
+    /// Highest index that the node knows to be committed.
     pub commit: LogIndex,
-    /// Index of the last entry of its log.
+    /// Index of the last entry of the node's log.
     pub last_index: LogIndex,
-    /// The membership in force.
+    /// Membership in force, committed or not.
     pub membership: Membership,
-    /// Leader only: time since the last reply of each other member.
+    /// Time since the last reply of each other member; empty unless the node is
+    /// the leader.
     pub since_last_contact: Vec<(NodeId, Milliseconds)>,
-    /// Leader only: last index known to match at each other member.
+    /// Last index known to match at each other member; empty unless the node is
+    /// the leader.
     pub matched: Vec<(NodeId, LogIndex)>,
     /// Health of this node's links: a leader measures it by heartbeat rounds,
     /// a follower by probes to the other followers.
     pub links: LinkHealth,
     /// The last [`LinkHealth`] that each other voter reported.
     pub peer_reports: Vec<(NodeId, LinkHealth)>,
-    /// Transfers of leadership by this process because its links were degraded.
+    /// Number of leadership transfers by this process because its links were
+    /// degraded.
     pub degraded_transfers: u32,
 }
--- a/crates/consensus/src/transfer.rs
+++ b/crates/consensus/src/transfer.rs
@@ -3,14 +3,14 @@
 
 use types::{LogIndex, Monotonic, NodeId};
 
-/// Why a leader transfers leadership.
+/// Reason for a leadership transfer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TransferReason {
-    /// An operator or a shutdown asked for it: if the transfer fails, this
+    /// Requested by an operator or by a shutdown. If the transfer fails, this
     /// node continues to lead.
     Requested,
-    /// The links of the leader are degraded: if the transfer fails, this node
-    /// becomes a follower.
+    /// Degraded links of the leader. If the transfer fails, this node becomes a
+    /// follower.
     Degraded,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl Transfer {
-    /// A transfer to `target` that times out at `deadline`.
+    /// Creates a transfer to `target` that times out at `deadline`.
     pub fn new(target: NodeId, deadline: Monotonic, reason: TransferReason) -> Self {
         Self {
             target,
@@ -34,29 +34,29 @@
         }
     }
 
-    /// The voter that is to lead.
+    /// Returns the voter that is to become the leader.
     pub fn target(&self) -> NodeId {
         self.target
     }
 
-    /// When the transfer times out.
+    /// Returns when the transfer times out.
     pub fn deadline(&self) -> Monotonic {
         self.deadline
     }
 
-    /// Why the leader transfers leadership.
+    /// Returns the reason for the transfer.
     pub fn reason(&self) -> TransferReason {
         self.reason
     }
 
-    /// Returns whether `TimeoutNow` was queued: from then on the leader has no
-    /// lease in this term.
+    /// Returns whether `TimeoutNow` was queued. From then on the leader does
+    /// not hold the lease in this term.
     pub fn timeout_now_sent(&self) -> bool {
         self.timeout_now_sent
     }
 
-    /// Marks `TimeoutNow` as queued if the target's log, which matches up to
-    /// `matched`, is complete. Returns whether it did so now.
+    /// Marks `TimeoutNow` as queued if the target has the whole log, which
+    /// matches up to `matched` there. Returns whether this call marked it.
     pub fn mark_sent_if_caught_up(&mut self, matched: LogIndex, last_index: LogIndex) -> bool {
         if self.timeout_now_sent || matched < last_index {
             return false;
