--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -17,8 +17,8 @@
 /// transfer leadership because its links are degraded: its window of replies
 /// has to fill first.
 const MIN_LEADERSHIP_HEARTBEATS: u64 = 20;
-/// Heartbeat intervals that must pass instead if the leader was elected by a
-/// transfer.
+/// Heartbeat intervals that must pass instead if a transfer caused the election
+/// of the leader.
 const MIN_LEADERSHIP_AFTER_TRANSFER_HEARTBEATS: u64 = 80;
 /// Entries that the target of a transfer may lack when a transfer because of
 /// degraded links begins. They are sent while proposals are rejected.
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Index of the first entry of the leader's term.
+    /// Returns the index of the first entry of the leader's term.
     pub fn first_index(&self) -> LogIndex {
         self.first_index
     }
--- a/crates/consensus/src/link_health.rs
+++ b/crates/consensus/src/link_health.rs
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Returns whether the window has enough replies to judge the link.
+    /// Returns whether the window has enough replies for the link's health to
+    /// be known.
     fn is_conclusive(&self) -> bool {
         self.replies.len() >= MIN_REPLIES
     }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -10,8 +10,8 @@
 /// start.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks whether the receiver would grant a vote. Changes no term (thesis,
-    /// 9.6).
+    /// Requests a pre-vote: whether the receiver would grant a vote. Changes no
+    /// term (thesis, 9.6).
     PreVote {
         /// The term of the election that the sender would start.
         term: Term,
--- a/crates/consensus/src/persist_queue.rs
+++ b/crates/consensus/src/persist_queue.rs
@@ -79,7 +79,7 @@
 
     /// Returns the hard state to write: `current` if the term or vote changed,
     /// and otherwise `None`. The commit index is only a hint, so a change of it
-    /// is written with other data (`has_data`) and never alone.
+    /// is written only together with other data (`has_data`).
     pub fn take_hard_state(&mut self, current: HardState, has_data: bool) -> Option<HardState> {
         let last = self.hard_state;
         let has_new_vote = (current.term, current.voted_for) != (last.term, last.voted_for);
--- a/crates/consensus/src/state.rs
+++ b/crates/consensus/src/state.rs
@@ -121,9 +121,9 @@
     Learner,
     /// Replicates a leader's log, or waits for a leader.
     Follower,
-    /// Asks for pre-votes, without a new term (thesis, 9.6).
+    /// Requests pre-votes, without a new term (thesis, 9.6).
     PreCandidate,
-    /// Asks for votes in a new term.
+    /// Requests votes in a new term.
     Candidate,
     /// Appends entries and replicates them.
     Leader,
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -13,7 +13,7 @@
     /// Leader of `term`; `None` while the node has not received a message from
     /// one.
     pub leader: Option<NodeId>,
-    /// Highest index that the node knows to be committed.
+    /// Highest index known to be committed at the node.
     pub commit: LogIndex,
     /// Index of the last entry of the node's log.
     pub last_index: LogIndex,
--- a/crates/consensus/tests/cluster/checker.rs
+++ b/crates/consensus/tests/cluster/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold after every event.
+//! Checker of the Raft invariants, run after every event.
 
 use super::machine::Machine;
 use consensus::{Entry, Payload, RaftRole};
@@ -6,26 +6,26 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use types::{LogIndex, NodeId, Term};
 
-/// A promise that was broken.
+/// An invariant that was violated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Violation {
-    /// Two leaders in one term.
+    /// Two nodes were leader in one term.
     TwoLeaders,
-    /// Two nodes held the lease at one moment.
+    /// Two nodes held the lease at the same time.
     TwoLeases,
-    /// Two state machines applied different entries at one index, or came to
+    /// Two state machines applied different entries at one index, or reached
     /// different states.
     Divergence,
     /// An entry was applied out of order.
-    Gap,
-    /// Two logs agree on an entry and differ before it.
+    AppliedOutOfOrder,
+    /// Two logs have the same entry at one index and differ before it.
     LogMismatch,
-    /// An entry that was committed is in no synced log of a quorum.
+    /// The last committed entry is in no log or snapshot on disk.
     LostEntry,
-    /// A leader that a quorum heard was deposed.
+    /// The term changed although a quorum replied to the leader.
     Deposed,
-    /// No leader, or no commit, in the time allowed.
-    Stuck,
+    /// No leader was elected, or no entry committed, within the time allowed.
+    NoProgress,
 }
 
 #[derive(Default)]
@@ -33,12 +33,12 @@
     leaders: BTreeMap<Term, NodeId>,
     /// Term and state after each committed index.
     committed: BTreeMap<LogIndex, (Term, u64)>,
-    looks: u64,
+    checks: u64,
     pub elections: u64,
     pub installs: u64,
 }
 
-/// The state that follows `state` by applying `entry`.
+/// Returns the state machine's state after `entry` is applied to `state`.
 pub fn digest(state: u64, entry: &Entry) -> u64 {
     let mut hasher = DefaultHasher::new();
     (state, entry.index, entry.term).hash(&mut hasher);
@@ -55,7 +55,7 @@
 }
 
 impl Checker {
-    pub fn applied(&mut self, entry: &Entry, state: u64) -> Result<(), Violation> {
+    pub fn record_applied(&mut self, entry: &Entry, state: u64) -> Result<(), Violation> {
         let found = (entry.term, state);
         let known = *self.committed.entry(entry.index).or_insert(found);
         if known == found {
@@ -65,7 +65,7 @@
         }
     }
 
-    pub fn restored(&mut self, index: LogIndex, state: u64) -> Result<(), Violation> {
+    pub fn record_restored(&mut self, index: LogIndex, state: u64) -> Result<(), Violation> {
         self.installs += 1;
         match self.committed.get(&index) {
             Some((_, known)) if *known == state => Ok(()),
@@ -82,20 +82,20 @@
         self.committed.get(&index).map(|(term, _)| *term)
     }
 
-    pub fn look(
+    pub fn check(
         &mut self,
         now: u64,
         machines: &BTreeMap<NodeId, Machine>,
     ) -> Result<(), Violation> {
-        self.look_at_leaders(now, machines)?;
-        self.looks += 1;
-        if self.looks.is_multiple_of(64) {
+        self.check_leaders(now, machines)?;
+        self.checks += 1;
+        if self.checks.is_multiple_of(64) {
             check_log_matching(machines)?;
         }
         Ok(())
     }
 
-    fn look_at_leaders(
+    fn check_leaders(
         &mut self,
         now: u64,
         machines: &BTreeMap<NodeId, Machine>,
@@ -124,15 +124,18 @@
         }
     }
 
-    /// The last committed entry must be in some synced log or snapshot; to be
-    /// asked when no more writes are under way.
-    pub fn check_kept(&self, machines: &BTreeMap<NodeId, Machine>) -> Result<(), Violation> {
+    /// Checks that the last committed entry is in some log or snapshot on disk.
+    /// To be called when no writes are in progress.
+    pub fn check_last_entry_kept(
+        &self,
+        machines: &BTreeMap<NodeId, Machine>,
+    ) -> Result<(), Violation> {
         let last = self.last_committed();
-        let kept = |m: &Machine| {
+        let has_last = |m: &Machine| {
             let snapshot = m.disk.snapshot.as_ref().map(|s| s.meta.index);
             snapshot >= Some(last) || m.disk.entries.last().is_some_and(|e| e.index >= last)
         };
-        if last == LogIndex(0) || machines.values().any(kept) {
+        if last == LogIndex(0) || machines.values().any(has_last) {
             Ok(())
         } else {
             Err(Violation::LostEntry)
@@ -142,9 +145,9 @@
 
 fn check_log_matching(machines: &BTreeMap<NodeId, Machine>) -> Result<(), Violation> {
     let logs: Vec<&Vec<Entry>> = machines.values().map(|m| &m.disk.entries).collect();
-    for (position, left) in logs.iter().enumerate() {
-        for right in logs.iter().skip(position + 1) {
-            if !logs_match(left, right) {
+    for (position, first) in logs.iter().enumerate() {
+        for second in logs.iter().skip(position + 1) {
+            if !logs_match(first, second) {
                 return Err(Violation::LogMismatch);
             }
         }
@@ -152,19 +155,20 @@
     Ok(())
 }
 
-/// Below the last entry with equal index and term, all entries are equal.
-fn logs_match(left: &[Entry], right: &[Entry]) -> bool {
-    let other: BTreeMap<LogIndex, &Entry> = right.iter().map(|e| (e.index, e)).collect();
-    let mut agreed = false;
-    for entry in left.iter().rev() {
-        match other.get(&entry.index) {
-            Some(same) if same.term == entry.term => {
-                agreed = true;
-                if *same != entry {
+/// Returns whether all entries are equal before the last one with equal index
+/// and term (Log Matching Property, thesis, 3.5).
+fn logs_match(first: &[Entry], second: &[Entry]) -> bool {
+    let second_by_index: BTreeMap<LogIndex, &Entry> = second.iter().map(|e| (e.index, e)).collect();
+    let mut found_equal = false;
+    for entry in first.iter().rev() {
+        match second_by_index.get(&entry.index) {
+            Some(counterpart) if counterpart.term == entry.term => {
+                found_equal = true;
+                if *counterpart != entry {
                     return false;
                 }
             }
-            Some(_) if agreed => return false,
+            Some(_) if found_equal => return false,
             _ => {}
         }
     }
--- a/crates/consensus/tests/cluster/machine.rs
+++ b/crates/consensus/tests/cluster/machine.rs
@@ -1,4 +1,4 @@
-//! One machine: a node, its disk and its state machine.
+//! A simulated machine with a node, its disk and its state machine.
 
 use super::checker::{Checker, Violation};
 use consensus::{Entry, Membership, Message, Node, Options, Outgoing, Recovered, Snapshot, Status};
@@ -6,20 +6,21 @@
 use std::sync::Arc;
 use types::{LogIndex, Monotonic, NodeId, Term};
 
-/// Length of a snapshot's bytes, so that it needs several pieces.
+/// Length of a snapshot in bytes: more than one chunk.
 const SNAPSHOT_BYTES: usize = 50;
 
-/// Something that is on its way to the disk.
+/// A write that is not synced yet.
 enum Write {
     Batch(Box<consensus::Ready>),
     Compact(Snapshot),
 }
 
-/// What a machine gave out in one go.
+/// Output that was taken from a machine in one call.
 #[derive(Default)]
-pub struct Taken {
+pub struct Output {
     pub messages: Vec<Outgoing>,
-    /// When a write will be synced, and the incarnation it belongs to.
+    /// Time at which each new write is synced, and the incarnation of the
+    /// machine that began it.
     pub syncs: Vec<(u64, u64)>,
 }
 
@@ -29,7 +30,7 @@
     pub disk: Recovered,
     pub frozen_until: Option<u64>,
     pub applied: LogIndex,
-    /// The state machine's state: a digest of all that was applied.
+    /// State of the state machine: a digest of all entries applied.
     pub digest: u64,
     initial: Membership,
     incarnation: u64,
@@ -37,9 +38,11 @@
     writes: VecDeque<Write>,
     last_sync_at: u64,
     new_syncs: Vec<(u64, u64)>,
-    released: Vec<Outgoing>,
+    /// Messages of synced batches that are not sent yet.
+    sendable: Vec<Outgoing>,
+    /// Messages that arrived while the machine was frozen.
     inbox: Vec<(NodeId, Message)>,
-    /// Syncs that ended while the machine was frozen.
+    /// Number of syncs that were completed while the machine was frozen.
     late_syncs: u64,
 }
 
@@ -58,13 +61,14 @@
             writes: VecDeque::new(),
             last_sync_at: 0,
             new_syncs: Vec::new(),
-            released: Vec::new(),
+            sendable: Vec::new(),
             inbox: Vec::new(),
             late_syncs: 0,
         }
     }
 
-    /// Each process has a clock of its own, which means nothing to others.
+    /// Returns the time on the machine's own clock. Each start has another
+    /// offset, so clocks of different processes cannot be compared.
     fn clock(&self, now: u64) -> Monotonic {
         Monotonic(now + self.clock_offset)
     }
@@ -80,7 +84,8 @@
         self.node = Some(Node::new(self.id, options, initial, recovered, seed, clock));
     }
 
-    /// Loses all but the first `keep` writes that were not synced yet.
+    /// Stops the node. Of the writes that are not synced yet, the first `keep`
+    /// reach the disk and the others are lost.
     pub fn crash(&mut self, keep: usize) {
         self.node = None;
         let kept = keep.min(self.writes.len());
@@ -90,7 +95,7 @@
         }
         self.frozen_until = None;
         self.inbox.clear();
-        self.released.clear();
+        self.sendable.clear();
         self.new_syncs.clear();
         self.late_syncs = 0;
     }
@@ -101,8 +106,8 @@
         self.digest = bytes.map_or(0, u64::from_le_bytes);
     }
 
-    /// The node, if it runs and is not frozen.
-    fn awake(&mut self) -> Option<&mut Node> {
+    /// Returns the node if it runs and is not frozen.
+    fn running_node(&mut self) -> Option<&mut Node> {
         match self.frozen_until {
             Some(_) => None,
             None => self.node.as_mut(),
@@ -133,7 +138,7 @@
         }
     }
 
-    pub fn thaw(&mut self, now: u64, tick_first: bool) {
+    pub fn unfreeze(&mut self, now: u64, tick_first: bool) {
         if self.frozen_until.take_if(|until| *until <= now).is_none() {
             return;
         }
@@ -148,7 +153,7 @@
         }
     }
 
-    /// The oldest write is on disk.
+    /// Completes the sync of the oldest write.
     pub fn sync(&mut self, now: u64, incarnation: u64) {
         if incarnation != self.incarnation || self.node.is_none() {
             return;
@@ -166,7 +171,7 @@
         match write {
             Write::Batch(ready) => {
                 node.persisted(clock, ready.number);
-                self.released.extend(ready.messages_after_persist);
+                self.sendable.extend(ready.messages_after_persist);
             }
             Write::Compact(snapshot) => node.compact(snapshot),
         }
@@ -194,10 +199,10 @@
             return;
         }
         let entries = &mut self.disk.entries;
-        let holds = entries
+        let has_last_entry = entries
             .iter()
             .any(|e| e.index == meta.index && e.term == meta.term);
-        entries.retain(|e| holds && e.index > meta.index);
+        entries.retain(|e| has_last_entry && e.index > meta.index);
         self.disk.snapshot = Some(snapshot.clone());
     }
 
@@ -208,35 +213,35 @@
         }
     }
 
-    /// Takes all the node has ready; writes take `delay` to be synced.
+    /// Takes all output of the node. Its writes are synced after `delay`.
     pub fn take_ready(
         &mut self,
         now: u64,
         delay: u64,
         checker: &mut Checker,
-    ) -> Result<Taken, Violation> {
-        let mut taken = Taken::default();
+    ) -> Result<Output, Violation> {
+        let mut output = Output::default();
         if self.frozen_until.is_some() {
-            return Ok(taken);
+            return Ok(output);
         }
         while let Some(mut ready) = self.node.as_mut().and_then(Node::ready) {
             if let Some(snapshot) = &ready.snapshot {
                 self.restore(snapshot);
-                checker.restored(self.applied, self.digest)?;
+                checker.record_restored(self.applied, self.digest)?;
             }
             for entry in std::mem::take(&mut ready.committed) {
                 self.apply(&entry, checker)?;
             }
-            taken.messages.append(&mut ready.messages);
+            output.messages.append(&mut ready.messages);
             if ready.needs_persist() {
                 self.begin_write(now, delay, Write::Batch(Box::new(ready)));
             } else {
-                taken.messages.append(&mut ready.messages_after_persist);
+                output.messages.append(&mut ready.messages_after_persist);
             }
         }
-        taken.messages.append(&mut self.released);
-        taken.syncs.append(&mut self.new_syncs);
-        Ok(taken)
+        output.messages.append(&mut self.sendable);
+        output.syncs.append(&mut self.new_syncs);
+        Ok(output)
     }
 
     fn begin_write(&mut self, now: u64, delay: u64, write: Write) {
@@ -247,17 +252,17 @@
 
     fn apply(&mut self, entry: &Entry, checker: &mut Checker) -> Result<(), Violation> {
         if entry.index.0 != self.applied.0 + 1 {
-            return Err(Violation::Gap);
+            return Err(Violation::AppliedOutOfOrder);
         }
         self.applied = entry.index;
         self.digest = super::checker::digest(self.digest, entry);
-        checker.applied(entry, self.digest)
+        checker.record_applied(entry, self.digest)
     }
 
-    /// Takes a snapshot of the state machine and has it written.
+    /// Takes a snapshot of the state machine and begins to write it.
     pub fn compact(&mut self, now: u64) {
         let applied = self.applied;
-        let Some(meta) = self.awake().and_then(|n| n.snapshot_meta(applied)) else {
+        let Some(meta) = self.running_node().and_then(|n| n.snapshot_meta(applied)) else {
             return;
         };
         let mut data = self.digest.to_le_bytes().to_vec();
@@ -269,17 +274,17 @@
     pub fn propose(&mut self, now: u64, command: u64) -> Option<LogIndex> {
         let clock = self.clock(now);
         let command = command.to_le_bytes().to_vec();
-        self.awake()?.propose(clock, command).ok()
+        self.running_node()?.propose(clock, command).ok()
     }
 
     pub fn propose_membership(&mut self, now: u64, next: Membership) -> Option<LogIndex> {
         let clock = self.clock(now);
-        self.awake()?.propose_membership(clock, next).ok()
+        self.running_node()?.propose_membership(clock, next).ok()
     }
 
     pub fn transfer(&mut self, now: u64) -> Option<NodeId> {
         let clock = self.clock(now);
-        self.awake()?.transfer_leadership(clock)
+        self.running_node()?.transfer_leadership(clock)
     }
 
     pub fn holds_lease(&self, now: u64) -> bool {
--- a/crates/consensus/tests/cluster/mod.rs
+++ b/crates/consensus/tests/cluster/mod.rs
@@ -1,7 +1,8 @@
-//! A seeded cluster in memory: virtual time, a bad network, disks that lose
-//! what was not synced, freezes, and a checker that looks after every event.
+//! Simulated cluster, reproducible by its seed: virtual time in milliseconds, a
+//! faulty network, disks that lose writes that are not synced, freezes, and a
+//! checker that runs after every event.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 pub mod checker;
 pub mod machine;
@@ -16,11 +17,12 @@
 use std::net::SocketAddr;
 use types::{LogIndex, Milliseconds, NodeId};
 
-/// Share of messages lost on a lossy link, and the time until one comes again.
+/// Share of the messages that are lost on a lossy link.
 const LOSSY_SHARE: f64 = 0.06;
-const RETRANSMISSION: u64 = 220;
+/// Time until a lost message arrives by retransmission, in milliseconds.
+const RETRANSMISSION_MS: u64 = 220;
 
-/// What happens at a moment of virtual time.
+/// Event at a point in virtual time.
 pub enum Event {
     Deliver {
         from: NodeId,
@@ -31,34 +33,34 @@
         node: NodeId,
         incarnation: u64,
     },
-    Thaw(NodeId),
+    Unfreeze(NodeId),
 }
 
-/// How bad the network is.
+/// Faults of the network.
 #[derive(Clone, Copy)]
 pub struct Network {
     pub loss: f64,
     pub duplicate: f64,
-    /// Share of messages that take up to `longest_delay`.
+    /// Share of messages that are slow: they take up to `max_delay`.
     pub slow: f64,
-    pub longest_delay: u64,
-    /// When set, only messages to this node are slow.
+    pub max_delay: u64,
+    /// Only receiver of slow messages; `None` if all nodes can receive them.
     pub slow_to: Option<NodeId>,
 }
 
 impl Network {
-    pub const GOOD: Self = Self {
+    pub const RELIABLE: Self = Self {
         loss: 0.0,
         duplicate: 0.0,
         slow: 0.0,
-        longest_delay: 5,
+        max_delay: 5,
         slow_to: None,
     };
-    pub const BAD: Self = Self {
+    pub const FAULTY: Self = Self {
         loss: 0.05,
         duplicate: 0.05,
         slow: 0.05,
-        longest_delay: 2_500,
+        max_delay: 2_500,
         slow_to: None,
     };
 }
@@ -69,17 +71,19 @@
     pub options: Options,
     pub machines: BTreeMap<NodeId, Machine>,
     pub network: Network,
-    /// Directions in which nothing passes.
+    /// Links, from one node to another, that deliver no messages.
     pub cuts: BTreeSet<(NodeId, NodeId)>,
-    /// Machines whose links to all others lose packets: what follows a lost one
-    /// on the same link waits for it, as on a connection.
+    /// Machines whose links to all others lose packets. As on a connection, a
+    /// message waits until those lost before it on the same link are
+    /// retransmitted.
     pub lossy: BTreeSet<NodeId>,
-    /// When each such link delivers again.
+    /// Time at which each such link delivers again.
     link_free_at: BTreeMap<(NodeId, NodeId), u64>,
-    /// Longest sync of each machine whose disk is slow.
+    /// Upper limit of the duration of a sync in milliseconds, for each machine
+    /// whose disk is slow.
     pub slow_disks: BTreeMap<NodeId, u64>,
-    /// Entries and pieces that were sent into a cut.
-    pub sent_into_cuts: usize,
+    /// Number of entries and snapshot chunks that were sent over a cut link.
+    pub sent_over_cuts: usize,
     pub checker: Checker,
     events: BTreeMap<(u64, u64), Event>,
     next_event: u64,
@@ -108,8 +112,9 @@
     }
 }
 
-/// Entries that a message carries, or 1 for a piece of a snapshot.
-fn carried(message: &Message) -> usize {
+/// Returns the number of entries in a message, or 1 for a snapshot chunk with
+/// data.
+fn payload_count(message: &Message) -> usize {
     match message {
         Message::Append { entries, .. } => entries.len(),
         Message::SnapshotChunk { data, .. } => usize::from(!data.is_empty()),
@@ -118,8 +123,8 @@
 }
 
 impl Cluster {
-    /// Nodes 1 to `voters` agree on the first membership; those up to
-    /// `machines` start empty.
+    /// Creates a cluster and starts its machines. Nodes 1 to `voters` begin
+    /// with the first membership, the others up to `machines` with none.
     pub fn new(seed: u64, voters: u64, machines: u64, mutation: Option<Mutation>) -> Self {
         let ids: Vec<u64> = (1..=voters).collect();
         let mut cluster = Self {
@@ -127,12 +132,12 @@
             random: ChaCha8Rng::seed_from_u64(seed),
             options: options(mutation),
             machines: BTreeMap::new(),
-            network: Network::GOOD,
+            network: Network::RELIABLE,
             cuts: BTreeSet::new(),
             lossy: BTreeSet::new(),
             link_free_at: BTreeMap::new(),
             slow_disks: BTreeMap::new(),
-            sent_into_cuts: 0,
+            sent_over_cuts: 0,
             checker: Checker::default(),
             events: BTreeMap::new(),
             next_event: 0,
@@ -159,7 +164,9 @@
     }
 
     pub fn machine(&mut self, id: NodeId) -> &mut Machine {
-        self.machines.get_mut(&id).expect("a known machine")
+        self.machines
+            .get_mut(&id)
+            .expect("a machine of the cluster")
     }
 
     pub fn crash(&mut self, id: NodeId) {
@@ -172,27 +179,28 @@
         let machine = self.machine(id);
         if machine.node.is_some() && machine.frozen_until.is_none() {
             machine.frozen_until = Some(until);
-            self.schedule(until, Event::Thaw(id));
+            self.schedule(until, Event::Unfreeze(id));
         }
     }
 
-    /// Cuts `id` off from all others, in one direction or both.
-    pub fn cut_off(&mut self, id: NodeId, outwards: bool, inwards: bool) {
+    /// Cuts the links between `id` and all others, in one direction or both.
+    pub fn isolate(&mut self, id: NodeId, outgoing: bool, incoming: bool) {
         let others: Vec<NodeId> = self.machines.keys().copied().collect();
         for other in others {
-            if outwards {
+            if outgoing {
                 self.cuts.insert((id, other));
             }
-            if inwards {
+            if incoming {
                 self.cuts.insert((other, id));
             }
         }
     }
 
-    /// All machines up, the network whole.
+    /// Restores all cut links and a reliable network, and starts all stopped
+    /// machines.
     pub fn heal(&mut self) {
         self.cuts.clear();
-        self.network = Network::GOOD;
+        self.network = Network::RELIABLE;
         let stopped = self.machines.values().filter(|m| m.node.is_none());
         let down: Vec<NodeId> = stopped.map(|m| m.id).collect();
         for id in down {
@@ -211,7 +219,7 @@
             return;
         }
         if self.cuts.contains(&(from, to)) {
-            self.sent_into_cuts += carried(&message);
+            self.sent_over_cuts += payload_count(&message);
             return;
         }
         let network = self.network;
@@ -220,29 +228,30 @@
         }
         let copies = 1 + u64::from(self.random.random_bool(network.duplicate));
         for _ in 0..copies {
-            let may_be_slow = network.slow_to.is_none_or(|slow| slow == to);
-            let longest = if may_be_slow && self.random.random_bool(network.slow) {
-                network.longest_delay
+            let may_be_slow = network.slow_to.is_none_or(|receiver| receiver == to);
+            let max_delay = if may_be_slow && self.random.random_bool(network.slow) {
+                network.max_delay
             } else {
                 5
             };
-            let at = self.now + self.random.random_range(1..=longest);
-            let at = self.over_lossy_link(from, to, at);
+            let at = self.now + self.random.random_range(1..=max_delay);
+            let at = self.lossy_arrival(from, to, at);
             let message = message.clone();
             self.schedule(at, Event::Deliver { from, to, message });
         }
     }
 
-    /// When a message arrives that would at `at` over a link without loss.
-    fn over_lossy_link(&mut self, from: NodeId, to: NodeId, at: u64) -> u64 {
+    /// Returns when a message arrives that would arrive at `at` over a link
+    /// without loss.
+    fn lossy_arrival(&mut self, from: NodeId, to: NodeId, at: u64) -> u64 {
         if !self.lossy.contains(&from) && !self.lossy.contains(&to) {
             return at;
         }
         let free_at = self.link_free_at.entry((from, to)).or_default();
         let at = at.max(*free_at);
         if self.random.random_bool(LOSSY_SHARE) {
-            *free_at = at + RETRANSMISSION;
-            return at + RETRANSMISSION;
+            *free_at = at + RETRANSMISSION_MS;
+            return at + RETRANSMISSION_MS;
         }
         at
     }
@@ -261,16 +270,17 @@
             self.now = next;
             if event_at <= next {
                 if let Some((_, event)) = self.events.pop_first() {
-                    self.happen(event);
+                    self.handle(event);
                 }
             } else {
                 self.tick_due();
             }
-            self.settle()?;
+            self.process_output()?;
         }
     }
 
-    /// Runs until `done`, at most `length`; true if it came to be.
+    /// Runs until `done` returns true, for at most `length`. Returns whether it
+    /// did.
     pub fn run_until(
         &mut self,
         length: u64,
@@ -287,8 +297,8 @@
     }
 
     fn next_wakeup(&self) -> u64 {
-        let awake = self.machines.values().filter_map(Machine::wakeup);
-        awake.min().unwrap_or(u64::MAX)
+        let wakeups = self.machines.values().filter_map(Machine::wakeup);
+        wakeups.min().unwrap_or(u64::MAX)
     }
 
     fn tick_due(&mut self) {
@@ -300,49 +310,50 @@
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = self.now;
         match event {
             Event::Deliver { from, to, message } => self.machine(to).receive(now, from, message),
             Event::Synced { node, incarnation } => self.machine(node).sync(now, incarnation),
-            Event::Thaw(id) => {
+            Event::Unfreeze(id) => {
                 let tick_first = self.random.random_bool(0.5);
-                self.machine(id).thaw(now, tick_first);
+                self.machine(id).unfreeze(now, tick_first);
             }
         }
     }
 
-    /// Takes what every node has ready, then checks.
-    pub fn settle(&mut self) -> Result<(), Violation> {
+    /// Takes and processes the output of every node, then checks the
+    /// invariants.
+    pub fn process_output(&mut self) -> Result<(), Violation> {
         let ids: Vec<NodeId> = self.machines.keys().copied().collect();
         for id in ids {
-            let longest_sync = self.slow_disks.get(&id).copied().unwrap_or(12);
-            let delay = self.random.random_range(0..longest_sync);
+            let max_sync_ms = self.slow_disks.get(&id).copied().unwrap_or(12);
+            let delay = self.random.random_range(0..max_sync_ms);
             let now = self.now;
             let Some(machine) = self.machines.get_mut(&id) else {
                 continue;
             };
-            let taken = machine.take_ready(now, delay, &mut self.checker)?;
-            for outgoing in taken.messages {
+            let output = machine.take_ready(now, delay, &mut self.checker)?;
+            for outgoing in output.messages {
                 self.transmit(id, outgoing.to, outgoing.message);
             }
-            for (at, incarnation) in taken.syncs {
+            for (at, incarnation) in output.syncs {
                 let node = id;
                 self.schedule(at, Event::Synced { node, incarnation });
             }
         }
-        self.checker.look(self.now, &self.machines)
+        self.checker.check(self.now, &self.machines)
     }
 
-    /// The node that holds the lease.
+    /// Returns the node that holds the lease; `None` if there is none.
     pub fn leader(&self) -> Option<NodeId> {
-        let holds = |m: &&Machine| m.holds_lease(self.now);
-        self.machines.values().find(holds).map(|m| m.id)
+        let holds_lease = |m: &&Machine| m.holds_lease(self.now);
+        self.machines.values().find(holds_lease).map(|m| m.id)
     }
 
     pub fn wait_for_leader(&mut self) -> Result<NodeId, Violation> {
         self.run_until(20_000, |c| c.leader().is_some())?;
-        self.leader().ok_or(Violation::Stuck)
+        self.leader().ok_or(Violation::NoProgress)
     }
 
     /// Proposes a command at the leader, if there is one.
--- a/crates/consensus/tests/cluster/script.rs
+++ b/crates/consensus/tests/cluster/script.rs
@@ -1,4 +1,4 @@
-//! Random faults, drawn from the cluster's seed.
+//! Random faults and operations, drawn from the cluster's seed.
 
 use super::checker::Violation;
 use super::{Cluster, Network, socket};
@@ -6,19 +6,21 @@
 use rand::Rng;
 use types::{LogIndex, NodeId, Term};
 
-/// Machines of a run.
+/// Number of machines in a run.
 const MACHINES: u64 = 6;
-/// First voters; a run has one of these.
+/// Numbers of voters at the start; a run has one of these.
 const VOTERS: [u64; 4] = [3, 3, 3, 5];
-/// Faults and proposals of a run.
+/// Steps of a run, each with some proposals and one fault or operation.
 const STEPS: u64 = 60;
-/// Proposals between two faults, at most; a run keeps to one of them. In an
-/// idle cluster all logs are equal, so that only promises decide elections.
-const BURSTS: [u64; 3] = [1, 4, 20];
-/// Virtual time within which a healed cluster must serve.
-pub const HEALING_TIME: u64 = 12_000;
-
-/// What a run did.
+/// Upper limits of the number of proposals in a step; a run has one of these.
+/// In an idle cluster all logs are equal, so that only vote restrictions decide
+/// elections.
+const MAX_PROPOSALS: [u64; 3] = [1, 4, 20];
+/// Virtual time in which a cluster without faults must commit and apply an
+/// entry, in milliseconds.
+pub const MAX_RECOVERY_MS: u64 = 12_000;
+
+/// Counts of what happened in a run.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Outcome {
     pub committed: u64,
@@ -26,24 +28,25 @@
     pub installs: u64,
 }
 
-/// Runs a cluster under random faults, heals it and has it serve.
+/// Runs a cluster under random faults, then removes the faults and checks that
+/// it makes progress.
 pub fn run_seed(seed: u64, mutation: Option<Mutation>) -> Result<Outcome, Violation> {
     let voters = VOTERS[usize::try_from(seed).unwrap() % VOTERS.len()];
     let mut cluster = Cluster::new(seed, voters, MACHINES, mutation);
     cluster.wait_for_leader()?;
-    let burst = BURSTS[cluster.random.random_range(0..BURSTS.len())];
+    let max_proposals = MAX_PROPOSALS[cluster.random.random_range(0..MAX_PROPOSALS.len())];
     for step in 0..STEPS {
-        for number in 0..cluster.random.random_range(0..burst) {
-            cluster.propose(step * burst + number);
+        for number in 0..cluster.random.random_range(0..max_proposals) {
+            cluster.propose(step * max_proposals + number);
         }
-        cluster.act();
-        cluster.settle()?;
+        cluster.perform_random_action();
+        cluster.process_output()?;
         let pause = cluster.random.random_range(1..600);
         cluster.run(pause)?;
     }
     cluster.heal();
-    cluster.checker.check_kept(&cluster.machines)?;
-    cluster.must_serve()?;
+    cluster.checker.check_last_entry_kept(&cluster.machines)?;
+    cluster.check_progress()?;
     Ok(Outcome {
         committed: cluster.checker.last_committed().0,
         elections: cluster.checker.elections,
@@ -52,13 +55,14 @@
 }
 
 impl Cluster {
-    /// Has a fresh command committed and applied by all members in time.
-    pub fn must_serve(&mut self) -> Result<(), Violation> {
-        let end = self.now + HEALING_TIME;
+    /// Checks that a new command is committed, and applied by all members,
+    /// within [`MAX_RECOVERY_MS`].
+    pub fn check_progress(&mut self) -> Result<(), Violation> {
+        let end = self.now + MAX_RECOVERY_MS;
         let mut proposed: Option<(Term, LogIndex)> = None;
         while self.now < end {
             let term = self.leader().and_then(|id| self.term_of(id));
-            // Another leader may have cut off what an earlier one appended.
+            // A new leader may have truncated the entry of an earlier one.
             if proposed.map(|(term, _)| term) != term {
                 proposed = term.zip(self.propose(u64::MAX));
             }
@@ -67,7 +71,7 @@
                 return Ok(());
             }
         }
-        Err(Violation::Stuck)
+        Err(Violation::NoProgress)
     }
 
     fn term_of(&self, id: NodeId) -> Option<Term> {
@@ -95,8 +99,9 @@
         NodeId(self.random.random_range(1..=MACHINES))
     }
 
-    /// A machine, most often the leader: its faults are the telling ones.
-    fn victim(&mut self) -> NodeId {
+    /// Returns a random machine, in more than half of the cases the leader: its
+    /// faults cause the most transitions.
+    fn random_target(&mut self) -> NodeId {
         let any = self.any_machine();
         match self.leader() {
             Some(leader) if self.random.random_bool(0.5) => leader,
@@ -104,36 +109,36 @@
         }
     }
 
-    /// Does one random thing.
-    fn act(&mut self) {
-        let victim = self.victim();
+    /// Causes one random fault, recovery or operation.
+    fn perform_random_action(&mut self) {
+        let machine = self.random_target();
         match self.random.random_range(0..17) {
-            0 | 1 => self.crash(victim),
+            0 | 1 => self.crash(machine),
             2 | 3 => {
-                self.crash(victim);
-                self.start(victim);
+                self.crash(machine);
+                self.start(machine);
             }
             4..=6 => self.start_stopped(),
             7 => {
                 let length = self.random.random_range(10..4_000);
-                self.freeze(victim, length);
+                self.freeze(machine, length);
             }
             8 => {
-                let outwards = self.random.random_bool(0.7);
-                self.cut_off(victim, outwards, !outwards);
+                let outgoing = self.random.random_bool(0.7);
+                self.isolate(machine, outgoing, !outgoing);
             }
             9 => {
                 let to = self.any_machine();
-                self.cuts.insert((victim, to));
+                self.cuts.insert((machine, to));
                 if self.random.random_bool(0.5) {
-                    self.cuts.insert((to, victim));
+                    self.cuts.insert((to, machine));
                 }
             }
             10 => self.cuts.clear(),
-            11 => self.network = Network::BAD,
-            12 => self.network = Network::GOOD,
+            11 => self.network = Network::FAULTY,
+            12 => self.network = Network::RELIABLE,
             13 => self.change_membership(),
-            14 => self.hand_over(),
+            14 => self.transfer_leadership(),
             15 => self.lose_power(),
             _ => self.compact_some(),
         }
@@ -163,14 +168,16 @@
         }
     }
 
-    fn hand_over(&mut self) {
+    fn transfer_leadership(&mut self) {
         let now = self.now;
         if let Some(leader) = self.leader() {
             self.machine(leader).transfer(now);
         }
     }
 
-    /// Moves a random machine one step: in as learner, up to voter, or out.
+    /// Changes the membership of a random machine: a machine that is no member
+    /// becomes a learner, a learner becomes a voter, and a voter is removed if
+    /// more than two voters exist.
     fn change_membership(&mut self) {
         let Some(mut next) = self.current_membership() else {
             return;
--- a/crates/consensus/tests/degraded_leader.rs
+++ b/crates/consensus/tests/degraded_leader.rs
@@ -1,5 +1,6 @@
-//! A leader with degraded links transfers leadership, a healthy one keeps it, and
-//! leadership does not oscillate.
+//! Leadership transfer because of degraded links. A degraded leader must
+//! transfer leadership, a healthy one must keep it, and leadership must not
+//! oscillate.
 
 mod cluster;
 
@@ -9,13 +10,15 @@
 
 const VOTERS: u64 = 5;
 const SEEDS: std::ops::Range<u64> = 0..8;
-/// Virtual time between two proposals: the leader's links carry far more than
-/// those of others.
-const PROPOSAL_INTERVAL: u64 = 10;
-/// How long the cluster is observed under unchanged conditions.
-const OBSERVED: u64 = 30_000;
+/// Virtual time between two proposals, in milliseconds. At this rate the
+/// leader's links carry far more messages than those between followers.
+const PROPOSAL_INTERVAL_MS: u64 = 10;
+/// Virtual time for which the cluster runs under unchanged conditions, in
+/// milliseconds.
+const OBSERVATION_MS: u64 = 30_000;
 
-/// A cluster with the timeouts of a deployment whose leader is replaced within half a second.
+/// Returns a cluster and its leader, with the timeouts of a deployment that
+/// replaces a leader within half a second.
 fn cluster(seed: u64, transfer_when_degraded: bool) -> Result<(Cluster, NodeId), Violation> {
     let mut cluster = Cluster::new(seed, VOTERS, VOTERS, None);
     cluster.options.election_timeout = Milliseconds(250);
@@ -28,26 +31,26 @@
         cluster.start(NodeId(id));
     }
     cluster.wait_for_leader()?;
-    work(&mut cluster, 3_000)?;
+    propose_for(&mut cluster, 3_000)?;
     let leader = cluster.wait_for_leader()?;
     Ok((cluster, leader))
 }
 
-/// Proposes for `length` milliseconds and returns the longest time without a
-/// lease.
-fn work(cluster: &mut Cluster, length: u64) -> Result<u64, Violation> {
+/// Proposes commands for `length` milliseconds and returns the longest time
+/// without a lease.
+fn propose_for(cluster: &mut Cluster, length: u64) -> Result<u64, Violation> {
     let end = cluster.now + length;
-    let (mut gap, mut longest) = (0, 0);
+    let (mut gap, mut longest_gap) = (0, 0);
     while cluster.now < end {
         cluster.propose(cluster.now);
-        cluster.run(PROPOSAL_INTERVAL)?;
+        cluster.run(PROPOSAL_INTERVAL_MS)?;
         gap = match cluster.leader() {
             Some(_) => 0,
-            None => gap + PROPOSAL_INTERVAL,
+            None => gap + PROPOSAL_INTERVAL_MS,
         };
-        longest = longest.max(gap);
+        longest_gap = longest_gap.max(gap);
     }
-    Ok(longest)
+    Ok(longest_gap)
 }
 
 fn degraded_transfers(cluster: &Cluster) -> u32 {
@@ -56,15 +59,16 @@
     statuses.map(|status| status.degraded_transfers).sum()
 }
 
-/// Time until another node leads than `old`, up to `limit`.
-fn until_another_leads(
+/// Returns the time until a node other than `old` leads; `None` if that takes
+/// longer than `limit`.
+fn time_until_new_leader(
     cluster: &mut Cluster,
     old: NodeId,
     limit: u64,
 ) -> Result<Option<u64>, Violation> {
     let begun = cluster.now;
     while cluster.now < begun + limit {
-        work(cluster, 20)?;
+        propose_for(cluster, 20)?;
         if cluster.leader().is_some_and(|leader| leader != old) {
             return Ok(Some(cluster.now - begun));
         }
@@ -73,16 +77,15 @@
 }
 
 #[test]
-fn a_leader_with_lossy_links_transfers_leadership_and_its_successor_keeps_it()
--> Result<(), Violation> {
+fn leader_with_lossy_links_transfers_leadership_and_successor_keeps_it() -> Result<(), Violation> {
     let mut times = Vec::new();
     for seed in SEEDS {
         let (mut cluster, old) = cluster(seed, true)?;
         cluster.lossy.insert(old);
-        let took = until_another_leads(&mut cluster, old, 5_000)?;
-        times.push(took.unwrap_or(u64::MAX));
+        let elapsed = time_until_new_leader(&mut cluster, old, 5_000)?;
+        times.push(elapsed.unwrap_or(u64::MAX));
         let new = cluster.wait_for_leader()?;
-        let longest = work(&mut cluster, OBSERVED)?;
+        let longest = propose_for(&mut cluster, OBSERVATION_MS)?;
         assert_eq!(
             cluster.leader(),
             Some(new),
@@ -101,24 +104,24 @@
 }
 
 #[test]
-fn without_the_transfer_a_degraded_leader_keeps_leadership() -> Result<(), Violation> {
-    let mut kept = 0;
+fn degraded_leader_keeps_leadership_if_transfer_is_disabled() -> Result<(), Violation> {
+    let mut kept_count = 0;
     for seed in SEEDS {
         let (mut cluster, old) = cluster(seed, false)?;
         cluster.lossy.insert(old);
-        let took = until_another_leads(&mut cluster, old, 1_500)?;
-        kept += u32::from(took.is_none());
+        let elapsed = time_until_new_leader(&mut cluster, old, 1_500)?;
+        kept_count += u32::from(elapsed.is_none());
     }
-    assert!(kept >= 4, "{kept} of 8 still lead after 1.5 s");
+    assert!(kept_count >= 4, "{kept_count} of 8 still lead after 1.5 s");
     Ok(())
 }
 
 #[test]
-fn a_degraded_follower_causes_no_transfer() -> Result<(), Violation> {
+fn degraded_follower_causes_no_transfer() -> Result<(), Violation> {
     for seed in SEEDS {
         let (mut cluster, leader) = cluster(seed, true)?;
         cluster.lossy.insert(NodeId(leader.0 % VOTERS + 1));
-        let longest = work(&mut cluster, OBSERVED)?;
+        let longest = propose_for(&mut cluster, OBSERVATION_MS)?;
         assert_eq!(cluster.leader(), Some(leader), "seed {seed}");
         assert_eq!(
             (longest, degraded_transfers(&cluster)),
@@ -130,31 +133,31 @@
 }
 
 #[test]
-fn no_leader_transfers_where_all_voters_are_degraded() -> Result<(), Violation> {
+fn degraded_links_of_all_voters_cause_one_transfer_at_most() -> Result<(), Violation> {
     for seed in SEEDS {
         let (mut cluster, _) = cluster(seed, true)?;
         cluster.lossy.extend((1..=VOTERS).map(NodeId));
-        work(&mut cluster, 3_000)?;
+        propose_for(&mut cluster, 3_000)?;
         let before = degraded_transfers(&cluster);
-        work(&mut cluster, OBSERVED)?;
-        let moves = degraded_transfers(&cluster) - before;
-        assert!(moves <= 1, "seed {seed}: {moves} transfers");
+        propose_for(&mut cluster, OBSERVATION_MS)?;
+        let transfers = degraded_transfers(&cluster) - before;
+        assert!(transfers <= 1, "seed {seed}: {transfers} transfers");
     }
     Ok(())
 }
 
 #[test]
-fn flapping_links_cause_one_transfer_at_most() -> Result<(), Violation> {
+fn repeatedly_degraded_links_cause_one_transfer_at_most() -> Result<(), Violation> {
     for seed in SEEDS {
         let (mut cluster, old) = cluster(seed, true)?;
         for _ in 0..10 {
             cluster.lossy.insert(old);
-            work(&mut cluster, 1_500)?;
+            propose_for(&mut cluster, 1_500)?;
             cluster.lossy.clear();
-            work(&mut cluster, 1_500)?;
+            propose_for(&mut cluster, 1_500)?;
         }
-        let moves = degraded_transfers(&cluster);
-        assert!(moves <= 1, "seed {seed}: {moves} transfers");
+        let transfers = degraded_transfers(&cluster);
+        assert!(transfers <= 1, "seed {seed}: {transfers} transfers");
     }
     Ok(())
 }
@@ -168,9 +171,12 @@
                 let id = NodeId((leader.0 - 1 + number) % VOTERS + 1);
                 cluster.slow_disks.insert(id, 150);
             }
-            let longest = work(&mut cluster, OBSERVED)?;
-            let moves = degraded_transfers(&cluster);
-            assert!(moves <= 1, "seed {seed}, {slow} slow: {moves} transfers");
+            let longest = propose_for(&mut cluster, OBSERVATION_MS)?;
+            let transfers = degraded_transfers(&cluster);
+            assert!(
+                transfers <= 1,
+                "seed {seed}, {slow} slow: {transfers} transfers"
+            );
             assert!(
                 longest < 400,
                 "seed {seed}, {slow} slow: {longest} ms without a lease"
@@ -180,28 +186,30 @@
     Ok(())
 }
 
+/// The replies of a voter with a slow disk are late as well, so leadership
+/// would soon be transferred again.
 #[test]
-fn a_voter_with_a_slow_disk_is_no_transfer_target() -> Result<(), Violation> {
+fn voter_with_slow_disk_is_no_transfer_target() -> Result<(), Violation> {
     for seed in SEEDS {
         let (mut cluster, old) = cluster(seed, true)?;
         let slow = NodeId(old.0 % VOTERS + 1);
         cluster.slow_disks.insert(slow, 400);
-        work(&mut cluster, 2_000)?;
+        propose_for(&mut cluster, 2_000)?;
         cluster.lossy.insert(old);
-        until_another_leads(&mut cluster, old, 5_000)?;
+        time_until_new_leader(&mut cluster, old, 5_000)?;
         assert_ne!(cluster.leader(), Some(slow), "seed {seed}");
     }
     Ok(())
 }
 
 #[test]
-fn a_leader_that_resumes_after_a_freeze_leads_no_more() -> Result<(), Violation> {
+fn frozen_leader_is_replaced_without_transfer() -> Result<(), Violation> {
     for seed in SEEDS {
         let (mut cluster, old) = cluster(seed, true)?;
         cluster.freeze(old, 3_000);
-        let took = until_another_leads(&mut cluster, old, 2_000)?;
-        assert!(took.is_some(), "seed {seed}");
-        let longest = work(&mut cluster, 10_000)?;
+        let elapsed = time_until_new_leader(&mut cluster, old, 2_000)?;
+        assert!(elapsed.is_some(), "seed {seed}");
+        let longest = propose_for(&mut cluster, 10_000)?;
         assert!(longest < 500, "seed {seed}: {longest} ms without a lease");
         assert_eq!(degraded_transfers(&cluster), 0, "seed {seed}");
     }
--- a/crates/consensus/tests/failover.rs
+++ b/crates/consensus/tests/failover.rs
@@ -1,4 +1,5 @@
-//! How long a cluster is without a leader that holds its lease.
+//! Failover after the loss of the leader: another node must hold the lease
+//! within [`MAX_GAP_MS`].
 
 mod cluster;
 
@@ -7,16 +8,16 @@
 use rand::Rng;
 use types::NodeId;
 
-/// Seeds of each case.
+/// Seeds of each test.
 const SEEDS: std::ops::Range<u64> = 0..300;
-/// Longest time without a lease after the loss of one leader.
-const LONGEST_GAP: u64 = 3_000;
+/// Longest time without a lease after the loss of one leader, in milliseconds.
+const MAX_GAP_MS: u64 = 3_000;
 
-type Loss = fn(&mut Cluster, NodeId);
+type LeaderFault = fn(&mut Cluster, NodeId);
 
-/// The time from the loss of the leader until another holds the lease, over
-/// all seeds, in order.
-fn gaps(lose: Loss) -> Result<Vec<u64>, Violation> {
+/// Returns the times from the loss of the leader until another node holds the
+/// lease, over all seeds, in ascending order.
+fn measure_gaps(fault: LeaderFault) -> Result<Vec<u64>, Violation> {
     let mut gaps = Vec::new();
     for seed in SEEDS {
         let mut cluster = Cluster::new(seed, 3, 3, None);
@@ -25,46 +26,48 @@
         cluster.run(pause)?;
         let leader = cluster.wait_for_leader()?;
         let lost_at = cluster.now;
-        lose(&mut cluster, leader);
-        let other = |c: &Cluster| c.leader().is_some_and(|id| id != leader);
-        cluster.run_until(20_000, other)?;
+        fault(&mut cluster, leader);
+        let has_new_leader = |c: &Cluster| c.leader().is_some_and(|id| id != leader);
+        cluster.run_until(20_000, has_new_leader)?;
         gaps.push(cluster.now - lost_at);
     }
     gaps.sort_unstable();
     Ok(gaps)
 }
 
-fn assert_short(gaps: &[u64]) {
-    let middle = gaps.get(gaps.len() / 2);
+fn assert_within_limit(gaps: &[u64]) {
+    let median = gaps.get(gaps.len() / 2);
     let longest = gaps.last().copied();
-    println!("without a lease: median {middle:?} ms, longest {longest:?} ms");
-    assert!(longest.is_some_and(|gap| gap <= LONGEST_GAP));
+    println!("without a lease: median {median:?} ms, longest {longest:?} ms");
+    assert!(longest.is_some_and(|gap| gap <= MAX_GAP_MS));
 }
 
 #[test]
-fn another_leads_soon_after_a_crash() -> Result<(), Violation> {
-    assert_short(&gaps(cluster::Cluster::crash)?);
+fn new_leader_holds_lease_within_limit_after_crash() -> Result<(), Violation> {
+    assert_within_limit(&measure_gaps(cluster::Cluster::crash)?);
     Ok(())
 }
 
 #[test]
-fn another_leads_soon_after_a_cut() -> Result<(), Violation> {
-    assert_short(&gaps(|cluster, leader| {
-        cluster.cut_off(leader, true, true);
+fn new_leader_holds_lease_within_limit_after_partition() -> Result<(), Violation> {
+    assert_within_limit(&measure_gaps(|cluster, leader| {
+        cluster.isolate(leader, true, true);
     })?);
     Ok(())
 }
 
 #[test]
-fn another_leads_soon_after_a_one_way_cut() -> Result<(), Violation> {
-    assert_short(&gaps(|cluster, leader| {
-        cluster.cut_off(leader, false, true);
+fn new_leader_holds_lease_within_limit_after_one_way_partition() -> Result<(), Violation> {
+    assert_within_limit(&measure_gaps(|cluster, leader| {
+        cluster.isolate(leader, false, true);
     })?);
     Ok(())
 }
 
 #[test]
-fn another_leads_soon_after_a_freeze() -> Result<(), Violation> {
-    assert_short(&gaps(|cluster, leader| cluster.freeze(leader, 20_000))?);
+fn new_leader_holds_lease_within_limit_after_freeze() -> Result<(), Violation> {
+    assert_within_limit(&measure_gaps(|cluster, leader| {
+        cluster.freeze(leader, 20_000)
+    })?);
     Ok(())
 }
--- a/crates/consensus/tests/faults.rs
+++ b/crates/consensus/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Safety and liveness under random faults, over fixed seeds.
+//! Raft invariants and progress under random faults, over fixed seeds.
 
 mod cluster;
 
@@ -16,8 +16,8 @@
 }
 
 #[test]
-fn faults_break_no_promise() {
-    let mut broken = Vec::new();
+fn random_faults_violate_no_invariant() {
+    let mut failed_seeds = Vec::new();
     let (mut committed, mut elections, mut installs) = (0, 0, 0);
     for seed in seeds() {
         match run_seed(seed, None) {
@@ -26,11 +26,14 @@
                 elections += outcome.elections;
                 installs += outcome.installs;
             }
-            Err(violation) => broken.push((seed, violation)),
+            Err(violation) => failed_seeds.push((seed, violation)),
         }
     }
     println!("committed {committed}, elections {elections}, snapshots installed {installs}");
-    assert!(broken.is_empty(), "seeds that broke a promise: {broken:?}");
-    let many = seeds().count() >= SEEDS.count();
-    assert!(installs > 0 || !many, "no seed came to install a snapshot");
+    assert!(
+        failed_seeds.is_empty(),
+        "seeds that violated an invariant: {failed_seeds:?}"
+    );
+    let is_full_run = seeds().count() >= SEEDS.count();
+    assert!(installs > 0 || !is_full_run, "no seed installed a snapshot");
 }
--- a/crates/consensus/tests/membership.rs
+++ b/crates/consensus/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Learners, membership changes and transfers of leadership.
+//! Learners, membership changes and leadership transfers.
 
 mod cluster;
 
@@ -7,38 +7,42 @@
 use consensus::{Membership, ProposeError, RaftRole};
 use types::{LogIndex, Monotonic, NodeId};
 
-fn change(cluster: &mut Cluster, next: Membership) -> Result<LogIndex, Violation> {
+fn change_membership(cluster: &mut Cluster, next: Membership) -> Result<LogIndex, Violation> {
     let now = cluster.now;
     let leader = cluster.wait_for_leader()?;
     let proposed = cluster.machine(leader).propose_membership(now, next);
-    let index = proposed.ok_or(Violation::Stuck)?;
-    cluster.settle()?;
+    let index = proposed.ok_or(Violation::NoProgress)?;
+    cluster.process_output()?;
     cluster.run_until(5_000, |c| c.checker.last_committed() >= index)?;
     Ok(index)
 }
 
 #[test]
-fn a_voter_is_replaced_under_loss() -> Result<(), Violation> {
+fn voter_is_replaced_despite_message_loss() -> Result<(), Violation> {
     for seed in 0..40 {
         let mut cluster = Cluster::new(seed, 3, 4, None);
         let leader = cluster.wait_for_leader()?;
-        let gone = leader.0 % 3 + 1;
-        cluster.crash(NodeId(gone));
+        let crashed = leader.0 % 3 + 1;
+        cluster.crash(NodeId(crashed));
         cluster.network = Network {
             loss: 0.1,
-            ..Network::GOOD
+            ..Network::RELIABLE
         };
         for command in 0..30 {
             cluster.propose(command);
         }
-        let kept: Vec<u64> = (1..=3).filter(|id| *id != gone).collect();
-        change(&mut cluster, membership(&[1, 2, 3], &[4]))?;
-        let ready = cluster.run_until(5_000, |c| c.applied(NodeId(4)) >= LogIndex(30))?;
-        assert!(ready, "seed {seed}: the learner never caught up");
+        let remaining: Vec<u64> = (1..=3).filter(|id| *id != crashed).collect();
+        change_membership(&mut cluster, membership(&[1, 2, 3], &[4]))?;
+        let caught_up = cluster.run_until(5_000, |c| c.applied(NodeId(4)) >= LogIndex(30))?;
+        assert!(caught_up, "seed {seed}: the learner did not catch up");
         assert_eq!(cluster.role(NodeId(4)), Some(RaftRole::Learner));
-        change(&mut cluster, membership(&[1, 2, 3, 4], &[]))?;
-        change(&mut cluster, membership(&[kept[0], kept[1], 4], &[]))?;
-        // The replacement carries a second loss.
+        change_membership(&mut cluster, membership(&[1, 2, 3, 4], &[]))?;
+        change_membership(
+            &mut cluster,
+            membership(&[remaining[0], remaining[1], 4], &[]),
+        )?;
+        // With the replacement the cluster tolerates the loss of a second
+        // voter.
         let second = cluster.wait_for_leader()?;
         cluster.crash(second);
         cluster.wait_for_leader()?;
@@ -46,14 +50,16 @@
     Ok(())
 }
 
+/// A removed node receives no heartbeats. It must not start elections that
+/// depose the leader.
 #[test]
-fn a_removed_node_does_not_disturb() -> Result<(), Violation> {
+fn removed_node_causes_no_election() -> Result<(), Violation> {
     let mut cluster = Cluster::new(7, 3, 3, None);
     let leader = cluster.wait_for_leader()?;
     let removed = NodeId(leader.0 % 3 + 1);
     let mut next = membership(&[1, 2, 3], &[]);
     next.voters.remove(&removed);
-    change(&mut cluster, next)?;
+    change_membership(&mut cluster, next)?;
     let term = cluster.machine(leader).term(0);
     cluster.run(20_000)?;
     assert_eq!(cluster.leader(), Some(leader));
@@ -62,12 +68,12 @@
 }
 
 #[test]
-fn a_leader_that_removed_itself_steps_down() -> Result<(), Violation> {
+fn leader_that_removed_itself_steps_down() -> Result<(), Violation> {
     let mut cluster = Cluster::new(8, 3, 3, None);
     let leader = cluster.wait_for_leader()?;
     let mut next = membership(&[1, 2, 3], &[]);
     next.voters.remove(&leader);
-    change(&mut cluster, next)?;
+    change_membership(&mut cluster, next)?;
     cluster.run(200)?;
     assert_eq!(cluster.role(leader), Some(RaftRole::Learner));
     let successor = cluster.wait_for_leader()?;
@@ -77,16 +83,18 @@
     Ok(())
 }
 
+/// A membership is in force as soon as it is in the log. If a new leader
+/// truncates the entry, the membership before it must be in force again.
 #[test]
-fn an_uncommitted_membership_ends_with_its_entry() -> Result<(), Violation> {
+fn uncommitted_membership_is_reverted_when_its_entry_is_truncated() -> Result<(), Violation> {
     let mut cluster = Cluster::new(9, 3, 4, None);
     let leader = cluster.wait_for_leader()?;
-    cluster.cut_off(leader, true, true);
+    cluster.isolate(leader, true, true);
     let now = cluster.now;
     let next = membership(&[1, 2, 3, 4], &[]);
     let proposed = cluster.machine(leader).propose_membership(now, next);
     assert!(proposed.is_some());
-    cluster.settle()?;
+    cluster.process_output()?;
     let in_force = |c: &Cluster| c.machines[&leader].status(c.now).map(|s| s.membership);
     assert_eq!(in_force(&cluster), Some(membership(&[1, 2, 3, 4], &[])));
     cluster.run(5_000)?;
@@ -97,47 +105,48 @@
 }
 
 #[test]
-fn invalid_changes_are_rejected() -> Result<(), Violation> {
+fn invalid_membership_changes_are_rejected() -> Result<(), Violation> {
     let mut cluster = Cluster::new(10, 3, 3, None);
     let leader = cluster.wait_for_leader()?;
-    let now = Monotonic(u64::MAX / 2);
+    let late = Monotonic(u64::MAX / 2);
     let follower = NodeId(leader.0 % 3 + 1);
     let mut propose = |id, next| {
         let node = cluster.machine(id).node.as_mut();
         node.map(|n| n.propose_membership(Monotonic(0), next))
     };
-    let two_more = membership(&[1, 2, 3, 4, 5], &[]);
-    let swap = membership(&[1, 2, 4], &[]);
-    let none = membership(&[], &[1, 2, 3]);
-    let same = membership(&[1, 2, 3], &[4]);
+    let two_added = membership(&[1, 2, 3, 4, 5], &[]);
+    let one_replaced = membership(&[1, 2, 4], &[]);
+    let no_voters = membership(&[], &[1, 2, 3]);
+    let learner_added = membership(&[1, 2, 3], &[4]);
     let rejected = |error| Some(Err(error));
     assert_eq!(
-        propose(leader, two_more),
+        propose(leader, two_added),
         rejected(ProposeError::MoreThanOneVoter)
     );
     assert_eq!(
-        propose(leader, swap),
+        propose(leader, one_replaced),
         rejected(ProposeError::MoreThanOneVoter)
     );
-    assert_eq!(propose(leader, none), rejected(ProposeError::NoVoters));
+    assert_eq!(propose(leader, no_voters), rejected(ProposeError::NoVoters));
     assert_eq!(
-        propose(follower, same.clone()),
+        propose(follower, learner_added.clone()),
         rejected(ProposeError::NotLeader)
     );
-    assert!(propose(leader, same.clone()).is_some_and(|r| r.is_ok()));
+    assert!(propose(leader, learner_added.clone()).is_some_and(|r| r.is_ok()));
     assert_eq!(
-        propose(leader, same),
+        propose(leader, learner_added),
         rejected(ProposeError::ChangeInProgress)
     );
-    // A leader that slept is none any more when it is asked.
+    // A leader whose clock advanced by more than an election timeout steps down
+    // before it accepts a proposal.
     let node = cluster.machine(leader).node.as_mut();
-    let late = node.map(|n| n.propose(now, Vec::new()));
-    assert_eq!(late, rejected(ProposeError::NotLeader));
+    let result = node.map(|n| n.propose(late, Vec::new()));
+    assert_eq!(result, rejected(ProposeError::NotLeader));
     Ok(())
 }
 
 #[test]
-fn leadership_is_transferred_at_once() -> Result<(), Violation> {
+fn requested_transfer_elects_target_within_300_ms() -> Result<(), Violation> {
     let mut cluster = Cluster::new(11, 3, 3, None);
     let leader = cluster.wait_for_leader()?;
     for command in 0..50 {
@@ -147,20 +156,22 @@
     let target = cluster.machine(leader).transfer(now);
     assert!(target.is_some());
     assert_eq!(cluster.machine(leader).propose(now, 1), None);
-    cluster.settle()?;
+    cluster.process_output()?;
     cluster.run_until(300, |c| c.leader().is_some_and(|id| id != leader))?;
     assert_eq!(cluster.leader(), target);
     Ok(())
 }
 
+/// The leader gives up its lease when it sends `TimeoutNow`. If the target is
+/// not elected, the leader must win an election and hold the lease again.
 #[test]
-fn a_failed_transfer_ends() -> Result<(), Violation> {
+fn leader_continues_after_transfer_to_crashed_target() -> Result<(), Violation> {
     for seed in 0..20 {
         let mut cluster = Cluster::new(seed, 3, 3, None);
         let leader = cluster.wait_for_leader()?;
         let now = cluster.now;
         let Some(target) = cluster.machine(leader).transfer(now) else {
-            return Err(Violation::Stuck);
+            return Err(Violation::NoProgress);
         };
         assert!(!cluster.machine(leader).holds_lease(now));
         cluster.crash(target);
--- a/crates/consensus/tests/mutations.rs
+++ b/crates/consensus/tests/mutations.rs
@@ -1,5 +1,5 @@
-//! Each mechanism is needed: with it off some seed breaks a promise, with it
-//! on none does.
+//! Each mechanism is needed: if it is disabled, some seed violates an
+//! invariant; if it is enabled, none does.
 
 mod cluster;
 
@@ -28,10 +28,10 @@
     SEEDS.filter_map(|seed| run(seed).err()).collect()
 }
 
-fn assert_needed(scenario: Scenario, mutation: Mutation, promise: Violation) {
-    let broken = violations(scenario, Some(mutation));
-    assert!(broken.contains(&promise), "off: {broken:?}");
-    assert_eq!(violations(scenario, None), [], "on");
+fn assert_needed(scenario: Scenario, mutation: Mutation, expected: Violation) {
+    let found = violations(scenario, Some(mutation));
+    assert!(found.contains(&expected), "disabled: {found:?}");
+    assert_eq!(violations(scenario, None), [], "enabled");
 }
 
 fn followers(leader: NodeId) -> (NodeId, NodeId) {
@@ -42,108 +42,139 @@
     }
 }
 
-fn part(cluster: &mut Cluster, left: NodeId, right: NodeId) {
-    cluster.cuts.insert((left, right));
-    cluster.cuts.insert((right, left));
+fn cut_link(cluster: &mut Cluster, first: NodeId, second: NodeId) {
+    cluster.cuts.insert((first, second));
+    cluster.cuts.insert((second, first));
 }
 
-/// One follower loses sight of the leader, the other sees both.
-fn follower_loses_leader(cluster: &mut Cluster, leader: NodeId) -> Result<(), Violation> {
-    let (stray, _) = followers(leader);
-    part(cluster, leader, stray);
+/// Cuts the links between the leader and one follower. The other follower
+/// remains connected to both, and must not vote for the disconnected one while
+/// the leader's lease lasts.
+fn leader_link_of_follower_fails(cluster: &mut Cluster, leader: NodeId) -> Result<(), Violation> {
+    let (disconnected, _) = followers(leader);
+    cut_link(cluster, leader, disconnected);
     cluster.run(5_000)
 }
 
 #[test]
-fn without_the_promise_to_a_live_leader_a_seed_breaks_the_lease() {
+fn vote_despite_live_leader_allows_two_leases() {
     let mutation = Mutation::VoteDespiteLeader;
-    assert_needed(follower_loses_leader, mutation, Violation::TwoLeases);
-}
-
-/// As before, and the one that sees both restarts again and again.
-fn witness_restarts(cluster: &mut Cluster, leader: NodeId) -> Result<(), Violation> {
-    let (stray, witness) = followers(leader);
-    part(cluster, leader, stray);
+    assert_needed(
+        leader_link_of_follower_fails,
+        mutation,
+        Violation::TwoLeases,
+    );
+}
+
+/// Cuts the same links, and restarts the connected follower repeatedly, so that
+/// it loses its vote restriction.
+fn connected_follower_restarts(cluster: &mut Cluster, leader: NodeId) -> Result<(), Violation> {
+    let (disconnected, connected) = followers(leader);
+    cut_link(cluster, leader, disconnected);
     for _ in 0..20 {
         let pause = cluster.random.random_range(50..400);
         cluster.run(pause)?;
-        cluster.crash(witness);
-        cluster.start(witness);
-        cluster.settle()?;
+        cluster.crash(connected);
+        cluster.start(connected);
+        cluster.process_output()?;
     }
     Ok(())
 }
 
 #[test]
-fn without_the_wait_after_restart_a_seed_breaks_the_lease() {
+fn vote_without_wait_after_restart_allows_two_leases() {
     let mutation = Mutation::VoteAfterRestart;
-    assert_needed(witness_restarts, mutation, Violation::TwoLeases);
+    assert_needed(connected_follower_restarts, mutation, Violation::TwoLeases);
 }
 
-/// Answers are long under way when the leader's own messages stop.
-fn answers_come_late(cluster: &mut Cluster, leader: NodeId) -> Result<(), Violation> {
+/// Delays the replies to the leader, and then cuts its links to the followers.
+/// A lease that begins at the arrival of a late reply outlasts the followers'
+/// vote restriction.
+fn replies_to_leader_are_delayed(cluster: &mut Cluster, leader: NodeId) -> Result<(), Violation> {
     cluster.network = Network {
         slow: 1.0,
-        longest_delay: 900,
+        max_delay: 900,
         slow_to: Some(leader),
-        ..Network::GOOD
+        ..Network::RELIABLE
     };
     cluster.run(600)?;
-    cluster.cut_off(leader, true, false);
+    cluster.isolate(leader, true, false);
     cluster.run(5_000)
 }
 
 #[test]
-fn without_dating_by_the_round_a_seed_breaks_the_lease() {
+fn lease_from_arrival_of_reply_allows_two_leases() {
     let mutation = Mutation::LeaseFromReply;
-    assert_needed(answers_come_late, mutation, Violation::TwoLeases);
-}
-
-/// The leader hands over and then hears nothing more.
-fn leader_goes_deaf_in_transfer(cluster: &mut Cluster, leader: NodeId) -> Result<(), Violation> {
+    assert_needed(
+        replies_to_leader_are_delayed,
+        mutation,
+        Violation::TwoLeases,
+    );
+}
+
+/// Begins a leadership transfer, and then cuts the links to the leader, so that
+/// it does not receive the new term.
+fn leader_receives_nothing_after_transfer(
+    cluster: &mut Cluster,
+    leader: NodeId,
+) -> Result<(), Violation> {
     let now = cluster.now;
     cluster.machine(leader).transfer(now);
-    cluster.settle()?;
-    cluster.cut_off(leader, false, true);
+    cluster.process_output()?;
+    cluster.isolate(leader, false, true);
     cluster.run(4_000)
 }
 
 #[test]
-fn without_giving_up_the_lease_in_a_transfer_a_seed_breaks_the_lease() {
+fn lease_kept_during_transfer_allows_two_leases() {
     let mutation = Mutation::LeaseDuringTransfer;
-    assert_needed(leader_goes_deaf_in_transfer, mutation, Violation::TwoLeases);
-}
-
-/// The one follower that acknowledged loses power; the leader is lost.
-fn acknowledger_loses_power(cluster: &mut Cluster, leader: NodeId) -> Result<(), Violation> {
-    let (absent, witness) = followers(leader);
-    cluster.cut_off(absent, true, true);
+    assert_needed(
+        leader_receives_nothing_after_transfer,
+        mutation,
+        Violation::TwoLeases,
+    );
+}
+
+/// Crashes the one follower that acknowledged an entry, without its unsynced
+/// writes, and then isolates the leader. If the reply was sent before the sync,
+/// a committed entry is lost.
+fn acknowledging_follower_loses_power(
+    cluster: &mut Cluster,
+    leader: NodeId,
+) -> Result<(), Violation> {
+    let (isolated, connected) = followers(leader);
+    cluster.isolate(isolated, true, true);
     cluster.propose(1);
-    cluster.settle()?;
+    cluster.process_output()?;
     let pause = cluster.random.random_range(5..25);
     cluster.run(pause)?;
-    cluster.machine(witness).crash(0);
-    cluster.start(witness);
+    cluster.machine(connected).crash(0);
+    cluster.start(connected);
     cluster.cuts.clear();
-    cluster.cut_off(leader, true, true);
+    cluster.isolate(leader, true, true);
     cluster.run(6_000)
 }
 
 #[test]
-fn without_sync_before_reply_a_seed_loses_a_committed_entry() {
+fn reply_before_sync_loses_committed_entry() {
     let mutation = Mutation::ReplyBeforeSync;
-    assert_needed(acknowledger_loses_power, mutation, Violation::Divergence);
-}
-
-/// A follower is cut off for a while and returns; the leader should stay.
-fn follower_returns(cluster: &mut Cluster, leader: NodeId) -> Result<(), Violation> {
-    let (stray, _) = followers(leader);
-    let before = cluster.machine(leader).term(0);
-    cluster.cut_off(stray, true, true);
+    assert_needed(
+        acknowledging_follower_loses_power,
+        mutation,
+        Violation::Divergence,
+    );
+}
+
+/// Isolates a follower for a while. The leader must keep its term when the
+/// follower is connected again.
+fn isolated_follower_reconnects(cluster: &mut Cluster, leader: NodeId) -> Result<(), Violation> {
+    let (isolated, _) = followers(leader);
+    let term_before = cluster.machine(leader).term(0);
+    cluster.isolate(isolated, true, true);
     cluster.run(5_000)?;
     cluster.cuts.clear();
     cluster.run(5_000)?;
-    if cluster.machine(leader).term(0) == before {
+    if cluster.machine(leader).term(0) == term_before {
         Ok(())
     } else {
         Err(Violation::Deposed)
@@ -151,7 +182,7 @@
 }
 
 #[test]
-fn without_pre_vote_a_seed_deposes_a_live_leader() {
+fn election_without_pre_vote_deposes_live_leader() {
     let mutation = Mutation::SkipPreVote;
-    assert_needed(follower_returns, mutation, Violation::Deposed);
+    assert_needed(isolated_follower_reconnects, mutation, Violation::Deposed);
 }
--- a/crates/consensus/tests/node.rs
+++ b/crates/consensus/tests/node.rs
@@ -1,4 +1,5 @@
-//! One node by itself: batches, restart and malformed messages.
+//! A single node without a cluster: batches, restart, replies and malformed
+//! messages.
 
 mod cluster;
 
@@ -54,8 +55,9 @@
     all
 }
 
-/// Lets the node wake as it wants until it stands for election.
-fn let_it_stand(node: &mut Node) -> Monotonic {
+/// Ticks the node until it starts a pre-vote or an election, and returns the
+/// time.
+fn tick_until_election(node: &mut Node) -> Monotonic {
     loop {
         let now = node.next_wakeup();
         node.tick(now);
@@ -63,15 +65,17 @@
         if !matches!(role, RaftRole::Follower | RaftRole::Learner) {
             return now;
         }
-        // Probes to other voters, which nobody answers here.
+        // The batch has probes to other voters, which get no reply here.
         persist_all(node, now);
     }
 }
 
+/// A leader that counts its own copy before the sync would commit an entry that
+/// a crash can lose.
 #[test]
-fn a_lone_voter_leads_and_commits_only_what_it_synced() {
+fn single_voter_leads_and_commits_only_synced_entries() {
     let mut node = node(&[1], Recovered::default());
-    let now = let_it_stand(&mut node);
+    let now = tick_until_election(&mut node);
     persist_all(&mut node, now);
     assert!(node.holds_lease(now));
     assert_eq!(node.status(now).role, RaftRole::Leader);
@@ -84,15 +88,18 @@
     assert_eq!(committed.last().map(|e| e.index), Some(index));
 }
 
+/// A reply that is sent at once, because its own batch has no data, would
+/// acknowledge an entry of an earlier batch that is not synced.
 #[test]
-fn a_reply_waits_for_all_earlier_batches() {
+fn reply_waits_for_sync_of_earlier_batches() {
     let mut node = node(&[1, 2, 3], Recovered::default());
     let now = Monotonic(10);
     node.step(now, LEADER, append(1, (0, 0), vec![command(1, 1)], 0));
     let first = node.ready().expect("an entry to write");
     assert_eq!(first.messages_after_persist.len(), 1);
     assert!(first.messages.is_empty());
-    // The same again has nothing to write, yet its reply promises the first.
+    // The same append has nothing to write, but its reply acknowledges the
+    // first entry.
     node.step(now, LEADER, append(1, (0, 0), vec![command(1, 1)], 0));
     assert!(node.ready().is_none());
     node.persisted(now, first.number);
@@ -102,7 +109,7 @@
 }
 
 #[test]
-fn committed_entries_are_applied_first_after_a_restart() {
+fn restarted_node_first_hands_out_committed_entries() {
     let recovered = Recovered {
         hard_state: HardState {
             term: Term(3),
@@ -118,8 +125,10 @@
     assert_eq!(ready.committed, [command(1, 1), command(2, 1)]);
 }
 
+/// A voter that grants a vote at once after its restart could elect a second
+/// leader while the lease of the first one lasts.
 #[test]
-fn a_restarted_voter_waits_before_it_votes() {
+fn restarted_voter_grants_no_vote_for_one_election_timeout() {
     let recovered = Recovered {
         hard_state: HardState {
             term: Term(3),
@@ -141,11 +150,12 @@
         term: Term(4),
         granted: true,
     };
-    let ready = node.ready().expect("a vote");
+    let ready = node.ready().expect("a reply to the vote request");
     assert_eq!(ready.messages_after_persist[0].message, reply);
 }
 
-/// A node that has just won term 4 with entries of terms 1 and 2 in its log.
+/// Returns a node that was just elected in term 4, with entries of terms 1 and
+/// 2 in its log.
 fn new_leader() -> (Node, Monotonic) {
     let recovered = Recovered {
         hard_state: HardState {
@@ -156,7 +166,7 @@
         entries: vec![command(1, 1), command(2, 2)],
     };
     let mut node = node(&[1, 2, 3], recovered);
-    let now = let_it_stand(&mut node);
+    let now = tick_until_election(&mut node);
     let (term, granted) = (Term(4), true);
     node.step(now, LEADER, Message::PreVoteReply { term, granted });
     persist_all(&mut node, now);
@@ -166,7 +176,7 @@
     (node, now)
 }
 
-fn acknowledge(index: u64) -> Message {
+fn append_reply(index: u64) -> Message {
     Message::AppendReply {
         term: Term(4),
         success: true,
@@ -175,32 +185,37 @@
     }
 }
 
+/// An entry of an earlier term can still be overwritten although a quorum has
+/// it (thesis, 3.6.2).
 #[test]
-fn entries_of_earlier_terms_commit_only_with_one_of_the_own() {
+fn entries_of_earlier_terms_commit_only_with_entry_of_current_term() {
     let (mut node, now) = new_leader();
-    node.step(now, LEADER, acknowledge(2));
+    node.step(now, LEADER, append_reply(2));
     assert_eq!(node.status(now).commit, LogIndex(0));
     assert!(!node.holds_lease(now));
-    node.step(now, LEADER, acknowledge(3));
+    node.step(now, LEADER, append_reply(3));
     assert_eq!(node.status(now).commit, LogIndex(3));
     assert!(node.holds_lease(now));
 }
 
+/// A membership change of an earlier term may be in progress on other nodes,
+/// and its quorums need not share a voter with those of the new change.
 #[test]
-fn a_new_leader_changes_no_membership_before_its_own_entry_is_committed() {
+fn new_leader_rejects_membership_change_until_entry_of_its_term_is_committed() {
     let (mut node, now) = new_leader();
     let next = membership(&[1, 2, 3, 4], &[]);
-    let early = node.propose_membership(now, next.clone());
-    assert_eq!(early, Err(ProposeError::ChangeInProgress));
-    node.step(now, LEADER, acknowledge(3));
+    let result = node.propose_membership(now, next.clone());
+    assert_eq!(result, Err(ProposeError::ChangeInProgress));
+    node.step(now, LEADER, append_reply(3));
     assert_eq!(node.propose_membership(now, next), Ok(LogIndex(4)));
 }
 
-/// One lost append makes the follower reject all that are behind it.
+/// A follower that lost one append rejects all that follow it. If each
+/// rejection caused a new append, the entries would be sent several times.
 #[test]
-fn rejections_after_one_loss_cause_one_append() {
+fn rejections_after_lost_append_cause_one_append() {
     let (mut node, now) = new_leader();
-    node.step(now, LEADER, acknowledge(3));
+    node.step(now, LEADER, append_reply(3));
     for _ in 0..3 {
         node.propose(now, vec![0; 100]).expect("it leads");
         persist_all(&mut node, now);
@@ -223,10 +238,11 @@
     assert_eq!(appends, 1);
 }
 
-/// The same node may lead again by the time the answer arrives, and must not
-/// take an earlier term's round for one of its own.
+/// Guards against a lease that is extended by a reply to an earlier term. The
+/// same node may be leader again when the reply arrives, and its rounds are
+/// numbered anew in each term.
 #[test]
-fn an_earlier_terms_round_is_not_echoed() {
+fn reply_to_leader_of_earlier_term_echoes_no_round() {
     let mut node = node(&[1, 2, 3], Recovered::default());
     let now = Monotonic(10);
     node.step(now, LEADER, append(8, (0, 0), Vec::new(), 0));
@@ -241,7 +257,7 @@
     assert_eq!(replies.last().map(|r| &r.message), Some(&rejection));
 }
 
-fn any_number(random: &mut ChaCha8Rng) -> u64 {
+fn random_number(random: &mut ChaCha8Rng) -> u64 {
     match random.random_range(0..8) {
         0 => u64::MAX,
         1 => u64::MAX - 1,
@@ -249,8 +265,8 @@
     }
 }
 
-fn any_message(random: &mut ChaCha8Rng) -> Message {
-    let mut number = || any_number(random);
+fn random_message(random: &mut ChaCha8Rng) -> Message {
+    let mut number = || random_number(random);
     let (term, index, other, round) = (Term(number()), LogIndex(number()), number(), number());
     let entries = vec![command(number(), number()), command(number(), number())];
     let (kind, success) = (number() % 9, number() % 2 == 0);
@@ -304,7 +320,7 @@
 }
 
 #[test]
-fn malformed_messages_do_no_harm() {
+fn random_messages_cause_no_panic() {
     for seed in 0..400 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut node = node(&[1, 2, 3], Recovered::default());
@@ -312,7 +328,7 @@
         for _ in 0..100 {
             now = Monotonic(now.0 + random.random_range(0..400));
             let from = NodeId(random.random_range(0..5));
-            node.step(now, from, any_message(&mut random));
+            node.step(now, from, random_message(&mut random));
             node.tick(now);
             persist_all(&mut node, now);
             node.status(now);
