--- a/crates/consensus/tests/failover.rs
+++ b/crates/consensus/tests/failover.rs
@@ -67,7 +67,7 @@
 #[test]
 fn new_leader_holds_lease_within_limit_after_freeze() -> Result<(), Violation> {
     assert_within_limit(&measure_gaps(|cluster, leader| {
-        cluster.freeze(leader, 20_000)
+        cluster.freeze(leader, 20_000);
     })?);
     Ok(())
 }
