--- a/crates/coordinator/src/leader.rs
+++ b/crates/coordinator/src/leader.rs
@@ -1,19 +1,20 @@
-//! The leader: what only the leader of a term holds in memory, and the
-//! composition of its parts.
+//! Leader of one term: the state that only a leader keeps in memory, and the
+//! components that manage it.
 //!
-//! A leader of one term is built when its lease first holds, and dropped with
-//! its role. If the lease lapses within the term (no other leader can have
-//! been elected then) the view is kept and fed, so that run identifiers of the
-//! term are not drawn twice, but nothing acts until the lease holds again.
+//! A leader is created when the lease of its term first holds, and dropped when
+//! the process loses leadership. If the lease expires within the term, no other
+//! leader can have been elected, so the state is kept and updated: a new one
+//! would assign the run identifiers of this term a second time. The leader does
+//! not act until the lease holds again.
 //!
-//! Nothing here sends or proposes: it collects, and the core lets out what the
-//! lease allows at the end of an input.
+//! These modules neither send messages nor propose commands. They collect both,
+//! and at the end of an input the core sends and proposes what the lease allows.
 //!
-//! Parts with a state of their own: [`sessions`], [`runner_registry`],
+//! Components that keep state: [`sessions`], [`runner_registry`],
 //! [`run_tracker`], [`request_table`], [`proposals`], [`outbox`],
 //! [`placement`], [`audit`], [`rebuild`], [`lease_state`], [`decision_log`],
 //! [`error_budgets`], [`submit_admission`] and [`membership`]. The other
-//! modules compose them, one for each kind of input: [`keep_alives`],
+//! modules use these components, each for one kind of input: [`keep_alives`],
 //! [`heartbeats`], [`orders`], [`requests`], [`reads`] and
 //! [`applied_entries`].
 
@@ -77,7 +78,7 @@
 /// Time between two reports of the gauges.
 const GAUGE_INTERVAL: Milliseconds = Milliseconds(1_000);
 
-/// Who leads which cluster in which term.
+/// Address, cluster and term of a leader.
 #[derive(Debug, Clone)]
 pub(crate) struct LeaderIdentity {
     pub(crate) own: Address,
@@ -85,7 +86,7 @@
     pub(crate) term: Term,
 }
 
-/// When the periodic work of the leader is next due.
+/// Timers of the leader's periodic work.
 #[derive(Debug)]
 struct Timers {
     checks: PeriodicTimer,
@@ -98,7 +99,7 @@
     identity: LeaderIdentity,
     options: CoordinatorOptions,
     lease: LeaseState,
-    /// Of the configuration in force.
+    /// Timings of the configuration in force.
     timings: Timings,
     scheduler: Scheduler,
     rebuild: RebuildCursor,
@@ -119,9 +120,9 @@
 }
 
 impl Leader {
-    /// Builds a leader whose lease began to hold now. Open runs are added at
-    /// once, so that resource limits count them; tasks follow in slices. The
-    /// scheduler must be new.
+    /// Creates a leader whose lease holds from `now` on. Open runs are added
+    /// immediately, so that resource limits count them; ready tasks are added
+    /// in slices. `scheduler` must be empty.
     pub(crate) fn new(
         options: CoordinatorOptions,
         identity: LeaderIdentity,
@@ -159,7 +160,7 @@
         }
     }
 
-    /// The term that it leads in.
+    /// Returns the term of this leader.
     pub(crate) fn term(&self) -> Term {
         self.identity.term
     }
@@ -169,12 +170,14 @@
         self.lease.is_serving()
     }
 
-    /// Positions that the scheduler has scanned in this term.
+    /// Returns the number of tasks and runners that the scheduler has examined
+    /// in this term.
     pub(crate) fn scan_cost(&self) -> u64 {
         self.scheduler.scan_cost()
     }
 
-    /// When it has something to do that cannot wait for the next tick.
+    /// Returns when the leader has work that must not wait for the next tick, or
+    /// `None` if there is no such work.
     pub(crate) fn next_wakeup(&self, last_input: Now) -> Option<Monotonic> {
         if !self.lease.is_serving() {
             return None;
@@ -193,7 +196,7 @@
         Some((last_input.monotonic + wait).max(self.placement.not_before()))
     }
 
-    /// Runs the work that is due by time.
+    /// Runs the periodic work that is due at `now`.
     pub(crate) fn run_periodic_work(&mut self, state_machine: &StateMachine, now: Now) {
         self.rebuild_slice(state_machine, now);
         if self.timers.checks.fire(now.monotonic) {
@@ -210,7 +213,7 @@
         }
     }
 
-    /// The next membership to propose, if it is to change.
+    /// Returns the next membership to propose, or `None` if no change is needed.
     pub(crate) fn next_membership(&mut self, status: &Status, now: Now) -> Option<Membership> {
         self.joiners.expire(now.monotonic);
         let planner = MembershipPlanner {
@@ -223,17 +226,18 @@
         planner.next()
     }
 
-    /// Returns whether a check of the membership is due; if so, schedules the next.
+    /// Returns whether a check of the membership is due, and if so schedules the
+    /// next check.
     pub(crate) fn is_membership_check_due(&mut self, now: Now) -> bool {
         self.timers.membership.fire(now.monotonic)
     }
 
-    /// Records a coordinator that asks for admission.
+    /// Records a coordinator that requests admission to the membership.
     pub(crate) fn record_joiner(&mut self, address: &Address, now: Now) {
         self.joiners.record(address, now.monotonic);
     }
 
-    /// Records which configuration a member says to have applied.
+    /// Records the configuration version that a member reports as applied.
     pub(crate) fn record_member_version(
         &mut self,
         node: NodeId,
@@ -243,12 +247,13 @@
         self.member_versions.record(node, version, membership);
     }
 
-    /// The configuration that a member last said to have applied.
+    /// Returns the configuration version that a member last reported as applied,
+    /// or `None` if it has sent no report.
     pub(crate) fn member_version(&self, node: NodeId) -> Option<ConfigurationVersion> {
         self.member_versions.get(node)
     }
 
-    /// The sessions, for the list of members.
+    /// Returns the sessions as entries of the list of members.
     pub(crate) fn session_views(&self, now: Now) -> impl Iterator<Item = MemberView> {
         self.sessions.views(now.monotonic)
     }
@@ -258,44 +263,48 @@
         self.outbox.answer(sender, message);
     }
 
-    /// Places tasks and takes the commands to propose, in order.
+    /// Places tasks, and returns the collected commands in the order in which
+    /// they must be proposed.
     pub(crate) fn take_proposals(
         &mut self,
         state_machine: &StateMachine,
         now: Now,
     ) -> Vec<Proposal> {
-        // Closes go first: the late end of a task that is done must be in the
-        // log before the task could be reserved again.
+        // Closes are proposed before reservations: the late end of a finished
+        // task must be in the log before the task can be reserved again.
         self.proposals.pack_closes(now);
         self.place(state_machine, now);
         self.proposals.take()
     }
 
-    /// Takes the messages that may leave under the lease.
+    /// Returns the collected messages and clears them. They may be sent only
+    /// while the lease holds.
     pub(crate) fn take_messages(&mut self) -> Vec<AddressedMessage> {
         self.outbox.take_messages()
     }
 
-    /// Packs what was collected for each agent and runner into messages.
+    /// Packs the orders collected for each agent, and the recorded ends of each
+    /// runner, into messages.
     pub(crate) fn pack_messages(&mut self) {
         self.outbox.pack_orders();
         self.confirm_recorded_ends();
     }
 
-    /// Discards the messages that only a leader under its lease may send.
+    /// Discards all collected messages except replies to requests. Only a leader
+    /// with a valid lease may send the others.
     pub(crate) fn retain_replies(&mut self) {
         self.outbox.retain_replies();
     }
 
-    /// Emits the entries of the decision log since the last call.
+    /// Emits the entries added to the decision log since the last call.
     pub(crate) fn emit_decisions(&mut self, effects: &mut Vec<Effect>) {
         for entry in self.decisions.take_unemitted() {
             effects.push(Effect::Decision(Box::new(entry)));
         }
     }
 
-    /// Answers every pending request that its outcome is uncertain: leadership
-    /// is lost.
+    /// Answers every pending request that its outcome is uncertain, because
+    /// leadership is lost.
     pub(crate) fn reject_pending_requests(&mut self) -> Vec<AddressedMessage> {
         let mut answers = Outbox::new(self.identity.own.clone(), self.identity.term);
         for request in self.requests.take_all() {
@@ -304,10 +313,11 @@
         answers.take_messages()
     }
 
-    /// The lease lapsed: what was collected must not leave, and starts that
-    /// were not sent never will be. Requests whose entries are in the log wait
-    /// on: the lease may hold again, and else they are answered as leadership
-    /// is lost.
+    /// Suspends the leader because its lease expired. Discards the collected
+    /// messages and commands, except replies to requests, and the starts that are
+    /// not sent yet, which are never sent later. Requests whose entries are in
+    /// the log stay pending: the lease may hold again, and if leadership is lost
+    /// instead, [`Self::reject_pending_requests`] answers them.
     pub(crate) fn suspend(&mut self) {
         self.lease.suspend();
         self.runs.discard_starts();
@@ -322,12 +332,12 @@
         }
     }
 
-    /// Records that the lease holds at this moment.
+    /// Records that the lease holds at `now`.
     pub(crate) fn record_lease_held(&mut self, now: Monotonic) {
         self.lease.record_held(now);
     }
 
-    /// The lease holds again within the term.
+    /// Resumes the leader when the lease holds again within the term.
     pub(crate) fn resume(&mut self, now: Monotonic) {
         let gap = self.lease.resume(now);
         self.runners.shift_last_seen(gap, now);
@@ -347,8 +357,8 @@
     }
 }
 
-/// Gives configuration, open runs and drained runners to a new scheduler, and
-/// tracks the runs.
+/// Adds the configuration, the open runs and the draining runners to a new
+/// scheduler, and returns a tracker of the runs.
 fn adopt_runs(
     state_machine: &StateMachine,
     scheduler: &mut Scheduler,
--- a/crates/coordinator/src/leader/applied_entries.rs
+++ b/crates/coordinator/src/leader/applied_entries.rs
@@ -1,5 +1,5 @@
-//! What follows from entries of the log: changes of the state machine update
-//! the leader's view, and replies answer what was proposed.
+//! Handling of applied log entries: changes of the state machine update the
+//! state of the leader, and replies answer the requests that proposed them.
 
 use crate::leader::Leader;
 use crate::leader::proposals::{Proposal, ProposalOrigin};
@@ -11,7 +11,7 @@
 use types::{JobKey, JobNumber, JobState, LogIndex, Milliseconds, Now, Role};
 
 impl Leader {
-    /// Follows an entry that was applied.
+    /// Handles an entry that was applied to the state machine.
     pub(crate) fn follow_entry(
         &mut self,
         state_machine: &StateMachine,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Records that a proposal is in the log.
+    /// Records that the consensus node accepted a proposal at `index`.
     pub(crate) fn record_proposed(&mut self, index: LogIndex, proposal: Proposal) {
         let Proposal { command, origin } = proposal;
         if self.has_mutation(Mutation::AcknowledgeBeforeCommit)
@@ -49,8 +49,8 @@
         self.proposals.record_index(index, origin);
     }
 
-    /// Takes back a proposal that the consensus node did not take: it is
-    /// handing over or has lost its role.
+    /// Withdraws a proposal that the consensus node did not accept, because it
+    /// is transferring leadership or has lost it.
     pub(crate) fn withdraw_proposal(
         &mut self,
         state_machine: &StateMachine,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Rejects the request, if any, whose command never came into the log.
+    /// Rejects the request, if any, whose command was not proposed.
     pub(super) fn reject_unproposed(&mut self, origin: &ProposalOrigin) {
         if let ProposalOrigin::Request(key) = origin
             && let Some(request) = self.requests.remove(*key)
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Follows the state machine's reply to an entry of this leader.
+    /// Handles the state machine's reply to an entry of this leader.
     fn follow_reply(&mut self, origin: ProposalOrigin, reply: CommandReply, now: Now) {
         match origin {
             ProposalOrigin::Internal => {}
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Follows a change of the state machine, whoever proposed it.
+    /// Handles a change of the state machine, proposed by this leader or an
+    /// earlier one.
     fn follow_change(&mut self, state_machine: &StateMachine, change: Change, now: Now) {
         self.placement.request();
         match change {
@@ -160,8 +161,8 @@
         metrics::counter!("cypressdrum_jobs_ended_total").increment(1);
     }
 
-    /// Gives another configuration in force to the scheduler and to every
-    /// session at once.
+    /// Applies a new configuration to the scheduler and sends it to every
+    /// gateway and agent with a session.
     fn follow_configuration(&mut self, state_machine: &StateMachine) {
         let (version, document) = state_machine.configuration();
         self.timings = document.timings.clone();
--- a/crates/coordinator/src/leader/audit.rs
+++ b/crates/coordinator/src/leader/audit.rs
@@ -1,5 +1,5 @@
-//! Continuous comparison of the scheduler with the state machine, slice by
-//! slice, and the removal of jobs whose retention has passed.
+//! Continuous audit, which compares the scheduler with the state machine in
+//! slices, and removal of jobs whose retention has passed.
 
 use crate::leader::Leader;
 use crate::leader::periodic_timer::PeriodicTimer;
@@ -7,25 +7,27 @@
 use state_machine::{Command, StateMachine};
 use types::{JobNumber, Milliseconds, Monotonic, Now, WallTime};
 
-/// Time between two slices.
+/// Time between the audits of two slices.
 const AUDIT_INTERVAL: Milliseconds = Milliseconds(200);
-/// Jobs in a slice.
+/// Maximum number of jobs in a slice.
 const AUDIT_JOBS: usize = 64;
-/// Time between two removals of ended jobs.
+/// Time between two commands that remove ended jobs.
 const FORGET_INTERVAL: Milliseconds = Milliseconds(10_000);
-/// Jobs removed by one command.
+/// Maximum number of jobs removed by one command.
 const FORGET_JOBS: u32 = 2_000;
 
-/// Where the next slice begins, and when it and the next removal are due.
+/// Position of the audit, and the timers of the audit and the removal.
 #[derive(Debug)]
 pub(super) struct AuditState {
+    /// Last job of the previous slice. `None` if the next slice begins with the
+    /// first job.
     after: Option<JobNumber>,
     audit_timer: PeriodicTimer,
     forget_timer: PeriodicTimer,
 }
 
 impl AuditState {
-    /// Begins with the first job.
+    /// Creates a state whose first slice begins with the first job.
     pub(super) fn new(now: Monotonic) -> Self {
         Self {
             after: None,
@@ -36,7 +38,8 @@
 }
 
 impl Leader {
-    /// Compares the next slice; differences are repaired, counted and logged.
+    /// Compares the next slice if an audit is due. Repairs, counts and logs the
+    /// differences.
     pub(super) fn audit_when_due(&mut self, state_machine: &StateMachine, now: Now) {
         if !self.rebuild.is_done() || !self.audit.audit_timer.fire(now.monotonic) {
             return;
@@ -61,7 +64,7 @@
         metrics::counter!("cypressdrum_audit_compared_total").increment(report.compared);
     }
 
-    /// Proposes to remove jobs whose retention has passed.
+    /// Proposes to remove jobs whose retention has passed, if a removal is due.
     pub(super) fn forget_jobs_when_due(&mut self, state_machine: &StateMachine, now: Now) {
         if !self.audit.forget_timer.fire(now.monotonic) {
             return;
--- a/crates/coordinator/src/leader/decision_log.rs
+++ b/crates/coordinator/src/leader/decision_log.rs
@@ -1,22 +1,23 @@
-//! The decision log: the newest decisions, kept for readers.
+//! Log of the newest decisions of the leader, kept in memory for operators'
+//! reads.
 
 use std::collections::VecDeque;
 use transport::{DecisionEntry, DecisionEvent};
 use types::{JobKey, Term};
 
-/// The newest decisions of one leader, numbered from 1 in its term.
+/// Newest decisions of one leader, numbered from 1 in its term.
 #[derive(Debug)]
 pub(super) struct DecisionLog {
     term: Term,
     capacity: usize,
     next: u64,
     entries: VecDeque<DecisionEntry>,
-    /// Entries that were not emitted yet.
+    /// Entries that have not been emitted as effects yet.
     unemitted: Vec<DecisionEntry>,
 }
 
 impl DecisionLog {
-    /// An empty log that keeps the newest `capacity` entries.
+    /// Creates an empty log that keeps the newest `capacity` entries.
     pub(super) fn new(term: Term, capacity: usize) -> Self {
         Self {
             term,
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Records a decision, about a job where there is one.
+    /// Records a decision. `job` is `None` if the job is no longer known.
     pub(super) fn record(&mut self, job: Option<JobKey>, event: DecisionEvent) {
         let entry = DecisionEntry {
             number: self.next,
@@ -43,12 +44,13 @@
         }
     }
 
-    /// Takes the entries added since the last call.
+    /// Returns the entries added since the last call.
     pub(super) fn take_unemitted(&mut self) -> Vec<DecisionEntry> {
         std::mem::take(&mut self.unemitted)
     }
 
-    /// At most `limit` entries after this number, oldest first.
+    /// Returns at most `limit` entries with a higher number than `number`, oldest
+    /// first.
     pub(super) fn after(&self, number: u64, limit: usize) -> Vec<DecisionEntry> {
         self.entries
             .iter()
--- a/crates/coordinator/src/leader/error_budgets.rs
+++ b/crates/coordinator/src/leader/error_budgets.rs
@@ -1,11 +1,12 @@
-//! Error budgets: jobs that ended late or failed, compared with what the
-//! contract allows. Counted since the leader's election.
+//! Error budgets: the shares of late and failed jobs of a tenant, compared with
+//! the shares that its configuration allows. Counted since the election of the
+//! leader.
 
 use configuration::ErrorBudget;
 use std::collections::BTreeMap;
 use types::{JobState, Milliseconds, TenantId};
 
-/// Jobs of one tenant that ended.
+/// Numbers of ended jobs of one tenant.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct EndedJobs {
     pub(super) total: u64,
@@ -14,27 +15,28 @@
 }
 
 impl EndedJobs {
-    /// Returns whether more jobs in a thousand were late or failed than allowed.
+    /// Returns whether more jobs per thousand were late or failed than allowed.
     pub(super) fn exceeds(&self, budget: &ErrorBudget) -> bool {
-        let over = |count: u64, allowed: u32| count * 1_000 > u64::from(allowed) * self.total;
-        over(self.late, budget.late_per_thousand) || over(self.failed, budget.failed_per_thousand)
+        let is_over = |count: u64, allowed: u32| count * 1_000 > u64::from(allowed) * self.total;
+        is_over(self.late, budget.late_per_thousand)
+            || is_over(self.failed, budget.failed_per_thousand)
     }
 }
 
-/// What each tenant has used of its budget.
+/// Ended jobs of all tenants.
 #[derive(Debug, Default)]
 pub(super) struct ErrorBudgets {
     tenants: BTreeMap<TenantId, EndedJobs>,
 }
 
 impl ErrorBudgets {
-    /// The jobs of a tenant that ended.
+    /// Returns the numbers of ended jobs of a tenant.
     pub(super) fn ended_jobs(&self, tenant: &TenantId) -> EndedJobs {
         self.tenants.get(tenant).copied().unwrap_or_default()
     }
 
-    /// Counts a job that reached a final state after it `waited` for its start.
-    /// It is late if it waited for longer than `late_after`.
+    /// Counts a job that reached a final state. The job is late if the time that
+    /// it `waited` for its start is longer than `late_after`.
     pub(super) fn record_job_end(
         &mut self,
         tenant: &TenantId,
--- a/crates/coordinator/src/leader/heartbeats.rs
+++ b/crates/coordinator/src/leader/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats of runners, compared with the runs that are open: what each
-//! incarnation of a runner has active and has ended.
+//! Heartbeats of runners: the active and ended runs that an incarnation of a
+//! runner reports are reconciled with the open runs.
 
 use crate::leader::Leader;
 use crate::leader::run_tracker::TrackedRun;
@@ -11,9 +11,9 @@
 use types::{ActiveRun, EndedRun, Milliseconds, Now, RunClose, RunId, RunnerReport, UnnamedRun};
 
 impl Leader {
-    /// Takes the heartbeats that an agent passes on. They do not count without
-    /// a session: no order could be sent to the agent, so room on its runners
-    /// would only draw reservations that must be taken back.
+    /// Handles the heartbeats that an agent forwards. They are ignored if the
+    /// agent has no session: no order could be sent to it, so reservations on
+    /// its runners would have to be withdrawn.
     pub(crate) fn receive_report(
         &mut self,
         state_machine: &StateMachine,
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Finds the identifiers of runs that the runner knows by name only, then
-    /// takes the heartbeat.
+    /// Finds the identifiers of runs that the heartbeat lists by name only, then
+    /// handles the heartbeat.
     fn receive_heartbeat(
         &mut self,
         state_machine: &StateMachine,
@@ -51,7 +51,7 @@
         self.receive_named_heartbeat(state_machine, agent, &named, now);
     }
 
-    /// Takes a heartbeat that names every open run of the runner.
+    /// Handles a heartbeat that lists every open run of the runner by identifier.
     fn receive_named_heartbeat(
         &mut self,
         state_machine: &StateMachine,
@@ -61,7 +61,7 @@
     ) {
         match self.runners.freshness(report) {
             Freshness::Outdated => return,
-            // The answer may have been lost.
+            // The answer to the first copy may have been lost.
             Freshness::Repeated => {}
             Freshness::New => self.record_heartbeat(state_machine, agent, report, now),
         }
@@ -89,8 +89,8 @@
         self.reconcile_runs(state_machine, report, now);
     }
 
-    /// A new runner has the endpoint of another one: that one is gone, and its
-    /// runs with it.
+    /// Closes as lost the runs of another runner with the same endpoint as a new
+    /// runner, which replaces it.
     fn close_runs_of_replaced_runner(&mut self, report: &RunnerReport) {
         let Some(endpoint) = &report.endpoint else {
             return;
@@ -98,7 +98,7 @@
         let lost: Vec<RunId> = self
             .runs
             .iter()
-            .map(TrackedRun::open)
+            .map(TrackedRun::open_run)
             .filter(|run| run.endpoint.as_ref() == Some(endpoint))
             .filter(|run| run.runner != report.runner)
             .map(|run| run.run)
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Reconciles the runs bound to the runner with what it has active and has
-    /// ended.
+    /// Reconciles the open runs of the runner with the active and ended runs
+    /// that it reports.
     fn reconcile_runs(&mut self, state_machine: &StateMachine, report: &RunnerReport, now: Now) {
         let ended: BTreeMap<RunId, &EndedRun> = report
             .ended
@@ -121,30 +121,30 @@
             .iter()
             .map(|active| (active.run, active))
             .collect();
-        self.close_with_late_ends(state_machine, report);
+        self.propose_late_ends(state_machine, report);
         for run in self.runs.of_runner(&report.runner) {
             let Some(tracked) = self.runs.get(run) else {
                 continue;
             };
-            let bound_to = tracked.open().incarnation;
+            let incarnation = tracked.open_run().incarnation;
             if let Some(ended) = ended.get(&run) {
                 self.runs.record_checkpoint(run, ended.checkpoint.as_ref());
                 self.close_run(run, RunClose::Ended(ended.outcome.clone()));
-            } else if bound_to < report.incarnation {
-                // It died with that incarnation.
+            } else if incarnation < report.incarnation {
+                // The run was lost with its incarnation of the runner.
                 self.close_run(run, RunClose::Lost);
             } else if let Some(active) = active.get(&run) {
                 self.runs.record_active(run, active, now.monotonic);
-            } else if bound_to == report.incarnation && self.runs.record_absent(run) {
+            } else if incarnation == report.incarnation && self.runs.record_absent(run) {
                 self.send_revoke(state_machine, run, now.monotonic);
             }
         }
     }
 
-    /// Passes late ends of runs that were closed as lost on to the state
-    /// machine. One that is still under way when the next heartbeat comes is
-    /// passed on again, which changes nothing.
-    fn close_with_late_ends(&mut self, state_machine: &StateMachine, report: &RunnerReport) {
+    /// Proposes the ends of runs that were closed as lost before their end was
+    /// reported. If the next heartbeat arrives before the proposal is applied,
+    /// the end is proposed again, which changes nothing.
+    fn propose_late_ends(&mut self, state_machine: &StateMachine, report: &RunnerReport) {
         let late = report
             .ended
             .iter()
@@ -158,7 +158,8 @@
         }
     }
 
-    /// Answers a heartbeat: the run lease, ends that are recorded, runs to stop.
+    /// Answers a heartbeat with the run lease, the ends that are recorded, the
+    /// runs to stop and the identifiers of runs listed by name.
     fn confirm_heartbeat(
         &mut self,
         state_machine: &StateMachine,
@@ -190,8 +191,9 @@
         self.outbox.answer(agent, PeerMessage::RunnerUpdate(update));
     }
 
-    /// Tells runners at once which of their ends are recorded, so that they
-    /// need not repeat them until their next heartbeat is answered.
+    /// Confirms newly recorded ends to their runners immediately, so that the
+    /// runners need not report them again until their next heartbeat is
+    /// answered.
     pub(super) fn confirm_recorded_ends(&mut self) {
         for (runner, recorded) in self.runners.take_recorded_ends() {
             let Some(state) = self.runners.get(&runner) else {
@@ -213,7 +215,7 @@
     }
 }
 
-/// Adds a run under its identifier, now that it is found.
+/// Adds a run that was listed by name to the active or ended runs of a heartbeat.
 fn add_named_run(report: &mut RunnerReport, run: RunId, unnamed: &UnnamedRun) {
     match &unnamed.outcome {
         Some(outcome) => report.ended.push(EndedRun {
--- a/crates/coordinator/src/leader/keep_alives.rs
+++ b/crates/coordinator/src/leader/keep_alives.rs
@@ -1,5 +1,5 @@
-//! Keep-alives, answered with a lease and, where it is newer, the
-//! configuration.
+//! Keep-alives of other processes, answered with a session lease and, if the
+//! sender has an older version, the configuration.
 
 use crate::leader::Leader;
 use crate::sender::Sender;
@@ -8,7 +8,8 @@
 use types::{Address, Now, Role};
 
 impl Leader {
-    /// Takes a keep-alive. The lease names the `coordinators` that are live.
+    /// Handles a keep-alive. `coordinators` are the live coordinators, which the
+    /// lease lists.
     pub(crate) fn receive_keep_alive(
         &mut self,
         state_machine: &StateMachine,
--- a/crates/coordinator/src/leader/membership.rs
+++ b/crates/coordinator/src/leader/membership.rs
@@ -1,52 +1,53 @@
-//! Admission of new coordinators and replacement of lost ones.
+//! Admission of new coordinators and replacement of failed ones.
 //!
-//! One change at a time, each derived anew from the membership in force, so
-//! that a new leader goes on where the last one stopped:
+//! The membership changes in single steps. Each step is derived from the
+//! membership in force, so a new leader continues where the last one stopped:
 //!
-//! 1. A coordinator outside the membership that sends keep-alives becomes a
+//! 1. A coordinator that sends keep-alives and is not a member becomes a
 //!    learner.
-//! 2. When a learner has caught up, a dead voter is removed: at once the one
-//!    whose socket the learner has (its disk and identity are gone), otherwise
-//!    one that has been unresponsive for longer than `replace_voter_after`.
-//! 3. While there are fewer voters than the cluster began with, a learner that
-//!    has caught up is promoted.
+//! 2. When a learner has caught up, a failed voter is removed: immediately if
+//!    the learner has its socket (the voter has lost its disk and identity),
+//!    otherwise once it is unresponsive for longer than `replace_voter_after`.
+//! 3. While there are fewer voters than the cluster was created with, a learner
+//!    that has caught up is promoted.
 //!
-//! The removal comes before the promotion. With three voters, one of them
-//! dead, both orders need the two live voters to go on; but the removal first
-//! lets decisions rest in between on processes that have proven themselves,
-//! and the new one counts only when the group is whole again. A removal is
-//! proposed only if the live voters are a quorum of what remains.
+//! A voter is removed before its replacement is promoted. With three voters, one
+//! of which has failed, either order needs the two live voters. But if the
+//! removal comes first, the quorum in between consists of voters that are known
+//! to work, and the new voter counts only once the group is complete again. A
+//! removal is proposed only if the live voters are a quorum of the remaining
+//! voters.
 
 use consensus::{Membership, Status};
 use std::collections::BTreeMap;
 use types::{Address, ConfigurationVersion, Milliseconds, Monotonic, NodeId};
 
-/// Entries a learner may lack and still count as caught up.
+/// Number of entries that a learner may lack and still count as caught up.
 const CAUGHT_UP_LAG: u64 = 64;
-/// A member that is unresponsive for longer does not count as live.
-const LIVE_WITHIN: Milliseconds = Milliseconds(1_000);
-/// A learner that was unresponsive for this long is removed.
-const DROP_LEARNER_AFTER: Milliseconds = Milliseconds(60_000);
-/// Learners at once.
+/// Time without contact after which a member no longer counts as live.
+const LIVENESS_TIMEOUT: Milliseconds = Milliseconds(1_000);
+/// Time without contact after which a learner is removed.
+const LEARNER_TIMEOUT: Milliseconds = Milliseconds(60_000);
+/// Maximum number of learners at a time.
 const MAX_LEARNERS: usize = 3;
-/// A keep-alive of a joiner counts for this long.
-const JOINER_VALID: Milliseconds = Milliseconds(2_000);
+/// Time after the last keep-alive of a joiner at which it is removed.
+const JOINER_TIMEOUT: Milliseconds = Milliseconds(2_000);
 
-/// A coordinator that asked for admission.
+/// Coordinator that requests admission, and when its last keep-alive arrived.
 #[derive(Debug)]
 struct Joiner {
     address: Address,
     last_seen: Monotonic,
 }
 
-/// Coordinators that asked for admission.
+/// Coordinators that request admission.
 #[derive(Debug, Default)]
 pub(super) struct Joiners {
     by_node: BTreeMap<NodeId, Joiner>,
 }
 
 impl Joiners {
-    /// Records a keep-alive of a coordinator outside the membership.
+    /// Records a keep-alive of a coordinator that is not a member.
     pub(super) fn record(&mut self, address: &Address, now: Monotonic) {
         let joiner = Joiner {
             address: address.clone(),
@@ -55,13 +56,13 @@
         self.by_node.insert(address.node, joiner);
     }
 
-    /// Drops the joiners whose last keep-alive is too old.
+    /// Removes the joiners whose last keep-alive is too old.
     pub(super) fn expire(&mut self, now: Monotonic) {
         self.by_node
-            .retain(|_, joiner| now.since(joiner.last_seen) <= JOINER_VALID);
+            .retain(|_, joiner| now.since(joiner.last_seen) <= JOINER_TIMEOUT);
     }
 
-    fn find_outside(&self, membership: &Membership) -> Option<&Address> {
+    fn find_non_member(&self, membership: &Membership) -> Option<&Address> {
         self.by_node
             .values()
             .map(|joiner| &joiner.address)
@@ -69,15 +70,15 @@
     }
 }
 
-/// The configuration that each other member last said to have applied.
+/// Configuration version that each other member last reported as applied.
 #[derive(Debug, Default)]
 pub(super) struct MemberVersions {
     by_node: BTreeMap<NodeId, ConfigurationVersion>,
 }
 
 impl MemberVersions {
-    /// Records a member's configuration, and drops processes that are no
-    /// members any more.
+    /// Records the configuration version of a member, and removes processes that
+    /// are no longer members.
     pub(super) fn record(
         &mut self,
         node: NodeId,
@@ -89,29 +90,31 @@
             .retain(|node, _| membership.socket(*node).is_some());
     }
 
-    /// The configuration that a member last said to have applied, if it did.
+    /// Returns the configuration version that a member last reported as applied,
+    /// or `None` if it has sent no report.
     pub(super) fn get(&self, node: NodeId) -> Option<ConfigurationVersion> {
         self.by_node.get(&node).copied()
     }
 }
 
-/// Derives the next change of the membership from what the leader knows.
+/// Derives the next membership change from the status of the consensus node and
+/// the joiners.
 pub(super) struct MembershipPlanner<'a> {
     pub(super) own: NodeId,
-    /// Number of voters the cluster began with.
+    /// Number of voters that the cluster was created with.
     pub(super) wanted_voters: usize,
-    /// A voter that is unresponsive for this long is replaced.
+    /// Time without contact after which a voter is replaced.
     pub(super) replace_voter_after: Milliseconds,
     pub(super) status: &'a Status,
     pub(super) joiners: &'a Joiners,
 }
 
 impl MembershipPlanner<'_> {
-    /// The next membership to propose; none if nothing is to change.
+    /// Returns the next membership to propose, or `None` if no change is needed.
     pub(super) fn next(&self) -> Option<Membership> {
         self.without_stale_learner()
             .or_else(|| self.with_joiner())
-            .or_else(|| self.without_dead_voter())
+            .or_else(|| self.without_failed_voter())
             .or_else(|| self.with_promoted_learner())
     }
 
@@ -119,16 +122,16 @@
         let learners = &self.status.membership.learners;
         let stale = learners
             .keys()
-            .find(|node| self.unresponsive_time(**node) > DROP_LEARNER_AFTER)?;
+            .find(|node| self.unresponsive_time(**node) > LEARNER_TIMEOUT)?;
         let mut next = self.status.membership.clone();
         next.learners.remove(stale);
         Some(next)
     }
 
     fn with_joiner(&self) -> Option<Membership> {
-        let joiner = self.joiners.find_outside(&self.status.membership)?;
+        let joiner = self.joiners.find_non_member(&self.status.membership)?;
         let mut next = self.status.membership.clone();
-        // An earlier identity on the socket is gone for good.
+        // A learner on the same socket had an identity that is lost.
         next.learners.retain(|_, socket| *socket != joiner.socket);
         if next.learners.len() >= MAX_LEARNERS {
             return None;
@@ -137,10 +140,10 @@
         Some(next)
     }
 
-    fn without_dead_voter(&self) -> Option<Membership> {
-        let dead = self.find_dead_voter()?;
+    fn without_failed_voter(&self) -> Option<Membership> {
+        let failed = self.find_failed_voter()?;
         let mut next = self.status.membership.clone();
-        next.voters.remove(&dead);
+        next.voters.remove(&failed);
         let live = next
             .voters
             .keys()
@@ -149,20 +152,20 @@
         (live >= next.quorum()).then_some(next)
     }
 
-    /// Finds a voter that a learner is ready to replace.
-    fn find_dead_voter(&self) -> Option<NodeId> {
+    /// Finds a failed voter for which a learner is ready as a replacement.
+    fn find_failed_voter(&self) -> Option<NodeId> {
         let learner = self.find_ready_learner()?;
         let socket = self.status.membership.learners.get(&learner)?;
         let voters = &self.status.membership.voters;
         let others = || voters.iter().filter(|(node, _)| **node != self.own);
-        let replaced = others().find(|(_, voter)| *voter == socket);
+        let with_same_socket = others().find(|(_, voter)| *voter == socket);
         let longest_unresponsive = || {
             others()
                 .filter(|(node, _)| self.unresponsive_time(**node) > self.replace_voter_after)
                 .max_by_key(|(node, _)| self.unresponsive_time(**node))
         };
-        let (dead, _) = replaced.or_else(longest_unresponsive)?;
-        Some(*dead)
+        let (failed, _) = with_same_socket.or_else(longest_unresponsive)?;
+        Some(*failed)
     }
 
     fn with_promoted_learner(&self) -> Option<Membership> {
@@ -191,7 +194,7 @@
     }
 
     fn is_live(&self, node: NodeId) -> bool {
-        self.unresponsive_time(node) <= LIVE_WITHIN
+        self.unresponsive_time(node) <= LIVENESS_TIMEOUT
     }
 
     fn unresponsive_time(&self, node: NodeId) -> Milliseconds {
--- a/crates/coordinator/src/leader/orders.rs
+++ b/crates/coordinator/src/leader/orders.rs
@@ -1,21 +1,25 @@
-//! Delivery of orders to runners: one start, then revocations and stops until
-//! the outcome is known.
+//! Delivery of orders to runners: one start for each run, then revocations and
+//! stops until the outcome is known.
 //!
-//! A run's start leaves at most once, from the leader that reserved it. While
-//! it is not known whether it landed, the run is revoked, again and again: a
-//! revocation is idempotent, and the runner rejects a start that crosses it late.
+//! The start of a run is sent at most once, by the leader that reserved the run.
+//! While it is uncertain whether the start arrived, the leader repeats a
+//! revocation: a revocation is idempotent, and the runner rejects a start that
+//! arrives after it.
 //!
-//! When the runs of an unresponsive runner are closed as lost: a runner that
-//! stops its own runs does so one run lease after it *sent* the heartbeat that
-//! was last confirmed. This leader received each heartbeat it confirmed after that
-//! moment, so waiting lease and margin from the reception is enough for its
-//! own confirmations. An earlier leader confirmed only under its lease, which
-//! had ended before this leader was elected; so for its confirmations, and
-//! for starts based on them, counting from the election is enough. A runner
-//! that declares no self-stop has its runs never closed by the clock.
+//! # Unresponsive runners
 //!
-//! The declaration goes into the log with each reservation, so a leader
-//! that received no heartbeat of the runner knows it too.
+//! The runs of an unresponsive runner are closed as lost once the runner must
+//! have stopped them. A runner with self-stop does so one run lease after it
+//! *sent* the heartbeat that was last confirmed. This leader receives a
+//! heartbeat after it was sent, so for its own confirmations it waits for the
+//! run lease and the margin from the reception. An earlier leader confirmed
+//! heartbeats only under its lease, which ended before this leader was elected,
+//! so for those confirmations, and for starts based on them, the wait begins at
+//! the election. The runs of a runner without self-stop are never closed by a
+//! timeout.
+//!
+//! Each reservation records in the log whether the runner has self-stop, so the
+//! rule also applies to runners from which this leader received no heartbeat.
 
 use crate::leader::Leader;
 use crate::leader::outbox::OrderContent;
@@ -31,23 +35,23 @@
     RunClose, RunId, TaskMeta,
 };
 
-/// A start without an answer for this long is uncertain.
+/// Time without an answer after which the outcome of a start is uncertain.
 const ORDER_TIMEOUT: Milliseconds = Milliseconds(2_000);
-/// Time between two revocations or stops of one run.
+/// Time between two revocations or two stops of one run.
 const REPEAT_INTERVAL: Milliseconds = Milliseconds(1_000);
 
-/// What a check of an open run asks for.
+/// Action that a check of an open run requires.
 #[derive(Debug, Clone, Copy)]
 enum RunAction {
-    /// Its runner's lease and margin are over: close it as lost.
+    /// Close the run as lost: the run lease and its margin have expired.
     CloseLost,
-    /// Its start never left and never will: close it as rejected.
+    /// Close the run as rejected: no process has sent its start or will send it.
     CloseRejected,
-    /// Send the stop, again.
+    /// Send a stop or repeat it.
     Stop,
-    /// It makes no progress: request its stop.
+    /// Request a stop because the run has stalled.
     StopStalled,
-    /// It may or may not have started: revoke it.
+    /// Revoke the run, because it is uncertain whether it started.
     Revoke,
 }
 
@@ -66,15 +70,16 @@
     }
 
     fn are_in_same_gang(&self, state_machine: &StateMachine, a: RunId, b: RunId) -> bool {
-        let task = |run| self.runs.get(run).map(|tracked| tracked.open().task);
+        let task = |run| self.runs.get(run).map(|tracked| tracked.open_run().task);
         let (Some(a), Some(b)) = (task(a), task(b)) else {
             return false;
         };
         (a.job, a.step) == (b.job, b.step) && state_machine.is_gang(a)
     }
 
-    /// Sends the start of one run, or those of a gang: all of them, or none
-    /// when one of them must not start, since the others would only wait.
+    /// Sends the start of a single run, or the starts of a gang. If one member
+    /// of a gang must not start, none is started, since the others would only
+    /// wait for it.
     fn start_group(&mut self, state_machine: &StateMachine, group: &[RunId], now: Now) {
         let is_startable = |run: &RunId| {
             let tracked = self.runs.get(*run);
@@ -99,7 +104,8 @@
         }
     }
 
-    /// Builds the start of a run; none if the run must not start at this moment.
+    /// Builds the start of a run, or returns `None` if the run must not start
+    /// now.
     fn start_order(
         &self,
         state_machine: &StateMachine,
@@ -110,8 +116,8 @@
         if tracked.is_stop_requested() || state_machine.open_run(run).is_none() {
             return None;
         }
-        let runner = self.runners.get(&tracked.open().runner)?;
-        let is_same_incarnation = runner.incarnation() == tracked.open().incarnation;
+        let runner = self.runners.get(&tracked.open_run().runner)?;
+        let is_same_incarnation = runner.incarnation() == tracked.open_run().incarnation;
         if !is_same_incarnation || runner.is_draining() {
             return None;
         }
@@ -129,48 +135,50 @@
         let Some(tracked) = self.runs.get(run) else {
             return;
         };
-        let open = tracked.open().clone();
+        let open_run = tracked.open_run().clone();
         self.runs.set_phase(run, Phase::Ordered);
-        self.send_order(state_machine, &open, kind, now.monotonic);
-        self.log_start(state_machine, &open, now);
+        self.send_order(state_machine, &open_run, kind, now.monotonic);
+        self.log_start(state_machine, &open_run, now);
         metrics::counter!("cypressdrum_runs_ordered_total").increment(1);
     }
 
-    /// Sends an order to the agent that serves the runner, if it has a session.
+    /// Sends an order to the agent that serves the runner, if the agent has a
+    /// session.
     fn send_order(
         &mut self,
         state_machine: &StateMachine,
-        open: &OpenRun,
+        open_run: &OpenRun,
         kind: OrderKind,
         now: Monotonic,
     ) {
-        self.runs.record_order(open.run, now);
-        let Some(agent) = self.find_agent(open, now) else {
+        self.runs.record_order(open_run.run, now);
+        let Some(agent) = self.find_agent(open_run, now) else {
             return;
         };
         let content = OrderContent {
-            runner: open.runner.clone(),
-            incarnation: open.incarnation,
-            name: state_machine.run_name(open),
+            runner: open_run.runner.clone(),
+            incarnation: open_run.incarnation,
+            name: state_machine.run_name(open_run),
             kind,
         };
         self.outbox.add_order(agent, content);
     }
 
-    /// Finds the agent that serves a run's runner and has a session.
-    fn find_agent(&self, open: &OpenRun, now: Monotonic) -> Option<Sender> {
-        let agent = self.runners.get(&open.runner)?.agent();
+    /// Finds the agent that serves a run's runner, or returns `None` if the
+    /// runner is unknown or the agent has no session.
+    fn find_agent(&self, open_run: &OpenRun, now: Monotonic) -> Option<Sender> {
+        let agent = self.runners.get(&open_run.runner)?.agent();
         let is_live = self.sessions.is_live(agent.address.node, now);
         is_live.then(|| agent.clone())
     }
 
-    /// Sends a revocation, or a stop where the run is to end anyway: a runner that
-    /// does not know a run revokes it when it is ordered to stop it.
+    /// Sends a revocation, or a stop if one is requested: a runner that receives
+    /// a stop for an unknown run revokes the run.
     pub(super) fn send_revoke(&mut self, state_machine: &StateMachine, run: RunId, now: Monotonic) {
         let Some(tracked) = self.runs.get(run) else {
             return;
         };
-        let open = tracked.open().clone();
+        let open_run = tracked.open_run().clone();
         let is_stop_requested = tracked.is_stop_requested();
         if self.has_mutation(Mutation::CloseUnansweredStart) {
             return self.close_run(run, RunClose::Rejected);
@@ -178,24 +186,24 @@
         if self.has_mutation(Mutation::ResendStartInsteadOfRevoke)
             && let Some(kind) = self.start_order(state_machine, run, now)
         {
-            return self.send_order(state_machine, &open, kind, now);
+            return self.send_order(state_machine, &open_run, kind, now);
         }
         let kind = if is_stop_requested {
             OrderKind::Stop { run }
         } else {
             OrderKind::Revoke { run }
         };
-        self.send_order(state_machine, &open, kind, now);
+        self.send_order(state_machine, &open_run, kind, now);
     }
 
     fn send_stop(&mut self, state_machine: &StateMachine, run: RunId, now: Monotonic) {
         if let Some(tracked) = self.runs.get(run) {
-            let open = tracked.open().clone();
-            self.send_order(state_machine, &open, OrderKind::Stop { run }, now);
+            let open_run = tracked.open_run().clone();
+            self.send_order(state_machine, &open_run, OrderKind::Stop { run }, now);
         }
     }
 
-    /// Takes the results of orders that an agent passes on.
+    /// Handles the results of orders that an agent forwards from its runners.
     pub(crate) fn receive_order_results(
         &mut self,
         state_machine: &StateMachine,
@@ -209,8 +217,8 @@
         }
     }
 
-    /// Takes the result of an order of this term. Answers to orders of an
-    /// earlier leader say nothing of what this one has asked since.
+    /// Handles the result of an order of this term. Answers to orders of an
+    /// earlier leader are ignored: they do not answer this leader's orders.
     fn receive_order_result(
         &mut self,
         state_machine: &StateMachine,
@@ -224,10 +232,10 @@
         let Some(tracked) = self.runs.get(run) else {
             return;
         };
-        let open = tracked.open();
-        let is_bound =
-            open.runner == result.order.runner && open.incarnation == result.order.incarnation;
-        if !is_bound || tracked.is_closing() {
+        let open_run = tracked.open_run();
+        let is_same_runner = open_run.runner == result.order.runner
+            && open_run.incarnation == result.order.incarnation;
+        if !is_same_runner || tracked.is_closing() {
             return;
         }
         let is_start = matches!(result.order.kind, OrderKind::Start { .. });
@@ -241,19 +249,20 @@
                 self.revoke_uncertain(state_machine, run, now.monotonic);
             }
             OrderAnswer::Rejected(reason) if is_start => self.close_rejected(run, *reason, now),
-            // Not known yet: the next check of the runs asks again.
+            // The outcome is still unknown; the next check of the runs repeats
+            // the order.
             OrderAnswer::Rejected(_) | OrderAnswer::Unknown => {}
         }
     }
 
-    /// Closes a run whose one start was rejected, so that it never began.
+    /// Closes a run that never began, because its only start was rejected.
     fn close_rejected(&mut self, run: RunId, reason: RejectionReason, now: Now) {
         if reason == RejectionReason::Unhealthy
             && let Some(tracked) = self.runs.get(run)
         {
-            let open = tracked.open();
+            let open_run = tracked.open_run();
             self.scheduler
-                .record_outcome(&open.runner, open.task, true, now);
+                .record_outcome(&open_run.runner, open_run.task, true, now);
         }
         self.close_run(run, RunClose::Rejected);
     }
@@ -263,7 +272,7 @@
         self.send_revoke(state_machine, run, now);
     }
 
-    /// Closes a run through the log, once.
+    /// Closes a run through the log, unless its close is already proposed.
     pub(super) fn close_run(&mut self, run: RunId, close: RunClose) {
         if let Some(close) = self.runs.begin_close(run, close) {
             self.proposals.add_close(close);
@@ -278,7 +287,7 @@
             .iter()
             .filter_map(|tracked| {
                 let action = self.next_action(state_machine, tracked, now.monotonic)?;
-                Some((tracked.open().run, action))
+                Some((tracked.open_run().run, action))
             })
             .collect();
         for (run, action) in actions {
@@ -301,14 +310,14 @@
         if tracked.is_closing() {
             return None;
         }
-        if self.is_runner_lost(tracked.open(), now) {
+        if self.is_runner_lost(tracked.open_run(), now) {
             return Some(RunAction::CloseLost);
         }
         let waited = tracked.since_order(now);
         let is_repeat_due = waited >= REPEAT_INTERVAL;
         match tracked.phase() {
-            // The lease lapsed before the start left; no process sends it now.
-            Phase::Reserved if !self.runs.is_start_queued(tracked.open().run) => {
+            // The lease expired before the start was sent, so it is never sent.
+            Phase::Reserved if !self.runs.is_start_queued(tracked.open_run().run) => {
                 Some(RunAction::CloseRejected)
             }
             Phase::Ordered if waited >= ORDER_TIMEOUT => Some(RunAction::Revoke),
@@ -334,21 +343,22 @@
         detector.is_stalled(tracked)
     }
 
-    /// Stops a run that has stalled. That is no failure of its task, but it
-    /// counts as one of its runner.
+    /// Stops a run that has stalled. The stall counts as a failure of the runner
+    /// but not as one of the task.
     fn stop_stalled(&mut self, state_machine: &StateMachine, run: RunId, now: Now) {
         let Some(tracked) = self.runs.get(run) else {
             return;
         };
-        let open = tracked.open();
-        let (runner, task) = (&open.runner, open.task);
+        let open_run = tracked.open_run();
+        let (runner, task) = (&open_run.runner, open_run.task);
         tracing::info!(%run, %runner, "run stalled, stopping it");
         self.scheduler.record_outcome(runner, task, true, now);
         self.runs.request_stop(run);
         self.send_stop(state_machine, run, now.monotonic);
     }
 
-    /// Longest time without a heartbeat before a runner's runs are closed.
+    /// Returns the longest time without a heartbeat before a runner's runs are
+    /// closed as lost.
     fn max_unresponsive_time(&self) -> Milliseconds {
         if self.has_mutation(Mutation::ExpireRunsEarly) {
             Milliseconds(self.timings.run_lease.0 / 10)
@@ -357,8 +367,8 @@
         }
     }
 
-    /// Returns whether the run's lease and margin have passed without a
-    /// heartbeat of its runner, so that the runner has stopped it.
+    /// Returns whether the run lease and its margin have expired without a
+    /// heartbeat of the runner, so that the runner must have stopped the run.
     fn is_runner_lost(&self, run: &OpenRun, now: Monotonic) -> bool {
         let runner = self.runners.get(&run.runner);
         let stops_itself = run.self_stop && runner.is_none_or(RunnerState::stops_itself);
@@ -367,28 +377,29 @@
         stops_itself && now.since(last_seen) > self.max_unresponsive_time()
     }
 
-    /// Follows the close of a run: its task may run again, or not.
+    /// Handles the close of a run. `retry` is the task if it is to run again.
     pub(super) fn follow_close(
         &mut self,
         state_machine: &StateMachine,
         run: OpenRun,
         close: RunClose,
-        again: Option<TaskMeta>,
+        retry: Option<TaskMeta>,
         now: Now,
     ) {
         self.runs.remove(run.run);
         if matches!(close, RunClose::Ended(_)) {
             self.runners.record_end(run.runner.clone(), run.run);
         }
-        // Before the task is placed again: it is to be tried elsewhere first.
+        // Recorded before the task is placed again, so that the scheduler
+        // prefers another runner.
         let is_done = close == RunClose::Ended(Outcome::Done);
         if is_done || close.is_failure() {
             self.scheduler
                 .record_outcome(&run.runner, run.task, close.is_failure(), now);
         }
-        match again {
+        match retry {
             Some(_) if close == RunClose::Rejected => {
-                self.release_later(run.run, run.task, now.monotonic);
+                self.release_after_delay(run.run, run.task, now.monotonic);
             }
             Some(meta) => self.scheduler.reschedule(run.run, meta, now),
             None => self.scheduler.remove_run(run.run),
@@ -405,15 +416,15 @@
         metrics::counter!("cypressdrum_runs_closed_total").increment(1);
     }
 
-    /// Records in the decision log that a start left.
-    fn log_start(&mut self, state_machine: &StateMachine, open: &OpenRun, now: Now) {
+    /// Records in the decision log that a start was sent.
+    fn log_start(&mut self, state_machine: &StateMachine, open_run: &OpenRun, now: Now) {
         let event = DecisionEvent::Ordered {
-            run: open.run,
-            task: open.task,
-            runner: open.runner.clone(),
+            run: open_run.run,
+            task: open_run.task,
+            runner: open_run.runner.clone(),
             at: now.wall,
         };
         self.decisions
-            .record(state_machine.job_key(open.task.job), event);
+            .record(state_machine.job_key(open_run.task.job), event);
     }
 }
--- a/crates/coordinator/src/leader/outbox.rs
+++ b/crates/coordinator/src/leader/outbox.rs
@@ -1,5 +1,5 @@
 //! Messages of the leader. They are collected while an input is handled, and
-//! leave only if the lease still holds at its end.
+//! sent at its end only if the lease still holds.
 
 use crate::sender::{AddressedMessage, Sender};
 use transport::{OperationReply, PeerMessage, Rejection, Reply, RequestId};
@@ -7,7 +7,7 @@
     Address, OrderKind, OrderSequence, RunName, RunnerId, RunnerIncarnation, RunnerOrder, Term,
 };
 
-/// The content of an order, before it has a term and a sequence number.
+/// Content of an order without its term and sequence number.
 #[derive(Debug)]
 pub(super) struct OrderContent {
     pub(super) runner: RunnerId,
@@ -16,7 +16,7 @@
     pub(super) kind: OrderKind,
 }
 
-/// An order and the agent that serves its runner.
+/// Order and the agent that serves its runner.
 #[derive(Debug)]
 struct AddressedOrder {
     agent: Sender,
@@ -29,7 +29,7 @@
     orders: Vec<RunnerOrder>,
 }
 
-/// Messages and orders that have not left yet.
+/// Messages and orders that have not been sent yet.
 #[derive(Debug)]
 pub(super) struct Outbox {
     own: Address,
@@ -40,7 +40,7 @@
 }
 
 impl Outbox {
-    /// An empty outbox of the leader of `term`.
+    /// Creates an empty outbox of the leader of `term`.
     pub(super) fn new(own: Address, term: Term) -> Self {
         Self {
             own,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Collects an answer to a sender.
+    /// Collects an answer to `sender`.
     pub(super) fn answer(&mut self, sender: &Sender, message: PeerMessage) {
         self.messages.push(sender.answer(&self.own, message));
     }
@@ -102,18 +102,19 @@
         }
     }
 
-    /// Takes the collected messages.
+    /// Returns the collected messages and clears them.
     pub(super) fn take_messages(&mut self) -> Vec<AddressedMessage> {
         std::mem::take(&mut self.messages)
     }
 
-    /// Discards orders that are not packed into a message.
+    /// Discards the orders that are not packed into a message yet.
     pub(super) fn discard_orders(&mut self) {
         self.orders.clear();
     }
 
-    /// Discards what only a leader under its lease may say. Answers to requests
-    /// stay true and leave when the lease holds again.
+    /// Discards all messages except replies to requests. Only a leader with a
+    /// valid lease may send the others. Replies remain correct and are sent when
+    /// the lease holds again.
     pub(super) fn retain_replies(&mut self) {
         self.messages
             .retain(|addressed| is_reply(&addressed.message));
--- a/crates/coordinator/src/leader/periodic_timer.rs
+++ b/crates/coordinator/src/leader/periodic_timer.rs
@@ -1,8 +1,8 @@
-//! A timer for work that repeats.
+//! Timer for periodic work.
 
 use types::{Milliseconds, Monotonic};
 
-/// Fires at most once an interval, for the first time at once.
+/// Timer that fires at most once per interval, the first time immediately.
 #[derive(Debug)]
 pub(super) struct PeriodicTimer {
     interval: Milliseconds,
@@ -10,7 +10,7 @@
 }
 
 impl PeriodicTimer {
-    /// A timer that is due now.
+    /// Creates a timer that is due at `now`.
     pub(super) fn new(interval: Milliseconds, now: Monotonic) -> Self {
         Self {
             interval,
@@ -18,7 +18,8 @@
         }
     }
 
-    /// Returns whether the work is due; if so, schedules the next.
+    /// Returns whether the work is due, and if so schedules it again after the
+    /// interval.
     pub(super) fn fire(&mut self, now: Monotonic) -> bool {
         if now < self.next {
             return false;
--- a/crates/coordinator/src/leader/placement.rs
+++ b/crates/coordinator/src/leader/placement.rs
@@ -1,5 +1,5 @@
-//! Placement: the scheduler turns free resources into reservations, which are
-//! proposed as one command.
+//! Placement of tasks: the scheduler assigns free resources to tasks, and the
+//! resulting reservations are proposed as one command.
 
 use crate::leader::Leader;
 use crate::leader::proposals::ProposalOrigin;
@@ -9,12 +9,12 @@
 use transport::DecisionEvent;
 use types::{JobNumber, Milliseconds, Monotonic, Now, Reservation, RunId, TaskMeta, TaskRef};
 
-/// Reservations that may be on their way through the log.
+/// Maximum number of reservations that are proposed but not applied yet.
 const MAX_RESERVATIONS_IN_FLIGHT: usize = 512;
-/// Time between two placements. What comes in between shares one, and its
-/// reservations one entry of the log.
+/// Time between two placements. Changes in between are handled by one placement,
+/// whose reservations share one entry of the log.
 const PLACEMENT_INTERVAL: Milliseconds = Milliseconds(5);
-/// How long a rejected run stays bound in the scheduler.
+/// Delay before a rejected run is removed from the scheduler.
 const REJECTED_RUN_DELAY: Milliseconds = Milliseconds(200);
 
 /// A run that the state machine or its runner rejected.
@@ -25,18 +25,20 @@
     release_at: Monotonic,
 }
 
-/// When to place next, and reservations that are not settled yet.
+/// State of placement: when it is due, the reservations in flight, and the
+/// rejected runs.
 #[derive(Debug)]
 pub(super) struct PlacementState {
     requested: bool,
     not_before: Monotonic,
     in_flight: usize,
-    /// Rejected runs that stay bound in the scheduler for a moment.
+    /// Rejected runs that stay in the scheduler until their `release_at`, oldest
+    /// first.
     rejected: VecDeque<RejectedRun>,
 }
 
 impl PlacementState {
-    /// Begins with a placement that is due now.
+    /// Creates a state whose first placement is due at `now`.
     pub(super) fn new(now: Monotonic) -> Self {
         Self {
             requested: true,
@@ -46,41 +48,42 @@
         }
     }
 
-    /// Requests a placement: something has changed.
+    /// Requests a placement, after any change that may affect it.
     pub(super) fn request(&mut self) {
         self.requested = true;
     }
 
-    /// Returns whether something has changed since the last placement.
+    /// Returns whether a placement was requested since the last one.
     pub(super) fn is_requested(&self) -> bool {
         self.requested
     }
 
-    /// The earliest moment of the next placement.
+    /// Returns the earliest time of the next placement.
     pub(super) fn not_before(&self) -> Monotonic {
         self.not_before
     }
 
-    /// Returns whether reservations are on their way through the log.
+    /// Returns whether reservations are proposed but not applied yet.
     pub(super) fn has_in_flight(&self) -> bool {
         self.in_flight > 0
     }
 
-    /// Counts reservations that are in the log.
+    /// Counts reservations whose command was proposed.
     pub(super) fn add_in_flight(&mut self, reservations: usize) {
         self.in_flight += reservations;
     }
 
-    /// Counts reservations that were applied; room for others.
+    /// Counts reservations whose command was applied, and requests a placement,
+    /// since more reservations may be in flight now.
     pub(super) fn finish_in_flight(&mut self, reservations: usize) {
         self.in_flight = self.in_flight.saturating_sub(reservations);
         self.requested = true;
     }
 
-    /// Reservations that may be made now; 0 if it is too early.
+    /// Returns how many reservations may be made now: 0 if no placement is due.
     fn capacity(&self, start_reached: bool, now: Monotonic) -> usize {
-        let is_wanted = self.requested || start_reached;
-        if !is_wanted || now < self.not_before {
+        let is_needed = self.requested || start_reached;
+        if !is_needed || now < self.not_before {
             return 0;
         }
         MAX_RESERVATIONS_IN_FLIGHT.saturating_sub(self.in_flight)
@@ -91,7 +94,8 @@
         self.not_before = now + PLACEMENT_INTERVAL;
     }
 
-    /// Removes a rejected run whose delay is over.
+    /// Removes the oldest rejected run, or returns `None` if its delay has not
+    /// passed.
     fn pop_rejected(&mut self, now: Monotonic) -> Option<RejectedRun> {
         let first = self.rejected.front()?;
         if first.release_at > now {
@@ -102,7 +106,7 @@
 }
 
 impl Leader {
-    /// Asks the scheduler for placements, if they are due, and proposes them
+    /// Runs the scheduler if a placement is due, and proposes its reservations
     /// as one command.
     pub(super) fn place(&mut self, state_machine: &StateMachine, now: Now) {
         let start = self.scheduler.next_start_time();
@@ -128,15 +132,15 @@
             .add(Command::Reserve { reservations, at }, origin);
     }
 
-    /// Returns whether the leader knows enough to place: its view is rebuilt
-    /// and all runners that have open runs sent a heartbeat, or had time enough
-    /// to do so.
+    /// Returns whether tasks may be placed: the scheduler is rebuilt, and every
+    /// runner with open runs has sent a heartbeat, or `runner_wait` has passed
+    /// since the election.
     pub(super) fn may_place(&self, now: Monotonic) -> bool {
         if !self.rebuild.is_done() {
             return false;
         }
-        let has_waited = self.lease.since_election(now) >= self.options.runner_wait;
-        has_waited
+        let wait_expired = self.lease.since_election(now) >= self.options.runner_wait;
+        wait_expired
             || self
                 .runs
                 .runners()
@@ -152,17 +156,17 @@
     ) {
         for (run, reason) in rejected {
             tracing::debug!(%run, %reason, "reservation rejected by the state machine");
-            let reservation = reservations.iter().find(|chosen| chosen.run == run);
+            let reservation = reservations.iter().find(|other| other.run == run);
             if let Some(reservation) = reservation {
-                self.release_later(run, reservation.task, now.monotonic);
+                self.release_after_delay(run, reservation.task, now.monotonic);
             }
         }
     }
 
-    /// Leaves a rejected run bound in the scheduler for a moment. Whoever
-    /// rejected it knows something that the scheduler does not yet; placed
-    /// again at once, the task would go the same way, over and over.
-    pub(super) fn release_later(&mut self, run: RunId, task: TaskRef, now: Monotonic) {
+    /// Releases a rejected run after [`REJECTED_RUN_DELAY`]. The reason of the
+    /// rejection is not visible to the scheduler yet: without the delay, the task
+    /// would be placed and rejected in the same way repeatedly.
+    pub(super) fn release_after_delay(&mut self, run: RunId, task: TaskRef, now: Monotonic) {
         let release_at = now + REJECTED_RUN_DELAY;
         self.placement.rejected.push_back(RejectedRun {
             run,
@@ -171,14 +175,15 @@
         });
     }
 
-    /// Releases the rejected runs whose delay is over.
+    /// Releases the rejected runs whose delay has passed.
     pub(super) fn release_delayed_runs(&mut self, state_machine: &StateMachine, now: Now) {
         while let Some(rejected) = self.placement.pop_rejected(now.monotonic) {
             self.release(state_machine, rejected.run, rejected.task, now);
         }
     }
 
-    /// Removes a run from the scheduler; its task is placed again if it may start.
+    /// Removes a run from the scheduler. Its task is placed again if the state
+    /// machine lists it as ready.
     pub(super) fn release(
         &mut self,
         state_machine: &StateMachine,
@@ -193,7 +198,8 @@
     }
 }
 
-/// The reservation of a decision, unless it is a shadow that is only logged.
+/// Returns the reservation of a decision, or `None` if the task was not placed
+/// or only a shadow placement was logged.
 fn reservation_to_propose(decision: &Decision) -> Option<Reservation> {
     match &decision.kind {
         DecisionKind::Placed {
@@ -212,11 +218,11 @@
     }
 }
 
-/// The task, if the state machine says that it may start.
+/// Returns the task if the state machine lists it as ready.
 fn ready_task(state_machine: &StateMachine, task: TaskRef) -> Option<TaskMeta> {
-    let before = task.job.0.checked_sub(1).map(JobNumber);
+    let previous_job = task.job.0.checked_sub(1).map(JobNumber);
     state_machine
-        .ready_tasks(before, 1)
+        .ready_tasks(previous_job, 1)
         .into_iter()
         .find(|meta| meta.task == task)
 }
--- a/crates/coordinator/src/leader/progress_history.rs
+++ b/crates/coordinator/src/leader/progress_history.rs
@@ -1,11 +1,12 @@
-//! The progress of a run over time, as its runner reports it.
+//! Progress of a run over time, as reported by its runner.
 
 use types::{Milliseconds, Monotonic};
 
-/// Progress when a run was done, in percent.
-const COMPLETE: u8 = 100;
+/// Progress of a complete run, in percent.
+const COMPLETE_PERCENT: u8 = 100;
 
-/// First and newest progress of a run, in percent, with the times of both.
+/// First and newest reported progress of a run, in percent, and the times of
+/// both reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ProgressHistory {
     first: u8,
@@ -16,7 +17,7 @@
 }
 
 impl ProgressHistory {
-    /// Begins with the first report.
+    /// Creates the history of a run whose first report arrives at `now`.
     pub(super) fn new(progress: u8, now: Monotonic) -> Self {
         Self {
             first: progress,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Records a later report.
+    /// Records a later report. A report of unchanged progress has no effect.
     pub(super) fn record(&mut self, progress: u8, now: Monotonic) {
         if progress != self.last {
             self.last = progress;
@@ -34,26 +35,27 @@
         }
     }
 
-    /// Returns whether the run has made no progress at all.
+    /// Returns whether the newest progress is 0 percent.
     pub(super) fn is_at_start(&self) -> bool {
         self.last == 0
     }
 
-    /// Time without progress.
+    /// Returns the time since the progress last changed.
     pub(super) fn since_progress(&self, now: Monotonic) -> Milliseconds {
         now.since(self.last_at)
     }
 
-    /// Time left at the pace so far; none before the first progress.
+    /// Estimates the remaining time from the average speed since the first
+    /// report. Returns `None` if there is no progress since then.
     pub(super) fn time_left(&self) -> Option<Milliseconds> {
         let advanced = u64::from(self.last.saturating_sub(self.first));
-        let left = u64::from(COMPLETE.saturating_sub(self.last));
+        let remaining = u64::from(COMPLETE_PERCENT.saturating_sub(self.last));
         let elapsed = self.last_at.since(self.first_at).0;
-        (advanced > 0).then(|| Milliseconds(elapsed * left / advanced))
+        (advanced > 0).then(|| Milliseconds(elapsed * remaining / advanced))
     }
 
-    /// Time since the first report.
-    pub(super) fn observed(&self, now: Monotonic) -> Milliseconds {
+    /// Returns the time since the first report.
+    pub(super) fn observation_time(&self, now: Monotonic) -> Milliseconds {
         now.since(self.first_at)
     }
 }
--- a/crates/coordinator/src/leader/proposals.rs
+++ b/crates/coordinator/src/leader/proposals.rs
@@ -1,22 +1,23 @@
-//! Commands on their way into the log, and what each was proposed for.
+//! Commands that the leader proposes, and the origin of each.
 
 use crate::leader::request_table::RequestKey;
 use state_machine::{ClosedRun, Command};
 use std::collections::BTreeMap;
 use types::{LogIndex, Now, Reservation};
 
-/// What an entry was proposed for.
+/// Origin of a proposal, which determines how its reply is handled.
 #[derive(Debug, Clone)]
 pub(crate) enum ProposalOrigin {
-    /// A request, which waits for the answer.
+    /// Request that waits for the answer.
     Request(RequestKey),
-    /// These choices of the scheduler.
+    /// Placement by the scheduler, with its reservations.
     Placement(Vec<Reservation>),
-    /// The leader itself; the changes of the state machine suffice.
+    /// Work of the leader itself. The reply is ignored; the changes of the state
+    /// machine are handled as for any entry.
     Internal,
 }
 
-/// A command to propose.
+/// Command to propose, and its origin.
 #[derive(Debug)]
 pub(crate) struct Proposal {
     pub(super) command: Command,
@@ -24,13 +25,14 @@
 }
 
 impl Proposal {
-    /// The command to encode into the log.
+    /// Returns the command to encode into the log entry.
     pub(crate) fn command(&self) -> &Command {
         &self.command
     }
 }
 
-/// Commands collected for the log, and those of this leader that are in it.
+/// Commands to propose, and the origins of proposed commands that are not
+/// applied yet.
 #[derive(Debug, Default)]
 pub(super) struct Proposals {
     collected: Vec<Proposal>,
@@ -39,17 +41,17 @@
 }
 
 impl Proposals {
-    /// Collects a command.
+    /// Adds a command to propose at the end of the input.
     pub(super) fn add(&mut self, command: Command, origin: ProposalOrigin) {
         self.collected.push(Proposal { command, origin });
     }
 
-    /// Collects a run to close. All of them share one command.
+    /// Adds a run to close. All runs to close share one command.
     pub(super) fn add_close(&mut self, close: ClosedRun) {
         self.closes.push(close);
     }
 
-    /// Turns the runs to close into one command.
+    /// Packs the runs to close into one command, if there are any.
     pub(super) fn pack_closes(&mut self, now: Now) {
         if self.closes.is_empty() {
             return;
@@ -59,23 +61,24 @@
         self.add(Command::CloseRuns { runs, at }, ProposalOrigin::Internal);
     }
 
-    /// Takes the collected commands.
+    /// Returns the collected commands and clears them.
     pub(super) fn take(&mut self) -> Vec<Proposal> {
         std::mem::take(&mut self.collected)
     }
 
-    /// Takes the runs to close that are not packed into a command.
+    /// Returns the runs to close that are not packed into a command yet, and
+    /// clears them.
     pub(super) fn take_closes(&mut self) -> Vec<ClosedRun> {
         std::mem::take(&mut self.closes)
     }
 
-    /// Records the index of a command that is in the log.
+    /// Records the log index of a proposed command.
     pub(super) fn record_index(&mut self, index: LogIndex, origin: ProposalOrigin) {
         self.in_log.insert(index, origin);
     }
 
-    /// Removes an applied entry; returns what it was proposed for if this
-    /// leader proposed an entry at its index.
+    /// Removes an applied entry. Returns its origin, or `None` if this leader
+    /// proposed no entry at this index.
     pub(super) fn remove(&mut self, index: LogIndex) -> Option<ProposalOrigin> {
         self.in_log.remove(&index)
     }
--- a/crates/coordinator/src/leader/reads.rs
+++ b/crates/coordinator/src/leader/reads.rs
@@ -1,6 +1,6 @@
-//! Reads, answered from the state machine under the lease. All that is
-//! committed has been applied when an input is handled, so the answer contains
-//! what was acknowledged before.
+//! Reads, answered from the state machine while the lease holds. All committed
+//! entries are applied before an input is handled, so an answer includes every
+//! change that was acknowledged before.
 
 use crate::leader::Leader;
 use crate::leader::rejections::{not_found, rejection_from};
@@ -14,16 +14,16 @@
 };
 use types::{ConfigurationVersion, JobKey, Now, QueueName, TaskRef, TaskState, TenantId};
 
-/// Jobs on one page at most.
+/// Maximum number of jobs on one page.
 const MAX_PAGE: usize = 1_000;
-/// Lines of an explanation at most.
+/// Maximum number of lines of an explanation.
 const MAX_EXPLAINED: usize = 50;
 
-/// Ready tasks and open runs of a queue or tenant.
+/// Numbers of ready tasks and open runs of a queue or tenant.
 #[derive(Debug, Clone, Copy, Default)]
-struct Counts {
-    ready: u64,
-    open: u64,
+struct TaskCounts {
+    ready_tasks: u64,
+    open_runs: u64,
 }
 
 impl Leader {
@@ -31,7 +31,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the rejection if what is asked for is not known.
+    /// Returns a rejection if the requested job is unknown, or if the expected
+    /// configuration update was not applied.
     pub(super) fn read(
         &mut self,
         state_machine: &StateMachine,
@@ -70,16 +71,16 @@
             | Operation::UpdateConfiguration { .. }
             | Operation::DrainRunner { .. }
             | Operation::DeclareRunnerLost { .. }
-            | Operation::ListMembers => Err(not_found("this is no question".to_owned())),
+            | Operation::ListMembers => Err(not_found("the operation is not a read".to_owned())),
         }
     }
 
-    /// Explains the state of a job: a line for each task that waits, and for each
-    /// that runs.
+    /// Explains the state of a job with one line for each waiting task and for
+    /// each open run.
     ///
     /// # Errors
     ///
-    /// Returns the rejection if the job is not known.
+    /// Returns a rejection if the job is unknown.
     fn explain(
         &self,
         state_machine: &StateMachine,
@@ -111,9 +112,9 @@
                 break;
             }
         }
-        let open_runs = self.runs.iter().map(TrackedRun::open);
-        for open in open_runs.filter(|open| open.task.job == number) {
-            let (task, run, runner) = (open.task, open.run, &open.runner);
+        let open_runs = self.runs.iter().map(TrackedRun::open_run);
+        for open_run in open_runs.filter(|open_run| open_run.task.job == number) {
+            let (task, run, runner) = (open_run.task, open_run.run, &open_run.runner);
             lines.push(format!("task {task} has run {run} on runner {runner}"));
         }
         lines.truncate(MAX_EXPLAINED);
@@ -128,7 +129,7 @@
     }
 
     fn list_queues(&self, state_machine: &StateMachine) -> Vec<QueueView> {
-        let counts: BTreeMap<QueueName, Counts> =
+        let counts: BTreeMap<QueueName, TaskCounts> =
             self.count(state_machine, |_, queue| queue.clone());
         let document = state_machine.configuration().1;
         document
@@ -141,8 +142,8 @@
                     pool: settings.pool.clone(),
                     mode: settings.mode,
                     unfinished_jobs: state_machine.unfinished_of_queue(name),
-                    ready_tasks: counts.ready,
-                    open_runs: counts.open,
+                    ready_tasks: counts.ready_tasks,
+                    open_runs: counts.open_runs,
                 }
             })
             .collect()
@@ -161,7 +162,7 @@
     }
 
     fn list_tenants(&self, state_machine: &StateMachine) -> Vec<TenantView> {
-        let counts: BTreeMap<TenantId, Counts> =
+        let counts: BTreeMap<TenantId, TaskCounts> =
             self.count(state_machine, |tenant, _| tenant.clone());
         let document = state_machine.configuration().1;
         document
@@ -173,7 +174,7 @@
                 TenantView {
                     tenant: name.clone(),
                     unfinished_jobs: state_machine.unfinished_of_tenant(name),
-                    ready_tasks: counts.ready,
+                    ready_tasks: counts.ready_tasks,
                     usage: state_machine.tenant_usage(name),
                     resource_limit: settings.resource_limit,
                     ended_jobs: ended.total,
@@ -185,22 +186,23 @@
             .collect()
     }
 
-    /// Counts ready tasks and open runs by a key made from tenant and queue. It
-    /// visits all of them: for operators' reads only.
+    /// Counts ready tasks and open runs, grouped by the key that `key` returns
+    /// for a tenant and a queue. It iterates over all of them, so it is meant
+    /// for operators' reads only.
     fn count<K: Ord>(
         &self,
         state_machine: &StateMachine,
         key: impl Fn(&TenantId, &QueueName) -> K,
-    ) -> BTreeMap<K, Counts> {
-        let mut counts: BTreeMap<K, Counts> = BTreeMap::new();
+    ) -> BTreeMap<K, TaskCounts> {
+        let mut counts: BTreeMap<K, TaskCounts> = BTreeMap::new();
         for meta in state_machine.ready_tasks(None, usize::MAX) {
             let entry = counts.entry(key(&meta.tenant, &meta.queue)).or_default();
-            entry.ready += 1;
+            entry.ready_tasks += 1;
         }
         for tracked in self.runs.iter() {
-            let run = tracked.open();
+            let run = tracked.open_run();
             let entry = counts.entry(key(&run.tenant, &run.queue)).or_default();
-            entry.open += 1;
+            entry.open_runs += 1;
         }
         counts
     }
@@ -243,8 +245,8 @@
 fn list_jobs(state_machine: &StateMachine, filter: &JobFilter) -> OperationReply {
     let limit = (filter.limit as usize).clamp(1, MAX_PAGE);
     let page = state_machine.jobs(filter.tenant.as_ref(), filter.state, filter.after, limit);
-    let full = page.len() == limit;
-    let next = page.last().map(|(number, _)| *number).filter(|_| full);
+    let is_full = page.len() == limit;
+    let next = page.last().map(|(number, _)| *number).filter(|_| is_full);
     let jobs = page.into_iter().map(|(_, job)| job).collect();
     OperationReply::Jobs { jobs, next }
 }
--- a/crates/coordinator/src/leader/rebuild.rs
+++ b/crates/coordinator/src/leader/rebuild.rs
@@ -1,18 +1,19 @@
-//! Rebuild of a new leader's scheduler from the state machine, slice by slice.
+//! Rebuild of a new leader's scheduler from the state machine, in slices.
 
 use crate::leader::Leader;
 use state_machine::StateMachine;
 use types::{JobNumber, Now};
 
-/// Jobs published in one slice.
+/// Maximum number of jobs whose ready tasks are published in one slice.
 const REBUILD_JOBS: usize = 512;
 
-/// How far the scheduler has been rebuilt.
+/// Position of the rebuild.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RebuildCursor {
-    /// Tasks of jobs after this number are still to be published.
+    /// Tasks of jobs after this number are not published yet; with `None`, those
+    /// of all jobs.
     After(Option<JobNumber>),
-    /// Everything is published.
+    /// All ready tasks are published.
     Done,
 }
 
@@ -30,7 +31,7 @@
 }
 
 impl Leader {
-    /// Publishes the next slice of ready tasks to the scheduler.
+    /// Publishes the ready tasks of the next slice of jobs to the scheduler.
     pub(super) fn rebuild_slice(&mut self, state_machine: &StateMachine, now: Now) {
         let RebuildCursor::After(after) = self.rebuild else {
             return;
--- a/crates/coordinator/src/leader/rejections.rs
+++ b/crates/coordinator/src/leader/rejections.rs
@@ -1,22 +1,23 @@
-//! Answers to requests: rejections and their codes, and the conversion from
-//! the state machine's replies.
+//! Answers to requests: rejections with their codes, and the conversion of
+//! replies of the state machine.
 
 use configuration::ConfigurationError;
 use state_machine::{CommandRejection, CommandReply};
 use transport::{OperationReply, Rejection, RejectionCode};
 use types::Milliseconds;
 
-/// When to come back while there is no leader under its lease.
-const RETRY_UNAVAILABLE: Milliseconds = Milliseconds(1_000);
-/// When to come back while the leader has too much to do.
-const RETRY_OVERLOADED: Milliseconds = Milliseconds(500);
+/// Retry time for callers while no leader has a valid lease.
+const UNAVAILABLE_RETRY_AFTER: Milliseconds = Milliseconds(1_000);
+/// Retry time for callers while the leader is overloaded.
+const OVERLOADED_RETRY_AFTER: Milliseconds = Milliseconds(500);
 
 /// Converts the state machine's reply to a command into the answer to the
-/// request.
+/// request. If the request `declares_lost` a runner, the answer lists the closed
+/// runs.
 ///
 /// # Errors
 ///
-/// Returns the rejection of a command that the state machine rejected.
+/// Returns a rejection if the state machine rejected the command.
 pub(super) fn answer_from_reply(
     reply: CommandReply,
     declares_lost: bool,
@@ -45,14 +46,14 @@
     }
 }
 
-/// The rejection of a configuration with these problems; none if it has none.
+/// Returns the rejection of an invalid configuration, or `None` if `problems` is
+/// empty.
 pub(super) fn reject_problems(problems: Vec<ConfigurationError>) -> Option<Rejection> {
     let has_problems = !problems.is_empty();
     has_problems.then(|| rejection_from(CommandRejection::InvalidConfiguration { problems }))
 }
 
-/// Converts a rejection of the state machine into one of the interface to
-/// callers.
+/// Converts a rejection of the state machine into the rejection sent to callers.
 pub(super) fn rejection_from(rejection: CommandRejection) -> Rejection {
     let message = rejection.to_string();
     let (code, retry_after, problems) = match rejection {
@@ -78,38 +79,38 @@
     }
 }
 
-/// The rejection by a leader that has too much to do.
+/// Returns the rejection by an overloaded leader.
 pub(super) fn overloaded(message: &str) -> Rejection {
     Rejection {
         code: RejectionCode::Overloaded,
         message: message.to_owned(),
-        retry_after: Some(RETRY_OVERLOADED),
+        retry_after: Some(OVERLOADED_RETRY_AFTER),
         problems: Vec::new(),
     }
 }
 
-/// The rejection by a process that may not act as the leader now.
+/// Returns the rejection by a process that has no valid leader lease.
 pub(super) fn unavailable() -> Rejection {
     Rejection {
         code: RejectionCode::Unavailable,
         message: "no leader holds its lease".to_owned(),
-        retry_after: Some(RETRY_UNAVAILABLE),
+        retry_after: Some(UNAVAILABLE_RETRY_AFTER),
         problems: Vec::new(),
     }
 }
 
-/// The answer to a request whose entry the next leader may or may not have: the
-/// caller must retry and must not take it for a rejection.
+/// Returns the answer to a request whose entry the next leader may or may not
+/// have. The caller must retry and must not treat the answer as a rejection.
 pub(super) fn uncertain() -> Rejection {
     Rejection {
         code: RejectionCode::TimedOut,
         message: "the lease was lost before the answer: it may or may not be taken".to_owned(),
-        retry_after: Some(RETRY_UNAVAILABLE),
+        retry_after: Some(UNAVAILABLE_RETRY_AFTER),
         problems: Vec::new(),
     }
 }
 
-/// The rejection of a name that is not known.
+/// Returns the rejection of a request for an unknown name.
 pub(super) fn not_found(message: String) -> Rejection {
     Rejection {
         code: RejectionCode::NotFound,
--- a/crates/coordinator/src/leader/request_table.rs
+++ b/crates/coordinator/src/leader/request_table.rs
@@ -1,13 +1,13 @@
-//! Requests that wait for the log, by the process that sent them and their
-//! number: a request sent again while the first one waits is the same request,
-//! and costs neither an entry nor its tenant's rate a second time.
+//! Requests that wait for their log entries. A request is identified by its
+//! sender and number, so a retry of a pending request adds no second entry and
+//! does not count against the tenant's rate again.
 
 use crate::sender::Sender;
 use std::collections::BTreeMap;
 use transport::RequestId;
 use types::{Monotonic, NodeId};
 
-/// The identity of a request across retries.
+/// Identity of a request, which is the same for its retries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RequestKey {
     gateway: NodeId,
@@ -23,14 +23,15 @@
     }
 }
 
-/// A request that waits for the log.
+/// Request that waits for its log entry to be applied.
 #[derive(Debug, Clone)]
 pub(super) struct PendingRequest {
     pub(super) sender: Sender,
     pub(super) id: RequestId,
-    /// When its caller gives up.
+    /// When the caller stops waiting for an answer.
     pub(super) deadline: Monotonic,
-    /// An operator declares a runner lost; the answer names the closed runs.
+    /// Whether the request declares a runner lost. The answer then lists the
+    /// closed runs.
     pub(super) declares_lost: bool,
 }
 
@@ -40,22 +41,22 @@
     }
 }
 
-/// All requests that wait for the log.
+/// All requests that wait for their log entries.
 #[derive(Debug, Default)]
 pub(super) struct RequestTable {
     requests: BTreeMap<RequestKey, PendingRequest>,
 }
 
 impl RequestTable {
-    /// Adds a request; the key finds it when its entry is applied.
+    /// Adds a request, and returns its key for use when the entry is applied.
     pub(super) fn insert(&mut self, request: PendingRequest) -> RequestKey {
         let key = request.key();
         self.requests.insert(key, request);
         key
     }
 
-    /// Records a retry, if an earlier sending waits: the answer goes the way
-    /// that the retry came. Returns whether one waits.
+    /// Records a retry of a pending request, whose answer is sent by the route of
+    /// the retry. Returns whether the request is pending.
     pub(super) fn record_retry(&mut self, retry: &PendingRequest) -> bool {
         let Some(request) = self.requests.get_mut(&retry.key()) else {
             return false;
@@ -65,27 +66,28 @@
         true
     }
 
-    /// Returns whether an earlier sending of the request waits.
+    /// Returns whether the request was sent before and is pending.
     pub(super) fn contains(&self, sender: &Sender, id: RequestId) -> bool {
         self.requests.contains_key(&RequestKey::new(sender, id))
     }
 
-    /// Removes a request to answer it; none if it was answered or has expired.
+    /// Removes a request to answer it. Returns `None` if it was answered or has
+    /// expired.
     pub(super) fn remove(&mut self, key: RequestKey) -> Option<PendingRequest> {
         self.requests.remove(&key)
     }
 
-    /// Removes all requests.
+    /// Removes and returns all requests.
     pub(super) fn take_all(&mut self) -> Vec<PendingRequest> {
         std::mem::take(&mut self.requests).into_values().collect()
     }
 
-    /// Removes the requests whose callers have given up.
+    /// Removes the requests whose deadline has passed.
     pub(super) fn expire(&mut self, now: Monotonic) {
         self.requests.retain(|_, request| request.deadline > now);
     }
 
-    /// Number of requests that wait.
+    /// Returns the number of pending requests.
     pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
--- a/crates/coordinator/src/leader/requests.rs
+++ b/crates/coordinator/src/leader/requests.rs
@@ -1,6 +1,6 @@
-//! Requests of callers and operators: those that change the state become
-//! proposals and are answered when their entries are applied; reads are
-//! answered at once.
+//! Requests of callers and operators. Requests that change the state are
+//! proposed and answered when their entries are applied; reads are answered
+//! immediately.
 
 use crate::leader::Leader;
 use crate::leader::proposals::ProposalOrigin;
@@ -16,12 +16,14 @@
     ConfigurationVersion, JobKey, JobSpec, Milliseconds, Now, RunClose, RunnerId, TenantId,
 };
 
-/// An answer at once, or none when it comes with the applied entry.
+/// Immediate answer to a request, or `None` if the request is answered when its
+/// entry is applied.
 type ImmediateAnswer = Option<Result<OperationReply, Rejection>>;
 
 impl Leader {
-    /// Rejects a request that waited too long for this process, unless an
-    /// earlier sending of it waits for the log and will be answered.
+    /// Rejects a request that waited too long in this process's queue, unless
+    /// the same request was sent before and is pending, so that it will be
+    /// answered.
     pub(crate) fn reject_overdue(&mut self, sender: &Sender, id: RequestId) {
         if self.requests.contains(sender, id) {
             return;
@@ -31,7 +33,7 @@
         self.outbox.reply(sender, id, Err(rejection));
     }
 
-    /// Takes a request. `members` answers [`Operation::ListMembers`].
+    /// Handles a request. `members` answers [`Operation::ListMembers`].
     pub(crate) fn receive_request(
         &mut self,
         state_machine: &StateMachine,
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Handles any operation but the list of members.
+    /// Handles any operation except [`Operation::ListMembers`].
     fn handle_operation(
         &mut self,
         state_machine: &StateMachine,
@@ -93,7 +95,8 @@
         }
     }
 
-    /// Collects a request's command; the answer comes when it is applied.
+    /// Collects the command of a request, which is answered when the command is
+    /// applied. Rejects it if too many requests are pending.
     fn propose_request(&mut self, command: Command, pending: PendingRequest) -> ImmediateAnswer {
         if self.requests.len() >= self.options.max_waiting_requests {
             metrics::counter!("cypressdrum_requests_refused_total").increment(1);
@@ -104,9 +107,9 @@
         None
     }
 
-    /// Submits a job. One that the state machine has with equal content is
-    /// acknowledged at once, at no cost to the tenant's rate: it is on a
-    /// majority of disks already.
+    /// Submits a job. If the state machine has the job with equal content, the
+    /// submit is acknowledged immediately and does not count against the
+    /// tenant's rate: the job is already stored on a quorum of disks.
     fn submit(
         &mut self,
         state_machine: &StateMachine,
@@ -132,11 +135,11 @@
         self.propose_request(Command::Submit { spec, at }, pending)
     }
 
-    /// Checks a submit against the rate of its tenant's contract.
+    /// Checks a submit against the rate limit of its tenant.
     ///
     /// # Errors
     ///
-    /// Returns the rejection if the tenant is unknown or submits too fast.
+    /// Returns a rejection if the tenant is unknown or exceeds its rate limit.
     fn admit_submit(
         &mut self,
         state_machine: &StateMachine,
@@ -190,7 +193,7 @@
         self.propose_request(command, pending)
     }
 
-    /// Closes every open run of a runner that an operator declares lost.
+    /// Closes all open runs of a runner that an operator declared lost.
     fn declare_runner_lost(
         &mut self,
         runner: &RunnerId,
--- a/crates/coordinator/src/leader/run_tracker.rs
+++ b/crates/coordinator/src/leader/run_tracker.rs
@@ -1,51 +1,56 @@
-//! Open runs as the leader follows them, from their reservation to their close.
+//! Open runs that the leader tracks from their reservation to their close.
 
 use crate::leader::progress_history::ProgressHistory;
 use state_machine::ClosedRun;
 use std::collections::{BTreeMap, BTreeSet};
 use types::{ActiveRun, Milliseconds, Monotonic, OpenRun, Outcome, RunClose, RunId, RunnerId};
 
-/// The leader stops a run this far past its time limit; its runner should have
-/// done so by itself.
+/// Time past a run's time limit after which the leader stops the run. Its runner
+/// should have stopped it before.
 const TIME_LIMIT_GRACE: Milliseconds = Milliseconds(1_000);
 
-/// What the leader knows about a run's start.
+/// Phase of a run's start, as known to the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Reserved by this leader in this term; its start has not left, and no
+    /// Reserved by this leader in this term. The start is not sent yet, and no
     /// other process can send it.
     Reserved,
-    /// Its one start has left, and no answer has come.
+    /// The only start was sent, and no answer has arrived.
     Ordered,
-    /// It may or may not have started: it is revoked until that is known.
+    /// The run may or may not have started. It is revoked until the outcome is
+    /// known.
     Uncertain,
-    /// The runner has it, or an earlier leader says so; shown by heartbeats.
+    /// The runner has the run, or an earlier leader reserved it. Heartbeats show
+    /// whether the runner really has it.
     Active,
 }
 
 /// An open run.
 #[derive(Debug, Clone)]
 pub(super) struct TrackedRun {
-    open: OpenRun,
+    open_run: OpenRun,
     phase: Phase,
-    /// When the last order about it left, or when it entered this view.
+    /// When the last order about the run was sent, or if there was none, when
+    /// the run was added. 0 makes the next order due immediately.
     ordered_at: Monotonic,
-    /// To be stopped: its task ended, its time limit passed, or it has stalled.
+    /// Whether the run must stop: its task ended, its time limit passed, or it
+    /// has stalled.
     stop_requested: bool,
-    /// Stopped for its time limit: its end counts as a failure.
+    /// Whether the time limit passed, so that the end of the run counts as a
+    /// failure.
     timed_out: bool,
-    /// Its close is on the way through the log.
+    /// Whether the close of the run is collected or proposed, but not applied.
     closing: bool,
-    /// None where its runner reports no progress.
+    /// Progress of the run. `None` if its runner reports no progress.
     progress: Option<ProgressHistory>,
-    /// The newest checkpoint that it saved.
+    /// Newest checkpoint that the run saved. `None` before the first one.
     checkpoint: Option<String>,
 }
 
 impl TrackedRun {
-    fn new(open: OpenRun, phase: Phase, now: Monotonic) -> Self {
+    fn new(open_run: OpenRun, phase: Phase, now: Monotonic) -> Self {
         Self {
-            open,
+            open_run,
             phase,
             ordered_at: now,
             stop_requested: false,
@@ -56,49 +61,51 @@
         }
     }
 
-    /// The run as the state machine has it.
-    pub(super) fn open(&self) -> &OpenRun {
-        &self.open
+    /// Returns the run as recorded by the state machine.
+    pub(super) fn open_run(&self) -> &OpenRun {
+        &self.open_run
     }
 
-    /// What is known about its start.
+    /// Returns the phase of the run's start.
     pub(super) fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Time since the last order about the run left.
+    /// Returns the time since the last order about the run was sent.
     pub(super) fn since_order(&self, now: Monotonic) -> Milliseconds {
         now.since(self.ordered_at)
     }
 
-    /// Returns whether the run is to be stopped.
+    /// Returns whether a stop of the run is requested.
     pub(super) fn is_stop_requested(&self) -> bool {
         self.stop_requested
     }
 
-    /// Returns whether its close is on the way through the log.
+    /// Returns whether the close of the run is collected or proposed, but not
+    /// applied.
     pub(super) fn is_closing(&self) -> bool {
         self.closing
     }
 
-    /// The progress that its runner reports; none where it reports none.
+    /// Returns the progress of the run, or `None` if its runner reports no
+    /// progress.
     pub(super) fn progress(&self) -> Option<ProgressHistory> {
         self.progress
     }
 }
 
-/// All open runs, those bound to each runner, and the starts that are due.
+/// All open runs, indexed by identifier and by runner, and the queued starts.
 #[derive(Debug, Default)]
 pub(super) struct RunTracker {
     runs: BTreeMap<RunId, TrackedRun>,
     by_runner: BTreeMap<RunnerId, BTreeSet<RunId>>,
-    /// Reserved runs whose start is to leave at the end of this input.
+    /// Reserved runs whose start is to be sent at the end of this input.
     to_start: Vec<RunId>,
 }
 
 impl RunTracker {
-    /// Adds a run that an earlier leader reserved. Whether its start left is
-    /// not known; the next heartbeat of its runner shows it.
+    /// Adds a run that an earlier leader reserved. It is unknown whether its
+    /// start was sent; the next heartbeat of its runner shows it.
     pub(super) fn adopt(&mut self, run: OpenRun, now: Monotonic) {
         self.insert(TrackedRun::new(run, Phase::Active, now));
     }
@@ -109,8 +116,8 @@
     }
 
     fn insert(&mut self, tracked: TrackedRun) {
-        let run = tracked.open.run;
-        let runner = tracked.open.runner.clone();
+        let run = tracked.open_run.run;
+        let runner = tracked.open_run.runner.clone();
         self.by_runner.entry(runner).or_default().insert(run);
         self.runs.insert(run, tracked);
     }
@@ -120,30 +127,30 @@
         let Some(tracked) = self.runs.remove(&run) else {
             return;
         };
-        if let Some(runs) = self.by_runner.get_mut(&tracked.open.runner) {
+        if let Some(runs) = self.by_runner.get_mut(&tracked.open_run.runner) {
             runs.remove(&run);
             if runs.is_empty() {
-                self.by_runner.remove(&tracked.open.runner);
+                self.by_runner.remove(&tracked.open_run.runner);
             }
         }
     }
 
-    /// The open run of this identifier.
+    /// Returns the tracked run `run`, or `None` if it is not open.
     pub(super) fn get(&self, run: RunId) -> Option<&TrackedRun> {
         self.runs.get(&run)
     }
 
-    /// Number of open runs.
+    /// Returns the number of open runs.
     pub(super) fn len(&self) -> usize {
         self.runs.len()
     }
 
-    /// All open runs, by identifier.
+    /// Returns all open runs in the order of their identifiers.
     pub(super) fn iter(&self) -> impl Iterator<Item = &TrackedRun> {
         self.runs.values()
     }
 
-    /// Runs bound to a runner, in order.
+    /// Returns the open runs of a runner in the order of their identifiers.
     pub(super) fn of_runner(&self, runner: &RunnerId) -> Vec<RunId> {
         self.by_runner
             .get(runner)
@@ -151,7 +158,7 @@
             .unwrap_or_default()
     }
 
-    /// Runners that have open runs.
+    /// Returns the runners that have open runs.
     pub(super) fn runners(&self) -> impl Iterator<Item = &RunnerId> {
         self.by_runner.keys()
     }
@@ -161,37 +168,37 @@
         self.to_start.extend(runs);
     }
 
-    /// Takes the runs whose start is due.
+    /// Returns the queued starts and clears the queue.
     pub(super) fn take_starts(&mut self) -> Vec<RunId> {
         std::mem::take(&mut self.to_start)
     }
 
-    /// Discards queued starts: they must not leave any more.
+    /// Discards the queued starts. They must not be sent later.
     pub(super) fn discard_starts(&mut self) {
         self.to_start.clear();
     }
 
-    /// Returns whether the run's start is due.
+    /// Returns whether the start of the run is queued.
     pub(super) fn is_start_queued(&self, run: RunId) -> bool {
         self.to_start.contains(&run)
     }
 
-    /// Records what is known about the run's start.
+    /// Sets the phase of the run's start.
     pub(super) fn set_phase(&mut self, run: RunId, phase: Phase) {
         if let Some(tracked) = self.runs.get_mut(&run) {
             tracked.phase = phase;
         }
     }
 
-    /// Records that an order about the run leaves.
+    /// Records that an order about the run is sent.
     pub(super) fn record_order(&mut self, run: RunId, now: Monotonic) {
         if let Some(tracked) = self.runs.get_mut(&run) {
             tracked.ordered_at = now;
         }
     }
 
-    /// Records that the runner has the run. One that is past its time limit is
-    /// to be stopped.
+    /// Records that the runner has the run. Requests a stop if the run is past
+    /// its time limit.
     pub(super) fn record_active(&mut self, run: RunId, active: &ActiveRun, now: Monotonic) {
         self.record_checkpoint(run, active.checkpoint.as_ref());
         let Some(tracked) = self.runs.get_mut(&run) else {
@@ -204,17 +211,17 @@
                 .get_or_insert(ProgressHistory::new(progress, now))
                 .record(progress, now);
         }
-        let limit = tracked.open.time_limit + TIME_LIMIT_GRACE;
+        let limit = tracked.open_run.time_limit + TIME_LIMIT_GRACE;
         if active.age > limit && !tracked.timed_out {
             tracked.timed_out = true;
             self.request_stop(run);
         }
     }
 
-    /// Records that the runner neither has the run nor has ended it. Returns
-    /// whether it is to be revoked: a start under way may still land, so that
-    /// one waits for its answer; any other run cannot be told from one that
-    /// never began.
+    /// Records that the runner neither has the run nor has ended it, and returns
+    /// whether the run must be revoked. A start that is still unanswered may
+    /// arrive later, so such a run waits for its answer. Any other run cannot be
+    /// distinguished from one that never began.
     pub(super) fn record_absent(&mut self, run: RunId) -> bool {
         let Some(tracked) = self.runs.get_mut(&run) else {
             return false;
@@ -235,7 +242,7 @@
         }
     }
 
-    /// Requests that a run is stopped; the next check of the runs sends it.
+    /// Requests a stop of the run. The next check of the runs sends it.
     pub(super) fn request_stop(&mut self, run: RunId) {
         if let Some(tracked) = self.runs.get_mut(&run) {
             tracked.stop_requested = true;
@@ -243,8 +250,8 @@
         }
     }
 
-    /// Begins to close a run; none if it is not open or its close is on the
-    /// way already.
+    /// Begins to close a run. Returns `None` if the run is not open or is being
+    /// closed already.
     pub(super) fn begin_close(&mut self, run: RunId, close: RunClose) -> Option<ClosedRun> {
         let tracked = self.runs.get_mut(&run)?;
         if tracked.closing {
@@ -264,7 +271,7 @@
         })
     }
 
-    /// Records that a close was not proposed after all.
+    /// Records that the close of a run was not proposed.
     pub(super) fn cancel_close(&mut self, run: RunId) {
         if let Some(tracked) = self.runs.get_mut(&run) {
             tracked.closing = false;
--- a/crates/coordinator/src/leader/runner_registry.rs
+++ b/crates/coordinator/src/leader/runner_registry.rs
@@ -1,4 +1,4 @@
-//! Runners that this leader has received heartbeats of.
+//! Runners from which this leader has received heartbeats.
 
 use crate::sender::Sender;
 use std::cmp::Ordering;
@@ -7,7 +7,7 @@
     HeartbeatSequence, Milliseconds, Monotonic, RunId, RunnerId, RunnerIncarnation, RunnerReport,
 };
 
-/// A runner as of its newest heartbeat.
+/// State of a runner as of its newest heartbeat.
 #[derive(Debug, Clone)]
 pub(super) struct RunnerState {
     agent: Sender,
@@ -20,55 +20,58 @@
 }
 
 impl RunnerState {
-    /// The agent that the newest heartbeat came by.
+    /// Returns the agent that forwarded the newest heartbeat.
     pub(super) fn agent(&self) -> &Sender {
         &self.agent
     }
 
-    /// The incarnation that sent the newest heartbeat.
+    /// Returns the incarnation that sent the newest heartbeat.
     pub(super) fn incarnation(&self) -> RunnerIncarnation {
         self.incarnation
     }
 
-    /// Number of the newest heartbeat of the incarnation.
+    /// Returns the sequence number of the newest heartbeat within its incarnation.
     pub(super) fn sequence(&self) -> HeartbeatSequence {
         self.sequence
     }
 
-    /// When the newest heartbeat arrived here.
+    /// Returns when the newest heartbeat arrived, plus the time since then in
+    /// which the leader's lease did not hold.
     pub(super) fn last_seen(&self) -> Monotonic {
         self.last_seen
     }
 
-    /// Returns whether the runner stops its runs by itself when its lease ends.
+    /// Returns whether the runner stops its runs itself when the run lease
+    /// expires.
     pub(super) fn stops_itself(&self) -> bool {
         self.self_stop
     }
 
-    /// Returns whether the runner itself or an operator says that it drains.
+    /// Returns whether the runner is draining, by its own report or by an
+    /// operator's order.
     pub(super) fn is_draining(&self) -> bool {
         self.reports_draining || self.ordered_draining
     }
 
-    /// Returns whether an operator says that it drains.
+    /// Returns whether the runner is draining by an operator's order.
     pub(super) fn is_ordered_draining(&self) -> bool {
         self.ordered_draining
     }
 }
 
-/// A heartbeat, compared with the newest one known of its runner.
+/// Order of a heartbeat relative to the newest one of the same runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Freshness {
-    /// Of an earlier incarnation, or overtaken by a later heartbeat.
+    /// The heartbeat is of an earlier incarnation, or older than the newest one.
     Outdated,
-    /// The newest known, once more.
+    /// The heartbeat is a copy of the newest one.
     Repeated,
-    /// Newer than any before.
+    /// The heartbeat is newer than all earlier ones.
     New,
 }
 
-/// Runners by name, and the ends that the state machine has recorded since the
-/// last message left.
+/// Runners by identifier, and the ends of their runs that are recorded but not
+/// confirmed to them yet.
 #[derive(Debug, Default)]
 pub(super) struct RunnerRegistry {
     runners: BTreeMap<RunnerId, RunnerState>,
@@ -76,7 +79,8 @@
 }
 
 impl RunnerRegistry {
-    /// The runner as of its newest heartbeat, if one was received.
+    /// Returns the state of the runner, or `None` if no heartbeat of it was
+    /// received.
     pub(super) fn get(&self, runner: &RunnerId) -> Option<&RunnerState> {
         self.runners.get(runner)
     }
@@ -86,26 +90,27 @@
         self.runners.contains_key(runner)
     }
 
-    /// Number of runners that sent a heartbeat.
+    /// Returns the number of runners that have sent a heartbeat.
     pub(super) fn len(&self) -> usize {
         self.runners.len()
     }
 
-    /// Records an operator's order that a known runner drains, or no longer.
+    /// Records whether an operator ordered a known runner to drain.
     pub(super) fn set_ordered_draining(&mut self, runner: &RunnerId, draining: bool) {
         if let Some(state) = self.runners.get_mut(runner) {
             state.ordered_draining = draining;
         }
     }
 
-    /// Leaves a time in which no heartbeat was accepted out of failure detection.
+    /// Shifts the arrival of the newest heartbeats by `gap`, a time in which no
+    /// heartbeat was accepted, so that failure detection does not count it.
     pub(super) fn shift_last_seen(&mut self, gap: Milliseconds, now: Monotonic) {
         for state in self.runners.values_mut() {
             state.last_seen = (state.last_seen + gap).min(now);
         }
     }
 
-    /// Compares a heartbeat with the newest one known.
+    /// Compares a heartbeat with the newest one of its runner.
     pub(super) fn freshness(&self, report: &RunnerReport) -> Freshness {
         let Some(known) = self.runners.get(&report.runner) else {
             return Freshness::New;
@@ -138,12 +143,12 @@
         self.runners.insert(report.runner.clone(), state);
     }
 
-    /// Records that the state machine has the end of a run.
+    /// Records that the state machine recorded the end of a run.
     pub(super) fn record_end(&mut self, runner: RunnerId, run: RunId) {
         self.recorded_ends.entry(runner).or_default().push(run);
     }
 
-    /// Takes the ends recorded since the last call, by runner.
+    /// Returns the ends recorded since the last call, by runner.
     pub(super) fn take_recorded_ends(&mut self) -> BTreeMap<RunnerId, Vec<RunId>> {
         std::mem::take(&mut self.recorded_ends)
     }
--- a/crates/coordinator/src/leader/sessions.rs
+++ b/crates/coordinator/src/leader/sessions.rs
@@ -1,5 +1,5 @@
-//! Sessions of gateways and agents with the leader, which their keep-alives
-//! open and renew.
+//! Sessions of gateways and agents with the leader. Keep-alives open and renew
+//! them.
 
 use crate::sender::Sender;
 use std::collections::BTreeMap;
@@ -7,29 +7,30 @@
 use transport::MemberView;
 use types::{Address, ConfigurationVersion, Milliseconds, Monotonic, NodeId, Role};
 
-/// Gateways and agents named in one lease. They serve as further seeds only.
-const MAX_OTHERS: usize = 16;
+/// Maximum number of gateways and agents listed in the lease of a gateway or
+/// agent, which uses them only as additional seeds.
+const MAX_LISTED_PEERS: usize = 16;
 
-/// A lease names others to a gateway or agent once in this many keep-alives:
-/// naming them in each was three quarters of its bytes.
-const KEEP_ALIVES_PER_OTHERS: u64 = 16;
+/// Keep-alives of a gateway or agent between two leases that list peers. Listed
+/// in every lease, the peers made up three quarters of its bytes.
+const KEEP_ALIVES_PER_PEER_LIST: u64 = 16;
 
-/// A lease names all sessions to a coordinator once in this many keep-alives.
-const KEEP_ALIVES_PER_LIST: u64 = 5;
+/// Keep-alives of a coordinator between two leases that list all sessions.
+const KEEP_ALIVES_PER_SESSION_LIST: u64 = 5;
 
-/// Status of a session in the list of members.
+/// Status that the list of members shows for a session.
 const SESSION_STATUS: &str = "session";
 
-/// A gateway or agent whose keep-alive arrived.
+/// Session of a gateway or agent.
 #[derive(Debug, Clone)]
 struct Session {
     sender: Sender,
     last_seen: Monotonic,
-    /// The configuration that it last said to have applied.
+    /// Configuration version in the last keep-alive of the process.
     configuration: ConfigurationVersion,
 }
 
-/// Sessions by identity.
+/// All sessions, by the identity of the process.
 #[derive(Debug)]
 pub(super) struct Sessions {
     lease: Milliseconds,
@@ -37,7 +38,8 @@
 }
 
 impl Sessions {
-    /// No sessions yet; each will last for `lease` after its last message.
+    /// Creates an empty table. Each session expires `lease` after the last
+    /// message of its process.
     pub(super) fn new(lease: Milliseconds) -> Self {
         Self {
             lease,
@@ -54,7 +56,8 @@
     ) {
         let (node, socket) = (sender.address.node, sender.address.socket);
         if !self.sessions.contains_key(&node) {
-            // A restarted process has another identity on the same socket.
+            // A restarted process has a new identity on the same socket, so the
+            // earlier session is removed.
             self.sessions
                 .retain(|_, session| session.sender.address.socket != socket);
         }
@@ -66,7 +69,7 @@
         self.sessions.insert(node, session);
     }
 
-    /// Renews a session because of another message than a keep-alive.
+    /// Renews a session after a message other than a keep-alive.
     pub(super) fn record_contact(&mut self, sender: &Sender, now: Monotonic) {
         if let Some(session) = self.sessions.get_mut(&sender.address.node) {
             session.last_seen = now;
@@ -74,36 +77,37 @@
         }
     }
 
-    /// Ends the session of a process that leaves.
+    /// Ends the session of a process that stops.
     pub(super) fn close(&mut self, node: NodeId) {
         self.sessions.remove(&node);
     }
 
-    /// Ends the sessions that were not renewed in time.
+    /// Ends the sessions whose lease has expired.
     pub(super) fn expire(&mut self, now: Monotonic) {
         let lease = self.lease;
         self.sessions
             .retain(|_, session| now.since(session.last_seen) <= lease);
     }
 
-    /// Returns whether the process has a session that lasts.
+    /// Returns whether the process has a session that has not expired.
     pub(super) fn is_live(&self, node: NodeId, now: Monotonic) -> bool {
         let session = self.sessions.get(&node);
         session.is_some_and(|session| now.since(session.last_seen) <= self.lease)
     }
 
-    /// Number of sessions.
+    /// Returns the number of sessions, expired ones included until they are
+    /// removed.
     pub(super) fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// The processes that have a session.
+    /// Returns the processes that have a session.
     pub(super) fn senders(&self) -> Vec<Sender> {
         let sessions = self.sessions.values();
         sessions.map(|session| session.sender.clone()).collect()
     }
 
-    /// The sessions, for the list of members.
+    /// Returns the sessions as entries of the list of members.
     pub(super) fn views(&self, now: Monotonic) -> impl Iterator<Item = MemberView> {
         self.sessions.values().map(move |session| MemberView {
             address: session.sender.address.clone(),
@@ -114,19 +118,21 @@
         })
     }
 
-    /// Addresses that a lease names besides the coordinators, in the answer to
-    /// the keep-alive of this number.
+    /// Returns the addresses that the lease of `receiver` lists in addition to
+    /// the coordinators. `keep_alive` is the number of the keep-alive that the
+    /// lease answers.
     pub(super) fn addresses_for(&self, receiver: &Address, keep_alive: u64) -> Vec<Address> {
         match receiver.role {
-            Role::Coordinator => self.all_addresses(keep_alive),
-            Role::Gateway | Role::Agent => self.some_addresses(receiver.node, keep_alive),
+            Role::Coordinator => self.session_list(keep_alive),
+            Role::Gateway | Role::Agent => self.peer_list(receiver.node, keep_alive),
         }
     }
 
-    /// Every gateway and agent, now and then: a coordinator that is elected
-    /// announces itself to all of them at once.
-    fn all_addresses(&self, keep_alive: u64) -> Vec<Address> {
-        if !keep_alive.is_multiple_of(KEEP_ALIVES_PER_LIST) {
+    /// Returns all gateways and agents in every
+    /// [`KEEP_ALIVES_PER_SESSION_LIST`]th lease of a coordinator, which announces
+    /// itself to all of them when it is elected.
+    fn session_list(&self, keep_alive: u64) -> Vec<Address> {
+        if !keep_alive.is_multiple_of(KEEP_ALIVES_PER_SESSION_LIST) {
             return Vec::new();
         }
         let sessions = self.sessions.values();
@@ -135,10 +141,12 @@
             .collect()
     }
 
-    /// Some gateways and agents, now and then: those that follow the receiver
-    /// by identity, so that each process is named to a few others.
-    fn some_addresses(&self, receiver: NodeId, keep_alive: u64) -> Vec<Address> {
-        if keep_alive % KEEP_ALIVES_PER_OTHERS != 1 {
+    /// Returns up to [`MAX_LISTED_PEERS`] gateways and agents in every
+    /// [`KEEP_ALIVES_PER_PEER_LIST`]th lease of a gateway or agent. The list
+    /// contains the processes that follow the receiver in the order of
+    /// identities, so that each process is listed to a few others.
+    fn peer_list(&self, receiver: NodeId, keep_alive: u64) -> Vec<Address> {
+        if keep_alive % KEEP_ALIVES_PER_PEER_LIST != 1 {
             return Vec::new();
         }
         let after = self
@@ -149,7 +157,7 @@
             .chain(before)
             .map(|(_, session)| &session.sender.address)
             .filter(|address| address.role != Role::Coordinator)
-            .take(MAX_OTHERS)
+            .take(MAX_LISTED_PEERS)
             .cloned()
             .collect()
     }
