--- a/crates/coordinator/src/effect.rs
+++ b/crates/coordinator/src/effect.rs
@@ -1,4 +1,4 @@
-//! Inputs that the core takes and effects that it asks the shell to carry out.
+//! Inputs that the core handles and effects that the shell carries out.
 
 use crate::readiness::Readiness;
 use std::net::SocketAddr;
@@ -8,12 +8,12 @@
 /// An event that the core handles.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// Time passed.
+    /// Time has passed: the core checks its timers.
     Tick,
-    /// A message arrived.
+    /// A message of another process arrived.
     Peer(Envelope),
-    /// A request arrived so long ago that it is rejected rather than answered
-    /// late: this process is behind, and would fall further behind.
+    /// A request has waited too long in the queue of this process. It is
+    /// rejected, since a late answer would delay the following requests further.
     Overdue(Envelope),
     /// The write of [`Effect::Persist`] with this number is durable.
     Persisted {
@@ -22,7 +22,7 @@
     },
     /// The identity of [`Effect::SaveIdentity`] is durable.
     IdentitySaved,
-    /// The process was asked to stop: hand over, then end.
+    /// The process was asked to stop: it transfers leadership, then ends.
     Stop,
 }
 
@@ -31,25 +31,25 @@
 pub enum Effect {
     /// Send a message; it may be lost.
     Send {
-        /// The socket it goes to.
+        /// Peer socket of the receiver, or of the relay to it.
         to: SocketAddr,
-        /// The message.
+        /// Message to send, wrapped if it goes through a relay.
         message: PeerMessage,
     },
-    /// Write and sync, in order of the numbers, then give
+    /// Write and sync the batch, in the order of the numbers, then report
     /// [`Input::Persisted`].
     Persist {
         /// Number of the write, from 1.
         number: u64,
-        /// The content to write.
+        /// Log entries, hard state and snapshot to write.
         batch: Batch,
     },
-    /// Write and sync the identity, then give [`Input::IdentitySaved`].
+    /// Write and sync the identity, then report [`Input::IdentitySaved`].
     SaveIdentity(Identity),
     /// Report whether this process is ready.
     Ready(Readiness),
     /// Log an entry of the decision log.
     Decision(Box<transport::DecisionEntry>),
-    /// The polite stop is complete; end the process.
+    /// End the process: the requested stop is complete.
     Stopped,
 }
--- a/crates/coordinator/src/options.rs
+++ b/crates/coordinator/src/options.rs
@@ -1,5 +1,5 @@
-//! Settings of the core, the rule that says who may bootstrap a cluster, and
-//! the faults that the simulation may build in.
+//! Settings of the core, the rule for the bootstrap of a cluster, and the faults
+//! that the simulation injects into the code.
 
 use std::net::SocketAddr;
 use types::{Address, Milliseconds};
@@ -9,72 +9,79 @@
 pub struct CoordinatorOptions {
     /// Identity, role, zone and peer socket of this process.
     pub address: Address,
-    /// Peer sockets of other processes of any role; may be dead, or its own.
+    /// Peer sockets of other processes of any role. Some may be unreachable, and
+    /// the own socket may be included.
     pub seeds: Vec<SocketAddr>,
-    /// Initial coordinators of a new cluster, and voters wanted ever after.
+    /// Number of coordinators that bootstrap a new cluster, and number of voters
+    /// that membership changes restore afterwards.
     pub initial_coordinators: u32,
-    /// Which process may bootstrap a cluster.
+    /// Rule that decides which process may bootstrap a cluster.
     pub bootstrap_rule: BootstrapRule,
-    /// A run without progress for this long is stopped and placed again; none
-    /// to let stalled runs go on.
+    /// Time without progress after which a run is stopped and placed again.
+    /// `None` lets stalled runs continue.
     pub stalled_after: Option<Milliseconds>,
-    /// Whether runs on a slow runner are moved as well; without effect unless
-    /// `stalled_after` is set.
+    /// Whether runs on a slow runner are moved as well. Has no effect if
+    /// `stalled_after` is `None`.
     pub move_slow: bool,
-    /// Timings of consensus.
+    /// Timings of the consensus node.
     pub consensus: consensus::Options,
     /// Limits of the scheduler.
     pub scheduler: scheduler::SchedulerOptions,
-    /// Length of the sessions of gateways and agents.
+    /// Time after its last message at which the session of a gateway or agent
+    /// expires.
     pub session_lease: Milliseconds,
-    /// A voter that is unresponsive for this long is replaced by a learner that
+    /// Time without contact after which a voter is replaced by a learner that
     /// has caught up.
     pub replace_voter_after: Milliseconds,
-    /// A new leader waits at most this long for the heartbeats of runners.
+    /// Maximum time that a new leader waits for the heartbeats of runners before
+    /// it places tasks.
     pub runner_wait: Milliseconds,
-    /// Least number of entries between two snapshots.
+    /// Minimum number of log entries between two snapshots.
     pub snapshot_every: u64,
-    /// Requests that may wait for the log at once.
+    /// Maximum number of requests that wait for their log entries. Further
+    /// requests are rejected as overloaded.
     pub max_waiting_requests: usize,
-    /// Entries of the decision log that are kept.
+    /// Maximum number of entries that the decision log keeps.
     pub decision_log_capacity: usize,
-    /// Seed of elections, draws and identifiers.
+    /// Seed of the random numbers for election timeouts, scheduling and
+    /// identifiers.
     pub seed: u64,
-    /// A fault built in on purpose, for the simulation alone: it proves that
-    /// the checker finds it. None in every daemon.
+    /// Fault injected by the simulation to prove that its checker detects it.
+    /// Always `None` in a daemon.
     pub mutation: Option<Mutation>,
 }
 
-/// Which process may bootstrap a cluster.
+/// Rule that decides which process may bootstrap a cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum BootstrapRule {
-    /// The lowest identity, when exactly the initial coordinators are present.
+    /// The process with the lowest identity, if exactly the initial coordinators
+    /// are present.
     #[default]
     Exact,
-    /// The process at this socket alone, when at least the initial
-    /// coordinators are present; the others join. For fleets that have one
-    /// socket in common and do not know their own number.
+    /// The process at this socket, if at least the initial coordinators are
+    /// present; the others join. For deployments whose processes know one common
+    /// socket but not the number of coordinators.
     At(SocketAddr),
-    /// None: a cluster exists or will come back.
+    /// No process: the cluster exists, even if it is unavailable at present.
     Never,
 }
 
-/// Faults that the simulation may build in, to prove that its checker finds
-/// them.
+/// Fault that the simulation injects into the code to prove that its checker
+/// detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Mutation {
-    /// An unanswered start is sent again, where a revocation belongs.
+    /// An unanswered start is sent again instead of being revoked.
     ResendStartInsteadOfRevoke,
     /// An unanswered start is closed as rejected, without a revocation.
     CloseUnansweredStart,
-    /// The leader acts without a check of its lease.
+    /// The leader acts without checking its lease.
     SkipLeaseCheck,
     /// A submit is acknowledged as soon as it is proposed.
     AcknowledgeBeforeCommit,
-    /// Runs of an unresponsive runner are closed at a tenth of their lease.
+    /// Runs of an unresponsive runner are closed after a tenth of the run lease.
     ExpireRunsEarly,
-    /// The scheduler pulls for every runner and scans every list.
+    /// The scheduler places tasks for every runner and scans every list.
     ScanAll,
-    /// A guard of the state machine is left out.
+    /// The state machine skips one of its checks.
     StateMachine(state_machine::mutation::Mutation),
 }
--- a/crates/coordinator/src/sender.rs
+++ b/crates/coordinator/src/sender.rs
@@ -1,4 +1,4 @@
-//! The sender of a message, and the way an answer takes back to it.
+//! Sender of a message, and the route of an answer to it.
 
 use crate::effect::Effect;
 use session::route;
@@ -6,15 +6,16 @@
 use transport::{Envelope, PeerMessage};
 use types::Address;
 
-/// The sender of a message, and the coordinator that relayed it.
+/// Process that sent a message, and the coordinator that relayed it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Sender {
     pub(crate) address: Address,
-    /// The coordinator that relayed the message; none if it came directly.
+    /// Peer socket of the coordinator that relayed the message. `None` if it
+    /// arrived directly.
     pub(crate) via: Option<SocketAddr>,
 }
 
-/// A message and the socket it goes to.
+/// Message and the socket to which it is sent.
 #[derive(Debug, Clone)]
 pub(crate) struct AddressedMessage {
     pub(crate) to: SocketAddr,
@@ -22,7 +23,8 @@
 }
 
 impl Sender {
-    /// Reads the sender of an opened message.
+    /// Returns the sender of a message. A relayed message must be unwrapped
+    /// before.
     pub(crate) fn of(envelope: &Envelope) -> Self {
         Self {
             address: envelope.from.clone(),
@@ -30,7 +32,8 @@
         }
     }
 
-    /// Addresses an answer, through the relay that the message came by.
+    /// Addresses an answer to the sender, through the relay of the message if
+    /// there was one.
     pub(crate) fn answer(&self, own: &Address, message: PeerMessage) -> AddressedMessage {
         let (to, message) = match self.via {
             None => (self.address.socket, message),
