--- a/crates/coordinator/src/leader/sessions.rs
+++ b/crates/coordinator/src/leader/sessions.rs
@@ -11,11 +11,11 @@
 /// agent, which uses them only as additional seeds.
 const MAX_LISTED_PEERS: usize = 16;
 
-/// Keep-alives of a gateway or agent between two leases that list peers. Listed
-/// in every lease, the peers made up three quarters of its bytes.
+/// Number of keep-alives of a gateway or agent for each lease that lists peers.
+/// Listed in every lease, the peers made up three quarters of its bytes.
 const KEEP_ALIVES_PER_PEER_LIST: u64 = 16;
 
-/// Keep-alives of a coordinator between two leases that list all sessions.
+/// Number of keep-alives of a coordinator for each lease that lists all sessions.
 const KEEP_ALIVES_PER_SESSION_LIST: u64 = 5;
 
 /// Status that the list of members shows for a session.
@@ -128,9 +128,9 @@
         }
     }
 
-    /// Returns all gateways and agents in every
-    /// [`KEEP_ALIVES_PER_SESSION_LIST`]th lease of a coordinator, which announces
-    /// itself to all of them when it is elected.
+    /// Returns all gateways and agents for a lease of a coordinator, once in
+    /// [`KEEP_ALIVES_PER_SESSION_LIST`] keep-alives and otherwise an empty list.
+    /// A coordinator announces itself to all of them when it is elected.
     fn session_list(&self, keep_alive: u64) -> Vec<Address> {
         if !keep_alive.is_multiple_of(KEEP_ALIVES_PER_SESSION_LIST) {
             return Vec::new();
@@ -141,10 +141,11 @@
             .collect()
     }
 
-    /// Returns up to [`MAX_LISTED_PEERS`] gateways and agents in every
-    /// [`KEEP_ALIVES_PER_PEER_LIST`]th lease of a gateway or agent. The list
-    /// contains the processes that follow the receiver in the order of
-    /// identities, so that each process is listed to a few others.
+    /// Returns up to [`MAX_LISTED_PEERS`] gateways and agents for a lease of a
+    /// gateway or agent, once in [`KEEP_ALIVES_PER_PEER_LIST`] keep-alives and
+    /// otherwise an empty list. They are the next processes after the receiver
+    /// in the order of identities, so that each process is listed to a few
+    /// others.
     fn peer_list(&self, receiver: NodeId, keep_alive: u64) -> Vec<Address> {
         if keep_alive % KEEP_ALIVES_PER_PEER_LIST != 1 {
             return Vec::new();
