--- a/crates/coordinator/src/options.rs
+++ b/crates/coordinator/src/options.rs
@@ -80,7 +80,8 @@
     AcknowledgeBeforeCommit,
     /// Runs of an unresponsive runner are closed after a tenth of the run lease.
     ExpireRunsEarly,
-    /// The scheduler places tasks for every runner and scans every list.
+    /// The scheduler examines every list and runner, even if its bounds show that
+    /// nothing fits.
     ScanAll,
     /// The state machine skips one of its checks.
     StateMachine(state_machine::mutation::Mutation),
