--- a/crates/state_machine/src/command.rs
+++ b/crates/state_machine/src/command.rs
@@ -9,76 +9,80 @@
     Reservation, RunClose, RunId, RunnerId, TaskMeta, TaskRef, TenantId, WallTime,
 };
 
-/// One entry of the log. `at` is the leader's wall time.
+/// Command of the replicated log. The `at` of a variant is the wall time of the
+/// leader that proposes the command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Submit a job. Idempotent by its key: equal content gets the same number.
+    /// Submits a job. Idempotent by the job's key: a resent job with equal content
+    /// gets the same number.
     Submit {
-        /// The job.
+        /// Job as the caller sent it.
         spec: JobSpec,
-        /// Leader's wall time.
+        /// Wall time of the proposing leader.
         at: WallTime,
     },
-    /// Cancel jobs: their tasks do not start again.
+    /// Cancels jobs: their tasks do not start again.
     Cancel {
-        /// Which jobs.
+        /// Selection of the jobs to cancel.
         selector: CancelSelector,
-        /// Leader's wall time.
+        /// Wall time of the proposing leader.
         at: WallTime,
     },
-    /// Bind tasks to runners. Each reservation is checked against the state on its
-    /// own; only accepted ones are sent to their runners.
+    /// Binds tasks to runners. Each reservation is checked against the state on its
+    /// own, and those of a gang as a whole; only accepted ones are sent to their
+    /// runners.
     Reserve {
-        /// The reservations of the scheduler.
+        /// Reservations made by the scheduler; those of a gang follow one another.
         reservations: Vec<Reservation>,
-        /// Leader's wall time.
+        /// Wall time of the proposing leader.
         at: WallTime,
     },
-    /// Close runs. For a run that is closed already or unknown it does nothing,
-    /// except that a late report of a run closed as lost decides on its task, if
-    /// that is unfinished.
+    /// Closes runs. A run that is unknown or already closed is skipped, except
+    /// that the late report of a run closed as lost decides the outcome of its
+    /// task, if the task is unfinished.
     CloseRuns {
-        /// The runs.
+        /// Runs to close, each with the reason.
         runs: Vec<ClosedRun>,
-        /// Leader's wall time.
+        /// Wall time of the proposing leader.
         at: WallTime,
     },
-    /// Apply a configuration if `version` is the current one plus one. The same
+    /// Applies a configuration, if the version that the document replaces is in
+    /// force; a document that names none replaces `version` minus one. The same
     /// configuration under the same version is acknowledged again while that
     /// version is among the last 1,024.
     PutConfiguration {
-        /// The proposed version.
+        /// Version that the document gets; higher than the one in force.
         version: ConfigurationVersion,
-        /// The document.
+        /// Complete configuration that replaces the one in force.
         document: ClusterConfiguration,
-        /// Leader's wall time.
+        /// Wall time of the proposing leader.
         at: WallTime,
     },
-    /// Set whether an operator drains a runner.
+    /// Sets whether an operator drains a runner.
     SetRunnerDraining {
-        /// The runner.
+        /// Runner that the operator names.
         runner: RunnerId,
-        /// Whether it drains.
+        /// Whether the runner gets no further runs.
         draining: bool,
-        /// Leader's wall time.
+        /// Wall time of the proposing leader.
         at: WallTime,
     },
-    /// Forget finished jobs whose retention has passed.
+    /// Removes finished jobs whose retention has passed.
     Forget {
-        /// Jobs that ended at or before this time.
+        /// Latest end time of a job to remove.
         ended_before: WallTime,
-        /// Maximum number of jobs.
+        /// Maximum number of jobs to remove.
         limit: u32,
     },
-    /// Change named items of the configuration, if the version that the update
+    /// Changes named items of the configuration, if the version that the update
     /// replaces is in force. The same update under the same version is
     /// acknowledged again, as with [`Command::PutConfiguration`].
     UpdateConfiguration {
-        /// The proposed version; higher than the one in force.
+        /// Version that the result gets; higher than the one in force.
         version: ConfigurationVersion,
-        /// The changes.
+        /// Items to add, replace and remove.
         update: ConfigurationUpdate,
-        /// Leader's wall time.
+        /// Wall time of the proposing leader.
         at: WallTime,
     },
 }
@@ -103,16 +107,16 @@
     }
 }
 
-/// Which jobs to cancel.
+/// Selection of jobs to cancel.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CancelSelector {
-    /// These jobs; the reply lists unknown ones apart.
+    /// Jobs by key; the reply lists the unknown keys separately.
     Jobs(Vec<JobKey>),
-    /// All unfinished jobs of a tenant, within one queue if it is given.
+    /// All unfinished jobs of a tenant, or those in one queue.
     Tenant {
-        /// The tenant.
+        /// Tenant whose jobs are cancelled.
         tenant: TenantId,
-        /// The queue, or all.
+        /// Queue to which the selection is limited; `None` for all queues.
         queue: Option<QueueName>,
     },
 }
@@ -120,16 +124,17 @@
 /// A run to close.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClosedRun {
-    /// The run.
+    /// Identifier of the run; the run may be closed already.
     pub run: RunId,
-    /// How the run closed.
+    /// Reason for which the run closed.
     pub close: RunClose,
-    /// Last checkpoint of the run, for the next run of its task.
+    /// Last checkpoint of the run, from which the next run of its task continues.
+    /// `None` keeps the task's earlier checkpoint.
     pub checkpoint: Option<String>,
 }
 
 impl ClosedRun {
-    /// Creates a closed run without a checkpoint.
+    /// Returns a run to close that reports no checkpoint.
     pub fn new(run: RunId, close: RunClose) -> Self {
         Self {
             run,
@@ -142,51 +147,51 @@
 /// Result of applying a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Applied {
-    /// The reply to the proposer.
+    /// Reply to the proposer of the command.
     pub reply: CommandReply,
-    /// Changes of the state, for the leader.
+    /// Changes of the state that the leader acts on, in order.
     pub changes: Vec<Change>,
 }
 
-/// Reply to a command.
+/// Reply to the proposer of a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandReply {
-    /// The job has this number.
+    /// The job is stored under this number.
     Submitted {
-        /// Number of the job.
+        /// Number of the job; rises in order of submission.
         number: JobNumber,
-        /// Whether the job was submitted before.
+        /// Whether the job was already stored by an earlier submission.
         known: bool,
     },
     /// Result of a cancellation.
     Cancelled {
         /// Number of jobs cancelled by this command.
         cancelled: u64,
-        /// Number of jobs that were in a final state before.
+        /// Number of selected jobs that were already in a final state.
         finished: u64,
-        /// Keys of unknown jobs.
+        /// Selected keys that belong to no stored job.
         unknown: Vec<JobKey>,
     },
     /// Result of each reservation.
     Reserved {
-        /// Runs that were opened.
+        /// Runs that were opened, in order of the reservations.
         accepted: Vec<RunId>,
-        /// Runs that were rejected, and why.
+        /// Runs that were not opened, each with the reason.
         rejected: Vec<(RunId, ReservationRejection)>,
     },
-    /// Runs closed by this command, in order.
+    /// Result of closing runs.
     Closed {
-        /// The runs.
+        /// Runs that were open until this command, in its order.
         runs: Vec<RunId>,
     },
-    /// The configuration has this version.
+    /// The configuration was applied under this version.
     Configured {
-        /// The version.
+        /// Version that the configuration got.
         version: ConfigurationVersion,
-        /// Whether the configuration was applied before.
+        /// Whether an earlier command had already applied the configuration.
         known: bool,
     },
-    /// The command was applied and has no result.
+    /// The command was applied and returns no result.
     Accepted,
     /// The command was rejected and changed nothing.
     Rejected(CommandRejection),
@@ -195,35 +200,35 @@
 /// Reason why a command was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum CommandRejection {
-    /// A job of the same key has other content.
+    /// The stored job with the same key has other content.
     #[error("job {key} is known with other content")]
     OtherContent {
-        /// The key.
+        /// Key that both jobs have.
         key: JobKey,
     },
     /// The job can never succeed.
     #[error("{error}")]
     InvalidJob {
-        /// Message of the first error found.
+        /// Message of the first validation error.
         #[serde(rename = "problem")]
         error: String,
     },
-    /// The tenant has no contract.
+    /// The tenant is not configured.
     #[error("tenant {tenant} has no contract")]
     UnknownTenant {
-        /// The tenant.
+        /// Tenant that the job names.
         tenant: TenantId,
     },
     /// The queue is not configured.
     #[error("queue {queue} does not exist")]
     UnknownQueue {
-        /// The queue.
+        /// Queue that the job names.
         queue: QueueName,
     },
     /// The queue is draining and accepts no jobs.
     #[error("queue {queue} is draining")]
     QueueDraining {
-        /// The queue.
+        /// Queue that the job names.
         queue: QueueName,
     },
     /// The tenant or queue has its maximum number of unfinished jobs.
@@ -231,24 +236,24 @@
     Full {
         /// `tenant NAME` or `queue NAME`.
         what: String,
-        /// The limit.
+        /// Maximum number of unfinished jobs.
         limit: u64,
-        /// Time after which to retry.
+        /// Time after which the caller may retry.
         retry_after: Milliseconds,
     },
-    /// The version is not the current one plus one, and was not applied with this
-    /// content.
-    #[error("version {wanted} was not taken: the current one is {current}")]
+    /// The version to replace is not in force, or the proposed version is not
+    /// higher; nor was the same content applied under the proposed version.
+    #[error("version {wanted} was not applied: the current version is {current}")]
     VersionConflict {
-        /// The proposed version.
+        /// Version that the command proposed.
         wanted: ConfigurationVersion,
-        /// The version in force.
+        /// Version that is in force.
         current: ConfigurationVersion,
     },
     /// The configuration is not valid.
     #[error("the configuration has {} problems", problems.len())]
     InvalidConfiguration {
-        /// Every error found.
+        /// All validation errors.
         problems: Vec<ConfigurationError>,
     },
 }
@@ -256,23 +261,24 @@
 /// Reason why a reservation was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum ReservationRejection {
-    /// The task is unknown, blocked or finished, or has as many runs as it may have.
+    /// The task is unknown, blocked or finished, or has its maximum number of open
+    /// runs; or the reservations of a gang do not cover each task once.
     #[error("the task may not start")]
     NotReady,
-    /// The run identifier has been used.
-    #[error("the run is known")]
+    /// The run identifier was used before.
+    #[error("the run identifier was used before")]
     KnownRun,
     /// An operator drains the runner.
     #[error("the runner is draining")]
     RunnerDraining,
-    /// The queue is not active.
+    /// The queue is paused, in shadow mode or not configured.
     #[error("the queue is not active")]
     QueueNotActive,
     /// The tenant would exceed its resource limit.
     #[error("the tenant is at its ceiling")]
     TenantAtLimit,
-    /// The runner has as many runs of the step as the step allows.
-    #[error("the runner holds as many runs of the step as it may")]
+    /// The runner has as many open runs of the step as the step allows.
+    #[error("the runner has as many runs of the step as the step allows")]
     RunnerAtStepLimit,
     /// No seat of the licence is free.
     #[error("no seat of the licence is free")]
@@ -282,49 +288,50 @@
 /// Change of the state that the leader acts on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// A task may start now or at its `not_before`, until it has as many open runs
-    /// as copies. Reported once, not at each opened run.
+    /// A task may start, now or at its `not_before`, until it has as many open runs
+    /// as the step allows copies. Reported once, not for each opened run.
     TaskReady(TaskMeta),
-    /// A task will never start again: done, failed or cancelled. Its open
-    /// runs, if any, are to be stopped.
+    /// A task is done, failed or cancelled and never starts again.
     TaskEnded {
-        /// The task.
+        /// Task that reached the final state.
         task: TaskRef,
-        /// Open runs of the task.
+        /// Open runs of the task, which must be stopped.
         open_runs: Vec<OpenRun>,
     },
-    /// Open runs are obsolete since another run of their gang closed without
-    /// success. They are to be stopped.
+    /// Open runs must be stopped, since another run of their gang closed without
+    /// success.
     RunsObsolete(Vec<RunId>),
     /// A run was opened.
     RunOpened(OpenRun),
     /// A run was closed.
     RunClosed {
-        /// The run.
+        /// Run as it was while open.
         run: OpenRun,
-        /// How the run closed.
+        /// Reason for which the run closed.
         close: RunClose,
-        /// The task, if it may have another run now or at its `not_before`.
+        /// Task of the run, if it may have another run now or at its `not_before`;
+        /// otherwise `None`.
         again: Option<TaskMeta>,
     },
     /// A job reached a final state.
     JobEnded {
-        /// The job.
+        /// Key by which callers name the job.
         key: JobKey,
-        /// Its number.
+        /// Number that the job got at its submission.
         number: JobNumber,
-        /// The final state.
+        /// Final state of the job.
         state: JobState,
-        /// Time from the submission to the first reservation, if there was one.
+        /// Time from the submission to the first reservation; `None` if no run was
+        /// reserved.
         waited: Option<Milliseconds>,
     },
-    /// Another configuration is in force.
+    /// Another configuration is in force, under this version.
     ConfigurationChanged(ConfigurationVersion),
-    /// An operator has changed whether a runner drains.
+    /// An operator changed whether a runner drains.
     RunnerDrainingChanged {
-        /// The runner.
+        /// Runner that the operator named.
         runner: RunnerId,
-        /// Whether it drains.
+        /// Whether the runner drains from now on.
         draining: bool,
     },
 }
--- a/crates/state_machine/src/lib.rs
+++ b/crates/state_machine/src/lib.rs
@@ -2,9 +2,9 @@
 //! configuration.
 //!
 //! Every coordinator applies the same commands in the same order and reaches
-//! the same state. Nothing here reads a clock or draws at random: the leader
-//! stamps each command with its wall time. A command that does not fit the state
-//! is rejected and changes nothing.
+//! the same state. This crate reads no clock and no source of randomness: the
+//! leader stamps each command with its wall time. A command that does not fit
+//! the state is rejected and changes nothing.
 
 pub mod command;
 pub mod error;
--- a/crates/state_machine/src/mutation.rs
+++ b/crates/state_machine/src/mutation.rs
@@ -1,17 +1,18 @@
-//! Mutations: checks of the state machine that a test may switch off.
+//! Mutations: checks of the state machine that a mutation test disables.
 
-/// A check that a mutation test switches off to prove that the checkers notice.
+/// Check that a mutation test disables to prove that the checkers detect the
+/// resulting fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Mutation {
-    /// A configuration is applied under any version.
+    /// Configurations are applied without a comparison of versions.
     AnyConfigurationVersion,
-    /// A resent submit becomes a further job.
+    /// A resent submission creates a further job.
     ResentSubmitIsNew,
     /// A reservation is accepted without a check of its task, runner, queue and
     /// tenant.
     SkipReservationCheck,
-    /// Failed runs do not count.
+    /// Failed runs are not counted.
     ForgetFailures,
-    /// The other runs of a gang go on after one has failed.
+    /// The other runs of a gang continue after one has failed.
     KeepRestOfGang,
 }
--- a/crates/state_machine/src/state.rs
+++ b/crates/state_machine/src/state.rs
@@ -1,8 +1,8 @@
 //! The replicated state and the application of commands.
 //!
-//! Jobs, open runs, configuration and operators' settings of runners are the
-//! state. Everything in `Indexes` follows from them and is rebuilt from a
-//! snapshot. With the indexes the cost of a command grows with its own size and
+//! The state consists of jobs, open runs, the configuration and the runners that
+//! operators drain. `Indexes` is derived from it and rebuilt when a snapshot is
+//! restored. With the indexes, the cost of a command grows with its own size and
 //! with the logarithm of the state, not with the number of jobs.
 
 mod applied_configurations;
@@ -41,17 +41,18 @@
     last_number: JobNumber,
     jobs: BTreeMap<JobNumber, Job>,
     open_runs: BTreeMap<RunId, OpenRun>,
-    /// Tasks of runs closed as lost of which a late report would still count.
+    /// Runs closed as lost whose late report would still count, with their tasks.
     lost_runs: BTreeMap<RunId, TaskRef>,
     draining_runners: BTreeSet<RunnerId>,
-    /// The highest run of any forgotten job: no run up to it may be opened.
-    /// Runs grow by term and sequence in the order of the log, and a job is
-    /// forgotten a retention after its last run, so that no leader has a lower
-    /// run left to reserve. So one value keeps all runs of forgotten jobs from
-    /// starting again.
+    /// Highest run identifier of all forgotten jobs; no run up to it is opened.
+    /// Run identifiers rise by term and sequence in the order of the log, and a
+    /// job is forgotten only when the retention has passed since its last run. By
+    /// then no leader reserves a lower identifier, so this one value prevents all
+    /// runs of forgotten jobs from starting again. `None` until a job with runs is
+    /// forgotten.
     highest_forgotten_run: Option<RunId>,
     indexes: Indexes,
-    /// For mutation tests only; not part of a snapshot.
+    /// Check that a mutation test disables; not part of a snapshot.
     mutation: Option<Mutation>,
 }
 
@@ -61,29 +62,29 @@
         Self::default()
     }
 
-    /// Switches a check off, for mutation tests.
+    /// Disables a check for a mutation test; `None` enables all checks.
     #[doc(hidden)]
     pub fn set_mutation(&mut self, mutation: Option<Mutation>) {
         self.mutation = mutation;
     }
 
-    /// Returns the check that is switched off.
+    /// Returns the disabled check, if any.
     #[doc(hidden)]
     pub fn mutation(&self) -> Option<Mutation> {
         self.mutation
     }
 
-    /// Applies one command.
+    /// Applies one command and returns the reply with the changes of the state.
     pub fn apply(&mut self, command: &Command) -> Applied {
         let mut changes = Vec::new();
-        let reply = self.reply_to(command, &mut changes);
+        let reply = self.execute(command, &mut changes);
         Applied {
             reply: reply.unwrap_or_else(CommandReply::Rejected),
             changes,
         }
     }
 
-    fn reply_to(
+    fn execute(
         &mut self,
         command: &Command,
         changes: &mut Vec<Change>,
