--- a/crates/state_machine/src/state/applied_configurations.rs
+++ b/crates/state_machine/src/state/applied_configurations.rs
@@ -1,7 +1,8 @@
 //! Digests of the newest applied configurations.
 //!
-//! An operator whose acknowledgement was lost may resend a configuration also
-//! after newer ones; it is recognized here and acknowledged again.
+//! An operator whose acknowledgement was lost may resend a configuration, even
+//! after newer ones were applied. By its digest it is recognized and acknowledged
+//! again.
 
 use configuration::{ClusterConfiguration, ConfigurationUpdate};
 use serde::{Deserialize, Serialize};
@@ -9,30 +10,31 @@
 use std::collections::BTreeMap;
 use types::ConfigurationVersion;
 
-/// Number of versions kept. A configuration resent after more newer ones is a
-/// version conflict.
+/// Maximum number of versions whose digests are kept. A configuration that is
+/// resent after its digest was dropped is a version conflict.
 pub(super) const MAX_APPLIED: usize = 1_024;
 
-/// SHA-256 digest of a configuration command: of a document's bytes in the log, or
-/// of an update.
+/// SHA-256 digest of a configuration command: of a document's encoded bytes, or of
+/// an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(super) struct ConfigurationDigest([u8; 32]);
 
-/// Prefix of the hashed bytes of an update, so that none has the digest of a
+/// Prefix of the hashed bytes of an update, so that no update has the digest of a
 /// document.
 const UPDATE_PREFIX: &[u8] = b"configuration update";
 
 impl ConfigurationDigest {
-    /// Returns the digest of a document. `None` for one that cannot be encoded, which
-    /// never holds for one from the log.
+    /// Returns the digest of a document; `None` if the document cannot be encoded,
+    /// which does not occur for documents decoded from the log.
     pub(super) fn of_document(document: &ClusterConfiguration) -> Option<Self> {
         let bytes = postcard::to_stdvec(document).ok()?;
         Some(Self(Sha256::digest(bytes).into()))
     }
 
-    /// Returns the digest of an update: of what the operator sent if the update has
-    /// that, since its items depend on the state at that time; else of its items.
+    /// Returns the digest of an update: of the operator's text in `sent` if there is
+    /// one, because the items derived from that text depend on the state at the
+    /// time; otherwise of the items. `None` if the update cannot be encoded.
     pub(super) fn of_update(update: &ConfigurationUpdate) -> Option<Self> {
         let bytes = match &update.sent {
             Some(sent) => postcard::to_stdvec(&(update.replaces, sent)),
@@ -46,7 +48,7 @@
     }
 }
 
-/// Digests of the newest applied versions.
+/// Digests of the newest applied configurations, by version.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(super) struct AppliedConfigurations {
@@ -54,7 +56,8 @@
 }
 
 impl AppliedConfigurations {
-    /// Records an applied configuration and drops the oldest beyond the limit.
+    /// Records an applied configuration and drops the oldest digests beyond
+    /// [`MAX_APPLIED`].
     pub(super) fn record(
         &mut self,
         version: ConfigurationVersion,
@@ -69,7 +72,8 @@
         }
     }
 
-    /// Returns whether this configuration was applied under this version.
+    /// Returns whether the configuration with this digest was applied under this
+    /// version. `false` without a digest.
     pub(super) fn contains(
         &self,
         version: ConfigurationVersion,
@@ -81,7 +85,7 @@
 
     /// Returns whether there are at most [`MAX_APPLIED`] digests and none of a version
     /// above the one in force.
-    pub(super) fn fits(&self, in_force: ConfigurationVersion) -> bool {
+    pub(super) fn is_consistent_with(&self, in_force: ConfigurationVersion) -> bool {
         let newest = self.digests.last_key_value();
         self.digests.len() <= MAX_APPLIED && newest.is_none_or(|(version, _)| *version <= in_force)
     }
--- a/crates/state_machine/src/state/cancel.rs
+++ b/crates/state_machine/src/state/cancel.rs
@@ -5,7 +5,8 @@
 use types::{JobNumber, JobState, QueueName, TenantId, WallTime};
 
 impl StateMachine {
-    /// Cancels the selected jobs that are not in a final state.
+    /// Cancels the selected jobs that are not in a final state. Finished jobs are
+    /// counted, and unknown keys are listed in the reply.
     pub(super) fn cancel(
         &mut self,
         selector: &CancelSelector,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Cancels a job. Returns whether it was unfinished.
+    /// Cancels a job if it is unfinished, and returns whether it was.
     fn cancel_job(&mut self, number: JobNumber, at: WallTime, changes: &mut Vec<Change>) -> bool {
         let job = self.jobs.get(&number);
         let unfinished = job.is_some_and(|job| !job.state.is_final());
@@ -53,7 +54,8 @@
         unfinished
     }
 
-    /// Returns the unfinished jobs of a tenant in order of submission.
+    /// Returns the unfinished jobs of a tenant, or of one of its queues, in order of
+    /// submission.
     fn unfinished_numbers(&self, tenant: &TenantId, queue: Option<&QueueName>) -> Vec<JobNumber> {
         let Some(queues) = self.indexes.unfinished.get(tenant) else {
             return Vec::new();
--- a/crates/state_machine/src/state/configuration.rs
+++ b/crates/state_machine/src/state/configuration.rs
@@ -1,4 +1,4 @@
-//! Application of configurations, and draining of runners.
+//! Changes of the configuration, and draining of runners.
 
 use super::StateMachine;
 use super::applied_configurations::ConfigurationDigest;
@@ -11,9 +11,9 @@
 use types::{ConfigurationVersion, RunnerId};
 
 impl StateMachine {
-    /// Applies a document by compare-and-set on its version. The same document
-    /// under the same version is acknowledged again, also after newer ones: the
-    /// first acknowledgement may have been lost.
+    /// Applies a document by compare-and-set on the version that it replaces. The
+    /// same document under the same version is acknowledged again, even after
+    /// newer ones, because the first acknowledgement may have been lost.
     pub(super) fn put_configuration(
         &mut self,
         version: ConfigurationVersion,
@@ -28,14 +28,14 @@
                 known: true,
             });
         }
-        let before = ConfigurationVersion(version.0.saturating_sub(1));
-        let base = document.replaces.unwrap_or(before);
+        let previous = ConfigurationVersion(version.0.saturating_sub(1));
+        let base = document.replaces.unwrap_or(previous);
         self.compare_version(version, base)?;
-        self.put_in_force(version, document, digest, changes)
+        self.validate_and_apply(version, document, digest, changes)
     }
 
     /// Changes named items by compare-and-set on the version that the update
-    /// replaces, and acknowledges the same update again.
+    /// replaces. The same update under the same version is acknowledged again.
     pub(super) fn update_configuration(
         &mut self,
         version: ConfigurationVersion,
@@ -55,7 +55,7 @@
             return Err(CommandRejection::InvalidConfiguration { problems });
         }
         let document = update.applied_to(&self.document);
-        self.put_in_force(version, &document, digest, changes)
+        self.validate_and_apply(version, &document, digest, changes)
     }
 
     /// Returns whether this update was applied under this version.
@@ -64,14 +64,15 @@
             .contains(version, ConfigurationDigest::of_update(update))
     }
 
+    /// Checks that `base` is in force and that `version` is higher.
     fn compare_version(
         &self,
         version: ConfigurationVersion,
         base: ConfigurationVersion,
     ) -> Result<(), CommandRejection> {
-        let fits = (base == self.version && version > self.version)
+        let is_applicable = (base == self.version && version > self.version)
             || self.mutation == Some(Mutation::AnyConfigurationVersion);
-        if fits {
+        if is_applicable {
             return Ok(());
         }
         Err(CommandRejection::VersionConflict {
@@ -80,8 +81,8 @@
         })
     }
 
-    /// Validates a document and puts all of it in force, or nothing.
-    fn put_in_force(
+    /// Validates a document and applies it as a whole, or not at all.
+    fn validate_and_apply(
         &mut self,
         version: ConfigurationVersion,
         document: &ClusterConfiguration,
@@ -106,15 +107,15 @@
         })
     }
 
-    /// Returns errors for queues and tenants that the document leaves out while
-    /// they have unfinished jobs. Those jobs could neither start nor end, so the
-    /// operator must first drain or cancel them.
+    /// Returns an error for each queue and tenant that the document leaves out
+    /// although it has unfinished jobs. Those jobs could neither start nor end, so
+    /// the operator must drain or cancel them first.
     fn find_removed_in_use(&self, document: &ClusterConfiguration) -> Vec<ConfigurationError> {
         let queues = &self.indexes.unfinished_of_queue;
         let removed_queues = queues
             .iter()
             .filter(|(name, _)| !document.queues.contains_key(name))
-            .map(|(name, count)| in_use(format!("queues.{name}"), *count));
+            .map(|(name, count)| in_use_error(format!("queues.{name}"), *count));
         let removed_tenants = self
             .indexes
             .unfinished
@@ -122,14 +123,14 @@
             .filter(|name| !document.tenants.contains_key(name))
             .map(|name| {
                 let count = self.indexes.unfinished_of_tenant(name);
-                in_use(format!("tenants.{name}"), count)
+                in_use_error(format!("tenants.{name}"), count)
             });
         removed_queues.chain(removed_tenants).collect()
     }
 
-    /// Keeps what the document leaves out while unfinished jobs need it: their
-    /// queues drain under their last settings. Does nothing if the document is
-    /// one that would have been rejected for that.
+    /// Keeps queues, pools and tenants that the new document leaves out while
+    /// unfinished jobs need them. Such a queue drains under its last settings. Has
+    /// no effect under [`LeftOutQueues::Refuse`], which rejects such documents.
     fn keep_left_out(&mut self, old: &ClusterConfiguration) {
         for name in self.indexes.unfinished_of_queue.keys() {
             let left_out = !self.document.queues.contains_key(name);
@@ -178,7 +179,7 @@
     }
 }
 
-fn in_use(path: String, count: u64) -> ConfigurationError {
+fn in_use_error(path: String, count: u64) -> ConfigurationError {
     ConfigurationError {
         path,
         message: format!("may not be removed while it has {count} unfinished jobs"),
--- a/crates/state_machine/src/state/indexes.rs
+++ b/crates/state_machine/src/state/indexes.rs
@@ -7,36 +7,36 @@
     JobKey, JobNumber, LicenceName, OpenRun, QueueName, RunId, TaskRef, TenantId, WallTime,
 };
 
-/// No run has a lower identifier.
-const FIRST_RUN: RunId = RunId {
+/// Lowest run identifier.
+const LOWEST_RUN: RunId = RunId {
     term: types::Term(0),
     sequence: 0,
 };
 
-/// Indexes and counters that follow from the state.
+/// Indexes and counters that are derived from the state and not stored.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(crate) struct Indexes {
     /// Numbers of jobs by key.
     pub numbers: BTreeMap<JobKey, JobNumber>,
-    /// Jobs by tenant.
+    /// Stored jobs by tenant, finished ones included.
     pub of_tenant: BTreeMap<TenantId, BTreeSet<JobNumber>>,
     /// Jobs not in a final state, by tenant and queue.
     pub unfinished: BTreeMap<TenantId, BTreeMap<QueueName, BTreeSet<JobNumber>>>,
-    /// Count of unfinished jobs by queue.
+    /// Number of unfinished jobs by queue.
     pub unfinished_of_queue: BTreeMap<QueueName, u64>,
-    /// Count of unfinished jobs.
+    /// Number of unfinished jobs of all tenants.
     pub unfinished_count: u64,
-    /// Jobs with a task that may start, now or at its start time.
+    /// Jobs with a task that may start, now or at its `not_before`.
     pub startable: BTreeSet<JobNumber>,
-    /// Final jobs without open runs, by the time they ended.
+    /// Finished jobs without open runs, by end time.
     pub forgettable: BTreeSet<(WallTime, JobNumber)>,
-    /// Closed runs of all jobs.
+    /// Closed runs of all stored jobs.
     pub closed_runs: BTreeSet<RunId>,
     /// Open runs by task.
     pub runs_of_task: BTreeSet<(TaskRef, RunId)>,
-    /// What the open runs of each tenant use.
+    /// Resources used by the open runs of each tenant.
     pub usage: BTreeMap<TenantId, Usage>,
-    /// Number of seats that open runs use, by licence.
+    /// Number of seats occupied by open runs, by licence.
     pub seats: BTreeMap<LicenceName, u32>,
 }
 
@@ -54,7 +54,7 @@
         self.unfinished_count += 1;
     }
 
-    /// Removes a job that reached a final state from the unfinished ones.
+    /// Removes a job that reached a final state from the unfinished jobs.
     pub fn remove_unfinished(&mut self, number: JobNumber, job: &Job) {
         let queue = &job.spec.queue;
         if let Some(queues) = self.unfinished.get_mut(&job.spec.tenant) {
@@ -91,7 +91,7 @@
         self.refresh(number, job);
     }
 
-    /// Removes a forgotten job.
+    /// Removes a forgotten job and its closed runs.
     pub fn remove_job(&mut self, number: JobNumber, job: &Job) {
         self.numbers.remove(&job.key());
         if let Some(numbers) = self.of_tenant.get_mut(&job.spec.tenant) {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Updates the indexes of startable and forgettable jobs after a change of a job.
+    /// Updates the indexes of startable and forgettable jobs after a job changed.
     pub fn refresh(&mut self, number: JobNumber, job: &Job) {
         if job.has_startable() {
             self.startable.insert(number);
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Adds an open run.
+    /// Adds an open run with its resources and its seat.
     pub fn insert_run(&mut self, run: &OpenRun) {
         self.runs_of_task.insert((run.task, run.run));
         let usage = self.usage.entry(run.tenant.clone()).or_default();
@@ -127,7 +127,8 @@
         }
     }
 
-    /// Moves a run from the open to the closed ones.
+    /// Moves a run from the open to the closed runs, and releases its resources and
+    /// its seat.
     pub fn close_run(&mut self, run: &OpenRun) {
         self.runs_of_task.remove(&(run.task, run.run));
         self.closed_runs.insert(run.run);
@@ -149,19 +150,19 @@
 
     /// Returns the open runs of a task.
     pub fn runs_of(&self, task: TaskRef) -> impl Iterator<Item = RunId> + '_ {
-        let last = RunId {
+        let highest = RunId {
             term: types::Term(u64::MAX),
             sequence: u64::MAX,
         };
         self.runs_of_task
-            .range((task, FIRST_RUN)..=(task, last))
+            .range((task, LOWEST_RUN)..=(task, highest))
             .map(|(_, run)| *run)
     }
 
-    /// Returns the open runs of all tasks of a task's step.
+    /// Returns the open runs of all tasks in the step of `task`.
     pub fn runs_of_step(&self, task: TaskRef) -> impl Iterator<Item = RunId> + '_ {
         let first = TaskRef { task: 0, ..task };
-        let runs = self.runs_of_task.range((first, FIRST_RUN)..);
+        let runs = self.runs_of_task.range((first, LOWEST_RUN)..);
         runs.take_while(move |(other, _)| (other.job, other.step) == (task.job, task.step))
             .map(|(_, run)| *run)
     }
--- a/crates/state_machine/src/state/job.rs
+++ b/crates/state_machine/src/state/job.rs
@@ -1,4 +1,4 @@
-//! State of a job with its steps and tasks. It is compact: a pending task is 16
+//! State of a job with its steps and tasks. The state is compact: a task takes 16
 //! bytes.
 
 use serde::{Deserialize, Serialize};
@@ -8,36 +8,36 @@
     TaskState, WallTime,
 };
 
-/// Progress of a task. Whether an unfinished one is blocked, ready or running
+/// Progress of a task. Whether an unfinished task is blocked, ready or running
 /// follows from its step and its open runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Progress {
-    /// May still have runs.
+    /// The task may still have runs.
     Unfinished,
     /// A run ended successfully.
     Done,
     /// More runs failed than are allowed.
     Failed,
-    /// Its job was cancelled or failed.
+    /// The job was cancelled or failed before the task finished.
     Cancelled,
 }
 
-/// State of one task. Failures and copies are limited at submission, so both fit
-/// in a byte.
+/// State of one task. Failures and copies are limited at submission, so both counts
+/// fit in a byte.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Task {
-    /// End of the backoff after its last failure; 0 when it never failed.
+    /// End of the backoff after the last failure; 0 if there is none.
     pub backoff_until: WallTime,
-    /// Progress of the task.
+    /// Whether the task is unfinished, or how it finished.
     pub progress: Progress,
-    /// Number of failed runs.
+    /// Number of failed runs; for a gang, number of its failed attempts.
     pub failed_runs: u8,
-    /// Number of open runs.
+    /// Number of open runs of this task.
     pub open_runs: u8,
-    /// Attempt number of the newest run; zero before the first.
+    /// Attempt number of the newest run; 0 before the first run.
     pub attempts: u16,
-    /// Attempt number of the gang's last counted failure, which counts once for all
-    /// its tasks.
+    /// Attempt number of the gang's last counted failure, so that each attempt
+    /// counts at most once; 0 before the first and outside gangs.
     pub failed_attempt: u16,
 }
 
@@ -50,23 +50,23 @@
     failed_attempt: 0,
 };
 
-/// A task with the step that it belongs to.
+/// Task with the step that it belongs to.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TaskEntry<'a> {
-    /// The step as submitted.
+    /// Step as submitted.
     pub spec: &'a StepSpec,
-    /// The state of the step.
+    /// State of the step.
     pub step: &'a Step,
-    /// The state of the task.
+    /// State of the task.
     pub task: &'a Task,
 }
 
-/// The tasks of a step, with counters over them.
+/// State of a step: its tasks, with counters over them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Step {
-    /// Number of unfinished steps that this one depends on.
+    /// Number of unfinished steps that this step depends on.
     pub waiting_for: u16,
-    /// The tasks, by position.
+    /// Tasks by position.
     pub tasks: Box<[Task]>,
     counts: Counts,
 }
@@ -82,6 +82,7 @@
 }
 
 impl Counts {
+    /// Returns what one task adds to the counters of its step.
     fn of(task: &Task, blocked: bool, max_copies: u32) -> Self {
         let startable = !blocked
             && task.progress == Progress::Unfinished
@@ -154,35 +155,35 @@
     }
 }
 
-/// State of a job.
+/// Job with its state, steps and runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Job {
-    /// The job as submitted.
+    /// Job as submitted.
     pub spec: JobSpec,
-    /// Current state.
+    /// State that callers see.
     pub state: JobState,
-    /// Reason of the failure, for a failed job.
+    /// Reason of the failure; `None` unless the job failed.
     pub reason: Option<String>,
-    /// When the job was submitted.
+    /// Wall time of the submission.
     pub submitted_at: WallTime,
-    /// When the first run was reserved.
+    /// Wall time of the first reservation; `None` if no run was reserved.
     pub first_reserved_at: Option<WallTime>,
-    /// When the job reached a final state.
+    /// Wall time at which the job reached a final state; `None` before that.
     pub ended_at: Option<WallTime>,
-    /// The steps in order of submission.
+    /// Steps in the order of the specification.
     pub steps: Box<[Step]>,
-    /// Number of open runs of all tasks, finished ones included.
+    /// Number of open runs of all tasks, including those of finished tasks.
     pub open_runs: u32,
     /// Closed runs in the order in which they closed.
     pub closed_runs: Vec<RunId>,
-    /// Last checkpoint of each unfinished task, by positions of step and task. A
-    /// gang has one, at its first task.
+    /// Last checkpoint of each task that has one, by positions of step and task. A
+    /// gang has one checkpoint, stored under its first task.
     pub checkpoints: BTreeMap<(u16, u32), String>,
     unfinished_steps: u16,
 }
 
 impl Job {
-    /// Creates a job as submitted.
+    /// Creates a waiting job without runs.
     pub fn new(spec: JobSpec, submitted_at: WallTime) -> Self {
         let steps: Box<[Step]> = spec.steps.iter().map(Step::new).collect();
         Self {
@@ -213,22 +214,22 @@
         self.unfinished_steps == 0
     }
 
-    /// Returns whether a task may start, now or at its start time.
+    /// Returns whether any task may start, now or at its start time.
     pub fn has_startable(&self) -> bool {
         self.steps.iter().any(|step| step.counts.startable > 0)
     }
 
     /// Returns one task with its step.
-    pub fn task(&self, at: TaskRef) -> Option<TaskEntry<'_>> {
-        let spec = self.spec.steps.get(usize::from(at.step))?;
-        let step = self.steps.get(usize::from(at.step))?;
-        let task = step.tasks.get(at.task as usize)?;
+    pub fn task(&self, task_ref: TaskRef) -> Option<TaskEntry<'_>> {
+        let spec = self.spec.steps.get(usize::from(task_ref.step))?;
+        let step = self.steps.get(usize::from(task_ref.step))?;
+        let task = step.tasks.get(task_ref.task as usize)?;
         Some(TaskEntry { spec, step, task })
     }
 
-    /// Changes one task and updates the counters.
-    pub fn change_task(&mut self, at: TaskRef, change: impl FnOnce(&mut Task)) {
-        let position = usize::from(at.step);
+    /// Changes one task and updates the counters of its step and job.
+    pub fn change_task(&mut self, task_ref: TaskRef, change: impl FnOnce(&mut Task)) {
+        let position = usize::from(task_ref.step);
         let Some(max_copies) = self.spec.steps.get(position).map(|spec| spec.max_copies) else {
             return;
         };
@@ -236,7 +237,7 @@
             return;
         };
         let blocked = step.waiting_for > 0;
-        let Some(task) = step.tasks.get_mut(at.task as usize) else {
+        let Some(task) = step.tasks.get_mut(task_ref.task as usize) else {
             return;
         };
         let before = Counts::of(task, blocked, max_copies);
@@ -248,7 +249,8 @@
         self.open_runs = (self.open_runs + open_after).saturating_sub(open_before);
     }
 
-    /// Records that a step is done and returns the steps that may start now.
+    /// Records that a step is done and returns the positions of the steps that it
+    /// unblocked.
     pub fn complete_step(&mut self, done: u16) -> Vec<u16> {
         self.unfinished_steps = self.unfinished_steps.saturating_sub(1);
         let Some(name) = self.spec.steps.get(usize::from(done)).map(|s| &s.name) else {
@@ -268,7 +270,7 @@
         unblocked
     }
 
-    /// Returns the tasks of one step, in order.
+    /// Returns the tasks of one step, in order of position.
     pub fn step_tasks(&self, number: JobNumber, step: u16) -> impl Iterator<Item = TaskRef> + '_ {
         let count = self
             .steps
@@ -282,79 +284,84 @@
         })
     }
 
-    /// Returns all tasks, in order.
+    /// Returns all tasks, in order of step and position.
     pub fn tasks(&self, number: JobNumber) -> impl Iterator<Item = TaskRef> + '_ {
         let steps = u16::try_from(self.steps.len()).unwrap_or(u16::MAX);
         (0..steps).flat_map(move |step| self.step_tasks(number, step))
     }
 
-    /// Returns whether the task may have another run. A task of a gang may only
-    /// while the gang has no open run.
-    pub fn is_startable(&self, at: TaskRef) -> bool {
-        self.task(at).is_some_and(|TaskEntry { spec, step, task }| {
-            let counts = Counts::of(task, step.waiting_for > 0, spec.max_copies);
-            counts.startable > 0 && (!spec.rules.gang || step.counts.running == 0)
-        })
+    /// Returns whether the task may have another run. A task of a gang may have one
+    /// only while no task of the gang has an open run.
+    pub fn is_startable(&self, task_ref: TaskRef) -> bool {
+        self.task(task_ref)
+            .is_some_and(|TaskEntry { spec, step, task }| {
+                let counts = Counts::of(task, step.waiting_for > 0, spec.max_copies);
+                counts.startable > 0 && (!spec.rules.gang || step.counts.running == 0)
+            })
     }
 
-    /// Returns whether the task's step is a gang.
+    /// Returns whether the step at this position is a gang.
     pub fn is_gang(&self, step: u16) -> bool {
         let spec = self.spec.steps.get(usize::from(step));
         spec.is_some_and(|spec| spec.rules.gang)
     }
 
-    /// Returns the attempt number of a task's next run; a gang has one for all its
-    /// tasks.
-    pub fn next_attempt(&self, at: TaskRef) -> u16 {
-        let newest = match self.steps.get(usize::from(at.step)) {
-            Some(step) if self.is_gang(at.step) => {
+    /// Returns the attempt number of a task's next run. All tasks of a gang share
+    /// their attempt numbers.
+    pub fn next_attempt(&self, task_ref: TaskRef) -> u16 {
+        let newest = match self.steps.get(usize::from(task_ref.step)) {
+            Some(step) if self.is_gang(task_ref.step) => {
                 step.tasks.iter().map(|task| task.attempts).max()
             }
-            _ => self.task(at).map(|entry| entry.task.attempts),
+            _ => self.task(task_ref).map(|entry| entry.task.attempts),
         };
         newest.unwrap_or(0).saturating_add(1)
     }
 
-    /// Returns the position of a task's checkpoint; a gang has one for all its tasks.
-    fn checkpoint_position(&self, at: TaskRef) -> (u16, u32) {
-        if self.is_gang(at.step) {
-            (at.step, 0)
+    /// Returns the key of a task's checkpoint in `checkpoints`. All tasks of a gang
+    /// share one checkpoint.
+    fn checkpoint_key(&self, task_ref: TaskRef) -> (u16, u32) {
+        if self.is_gang(task_ref.step) {
+            (task_ref.step, 0)
         } else {
-            (at.step, at.task)
+            (task_ref.step, task_ref.task)
         }
     }
 
-    /// Returns the last checkpoint of a task.
-    pub fn checkpoint(&self, at: TaskRef) -> Option<&String> {
-        self.checkpoints.get(&self.checkpoint_position(at))
+    /// Returns the last checkpoint of a task or of its gang; `None` if none was
+    /// reported.
+    pub fn checkpoint(&self, task_ref: TaskRef) -> Option<&String> {
+        self.checkpoints.get(&self.checkpoint_key(task_ref))
     }
 
-    /// Sets the checkpoint of a task.
-    pub fn set_checkpoint(&mut self, at: TaskRef, checkpoint: &str) {
-        let position = self.checkpoint_position(at);
-        self.checkpoints.insert(position, checkpoint.to_owned());
+    /// Sets the last checkpoint of a task or of its gang.
+    pub fn set_checkpoint(&mut self, task_ref: TaskRef, checkpoint: &str) {
+        let key = self.checkpoint_key(task_ref);
+        self.checkpoints.insert(key, checkpoint.to_owned());
     }
 
     /// Returns the state of a task.
-    pub fn task_state(&self, at: TaskRef) -> Option<TaskState> {
-        self.task(at).map(|entry| entry.step.state_of(entry.task))
+    pub fn task_state(&self, task_ref: TaskRef) -> Option<TaskState> {
+        self.task(task_ref)
+            .map(|entry| entry.step.state_of(entry.task))
     }
 
     /// Returns the earliest start of a task: the latest of the start times of its job
-    /// and step and the end of its backoff.
+    /// and step and the end of its backoff. `None` if none of them is set.
     pub fn not_before(&self, step: &StepSpec, task: &Task) -> Option<WallTime> {
         let backoff = (task.backoff_until.0 > 0).then_some(task.backoff_until);
         self.spec.start_at.max(step.rules.start_at).max(backoff)
     }
 
-    /// Returns what the scheduler needs of a task, if it may have another run.
-    pub fn startable_meta(&self, at: TaskRef) -> Option<TaskMeta> {
-        if !self.is_startable(at) {
+    /// Returns the data that the scheduler needs to start a task; `None` if the task
+    /// may not have another run.
+    pub fn startable_meta(&self, task_ref: TaskRef) -> Option<TaskMeta> {
+        if !self.is_startable(task_ref) {
             return None;
         }
-        let TaskEntry { spec, task, .. } = self.task(at)?;
+        let TaskEntry { spec, task, .. } = self.task(task_ref)?;
         Some(TaskMeta {
-            task: at,
+            task: task_ref,
             tenant: self.spec.tenant.clone(),
             queue: self.spec.queue.clone(),
             urgency: self.spec.urgency,
@@ -367,7 +374,7 @@
         })
     }
 
-    /// Returns the job as callers see it.
+    /// Returns the view of the job for callers.
     pub fn view(&self) -> JobView {
         let steps = self.spec.steps.iter().zip(&self.steps);
         JobView {
--- a/crates/state_machine/src/state/jobs.rs
+++ b/crates/state_machine/src/state/jobs.rs
@@ -1,4 +1,4 @@
-//! Submission of jobs, and their way to a final state.
+//! Submission of jobs, and their transition to a final state.
 
 use super::StateMachine;
 use super::job::{Job, Progress};
@@ -11,16 +11,18 @@
     WallTime,
 };
 
-/// Time after which a caller rejected for too many unfinished jobs should retry.
+/// Time after which a caller may retry that was rejected for too many unfinished
+/// jobs.
 pub const FULL_RETRY_AFTER: Milliseconds = Milliseconds(1_000);
 
-/// Maximum length of the reason of a failed job, in bytes; the rest is cut off.
+/// Maximum length of the reason of a failed job, in bytes; a longer one is
+/// truncated.
 const MAX_REASON_BYTES: usize = 1_024;
 
 impl StateMachine {
-    /// Accepts a job, or acknowledges it again if it is known. A resent job is
-    /// acknowledged before any other check: it was accepted under the
-    /// configuration of its time.
+    /// Accepts a job, or acknowledges a resent one again. A resent job is
+    /// acknowledged before any other check, since it was accepted under the
+    /// configuration then in force.
     pub(super) fn submit(
         &mut self,
         spec: &JobSpec,
@@ -35,7 +37,7 @@
         if let Some(number) = known
             && self.mutation != Some(Mutation::ResentSubmitIsNew)
         {
-            return self.answer_resent(*number, key, spec);
+            return self.reply_to_resent(*number, key, spec);
         }
         let spec = self.check_submission(spec)?;
         let number = self.last_number.next();
@@ -50,7 +52,8 @@
         })
     }
 
-    fn answer_resent(
+    /// Acknowledges a resent job if its content equals that of the stored job.
+    fn reply_to_resent(
         &self,
         number: JobNumber,
         key: JobKey,
@@ -66,7 +69,8 @@
         })
     }
 
-    /// Returns the job to store. It shares its names with the configuration.
+    /// Validates a new job and returns the job to store. The tenant and queue names
+    /// of that job share their memory with the configuration.
     fn check_submission(&self, spec: &JobSpec) -> Result<JobSpec, CommandRejection> {
         let (tenant, contract) = find_tenant(&self.document, &spec.tenant)?;
         let (queue, settings) = find_queue(&self.document, &spec.queue)?;
@@ -97,8 +101,8 @@
         })
     }
 
-    /// Moves an unfinished job to a final state: every unfinished task is
-    /// cancelled, and its open runs are reported so that they are stopped.
+    /// Moves an unfinished job to a final state. Every unfinished task is cancelled
+    /// and reported with its open runs, so that the leader stops them.
     pub(super) fn end_job(
         &mut self,
         number: JobNumber,
@@ -143,8 +147,8 @@
         Change::TaskEnded { task, open_runs }
     }
 
-    /// Records that a step is done: steps that depend on it may start, or the job is
-    /// done.
+    /// Records that a step is done. Reports the tasks that may start now, and ends
+    /// the job if all its steps are done.
     pub(super) fn complete_step(
         &mut self,
         number: JobNumber,
@@ -165,7 +169,7 @@
     }
 }
 
-/// Returns whether the task may still have runs.
+/// Returns whether the task may still have further runs.
 pub(super) fn is_unfinished(job: &Job, task: TaskRef) -> bool {
     job.task(task)
         .is_some_and(|entry| entry.task.progress == Progress::Unfinished)
@@ -200,9 +204,10 @@
     document.queues.get_key_value(name).ok_or_else(unknown)
 }
 
-/// Checks the number of unfinished jobs of a tenant or queue.
+/// Checks that a tenant or queue, described by `owner`, has fewer unfinished jobs
+/// than its limit.
 fn check_limit(
-    what: impl FnOnce() -> String,
+    owner: impl FnOnce() -> String,
     unfinished: u64,
     limit: u64,
 ) -> Result<(), CommandRejection> {
@@ -210,15 +215,19 @@
         return Ok(());
     }
     Err(CommandRejection::Full {
-        what: what(),
+        what: owner(),
         limit,
         retry_after: FULL_RETRY_AFTER,
     })
 }
 
+/// Returns the time from the submission to the first reservation; `None` if no run
+/// was reserved.
 fn waiting_time(job: &Job) -> Option<Milliseconds> {
-    let first = job.first_reserved_at?;
-    Some(Milliseconds(first.0.saturating_sub(job.submitted_at.0)))
+    let reserved_at = job.first_reserved_at?;
+    Some(Milliseconds(
+        reserved_at.0.saturating_sub(job.submitted_at.0),
+    ))
 }
 
 fn truncate_reason(mut reason: String) -> String {
--- a/crates/state_machine/src/state/queries.rs
+++ b/crates/state_machine/src/state/queries.rs
@@ -1,4 +1,4 @@
-//! Queries of callers, operators and the leader.
+//! Queries of the state for callers, operators and the leader.
 
 use super::StateMachine;
 use super::job::{Job, TaskEntry};
@@ -13,15 +13,16 @@
 /// Status of one task of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskStatus {
-    /// The task.
+    /// Position of the task in its job.
     pub task: TaskRef,
-    /// The state.
+    /// State that follows from the task's progress, its step and its open runs.
     pub state: TaskState,
-    /// Number of failed runs.
+    /// Number of failed runs that count against the allowed failures.
     pub failed_runs: u32,
     /// Number of open runs. A cancelled task may have some until they are stopped.
     pub open_runs: u32,
-    /// Earliest start: the start time or the end of the backoff of a retry.
+    /// Earliest start: the start time or the end of the backoff after a failure.
+    /// `None` if the task may start at any time.
     pub not_before: Option<WallTime>,
 }
 
@@ -31,24 +32,24 @@
         (self.version, &self.document)
     }
 
-    /// Returns a job as callers see it.
+    /// Returns the view of a job for callers.
     pub fn job(&self, key: &JobKey) -> Option<JobView> {
-        self.find(key).map(Job::view)
+        self.find_job(key).map(Job::view)
     }
 
     /// Returns the state of a job.
     pub fn job_state(&self, key: &JobKey) -> Option<JobState> {
-        self.find(key).map(|job| job.state)
+        self.find_job(key).map(|job| job.state)
     }
 
-    /// Returns a job as callers see it, by its number.
+    /// Returns the view of a job for callers, by the job's number.
     pub fn job_view(&self, number: JobNumber) -> Option<JobView> {
         self.jobs.get(&number).map(Job::view)
     }
 
     /// Returns a job as submitted.
     pub fn job_spec(&self, key: &JobKey) -> Option<&JobSpec> {
-        self.find(key).map(|job| &job.spec)
+        self.find_job(key).map(|job| &job.spec)
     }
 
     /// Returns the key by which callers name a job.
@@ -61,12 +62,12 @@
         self.indexes.numbers.get(key).copied()
     }
 
-    fn find(&self, key: &JobKey) -> Option<&Job> {
+    fn find_job(&self, key: &JobKey) -> Option<&Job> {
         self.jobs.get(&self.job_number(key)?)
     }
 
-    /// Returns at most `limit` jobs in order of number, those after `after`, of one
-    /// tenant and in one state where these are given.
+    /// Returns at most `limit` jobs above the number `after`, in order of number.
+    /// `tenant` and `state` limit them to one tenant and one state.
     pub fn jobs(
         &self,
         tenant: Option<&TenantId>,
@@ -98,8 +99,8 @@
     }
 
     /// Returns every task that may start now or at its `not_before`, of at most
-    /// `limit` jobs in order of number, those after `after`. A running task that
-    /// may have a further copy is included.
+    /// `limit` jobs above the number `after`, in order of number. A running task
+    /// that may have a further copy is included.
     pub fn ready_tasks(&self, after: Option<JobNumber>, limit: usize) -> Vec<TaskMeta> {
         let range = (
             after.map_or(Bound::Unbounded, Bound::Excluded),
@@ -117,12 +118,12 @@
             .collect()
     }
 
-    /// Returns all open runs.
+    /// Returns all open runs in order of identifier.
     pub fn open_runs(&self) -> Vec<OpenRun> {
         self.open_runs.values().cloned().collect()
     }
 
-    /// Returns an open run.
+    /// Returns an open run by its identifier.
     pub fn open_run(&self, run: RunId) -> Option<OpenRun> {
         self.open_runs.get(&run).cloned()
     }
@@ -150,7 +151,7 @@
         })
     }
 
-    /// Returns the name of a run by which callers and runners know it.
+    /// Returns the name that callers and runners use for an open run.
     pub fn run_name(&self, open: &OpenRun) -> Option<RunName> {
         let job = self.jobs.get(&open.task.job)?;
         let step = job.spec.steps.get(usize::from(open.task.step))?;
@@ -162,9 +163,10 @@
         })
     }
 
-    /// Finds the open run of a name.
+    /// Returns the open run with this name. The name includes no tenant, so the
+    /// tenants are searched in order and the first match is returned.
     pub fn find_open_run(&self, name: &RunName) -> Option<RunId> {
-        let of_name = |tenant: &TenantId| {
+        let find_in_tenant = |tenant: &TenantId| {
             let key = JobKey {
                 tenant: tenant.clone(),
                 job: name.job.clone(),
@@ -180,10 +182,10 @@
             let mut runs = self.indexes.runs_of(task);
             runs.find(|run| self.open_runs.get(run).map(|open| open.attempt) == Some(name.attempt))
         };
-        self.indexes.of_tenant.keys().find_map(of_name)
+        self.indexes.of_tenant.keys().find_map(find_in_tenant)
     }
 
-    /// Returns whether the run was closed and its job is not forgotten.
+    /// Returns whether the run is closed. `false` once its job is forgotten.
     pub fn is_closed(&self, run: RunId) -> bool {
         self.indexes.closed_runs.contains(&run)
     }
@@ -194,7 +196,8 @@
         job.is_some_and(|job| job.is_gang(task.step))
     }
 
-    /// Returns whether the task runs again and again until its job is cancelled.
+    /// Returns whether the task starts again after each run until its job is
+    /// cancelled.
     pub fn is_endless(&self, task: TaskRef) -> bool {
         let job = self.jobs.get(&task.job);
         job.and_then(|job| job.task(task))
@@ -222,13 +225,14 @@
         count.copied().unwrap_or(0)
     }
 
-    /// Returns what all open runs of a tenant use, those of finished jobs included.
+    /// Returns the resources used by all open runs of a tenant, including those of
+    /// finished jobs.
     pub fn tenant_usage(&self, tenant: &TenantId) -> Resources {
         let usage = self.indexes.usage.get(tenant).copied();
-        usage.unwrap_or_default().amount()
+        usage.unwrap_or_default().to_resources()
     }
 
-    /// Returns the number of seats of a licence that open runs use.
+    /// Returns the number of seats of a licence that open runs occupy.
     pub fn seats_used(&self, licence: &LicenceName) -> u32 {
         self.indexes.seats.get(licence).copied().unwrap_or(0)
     }
@@ -242,11 +246,11 @@
     }
 }
 
-fn task_status(job: &Job, at: TaskRef) -> Option<TaskStatus> {
-    let TaskEntry { spec, task, .. } = job.task(at)?;
+fn task_status(job: &Job, task_ref: TaskRef) -> Option<TaskStatus> {
+    let TaskEntry { spec, task, .. } = job.task(task_ref)?;
     Some(TaskStatus {
-        task: at,
-        state: job.task_state(at)?,
+        task: task_ref,
+        state: job.task_state(task_ref)?,
         failed_runs: u32::from(task.failed_runs),
         open_runs: u32::from(task.open_runs),
         not_before: job.not_before(spec, task),
--- a/crates/state_machine/src/state/reservations.rs
+++ b/crates/state_machine/src/state/reservations.rs
@@ -1,4 +1,4 @@
-//! Reservations: the checks of each, and the opening of its run.
+//! Checks of reservations, and the opening of their runs.
 
 use super::StateMachine;
 use super::job::Job;
@@ -10,7 +10,8 @@
 use types::{JobState, OpenRun, Reservation, Resources, RunId, StepSpec, TenantId, WallTime};
 
 impl StateMachine {
-    /// Opens a run for each reservation whose task may still start.
+    /// Opens a run for each reservation that passes the checks. Adjacent
+    /// reservations of one gang are accepted or rejected as a whole.
     pub(super) fn reserve(
         &mut self,
         reservations: &[Reservation],
@@ -32,13 +33,16 @@
                         changes.push(Change::RunOpened(run));
                     }
                 }
-                Err(rejection) => rejected.extend(group.iter().map(|one| (one.run, rejection))),
+                Err(rejection) => {
+                    rejected.extend(group.iter().map(|reservation| (reservation.run, rejection)));
+                }
             }
         }
         CommandReply::Reserved { accepted, rejected }
     }
 
-    /// Returns the runs of one reservation, or all runs of a gang.
+    /// Checks one reservation, or all reservations of a gang, and returns their
+    /// runs.
     fn check_group(
         &self,
         group: &[Reservation],
@@ -69,8 +73,8 @@
         if members.len() != size || runs.len() != size {
             return Err(ReservationRejection::NotReady);
         }
-        let wanted = runs.iter().map(|run| run.resources);
-        self.check_resource_limit(&first.tenant, wanted)?;
+        let requested = runs.iter().map(|run| run.resources);
+        self.check_resource_limit(&first.tenant, requested)?;
         self.check_seats(first, u32::try_from(size).unwrap_or(u32::MAX))
     }
 
@@ -96,22 +100,23 @@
         }
     }
 
-    /// Checks that seats are free. Every reservation is checked here in the order
-    /// of the log, so no two leaders can grant the last seat.
-    fn check_seats(&self, run: &OpenRun, wanted: u32) -> Result<(), ReservationRejection> {
+    /// Checks that `requested` seats of the run's licence are free. Reservations
+    /// are checked in the order of the log, so two leaders cannot both grant the
+    /// last seat.
+    fn check_seats(&self, run: &OpenRun, requested: u32) -> Result<(), ReservationRejection> {
         let Some(licence) = &run.licence else {
             return Ok(());
         };
         let settings = self.document.licences.get(licence);
         let seats = settings.map_or(0, |settings| settings.seats);
-        if self.seats_used(licence).saturating_add(wanted) <= seats {
+        if self.seats_used(licence).saturating_add(requested) <= seats {
             Ok(())
         } else {
             Err(ReservationRejection::NoSeat)
         }
     }
 
-    /// Returns the run of a reservation that passes all checks.
+    /// Checks a reservation against the state and returns the run to open.
     fn check_reservation(
         &self,
         reservation: &Reservation,
@@ -125,16 +130,16 @@
             .jobs
             .get(&task.job)
             .ok_or(ReservationRejection::NotReady)?;
-        let skips = self.mutation == Some(Mutation::SkipReservationCheck);
-        if !skips && !job.is_startable(task) {
+        let skips_checks = self.mutation == Some(Mutation::SkipReservationCheck);
+        if !skips_checks && !job.is_startable(task) {
             return Err(ReservationRejection::NotReady);
         }
         let step = job.task(task).ok_or(ReservationRejection::NotReady)?.spec;
-        if !skips && self.draining_runners.contains(&reservation.runner) {
+        if !skips_checks && self.draining_runners.contains(&reservation.runner) {
             return Err(ReservationRejection::RunnerDraining);
         }
         let run = new_run(job, step, reservation, at);
-        if !skips {
+        if !skips_checks {
             self.check_queue_starts(&run)?;
             self.check_resource_limit(&run.tenant, std::iter::once(run.resources))?;
             self.check_seats(&run, 1)?;
@@ -143,14 +148,17 @@
         Ok(run)
     }
 
+    /// Returns whether the identifier belongs to an open, closed or forgotten run.
     fn is_known_run(&self, run: RunId) -> bool {
         self.open_runs.contains_key(&run)
             || self.indexes.closed_runs.contains(&run)
-            || self.highest_forgotten_run.is_some_and(|known| run <= known)
+            || self
+                .highest_forgotten_run
+                .is_some_and(|highest| run <= highest)
     }
 
-    /// Checks that the queue starts tasks. A draining queue accepts no jobs but
-    /// starts the tasks of those it has.
+    /// Checks that the queue starts tasks. A draining queue accepts no jobs, but
+    /// still starts the tasks of its jobs.
     fn check_queue_starts(&self, run: &OpenRun) -> Result<(), ReservationRejection> {
         let mode = self.document.queues.get(&run.queue).map(|queue| queue.mode);
         match mode {
@@ -161,15 +169,15 @@
         }
     }
 
-    /// Checks that a tenant's open runs stay within its resource limit with
-    /// further runs of these resources.
+    /// Checks that a tenant's open runs, together with runs of the requested
+    /// resources, stay within the tenant's resource limit.
     fn check_resource_limit(
         &self,
         tenant: &TenantId,
-        wanted: impl Iterator<Item = Resources>,
+        requested: impl Iterator<Item = Resources>,
     ) -> Result<(), ReservationRejection> {
         let usage = self.indexes.usage.get(tenant).copied();
-        let usage = wanted.fold(usage.unwrap_or_default(), Usage::plus);
+        let usage = requested.fold(usage.unwrap_or_default(), Usage::plus);
         let contract = self.document.tenants.get(tenant);
         if contract.is_some_and(|contract| usage.fits_in(contract.resource_limit)) {
             Ok(())
@@ -196,7 +204,8 @@
     }
 }
 
-/// Returns the open run that a reservation asks for.
+/// Returns the run that a reservation opens, with the next attempt number of its
+/// task.
 fn new_run(job: &Job, step: &StepSpec, reservation: &Reservation, at: WallTime) -> OpenRun {
     OpenRun {
         endpoint: reservation.endpoint.clone(),
--- a/crates/state_machine/src/state/retention.rs
+++ b/crates/state_machine/src/state/retention.rs
@@ -5,9 +5,9 @@
 use types::{JobNumber, WallTime};
 
 impl StateMachine {
-    /// Removes at most `limit` finished jobs that ended at or before a time, oldest
-    /// first. A job with open runs stays until they are closed, since they use
-    /// resources.
+    /// Removes at most `limit` finished jobs that ended at or before `ended_before`,
+    /// oldest first. A job with open runs is kept until they are closed, because
+    /// they still use resources.
     pub(super) fn forget(&mut self, ended_before: WallTime, limit: u32) -> CommandReply {
         for _ in 0..limit {
             let Some(&(ended_at, number)) = self.indexes.forgettable.first() else {
--- a/crates/state_machine/src/state/run_close.rs
+++ b/crates/state_machine/src/state/run_close.rs
@@ -1,4 +1,4 @@
-//! The closing of runs and what follows for tasks, gangs, steps and jobs.
+//! Closing of runs, and its consequences for tasks, gangs, steps and jobs.
 
 use super::StateMachine;
 use super::job::{Job, Progress, Step, TaskEntry};
@@ -9,8 +9,8 @@
 use types::{JobState, OpenRun, Outcome, RunClose, RunId, TaskRef, WallTime};
 
 impl StateMachine {
-    /// Closes runs. For a run that is closed already or unknown it does nothing,
-    /// except that it applies the late report of a lost run.
+    /// Closes runs. A run that is unknown or already closed is skipped, except that
+    /// the late report of a lost run is applied.
     pub(super) fn close_runs(
         &mut self,
         runs: &[ClosedRun],
@@ -29,6 +29,7 @@
         CommandReply::Closed { runs: closed }
     }
 
+    /// Closes an open run and applies its outcome to its task, if that is unfinished.
     fn close_run(
         &mut self,
         run: OpenRun,
@@ -47,7 +48,7 @@
             job.set_checkpoint(task, checkpoint);
         }
         let skips_failure = self.mutation == Some(Mutation::ForgetFailures) && close.is_failure();
-        let counts = is_unfinished(job, task) && !skips_failure;
+        let decides = is_unfinished(job, task) && !skips_failure;
         remove_open_run(job, task);
         let outcome = RunOutcome {
             task,
@@ -55,7 +56,7 @@
             close,
             closed_at: at,
         };
-        let failed = counts && apply_run_outcome(job, outcome, &self.document.timings);
+        let failed = decides && apply_run_outcome(job, outcome, &self.document.timings);
         let again = job.startable_meta(task);
         self.indexes.refresh(task.job, job);
         self.record_if_lost(&run, close);
@@ -64,15 +65,15 @@
             close: close.clone(),
             again,
         });
-        if counts {
+        if decides {
             self.apply_task_outcome(task, close, failed, at, changes);
             self.report_gang(task, close, changes);
         }
     }
 
-    /// Reports what the closing of one run means for the rest of its gang. Unless
-    /// the run succeeded, the other runs are obsolete; once no run of the gang is
-    /// open, all its tasks may start again.
+    /// Reports the consequences of a closed run for the rest of its gang. Unless the
+    /// run succeeded, the other open runs are obsolete. When no run of the gang is
+    /// open, its tasks are reported as ready again.
     fn report_gang(&self, task: TaskRef, close: &RunClose, changes: &mut Vec<Change>) {
         let Some(job) = self
             .jobs
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Completes all tasks of a gang of which one has succeeded. Their own runs may
-    /// close later.
+    /// Completes all other tasks of the gang to which a completed task belongs. Their
+    /// runs may close later. Has no effect outside a gang.
     fn complete_gang(&mut self, task: TaskRef, changes: &mut Vec<Change>) {
         let Some(job) = self
             .jobs
@@ -118,7 +119,8 @@
         self.indexes.refresh(task.job, job);
     }
 
-    /// Applies the outcome of a task, if it has one now, to its step and job.
+    /// Applies the end of a task to its step and job, if `failed` is set or `close`
+    /// finishes the task.
     pub(super) fn apply_task_outcome(
         &mut self,
         task: TaskRef,
@@ -142,15 +144,16 @@
         }
     }
 
-    /// Returns whether the closing of a run finishes its task. None does for a task
-    /// of an endless step.
+    /// Returns whether the close of a run finishes its task successfully. A task of
+    /// an endless step never finishes.
     fn finishes_task(&self, task: TaskRef, close: &RunClose) -> bool {
         !self.is_endless(task) && *close == RunClose::Ended(Outcome::Done)
     }
 
-    fn failure_reason(&self, at: TaskRef, close: &RunClose) -> Option<String> {
-        let TaskEntry { spec, task, .. } = self.jobs.get(&at.job)?.task(at)?;
-        let last = match close {
+    /// Returns the reason that a job gives for the failure of its task.
+    fn failure_reason(&self, task_ref: TaskRef, close: &RunClose) -> Option<String> {
+        let TaskEntry { spec, task, .. } = self.jobs.get(&task_ref.job)?.task(task_ref)?;
+        let last_failure = match close {
             RunClose::Ended(Outcome::Failed(reason)) => reason.as_str(),
             RunClose::TimedOut => "it ran past its time limit",
             RunClose::Ended(Outcome::Done | Outcome::Stopped)
@@ -160,15 +163,15 @@
         };
         let (name, failed) = (&spec.name, task.failed_runs);
         Some(format!(
-            "task {} of step {name} failed {failed} times, last: {last}",
-            at.task
+            "task {} of step {name} failed {failed} times, last: {last_failure}",
+            task_ref.task
         ))
     }
 }
 
-/// Subtracts one open run from a task.
-fn remove_open_run(job: &mut Job, at: TaskRef) {
-    job.change_task(at, |task| {
+/// Reduces a task's number of open runs by one.
+fn remove_open_run(job: &mut Job, task_ref: TaskRef) {
+    job.change_task(task_ref, |task| {
         task.open_runs = task.open_runs.saturating_sub(1);
     });
 }
--- a/crates/state_machine/src/state/run_outcome.rs
+++ b/crates/state_machine/src/state/run_outcome.rs
@@ -1,29 +1,30 @@
-//! The effect of a closed run on its task: done, failed, or to run again after
-//! a backoff.
+//! Effect of a closed run on its task: the task is done, failed, or may run again
+//! after a backoff.
 
 use super::job::{Job, Progress};
 use configuration::Timings;
 use types::{Milliseconds, Outcome, RunClose, TaskRef, WallTime};
 
-/// A run that has closed, with what decides on its task.
+/// Closed run, with the data that decides the outcome of its task.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RunOutcome<'a> {
-    /// The task of the run.
+    /// Task that the run belongs to.
     pub(super) task: TaskRef,
-    /// Number of the run among those of its task.
+    /// Attempt number of the run; late reports give the task's newest attempt.
     pub(super) attempt: u32,
-    /// How the run closed.
+    /// Reason for which the run closed.
     pub(super) close: &'a RunClose,
-    /// When the run closed, by the leader's wall time.
+    /// Wall time of the leader at which the run closed.
     pub(super) closed_at: WallTime,
 }
 
 /// Applies the outcome of a closed run to its unfinished task and returns
-/// whether the task has failed for good.
+/// whether this run failed the task.
 ///
-/// The last allowed failure fails the task although another copy is running:
-/// copies race for one result and share the allowance. A failure that is
-/// reported late counts only after the task's last open run has closed.
+/// A failure beyond the allowed number fails the task even if another copy is
+/// running, because copies race for one result and share the allowed failures.
+/// A failure that was reported late fails the task only after the last open run
+/// of the task has closed.
 pub(super) fn apply_run_outcome(job: &mut Job, run: RunOutcome<'_>, timings: &Timings) -> bool {
     let Some(entry) = job.task(run.task) else {
         return false;
@@ -34,8 +35,8 @@
     let failure = run.close.is_failure();
     if endless {
         if done || failure {
-            let again = run.closed_at + timings.retry_backoff;
-            job.change_task(run.task, |task| task.backoff_until = again);
+            let backoff_until = run.closed_at + timings.retry_backoff;
+            job.change_task(run.task, |task| task.backoff_until = backoff_until);
         }
         return false;
     }
@@ -61,16 +62,16 @@
     failed
 }
 
-/// Counts a failure that is reported while the task runs again. That run may
-/// still end successfully.
-pub(super) fn count_late_failure(job: &mut Job, at: TaskRef) {
-    job.change_task(at, |task| {
+/// Counts a failure that is reported late, while the task has an open run. The
+/// task does not fail yet, because the open run may still succeed.
+pub(super) fn count_late_failure(job: &mut Job, task_ref: TaskRef) {
+    job.change_task(task_ref, |task| {
         task.failed_runs = task.failed_runs.saturating_add(1);
     });
 }
 
-/// Counts a failure for all tasks of a gang, once for each attempt, whichever
-/// and however many of its tasks failed.
+/// Counts a failure for all tasks of a gang and returns whether it failed the
+/// gang. Each attempt counts at most once, however many of its runs failed.
 fn apply_gang_failure(
     job: &mut Job,
     run: RunOutcome<'_>,
@@ -100,8 +101,8 @@
     failed
 }
 
-/// Returns the backoff after the given number of failures: it doubles with each,
-/// up to a maximum.
+/// Returns the backoff after the given number of failures: `retry_backoff`,
+/// doubled with each further failure up to `max_retry_backoff`.
 fn backoff(timings: &Timings, failures: u8) -> Milliseconds {
     let doublings = u32::from(failures.saturating_sub(1));
     let factor = 1_u64.checked_shl(doublings).unwrap_or(u64::MAX);
--- a/crates/state_machine/src/state/snapshot.rs
+++ b/crates/state_machine/src/state/snapshot.rs
@@ -1,5 +1,5 @@
 //! Snapshots: the whole state as bytes. Counters and indexes are not stored but
-//! rebuilt, so that no bytes can make them disagree with the state.
+//! rebuilt, so that damaged bytes cannot make them disagree with the state.
 
 use super::StateMachine;
 use super::applied_configurations::AppliedConfigurations;
@@ -14,12 +14,13 @@
     ConfigurationVersion, JobNumber, JobSpec, JobState, OpenRun, RunId, RunnerId, TaskRef, WallTime,
 };
 
-/// Format version of snapshots; a program reads only its own.
+/// Format version of snapshots; a snapshot of any other version is rejected.
 pub const SNAPSHOT_VERSION: u32 = 4;
 
 /// Length of the format version, which precedes the body in little-endian order.
 const VERSION_BYTES: usize = size_of::<u32>();
 
+/// Body of a snapshot. The order of the fields is the stored format.
 #[derive(Serialize, Deserialize)]
 struct StoredState<'a> {
     version: ConfigurationVersion,
@@ -33,6 +34,7 @@
     highest_forgotten_run: Option<RunId>,
 }
 
+/// Job in a snapshot. The order of the fields is the stored format.
 #[derive(Serialize, Deserialize)]
 struct StoredJob<'a> {
     number: JobNumber,
@@ -44,10 +46,12 @@
     ended_at: Option<WallTime>,
     closed_runs: Cow<'a, [RunId]>,
     checkpoints: Cow<'a, BTreeMap<(u16, u32), String>>,
-    /// Only tasks that have changed since the submission.
+    /// Tasks that have changed since the submission; all others are as submitted.
     tasks: Vec<StoredTask>,
 }
 
+/// Task in a snapshot. The order of the fields is the stored format. Open runs are
+/// counted anew from the stored runs.
 #[derive(Serialize, Deserialize)]
 struct StoredTask {
     step: u16,
@@ -60,7 +64,7 @@
 }
 
 impl StateMachine {
-    /// Returns the state as bytes with the format version.
+    /// Returns the state as bytes that begin with the format version.
     ///
     /// # Errors
     ///
@@ -74,15 +78,15 @@
             jobs: self
                 .jobs
                 .iter()
-                .map(|(n, job)| store_job(*n, job))
+                .map(|(number, job)| store_job(*number, job))
                 .collect(),
             open_runs: self.open_runs.values().map(Cow::Borrowed).collect(),
             lost_runs: Cow::Borrowed(&self.lost_runs),
             draining_runners: Cow::Borrowed(&self.draining_runners),
             highest_forgotten_run: self.highest_forgotten_run,
         };
-        let head = SNAPSHOT_VERSION.to_le_bytes().to_vec();
-        postcard::to_extend(&stored, head).map_err(StateMachineError::Snapshot)
+        let bytes = SNAPSHOT_VERSION.to_le_bytes().to_vec();
+        postcard::to_extend(&stored, bytes).map_err(StateMachineError::Snapshot)
     }
 
     /// Restores a state from the bytes of a snapshot.
@@ -110,7 +114,7 @@
         };
         if !state_machine
             .applied_configurations
-            .fits(state_machine.version)
+            .is_consistent_with(state_machine.version)
         {
             return Err(SnapshotInconsistency::AppliedConfigurations.into());
         }
@@ -130,12 +134,17 @@
         Ok(state_machine)
     }
 
+    /// Checks that each lost run is a closed run of its task's job.
     fn check_lost_runs(&self) -> Result<(), StateMachineError> {
-        let closed = |run: &RunId, task: &TaskRef| {
+        let is_closed = |run: &RunId, task: &TaskRef| {
             let job = self.jobs.get(&task.job);
             job.is_some_and(|job| job.closed_runs.contains(run) && job.task(*task).is_some())
         };
-        if self.lost_runs.iter().all(|(run, task)| closed(run, task)) {
+        if self
+            .lost_runs
+            .iter()
+            .all(|(run, task)| is_closed(run, task))
+        {
             Ok(())
         } else {
             Err(SnapshotInconsistency::LostRun.into())
@@ -170,8 +179,8 @@
         Ok(())
     }
 
-    /// Checks the size of a job before anything is built from it, and shares its names
-    /// with the configuration as a submission does.
+    /// Checks the size of a job before memory is allocated for its tasks, and lets
+    /// its names share their memory with the configuration, as at a submission.
     fn share_names(&self, mut spec: JobSpec) -> Result<JobSpec, StateMachineError> {
         let tasks: u64 = spec.steps.iter().map(|step| u64::from(step.tasks)).sum();
         if spec.steps.len() > MAX_STEPS || tasks > MAX_TASKS {
@@ -191,8 +200,8 @@
         let job = job.ok_or(SnapshotInconsistency::RunWithoutTask)?;
         let entry = job.task(run.task);
         let entry = entry.ok_or(SnapshotInconsistency::RunWithoutTask)?;
-        let one_more_fits = u32::from(entry.task.open_runs) < MAX_COPIES;
-        if !one_more_fits || self.open_runs.contains_key(&run.run) {
+        let may_open = u32::from(entry.task.open_runs) < MAX_COPIES;
+        if !may_open || self.open_runs.contains_key(&run.run) {
             return Err(SnapshotInconsistency::TooManyOpenRuns.into());
         }
         job.change_task(run.task, |task| task.open_runs += 1);
@@ -202,11 +211,12 @@
     }
 }
 
+/// Checks the format version and returns the bytes that follow it.
 fn check_version(bytes: &[u8]) -> Result<&[u8], StateMachineError> {
-    let (head, body) = bytes
+    let (version, body) = bytes
         .split_first_chunk::<VERSION_BYTES>()
         .ok_or(SnapshotInconsistency::NoVersion)?;
-    let found = u32::from_le_bytes(*head);
+    let found = u32::from_le_bytes(*version);
     if found != SNAPSHOT_VERSION {
         return Err(StateMachineError::Version {
             found,
@@ -232,12 +242,13 @@
     }
 }
 
-fn store_task(job: &Job, at: TaskRef) -> Option<StoredTask> {
-    let task = job.task(at)?.task;
-    let untouched = task.progress == Progress::Unfinished && task.attempts == 0;
-    (!untouched).then_some(StoredTask {
-        step: at.step,
-        task: at.task,
+/// Returns the task as stored; `None` if it has not changed since the submission.
+fn store_task(job: &Job, task_ref: TaskRef) -> Option<StoredTask> {
+    let task = job.task(task_ref)?.task;
+    let is_unchanged = task.progress == Progress::Unfinished && task.attempts == 0;
+    (!is_unchanged).then_some(StoredTask {
+        step: task_ref.step,
+        task: task_ref.task,
         progress: task.progress,
         failed_runs: task.failed_runs,
         backoff_until: task.backoff_until,
@@ -251,15 +262,15 @@
     job: &mut Job,
     stored: &StoredTask,
 ) -> Result<(), StateMachineError> {
-    let at = TaskRef {
+    let task_ref = TaskRef {
         job: number,
         step: stored.step,
         task: stored.task,
     };
-    if job.task(at).is_none() {
+    if job.task(task_ref).is_none() {
         return Err(SnapshotInconsistency::UnknownTask.into());
     }
-    job.change_task(at, |task| {
+    job.change_task(task_ref, |task| {
         task.progress = stored.progress;
         task.failed_runs = stored.failed_runs;
         task.backoff_until = stored.backoff_until;
--- a/crates/state_machine/src/state/submission.rs
+++ b/crates/state_machine/src/state/submission.rs
@@ -1,5 +1,5 @@
-//! Validation of jobs at their submission: a job that can never succeed is
-//! rejected with the reason.
+//! Validation of submitted jobs: a job that can never succeed is rejected with the
+//! reason.
 
 use configuration::ClusterConfiguration;
 use std::collections::BTreeSet;
@@ -12,7 +12,7 @@
 pub const MAX_STEPS: usize = 1_024;
 /// Maximum number of tasks of a job over all its steps.
 pub const MAX_TASKS: u64 = 10_000;
-/// Maximum number of copies of one task that may run at once.
+/// Maximum number of copies of one task that may run at the same time.
 pub const MAX_COPIES: u32 = 8;
 /// Maximum number of failed runs that a step may allow each task.
 pub const MAX_ALLOWED_FAILURES: u32 = 100;
@@ -25,7 +25,7 @@
 /// Maximum length of the key or value of a label, in bytes.
 pub const MAX_LABEL_BYTES: usize = 128;
 
-/// Why a job can never succeed. Callers see the messages.
+/// Reason for which a job can never succeed. The message is returned to the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub(crate) enum JobError {
     /// The number of steps is zero or above [`MAX_STEPS`].
@@ -43,41 +43,45 @@
     /// The allowed failures are above [`MAX_ALLOWED_FAILURES`].
     #[error("step {step} may allow at most {MAX_ALLOWED_FAILURES} failures")]
     TooManyAllowedFailures { step: StepName },
-    /// A gang allows copies.
-    #[error("step {step} is a gang, so its tasks have one copy each")]
+    /// A gang allows more than one copy of a task.
+    #[error("step {step} is a gang and must allow exactly one copy of each task")]
     GangWithCopies { step: StepName },
     /// `max_per_runner` is zero.
-    #[error("step {step} may run nowhere: max_per_runner must be at least 1")]
+    #[error("step {step} can run on no runner: max_per_runner must be at least 1")]
     NoRunsPerRunner { step: StepName },
     /// The time limit is zero or above [`MAX_TIME_LIMIT`].
     #[error("the time limit of step {step} must be 1 ms to {MAX_TIME_LIMIT}")]
     TimeLimit { step: StepName },
-    /// A task needs no slot.
-    #[error("a task of step {step} needs at least one slot")]
+    /// A task requests no slot.
+    #[error("a task of step {step} must request at least one slot")]
     NoSlots { step: StepName },
     /// The payload is longer than [`MAX_PAYLOAD_BYTES`].
     #[error("the payload of step {step} is longer than {MAX_PAYLOAD_BYTES} bytes")]
     PayloadTooLong { step: StepName },
-    /// The labels exceed [`MAX_LABELS`] or [`MAX_LABEL_BYTES`].
-    #[error("step {step} may ask for at most {MAX_LABELS} labels of {MAX_LABEL_BYTES} bytes")]
+    /// The number of labels is above [`MAX_LABELS`], or a key or value is longer
+    /// than [`MAX_LABEL_BYTES`].
+    #[error(
+        "step {step} may require at most {MAX_LABELS} labels, \
+         with keys and values of at most {MAX_LABEL_BYTES} bytes"
+    )]
     Labels { step: StepName },
     /// Two steps have the same name.
     #[error("two steps are named {step}")]
     DuplicateStep { step: StepName },
     /// A step depends on one that does not exist.
-    #[error("step {step} comes after {dependency}, which does not exist")]
+    #[error("step {step} depends on step {dependency}, which does not exist")]
     UnknownDependency {
         step: StepName,
         dependency: StepName,
     },
-    /// A step names a dependency twice.
-    #[error("step {step} names {dependency} twice")]
+    /// A step lists a dependency twice.
+    #[error("step {step} lists the dependency {dependency} twice")]
     DuplicateDependency {
         step: StepName,
         dependency: StepName,
     },
-    /// A step depends on itself through others.
-    #[error("step {step} waits for itself through a cycle")]
+    /// A step is on a cycle of dependencies, or depends on such a step.
+    #[error("step {step} depends on a cycle of steps")]
     DependencyCycle { step: StepName },
     /// A step needs a licence that is not configured.
     #[error("step {step} needs the licence {licence}, which does not exist")]
@@ -86,10 +90,10 @@
         licence: LicenceName,
     },
     /// A task is larger than every runner of the queue's pool.
-    #[error("a task of step {step} fits on no runner of queue {queue}")]
+    #[error("a task of step {step} is larger than every runner of queue {queue}")]
     LargerThanRunner { step: StepName, queue: QueueName },
     /// A task is larger than the tenant's resource limit.
-    #[error("a task of step {step} exceeds the ceiling of tenant {tenant}")]
+    #[error("a task of step {step} exceeds the resource limit of tenant {tenant}")]
     AboveResourceLimit { step: StepName, tenant: TenantId },
 }
 
@@ -179,8 +183,8 @@
     check_cycle(steps)
 }
 
-/// Removes steps whose dependencies are removed, again and again; those that
-/// remain are on a cycle or depend on one.
+/// Checks that the dependencies have no cycle. Repeatedly removes the steps whose
+/// dependencies are all removed; steps that remain are on a cycle or depend on one.
 fn check_cycle(steps: &[StepSpec]) -> Result<(), JobError> {
     let mut remaining: Vec<&StepSpec> = steps.iter().collect();
     let mut removed: BTreeSet<&StepName> = BTreeSet::new();
@@ -199,6 +203,8 @@
     }
 }
 
+/// Checks that each step's licence exists, and that its tasks fit a runner and the
+/// tenant's resource limit.
 fn check_capacity(spec: &JobSpec, document: &ClusterConfiguration) -> Result<(), JobError> {
     let queue = document.queues.get(&spec.queue);
     let pool = queue.and_then(|queue| document.pools.get(&queue.pool));
--- a/crates/state_machine/src/state/usage.rs
+++ b/crates/state_machine/src/state/usage.rs
@@ -1,5 +1,5 @@
-//! Sums of the resources of open runs. They are wider than [`Resources`], so that
-//! what was added can be subtracted exactly.
+//! Sums of the resources of open runs. The sums are wider than [`Resources`], so
+//! that the resources of each added run can be subtracted exactly.
 
 use types::Resources;
 
@@ -13,20 +13,20 @@
 }
 
 impl From<Resources> for Usage {
-    fn from(amount: Resources) -> Self {
+    fn from(resources: Resources) -> Self {
         Self {
-            slots: amount.slots.into(),
-            cpu_milli: amount.cpu_milli.into(),
-            memory_mib: amount.memory_mib.into(),
-            gpus: amount.gpus.into(),
+            slots: resources.slots.into(),
+            cpu_milli: resources.cpu_milli.into(),
+            memory_mib: resources.memory_mib.into(),
+            gpus: resources.gpus.into(),
         }
     }
 }
 
 impl Usage {
-    /// Returns the sum with one more run.
-    pub fn plus(self, amount: Resources) -> Self {
-        let other = Self::from(amount);
+    /// Returns the sum plus the resources of one run.
+    pub fn plus(self, resources: Resources) -> Self {
+        let other = Self::from(resources);
         Self {
             slots: self.slots + other.slots,
             cpu_milli: self.cpu_milli + other.cpu_milli,
@@ -35,9 +35,9 @@
         }
     }
 
-    /// Returns the sum without one of its runs.
-    pub fn minus(self, amount: Resources) -> Self {
-        let other = Self::from(amount);
+    /// Returns the sum minus the resources of one of its runs.
+    pub fn minus(self, resources: Resources) -> Self {
+        let other = Self::from(resources);
         Self {
             slots: self.slots.saturating_sub(other.slots),
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
@@ -55,8 +55,8 @@
             && self.gpus <= resource_limit.gpus
     }
 
-    /// Returns the sum as resources, saturated at the largest value.
-    pub fn amount(self) -> Resources {
+    /// Returns the sum as [`Resources`], saturated at the largest value.
+    pub fn to_resources(self) -> Resources {
         let narrow = |value: u64| u32::try_from(value).unwrap_or(u32::MAX);
         Resources {
             slots: narrow(self.slots),
--- a/crates/state_machine/tests/submit.rs
+++ b/crates/state_machine/tests/submit.rs
@@ -102,8 +102,10 @@
             j.steps[0].time_limit = Milliseconds(604_800_001);
         }),
         ("at least one slot", |j| j.steps[0].resources.slots = 0),
-        ("no runner", |j| j.steps[0].resources = slots(5)),
-        ("ceiling of tenant b", |j| {
+        ("larger than every runner", |j| {
+            j.steps[0].resources = slots(5);
+        }),
+        ("resource limit of tenant b", |j| {
             j.tenant = tenant("b");
             j.steps[0].resources = slots(3);
         }),
--- a/crates/state_machine/tests/submit_messages.rs
+++ b/crates/state_machine/tests/submit_messages.rs
@@ -37,19 +37,20 @@
         job.steps[0].rules.gang = true;
         job.steps[0].max_copies = 2;
     });
-    let expected = "step s is a gang, so its tasks have one copy each";
+    let expected = "step s is a gang and must allow exactly one copy of each task";
     assert_eq!(gang, expected);
     let nowhere = message(|job| job.steps[0].rules.max_per_runner = Some(0));
-    let expected = "step s may run nowhere: max_per_runner must be at least 1";
+    let expected = "step s can run on no runner: max_per_runner must be at least 1";
     assert_eq!(nowhere, expected);
     let slots = message(|job| job.steps[0].resources.slots = 0);
-    assert_eq!(slots, "a task of step s needs at least one slot");
+    assert_eq!(slots, "a task of step s must request at least one slot");
     let payload = message(|job| job.steps[0].payload = "x".repeat(65_537));
     assert_eq!(payload, "the payload of step s is longer than 65536 bytes");
     let labels = message(|job| {
         job.steps[0].labels = Labels::from([("k".to_owned(), "v".repeat(129))]);
     });
-    let expected = "step s may ask for at most 32 labels of 128 bytes";
+    let expected =
+        "step s may require at most 32 labels, with keys and values of at most 128 bytes";
     assert_eq!(labels, expected);
 }
 
@@ -68,12 +69,12 @@
     let same = message(|job| job.steps[1].name = step_name("s"));
     assert_eq!(same, "two steps are named s");
     let unknown = message(|job| job.steps[1].after = vec![step_name("none")]);
-    let expected = "step t comes after none, which does not exist";
+    let expected = "step t depends on step none, which does not exist";
     assert_eq!(unknown, expected);
     let twice = message(|job| job.steps[1].after = vec![step_name("s"); 2]);
-    assert_eq!(twice, "step t names s twice");
+    assert_eq!(twice, "step t lists the dependency s twice");
     let cycle = message(|job| job.steps[0].after = vec![step_name("t")]);
-    assert_eq!(cycle, "step s waits for itself through a cycle");
+    assert_eq!(cycle, "step s depends on a cycle of steps");
 }
 
 #[test]
@@ -84,10 +85,16 @@
     let expected = "step s needs the licence l, which does not exist";
     assert_eq!(licence, expected);
     let runner = message(|job| job.steps[0].resources = slots(5));
-    assert_eq!(runner, "a task of step s fits on no runner of queue q");
+    assert_eq!(
+        runner,
+        "a task of step s is larger than every runner of queue q"
+    );
     let limit = message(|job| {
         job.tenant = tenant("b");
         job.steps[0].resources = slots(3);
     });
-    assert_eq!(limit, "a task of step s exceeds the ceiling of tenant b");
+    assert_eq!(
+        limit,
+        "a task of step s exceeds the resource limit of tenant b"
+    );
 }
