--- a/crates/state_machine/tests/configuration.rs
+++ b/crates/state_machine/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration by compare-and-set.
+//! Changes of the configuration by compare-and-set on its version.
 
 mod support;
 
@@ -17,17 +17,18 @@
     })
 }
 
-fn problem_places(reply: CommandReply) -> Vec<String> {
+/// Returns the paths of the validation errors with which a change was rejected.
+fn error_paths(reply: CommandReply) -> Vec<String> {
     match reply {
         CommandReply::Rejected(CommandRejection::InvalidConfiguration { problems }) => {
-            problems.into_iter().map(|problem| problem.path).collect()
+            problems.into_iter().map(|error| error.path).collect()
         }
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn a_version_is_applied_once() {
+fn version_is_applied_once_and_resent_document_is_acknowledged() {
     let mut driver = Driver::new();
     let known = CommandReply::Configured {
         version: ConfigurationVersion(1),
@@ -47,7 +48,11 @@
         known: false,
     };
     assert_eq!(driver.configure(2, other.clone()), accepted);
-    assert_eq!(driver.configure(1, document()), known, "a resent order");
+    assert_eq!(
+        driver.configure(1, document()),
+        known,
+        "the first document is resent"
+    );
     assert_eq!(driver.configure(1, other.clone()), conflict(1, 2));
     assert_eq!(
         driver.state_machine.configuration(),
@@ -55,20 +60,22 @@
     );
 }
 
-/// The document that the tests take under a version.
-fn numbered(version: u64) -> ClusterConfiguration {
+/// Returns a document that differs for each version.
+fn document_for(version: u64) -> ClusterConfiguration {
     let mut document = document();
     document.timings.run_lease = Milliseconds(version);
     document
 }
 
+/// The acknowledgement of a document may be lost, and the operator may resend the
+/// document after newer ones were applied.
 #[test]
-fn orders_are_known_again_within_the_last_1024_versions_and_a_snapshot_keeps_that() {
+fn resent_documents_of_last_1024_versions_are_acknowledged_after_restore() {
     const LAST: u64 = 1_100;
     const OLDEST_KNOWN: u64 = LAST - 1_023;
     let mut driver = Driver::new();
     for version in 2..=LAST {
-        driver.configure(version, numbered(version));
+        driver.configure(version, document_for(version));
     }
     let bytes = driver.state_machine.snapshot().unwrap();
     driver.state_machine = StateMachine::restore(&bytes).unwrap();
@@ -83,23 +90,23 @@
         } else {
             known
         };
-        assert_eq!(driver.configure(version, numbered(version)), expected);
-        let other = numbered(version + 1);
+        assert_eq!(driver.configure(version, document_for(version)), expected);
+        let other = document_for(version + 1);
         assert_eq!(driver.configure(version, other), conflict(version, LAST));
     }
     assert_eq!(
         driver.state_machine, before,
-        "a resent order changes nothing"
+        "a resent document changes nothing"
     );
 }
 
 #[test]
-fn an_invalid_document_changes_nothing() {
+fn invalid_document_is_rejected_and_changes_nothing() {
     let mut driver = Driver::new();
-    let mut broken = document();
-    broken.pools.clear();
-    let places = problem_places(driver.configure(2, broken));
-    assert_eq!(places, ["queues.q.pool", "queues.r.pool"]);
+    let mut invalid = document();
+    invalid.pools.clear();
+    let paths = error_paths(driver.configure(2, invalid));
+    assert_eq!(paths, ["queues.q.pool", "queues.r.pool"]);
     assert_eq!(
         driver.state_machine.configuration().0,
         ConfigurationVersion(1)
@@ -107,12 +114,12 @@
 }
 
 #[test]
-fn queues_and_tenants_with_unfinished_jobs_may_not_be_removed() {
+fn removal_of_queue_or_tenant_with_unfinished_jobs_is_rejected() {
     let mut driver = Driver::new();
     driver.submit(job("j", vec![step("s", 1, &[])]));
     let empty = ClusterConfiguration::default();
-    let places = problem_places(driver.configure(2, empty.clone()));
-    assert_eq!(places, ["queues.q", "tenants.a"]);
+    let paths = error_paths(driver.configure(2, empty.clone()));
+    assert_eq!(paths, ["queues.q", "tenants.a"]);
     let run = driver.reserve(task(1, 0, 0)).unwrap();
     driver.close(run, DONE);
     let reply = driver.configure(2, empty);
@@ -120,7 +127,7 @@
 }
 
 #[test]
-fn versions_may_skip_numbers_when_the_document_names_what_it_replaces() {
+fn document_that_names_its_base_version_may_skip_version_numbers() {
     let mut driver = Driver::new();
     let replacing = |version: u64| ClusterConfiguration {
         replaces: Some(ConfigurationVersion(version)),
@@ -151,7 +158,7 @@
 }
 
 #[test]
-fn a_queue_left_out_drains_where_the_document_says_so() {
+fn left_out_queue_with_unfinished_jobs_drains_if_document_allows_it() {
     let mut driver = Driver::new();
     driver.submit(job("j", vec![step("s", 1, &[])]));
     let mut without = document();
@@ -175,7 +182,7 @@
     let run = driver.reserve(task(1, 0, 0)).unwrap();
     driver.close(run, DONE);
     assert_eq!(driver.view("j").state, JobState::Done);
-    // Nothing needs it any more, so the next document drops it.
+    // No unfinished job needs the queue now, so the next document removes it.
     let mut without = document();
     without.queues.remove(&queue("q"));
     driver.configure(3, without);
@@ -189,32 +196,32 @@
     );
 }
 
-fn more_urgent() -> QueueSettings {
+fn high_priority_queue() -> QueueSettings {
     let mut settings = document().queues.into_values().next().unwrap();
     settings.priority = 9;
     settings
 }
 
-/// Adds a queue to the document under a version.
-fn adding(queue_name: &str, replaces: u64) -> ConfigurationUpdate {
+/// Returns an update that adds a queue to the document of version `base`.
+fn adding_queue(queue_name: &str, base: u64) -> ConfigurationUpdate {
     ConfigurationUpdate {
-        replaces: ConfigurationVersion(replaces),
+        replaces: ConfigurationVersion(base),
         upsert: UpsertedItems {
-            queues: [(queue(queue_name), more_urgent())].into(),
+            queues: [(queue(queue_name), high_priority_queue())].into(),
             ..UpsertedItems::default()
         },
         ..ConfigurationUpdate::default()
     }
 }
 
-fn accepted(version: u64, known: bool) -> CommandReply {
+fn configured(version: u64, known: bool) -> CommandReply {
     CommandReply::Configured {
         version: ConfigurationVersion(version),
         known,
     }
 }
 
-fn apply(driver: &mut Driver, version: u64, update: &ConfigurationUpdate) -> CommandReply {
+fn apply_update(driver: &mut Driver, version: u64, update: &ConfigurationUpdate) -> CommandReply {
     let command = Command::UpdateConfiguration {
         version: ConfigurationVersion(version),
         update: update.clone(),
@@ -224,25 +231,33 @@
 }
 
 #[test]
-fn an_update_is_applied_to_the_version_it_names_and_known_again() {
+fn update_applies_only_to_its_base_version_and_is_acknowledged_when_resent() {
     let mut driver = Driver::new();
-    let first = adding("first", 1);
-    assert_eq!(apply(&mut driver, 5, &first), accepted(5, false));
-    assert_eq!(apply(&mut driver, 5, &first), accepted(5, true));
+    let first = adding_queue("first", 1);
+    assert_eq!(apply_update(&mut driver, 5, &first), configured(5, false));
+    assert_eq!(apply_update(&mut driver, 5, &first), configured(5, true));
     let (version, in_force) = driver.state_machine.configuration();
     assert_eq!(version, ConfigurationVersion(5));
     assert_eq!(in_force.queues.len(), document().queues.len() + 1);
     assert_eq!(in_force.tenants, document().tenants);
 
-    let second = adding("second", 5);
-    assert_eq!(apply(&mut driver, 5, &second), conflict(5, 5), "not higher");
-    assert_eq!(apply(&mut driver, 9, &second), accepted(9, false));
-    assert_eq!(apply(&mut driver, 5, &first), accepted(5, true), "a resend");
-    assert_eq!(apply(&mut driver, 9, &first), conflict(9, 9));
-    assert_eq!(apply(&mut driver, 10, &first), conflict(10, 9));
+    let second = adding_queue("second", 5);
+    assert_eq!(
+        apply_update(&mut driver, 5, &second),
+        conflict(5, 5),
+        "the version is not higher"
+    );
+    assert_eq!(apply_update(&mut driver, 9, &second), configured(9, false));
+    assert_eq!(
+        apply_update(&mut driver, 5, &first),
+        configured(5, true),
+        "the first update is resent"
+    );
+    assert_eq!(apply_update(&mut driver, 9, &first), conflict(9, 9));
+    assert_eq!(apply_update(&mut driver, 10, &first), conflict(10, 9));
     let bytes = driver.state_machine.snapshot().unwrap();
     driver.state_machine = StateMachine::restore(&bytes).unwrap();
-    assert_eq!(apply(&mut driver, 9, &second), accepted(9, true));
+    assert_eq!(apply_update(&mut driver, 9, &second), configured(9, true));
     assert_eq!(
         driver.state_machine.configuration().1.queues.len(),
         document().queues.len() + 2
@@ -250,31 +265,37 @@
 }
 
 #[test]
-fn of_two_updates_on_one_version_one_wins() {
+fn second_of_two_updates_on_one_base_version_is_a_conflict() {
     let mut driver = Driver::new();
     assert_eq!(
-        apply(&mut driver, 3, &adding("mine", 1)),
-        accepted(3, false)
+        apply_update(&mut driver, 3, &adding_queue("mine", 1)),
+        configured(3, false)
+    );
+    assert_eq!(
+        apply_update(&mut driver, 3, &adding_queue("yours", 1)),
+        conflict(3, 3)
+    );
+    assert_eq!(
+        apply_update(&mut driver, 4, &adding_queue("yours", 1)),
+        conflict(4, 3)
     );
-    assert_eq!(apply(&mut driver, 3, &adding("yours", 1)), conflict(3, 3));
-    assert_eq!(apply(&mut driver, 4, &adding("yours", 1)), conflict(4, 3));
     let queues = &driver.state_machine.configuration().1.queues;
     assert!(queues.contains_key(&queue("mine")) && !queues.contains_key(&queue("yours")));
 }
 
 #[test]
-fn the_result_of_an_update_is_validated_as_a_whole_and_never_applied_in_part() {
+fn update_with_invalid_result_is_rejected_as_a_whole() {
     let mut driver = Driver::new();
     let pool = document().pools.into_keys().next().unwrap();
-    let mut update = adding("new", 1);
+    let mut update = adding_queue("new", 1);
     update.remove = RemovedItems {
         pools: [pool].into(),
         ..RemovedItems::default()
     };
-    let places = problem_places(apply(&mut driver, 2, &update));
+    let paths = error_paths(apply_update(&mut driver, 2, &update));
     assert!(
-        places.iter().any(|place| place == "queues.new.pool"),
-        "{places:?}"
+        paths.iter().any(|path| path == "queues.new.pool"),
+        "{paths:?}"
     );
     assert_eq!(
         driver.state_machine.configuration().0,
@@ -282,46 +303,54 @@
     );
     assert_eq!(driver.state_machine.configuration().1, &document());
 
-    let mut both = adding("new", 1);
+    let mut both = adding_queue("new", 1);
     both.remove.queues.insert(queue("new"));
-    assert_eq!(problem_places(apply(&mut driver, 2, &both)), ["queues.new"]);
+    assert_eq!(
+        error_paths(apply_update(&mut driver, 2, &both)),
+        ["queues.new"]
+    );
     assert_eq!(driver.state_machine.configuration().1, &document());
 }
 
+/// The items of an update are derived from the sent text and the state at the time. A
+/// resent text may therefore arrive with other items and must still be recognized.
 #[test]
-fn what_was_sent_tells_an_order_again_whatever_followed_from_it() {
+fn resent_update_is_recognized_by_its_sent_text_not_by_its_items() {
     let mut driver = Driver::new();
-    let mut update = adding("new", 1);
-    update.sent = Some("an order in the operator's own words".to_owned());
-    update.source = Some("the text it leads to".to_owned());
-    assert_eq!(apply(&mut driver, 2, &update), accepted(2, false));
+    let mut update = adding_queue("new", 1);
+    update.sent = Some("text that the operator sent".to_owned());
+    update.source = Some("text that results from the update".to_owned());
+    assert_eq!(apply_update(&mut driver, 2, &update), configured(2, false));
     assert_eq!(
         driver.state_machine.configuration().1.source.as_deref(),
-        Some("the text it leads to")
+        Some("text that results from the update")
     );
-    let bare = ConfigurationUpdate {
+    let without_items = ConfigurationUpdate {
         replaces: ConfigurationVersion(1),
         sent: update.sent.clone(),
         ..ConfigurationUpdate::default()
     };
     let version = ConfigurationVersion(2);
-    assert!(driver.state_machine.has_applied(version, &bare));
+    assert!(driver.state_machine.has_applied(version, &without_items));
     assert!(
         !driver
             .state_machine
-            .has_applied(ConfigurationVersion(3), &bare)
+            .has_applied(ConfigurationVersion(3), &without_items)
     );
     let other = ConfigurationUpdate {
-        sent: Some("another order".to_owned()),
-        ..bare.clone()
+        sent: Some("other text".to_owned()),
+        ..without_items.clone()
     };
     assert!(!driver.state_machine.has_applied(version, &other));
-    let unsent = ConfigurationUpdate { sent: None, ..bare };
-    assert!(!driver.state_machine.has_applied(version, &unsent));
+    let without_sent = ConfigurationUpdate {
+        sent: None,
+        ..without_items
+    };
+    assert!(!driver.state_machine.has_applied(version, &without_sent));
 }
 
 #[test]
-fn an_update_that_removes_a_queue_with_work_is_refused_or_drains_it() {
+fn update_that_removes_queue_with_unfinished_jobs_is_rejected_or_drains_it() {
     let mut driver = Driver::new();
     driver.submit(job("job", vec![step("only", 1, &[])]));
     let name = driver.view("job").queue;
@@ -333,12 +362,15 @@
         },
         ..ConfigurationUpdate::default()
     };
-    let places = problem_places(apply(&mut driver, 2, &update(1)));
-    assert_eq!(places, [format!("queues.{name}")]);
+    let paths = error_paths(apply_update(&mut driver, 2, &update(1)));
+    assert_eq!(paths, [format!("queues.{name}")]);
     let mut drains = document();
     drains.left_out = LeftOutQueues::Drain;
-    assert_eq!(driver.configure(2, drains), accepted(2, false));
-    assert_eq!(apply(&mut driver, 3, &update(2)), accepted(3, false));
-    let kept = &driver.state_machine.configuration().1.queues[&name];
-    assert_eq!(kept.mode, configuration::QueueMode::Draining);
+    assert_eq!(driver.configure(2, drains), configured(2, false));
+    assert_eq!(
+        apply_update(&mut driver, 3, &update(2)),
+        configured(3, false)
+    );
+    let settings = &driver.state_machine.configuration().1.queues[&name];
+    assert_eq!(settings.mode, configuration::QueueMode::Draining);
 }
--- a/crates/state_machine/tests/gangs.rs
+++ b/crates/state_machine/tests/gangs.rs
@@ -1,9 +1,9 @@
-//! Gangs, numbers of runs, checkpoints and endless steps.
+//! Gangs, attempt numbers, checkpoints, endless steps and start times of steps.
 
 mod support;
 
 use state_machine::{Change, ClosedRun, Command, CommandReply, ReservationRejection};
-use support::{DONE, Driver, failed, job, ready_in, run_id, runner, step, task};
+use support::{DONE, Driver, failed, job, ready_tasks_in, run_id, runner, step, task};
 use types::{
     JobState, Reservation, RunClose, RunId, RunName, RunnerIncarnation, StepRules, StepSpec,
     TaskState, WallTime,
@@ -19,15 +19,16 @@
     }
 }
 
+/// Reserves the given tasks of the first job's first step in one command.
 fn reserve_all(driver: &mut Driver, tasks: &[u32]) -> Result<Vec<RunId>, ReservationRejection> {
     let reservations: Vec<Reservation> = tasks
         .iter()
-        .map(|member| {
+        .map(|position| {
             driver.last_run += 1;
             Reservation {
                 endpoint: None,
                 run: run_id(driver.last_run),
-                task: task(1, 0, *member),
+                task: task(1, 0, *position),
                 runner: runner("runner"),
                 incarnation: RunnerIncarnation(1),
                 self_stop: true,
@@ -43,12 +44,13 @@
     }
 }
 
-fn obsolete_in(changes: &[Change]) -> Vec<RunId> {
-    let useless = changes.iter().filter_map(|change| match change {
+/// Returns the runs that the changes report as obsolete.
+fn obsolete_runs_in(changes: &[Change]) -> Vec<RunId> {
+    let obsolete = changes.iter().filter_map(|change| match change {
         Change::RunsObsolete(runs) => Some(runs.clone()),
         _ => None,
     });
-    useless.flatten().collect()
+    obsolete.flatten().collect()
 }
 
 fn driver_with(step: StepSpec) -> Driver {
@@ -58,7 +60,7 @@
 }
 
 #[test]
-fn a_gang_is_reserved_whole_or_not_at_all() {
+fn partial_reservation_of_gang_is_rejected() {
     let mut driver = driver_with(gang(3));
     for part in [vec![0], vec![0, 1], vec![0, 1, 1]] {
         assert_eq!(
@@ -71,7 +73,7 @@
 }
 
 #[test]
-fn a_gang_above_the_resource_limit_is_rejected_as_a_whole() {
+fn gang_above_resource_limit_is_rejected_as_a_whole() {
     let mut driver = driver_with(gang(3));
     driver.submit(job("other", vec![step("s", 2, &[])]));
     driver.reserve(task(2, 0, 0)).unwrap();
@@ -82,7 +84,7 @@
 }
 
 #[test]
-fn members_share_a_number_that_rises() {
+fn gang_tasks_share_an_attempt_number_that_rises() {
     let mut driver = driver_with(gang(2));
     for attempt in 1..=2 {
         let runs = reserve_all(&mut driver, &[0, 1]).unwrap();
@@ -99,27 +101,30 @@
 }
 
 #[test]
-fn a_failed_run_of_a_gang_makes_the_others_obsolete_and_counts_once() {
+fn failed_run_of_gang_makes_others_obsolete_and_counts_once_per_attempt() {
     let mut driver = driver_with(gang(2));
     let runs = reserve_all(&mut driver, &[0, 1]).unwrap();
     let changes = driver.close(runs[0], failed());
-    assert_eq!(obsolete_in(&changes), [runs[1]]);
-    assert!(driver.ready().is_empty(), "a run of the gang is still open");
+    assert_eq!(obsolete_runs_in(&changes), [runs[1]]);
+    assert!(
+        driver.ready_tasks().is_empty(),
+        "a run of the gang is still open"
+    );
     let changes = driver.close(runs[1], failed());
-    assert_eq!(ready_in(&changes), [task(1, 0, 0)]);
-    assert_eq!(driver.ready(), [task(1, 0, 0), task(1, 0, 1)]);
-    // One failure is allowed; the second attempt's is the last.
+    assert_eq!(ready_tasks_in(&changes), [task(1, 0, 0)]);
+    assert_eq!(driver.ready_tasks(), [task(1, 0, 0), task(1, 0, 1)]);
+    // One failure is allowed, so the failure of the second attempt fails the job.
     let runs = reserve_all(&mut driver, &[0, 1]).unwrap();
     driver.close(runs[1], failed());
     assert_eq!(driver.view("j").state, JobState::Failed);
 }
 
 #[test]
-fn a_member_that_ends_done_ends_the_gang() {
+fn successful_run_of_gang_completes_all_its_tasks() {
     let mut driver = driver_with(gang(3));
     let runs = reserve_all(&mut driver, &[0, 1, 2]).unwrap();
     driver.close(runs[1], DONE);
-    assert_eq!(driver.states("j"), [TaskState::Done; 3]);
+    assert_eq!(driver.task_states("j"), [TaskState::Done; 3]);
     assert_eq!(driver.view("j").state, JobState::Done);
     driver.close(runs[0], DONE);
     driver.close(runs[2], RunClose::Lost);
@@ -128,7 +133,7 @@
 }
 
 #[test]
-fn a_snapshot_keeps_numbers_failures_and_checkpoints() {
+fn restored_gang_continues_with_next_attempt_and_checkpoint() {
     let mut driver = driver_with(gang(2));
     let runs = reserve_all(&mut driver, &[0, 1]).unwrap();
     let closed = ClosedRun {
@@ -136,9 +141,9 @@
         ..ClosedRun::new(runs[1], failed())
     };
     let at = driver.at;
-    let runs_closed = vec![closed, ClosedRun::new(runs[0], RunClose::Lost)];
+    let closed_runs = vec![closed, ClosedRun::new(runs[0], RunClose::Lost)];
     driver.state_machine.apply(&Command::CloseRuns {
-        runs: runs_closed,
+        runs: closed_runs,
         at,
     });
     let bytes = driver.state_machine.snapshot().unwrap();
@@ -155,7 +160,7 @@
 }
 
 #[test]
-fn the_next_run_of_a_task_goes_on_from_its_own_checkpoint() {
+fn next_run_continues_from_checkpoint_of_its_own_task() {
     let mut driver = driver_with(step("s", 2, &[]));
     let run = driver.reserve(task(1, 0, 1)).unwrap();
     let closed = ClosedRun {
@@ -174,31 +179,31 @@
 }
 
 #[test]
-fn an_endless_task_starts_again_however_it_ends() {
+fn endless_task_is_ready_again_after_any_close() {
     let mut endless = step("s", 1, &[]);
     endless.rules.endless = true;
     let mut driver = driver_with(endless);
     for close in [failed(), DONE, failed(), failed(), RunClose::Lost] {
         let run = driver.reserve(task(1, 0, 0)).unwrap();
         driver.close(run, close);
-        assert_eq!(driver.ready(), [task(1, 0, 0)]);
+        assert_eq!(driver.ready_tasks(), [task(1, 0, 0)]);
     }
     assert_eq!(driver.view("j").state, JobState::Running);
 }
 
 #[test]
-fn a_step_has_a_start_time_of_its_own() {
+fn start_time_of_step_delays_only_its_own_tasks() {
     let mut later = step("later", 1, &[]);
     later.rules.start_at = Some(WallTime(5_000));
     let mut driver = Driver::new();
     driver.submit(job("j", vec![step("now", 1, &[]), later]));
     let ready = driver.state_machine.ready_tasks(None, 1);
-    let times: Vec<_> = ready.iter().map(|meta| meta.not_before).collect();
-    assert_eq!(times, [None, Some(WallTime(5_000))]);
+    let start_times: Vec<_> = ready.iter().map(|meta| meta.not_before).collect();
+    assert_eq!(start_times, [None, Some(WallTime(5_000))]);
 }
 
 #[test]
-fn an_open_run_is_found_by_its_name() {
+fn find_open_run_returns_the_run_of_the_same_attempt_only() {
     let mut driver = driver_with(step("s", 2, &[]));
     let run = driver.reserve(task(1, 0, 1)).unwrap();
     let name = driver
@@ -206,6 +211,6 @@
         .run_name(&driver.state_machine.open_run(run).unwrap());
     let name = name.unwrap();
     assert_eq!(driver.state_machine.find_open_run(&name), Some(run));
-    let later = RunName { attempt: 2, ..name };
-    assert_eq!(driver.state_machine.find_open_run(&later), None);
+    let next_attempt = RunName { attempt: 2, ..name };
+    assert_eq!(driver.state_machine.find_open_run(&next_attempt), None);
 }
--- a/crates/state_machine/tests/golden/bytes.rs
+++ b/crates/state_machine/tests/golden/bytes.rs
@@ -1,26 +1,27 @@
-//! Comparing encoded values with recorded lines of `name hex`.
+//! Comparison of encoded values with recorded bytes in hexadecimal digits.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{Debug, Write};
 
-const HEX_DIGITS_OF_BYTE: usize = 2;
-const HEX: u32 = 16;
-/// Bytes on one line of a recorded file that holds a single long value.
-const BYTES_OF_LINE: usize = 48;
+const HEX_DIGITS_PER_BYTE: usize = 2;
+const HEX_RADIX: u32 = 16;
+/// Bytes on each line of a recorded file with a single long value.
+const BYTES_PER_LINE: usize = 48;
 
-/// A value under the name of its recorded line.
+/// Value with the name of its recorded line.
 pub struct Sample<T> {
     pub name: &'static str,
     pub value: T,
 }
 
-/// How values become bytes, and values again.
+/// Functions that encode and decode values of one type.
 pub struct Codec<T> {
     pub encode: fn(&T) -> Vec<u8>,
     pub decode: fn(&[u8]) -> T,
 }
 
-/// Each sample has its recorded bytes, and these give the sample again.
+/// Asserts that each sample encodes to its recorded bytes and that these decode to
+/// the sample. The recorded text has a line `name hex` for each sample.
 pub fn assert_recorded<T: PartialEq + Debug>(
     recorded: &str,
     samples: &[Sample<T>],
@@ -30,7 +31,10 @@
     let names: BTreeSet<&str> = samples.iter().map(|sample| sample.name).collect();
     assert_eq!(names.len(), samples.len(), "two samples share a name");
     let differing = find_differing(&recorded, samples, codec);
-    assert!(differing.is_empty(), "not as recorded:\n{differing}");
+    assert!(
+        differing.is_empty(),
+        "samples differ from their recorded bytes; now:\n{differing}"
+    );
     assert_eq!(recorded.keys().copied().collect::<BTreeSet<_>>(), names);
     for sample in samples {
         let decoded = (codec.decode)(&recorded[sample.name]);
@@ -38,8 +42,8 @@
     }
 }
 
-/// The lines, as they would have to be recorded, of all samples that have
-/// other bytes.
+/// Returns the lines to record for all samples whose bytes differ from the recorded
+/// ones.
 fn find_differing<T>(
     recorded: &BTreeMap<&str, Vec<u8>>,
     samples: &[Sample<T>],
@@ -63,24 +67,24 @@
     lines.collect()
 }
 
-/// One long value has the bytes recorded over many lines.
-pub fn assert_recorded_whole(recorded: &str, actual: &[u8]) {
-    let lines: Vec<String> = actual.chunks(BYTES_OF_LINE).map(to_hex).collect();
+/// Asserts that one long value has the recorded bytes, which span many lines.
+pub fn assert_recorded_bytes(recorded: &str, actual: &[u8]) {
+    let lines: Vec<String> = actual.chunks(BYTES_PER_LINE).map(to_hex).collect();
     assert!(
         from_hex(recorded) == actual,
-        "the bytes are not the recorded ones, but\n{}",
+        "the value differs from its recorded bytes; now:\n{}",
         lines.join("\n")
     );
 }
 
-/// The bytes of hex digits, whatever white space stands between them.
+/// Returns the bytes of hexadecimal digits; white space is ignored.
 pub fn from_hex(text: &str) -> Vec<u8> {
     let digits: String = text.split_whitespace().collect();
-    let starts = (0..digits.len()).step_by(HEX_DIGITS_OF_BYTE);
+    let starts = (0..digits.len()).step_by(HEX_DIGITS_PER_BYTE);
     starts
         .map(|start| {
-            let byte = &digits[start..start + HEX_DIGITS_OF_BYTE];
-            u8::from_str_radix(byte, HEX).expect("a byte is two hex digits")
+            let byte = &digits[start..start + HEX_DIGITS_PER_BYTE];
+            u8::from_str_radix(byte, HEX_RADIX).expect("a byte is two hex digits")
         })
         .collect()
 }
@@ -89,14 +93,14 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// All variants of an enum, by position of their names. Made by [`variants`].
+/// Names of all variants of an enum, created by [`variants`].
 pub struct Variants<T> {
     pub names: &'static [&'static str],
     pub name_of: fn(&T) -> &'static str,
 }
 
 impl<T> Variants<T> {
-    /// Every variant is among the values.
+    /// Asserts that every variant is among the values.
     pub fn assert_covered<'a>(&self, values: impl IntoIterator<Item = &'a T>)
     where
         T: 'a,
@@ -107,8 +111,9 @@
     }
 }
 
-/// Names all variants of an enum. The match has no wildcard: a new variant
-/// does not compile until it stands here, and then wants a sample.
+/// Creates a [`Variants`] from the variants of an enum. The match has no wildcard, so
+/// a new variant does not compile until it is listed, and a listed variant fails the
+/// test until it has a sample.
 macro_rules! variants {
     ($type:ident { $($variant:ident),+ $(,)? }) => {
         $crate::golden::bytes::Variants::<$type> {
--- a/crates/state_machine/tests/golden/mod.rs
+++ b/crates/state_machine/tests/golden/mod.rs
@@ -1,10 +1,9 @@
-//! Recorded bytes, and the values they were recorded from.
+//! Recorded bytes, and the values from which they were recorded.
 //!
-//! The encoding goes by the order of variants and fields, not by their names.
-//! A type that only gets another name keeps its bytes; a variant or field that
-//! is added, removed or moved changes them, and what an earlier build wrote to
-//! disks could no longer be read.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! The encoding depends on the order of variants and fields, not on their names.
+//! Renaming a type keeps its bytes. Adding, removing or moving a variant or field
+//! changes them, so that data stored by an earlier build could no longer be read.
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 pub mod bytes;
 pub mod samples;
--- a/crates/state_machine/tests/golden/samples.rs
+++ b/crates/state_machine/tests/golden/samples.rs
@@ -1,7 +1,6 @@
 //! Values in which every field differs from its default and from its
-//! neighbours, so that two fields that change places change the bytes.
-//! Nothing is left to a default: a new field does not compile until it stands
-//! here.
+//! neighbours, so that the bytes change if two fields are swapped. No field is
+//! left to a default: a new field does not compile until it has a value here.
 
 use configuration::{
     ClusterConfiguration, ConfigurationUpdate, ErrorBudget, Key, KeyHash, KeyRole, LeftOutQueues,
@@ -19,7 +18,7 @@
     QueueMode::Draining,
 ];
 
-/// A checked name of whatever kind is wanted.
+/// Returns a validated name of the inferred type.
 pub fn name<Name: FromStr<Err = InvalidName>>(text: &str) -> Name {
     text.parse().unwrap()
 }
@@ -31,12 +30,13 @@
     }
 }
 
-pub fn resources(first: u32) -> Resources {
+/// Returns resources that differ in each field and rise with `base`.
+pub fn resources(base: u32) -> Resources {
     Resources {
-        slots: first,
-        cpu_milli: first + 1_000,
-        memory_mib: first + 70_000,
-        gpus: first + 2,
+        slots: base,
+        cpu_milli: base + 1_000,
+        memory_mib: base + 70_000,
+        gpus: base + 2,
     }
 }
 
@@ -83,7 +83,7 @@
     }
 }
 
-/// A job with one step for each flag of the rules.
+/// Returns a job with a step without rule flags and one step for each flag.
 pub fn job(urgency: Urgency) -> JobSpec {
     JobSpec {
         tenant: name("acorn"),
@@ -119,7 +119,7 @@
     }
 }
 
-/// A job that asks for as little as it can.
+/// Returns a job whose optional fields are all empty and whose numbers are minimal.
 pub fn plain_job() -> JobSpec {
     JobSpec {
         tenant: name("acorn"),
@@ -194,7 +194,7 @@
     ]
 }
 
-/// A key of each role.
+/// Returns a key of each role.
 pub fn keys(tenant: &str) -> Vec<Key> {
     let numbered = (1..).zip(key_roles(tenant));
     let keys = numbered.map(|(number, role)| Key {
@@ -268,7 +268,7 @@
     ]
 }
 
-/// Every way to close a run, with every outcome.
+/// Returns every reason for which a run closes, with every outcome.
 pub fn closes() -> Vec<RunClose> {
     let others = [
         RunClose::Revoked,
--- a/crates/state_machine/tests/golden_commands.rs
+++ b/crates/state_machine/tests/golden_commands.rs
@@ -1,4 +1,4 @@
-//! Commands of the log keep the bytes that earlier builds wrote.
+//! Encoding of commands: equal to the bytes that earlier builds wrote to the log.
 
 mod golden;
 
@@ -53,7 +53,8 @@
         .collect()
 }
 
-/// One run for each way to close it, with a checkpoint and without.
+/// Returns one run for each reason to close it, alternately with and without a
+/// checkpoint.
 fn closed_runs() -> Vec<ClosedRun> {
     let numbered = (50..).zip(closes());
     let runs = numbered.map(|(number, close)| ClosedRun {
@@ -79,7 +80,7 @@
         .collect()
 }
 
-fn others() -> Vec<Sample<Command>> {
+fn other_commands() -> Vec<Sample<Command>> {
     let reserve = Command::Reserve {
         reservations: reservations(),
         at: AT,
@@ -112,12 +113,12 @@
 }
 
 fn samples() -> Vec<Sample<Command>> {
-    let groups = [submits(), cancels(), configurations(), others()];
+    let groups = [submits(), cancels(), configurations(), other_commands()];
     groups.into_iter().flatten().collect()
 }
 
 #[test]
-fn every_command_has_its_recorded_bytes() {
+fn every_command_encodes_to_recorded_bytes() {
     let codec = Codec {
         encode: |command: &Command| command.encode().unwrap(),
         decode: |bytes| Command::decode(bytes).unwrap(),
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn the_samples_hold_every_variant() {
+fn samples_cover_every_variant() {
     let samples = samples();
     let commands = samples.iter().map(|sample| &sample.value);
     variants!(Command {
--- a/crates/state_machine/tests/golden_snapshot.rs
+++ b/crates/state_machine/tests/golden_snapshot.rs
@@ -1,5 +1,6 @@
-//! Snapshots of version 4 keep their bytes, and the bytes that an earlier build
-//! wrote restore a state that answers and goes on as before.
+//! Snapshots of format version 4: a fixed scenario encodes to the bytes that an
+//! earlier build wrote, and these bytes restore a state that replies to queries and
+//! commands as before.
 
 mod golden;
 mod support;
@@ -8,7 +9,7 @@
     ClusterConfiguration, ConfigurationUpdate, LeftOutQueues, LicenceSettings, QueueMode,
     RemovedItems, UpsertedItems,
 };
-use golden::bytes::{assert_recorded_whole, from_hex, variants};
+use golden::bytes::{assert_recorded_bytes, from_hex, variants};
 use golden::samples::{contract, keys, name, timings};
 use state_machine::{
     CancelSelector, ClosedRun, Command, CommandReply, ReservationRejection, StateMachine,
@@ -18,33 +19,34 @@
 use types::*;
 
 const RECORDED: &str = include_str!("golden/snapshot_4.txt");
-const STEP_OF_TIME: Milliseconds = Milliseconds(17);
+/// Time between two commands of the scenario.
+const COMMAND_INTERVAL: Milliseconds = Milliseconds(17);
 const SEATS: u32 = 3;
 const MORE_SEATS: u32 = 4;
 
-/// Numbers of the story's jobs, in the order of their submission.
-const FORGOTTEN: u64 = 1;
-const WAITS: u64 = 2;
-const GOES: u64 = 3;
-const STOPPED: u64 = 4;
-const ENDED: u64 = 5;
-const BROKEN: u64 = 6;
-const TOGETHER: u64 = 7;
-const SEATED: u64 = 8;
-const GIVEN_UP: u64 = 9;
-const LATE_FAILURE: u64 = 10;
-const LATE_END: u64 = 11;
-const FOREVER: u64 = 12;
-const RETRIED: u64 = 13;
-const WITHDRAWN: u64 = 14;
-const LEFT_OUT: u64 = 15;
+/// Numbers of the scenario's jobs, in the order of their submission.
+const FORGOTTEN_JOB: u64 = 1;
+const WAITING_JOB: u64 = 2;
+const RUNNING_JOB: u64 = 3;
+const CANCELLED_JOB: u64 = 4;
+const DONE_JOB: u64 = 5;
+const FAILED_JOB: u64 = 6;
+const GANG_JOB: u64 = 7;
+const LICENSED_JOB: u64 = 8;
+const LOST_RUN_JOB: u64 = 9;
+const LATE_FAILURE_JOB: u64 = 10;
+const LATE_SUCCESS_JOB: u64 = 11;
+const ENDLESS_JOB: u64 = 12;
+const RETRIED_JOB: u64 = 13;
+const TENANT_CANCELLED_JOB: u64 = 14;
+const LEFT_OUT_QUEUE_JOB: u64 = 15;
 
 fn licence() -> LicenceName {
     name("cedar")
 }
 
-/// Room for the whole story.
-fn roomy_document() -> ClusterConfiguration {
+/// Returns a configuration whose limits are high enough for the whole scenario.
+fn scenario_document() -> ClusterConfiguration {
     let mut document = document();
     for settings in document.tenants.values_mut() {
         *settings = contract();
@@ -61,7 +63,7 @@
     document
 }
 
-/// More seats for the licence.
+/// Returns an update that raises the seats of the licence.
 fn seats_update() -> ConfigurationUpdate {
     let settings = LicenceSettings { seats: MORE_SEATS };
     ConfigurationUpdate {
@@ -76,24 +78,25 @@
     }
 }
 
-/// The document without queue `r`, which still holds a job.
-fn last_document() -> ClusterConfiguration {
-    let mut document = roomy_document();
+/// Returns the configuration without queue `r`, which still has an unfinished job.
+fn document_without_queue_r() -> ClusterConfiguration {
+    let mut document = scenario_document();
     document.queues.remove(&queue("r"));
     document.replaces = Some(ConfigurationVersion(3));
     document.left_out = LeftOutQueues::Drain;
     document
 }
 
-/// A record with something of every kind, driven by commands alone.
-struct Story {
+/// Builds a state with every kind of stored data, only by applying commands.
+struct Scenario {
     driver: Driver,
 }
 
-impl Story {
+impl Scenario {
+    /// Applies a command that must be accepted, and advances the time.
     fn apply(&mut self, command: Command) -> CommandReply {
         let applied = self.driver.state_machine.apply(&command);
-        self.driver.at = self.driver.at + STEP_OF_TIME;
+        self.driver.at = self.driver.at + COMMAND_INTERVAL;
         let reply = applied.reply;
         assert!(!matches!(reply, CommandReply::Rejected(_)), "{reply:?}");
         reply
@@ -107,7 +110,7 @@
         assert_eq!(reply, CommandReply::Submitted { number, known });
     }
 
-    /// Binds tasks together, each to a runner and a place of its own.
+    /// Reserves tasks in one command, each on a runner of its own.
     fn reserve_all(&mut self, tasks: &[TaskRef]) -> Vec<RunId> {
         let mut reservations = Vec::new();
         for task in tasks {
@@ -174,9 +177,9 @@
         });
     }
 
-    fn forget_a_job(&mut self) {
-        self.submit(FORGOTTEN, job("forgotten", vec![step("s", 1, &[])]));
-        let run = self.reserve(task(FORGOTTEN, 0, 0));
+    fn add_forgotten_job(&mut self) {
+        self.submit(FORGOTTEN_JOB, job("forgotten", vec![step("s", 1, &[])]));
+        let run = self.reserve(task(FORGOTTEN_JOB, 0, 0));
         self.close(run, DONE);
         let ended_before = self.driver.at;
         let limit = 1;
@@ -186,7 +189,7 @@
         });
     }
 
-    fn let_a_job_wait(&mut self) {
+    fn add_waiting_job(&mut self) {
         let mut first = step("s", 2, &[]);
         first.rules.start_at = Some(WallTime(9_000_000));
         first.rules.preferred_rack = Some(name("beech"));
@@ -194,72 +197,75 @@
         let mut spec = job("waits", vec![first, step("t", 1, &["s"])]);
         spec.urgency = Urgency::Urgent;
         spec.start_at = Some(WallTime(8_000_000));
-        self.submit(WAITS, spec);
+        self.submit(WAITING_JOB, spec);
     }
 
-    /// A task failed once and saved, one runs twice, one is done.
-    fn let_a_job_go(&mut self) {
+    /// Adds a job with a task that failed once with a checkpoint, a task with two open
+    /// runs, and a task that is done.
+    fn add_running_job(&mut self) {
         let mut copied = step("s", 3, &[]);
         copied.max_copies = 2;
         copied.allowed_failures = 3;
         copied.rules.expected = Some(Milliseconds(700));
-        self.submit(GOES, job("goes", vec![copied, step("t", 1, &["s"])]));
-        let run = self.reserve(task(GOES, 0, 0));
+        self.submit(RUNNING_JOB, job("goes", vec![copied, step("t", 1, &["s"])]));
+        let run = self.reserve(task(RUNNING_JOB, 0, 0));
         self.close_with(run, failed(), Some("a third"));
-        self.reserve(task(GOES, 0, 1));
-        self.reserve(task(GOES, 0, 1));
-        let run = self.reserve(task(GOES, 0, 2));
+        self.reserve(task(RUNNING_JOB, 0, 1));
+        self.reserve(task(RUNNING_JOB, 0, 1));
+        let run = self.reserve(task(RUNNING_JOB, 0, 2));
         self.close(run, DONE);
     }
 
-    /// Cancelled with a run still open, ended done, and failed for good.
-    fn end_jobs(&mut self) {
-        self.submit(STOPPED, job("stopped", vec![step("s", 1, &[])]));
-        self.reserve(task(STOPPED, 0, 0));
+    /// Adds a cancelled job with an open run, a job that is done, and a failed job.
+    fn add_finished_jobs(&mut self) {
+        self.submit(CANCELLED_JOB, job("stopped", vec![step("s", 1, &[])]));
+        self.reserve(task(CANCELLED_JOB, 0, 0));
         let selector = CancelSelector::Jobs(vec![key("a", "stopped")]);
         let at = self.driver.at;
         self.apply(Command::Cancel { selector, at });
-        self.submit(ENDED, job("ended", vec![step("s", 1, &[])]));
-        let run = self.reserve(task(ENDED, 0, 0));
+        self.submit(DONE_JOB, job("ended", vec![step("s", 1, &[])]));
+        let run = self.reserve(task(DONE_JOB, 0, 0));
         self.close(run, DONE);
-        let mut strict = step("s", 2, &[]);
-        strict.allowed_failures = 0;
-        self.submit(BROKEN, job("broken", vec![strict]));
-        let run = self.reserve(task(BROKEN, 0, 0));
+        let mut no_retries = step("s", 2, &[]);
+        no_retries.allowed_failures = 0;
+        self.submit(FAILED_JOB, job("broken", vec![no_retries]));
+        let run = self.reserve(task(FAILED_JOB, 0, 0));
         self.close(run, failed());
     }
 
-    /// A gang failed once as a whole, and goes again from its checkpoint.
-    fn run_a_gang(&mut self) {
+    /// Adds a gang that failed once and runs again from its checkpoint.
+    fn add_gang(&mut self) {
         let mut gang = step("s", 2, &[]);
         gang.rules.gang = true;
         gang.rules.same_rack = true;
-        self.submit(TOGETHER, job("together", vec![gang]));
-        let members = [task(TOGETHER, 0, 0), task(TOGETHER, 0, 1)];
+        self.submit(GANG_JOB, job("together", vec![gang]));
+        let members = [task(GANG_JOB, 0, 0), task(GANG_JOB, 0, 1)];
         let runs = self.reserve_all(&members);
         self.close_with(runs[1], failed(), Some("half way"));
         self.close(runs[0], RunClose::Ended(Outcome::Stopped));
         self.reserve_all(&members);
     }
 
-    fn take_seats(&mut self) {
-        let mut seated = step("s", 3, &[]);
-        seated.rules.licence = Some(licence());
-        seated.rules.max_per_runner = Some(2);
-        self.submit(SEATED, job("seated", vec![seated]));
-        self.reserve(task(SEATED, 0, 0));
-        self.reserve(task(SEATED, 0, 1));
+    /// Adds a job whose two open runs occupy seats of the licence.
+    fn add_licensed_job(&mut self) {
+        let mut licensed = step("s", 3, &[]);
+        licensed.rules.licence = Some(licence());
+        licensed.rules.max_per_runner = Some(2);
+        self.submit(LICENSED_JOB, job("seated", vec![licensed]));
+        self.reserve(task(LICENSED_JOB, 0, 0));
+        self.reserve(task(LICENSED_JOB, 0, 1));
     }
 
-    /// A lost run that may still be told of, one whose late failure was told
-    /// while the task ran again, and one whose late end ended the job.
-    fn lose_runs(&mut self) {
-        self.submit(GIVEN_UP, job("given-up", vec![step("s", 1, &[])]));
-        let run = self.reserve(task(GIVEN_UP, 0, 0));
+    /// Adds three jobs with lost runs: one whose late report is still awaited, one
+    /// whose late failure was reported while the task had a new open run, and one
+    /// whose late success finished the job.
+    fn add_lost_runs(&mut self) {
+        self.submit(LOST_RUN_JOB, job("given-up", vec![step("s", 1, &[])]));
+        let run = self.reserve(task(LOST_RUN_JOB, 0, 0));
         self.close(run, RunClose::Lost);
         let late = [
-            (LATE_FAILURE, "late-failure", failed()),
-            (LATE_END, "late-end", DONE),
+            (LATE_FAILURE_JOB, "late-failure", failed()),
+            (LATE_SUCCESS_JOB, "late-end", DONE),
         ];
         for (number, name, close) in late {
             self.submit(number, job(name, vec![step("s", 1, &[])]));
@@ -270,17 +276,18 @@
         }
     }
 
-    fn run_for_ever(&mut self) {
+    fn add_endless_job(&mut self) {
         let mut endless = step("s", 1, &[]);
         endless.rules.endless = true;
-        self.submit(FOREVER, job("forever", vec![endless]));
-        let run = self.reserve(task(FOREVER, 0, 0));
+        self.submit(ENDLESS_JOB, job("forever", vec![endless]));
+        let run = self.reserve(task(ENDLESS_JOB, 0, 0));
         self.close(run, DONE);
-        self.reserve(task(FOREVER, 0, 0));
+        self.reserve(task(ENDLESS_JOB, 0, 0));
     }
 
-    fn close_in_every_way(&mut self) {
-        self.submit(RETRIED, job("retried", vec![step("s", 1, &[])]));
+    /// Adds a task whose runs closed for each of the remaining reasons.
+    fn add_retried_job(&mut self) {
+        self.submit(RETRIED_JOB, job("retried", vec![step("s", 1, &[])]));
         let closes = [
             RunClose::Revoked,
             RunClose::Rejected,
@@ -288,19 +295,19 @@
             RunClose::Ended(Outcome::Stopped),
         ];
         for close in closes {
-            let run = self.reserve(task(RETRIED, 0, 0));
+            let run = self.reserve(task(RETRIED_JOB, 0, 0));
             self.close(run, close);
         }
     }
 
-    /// A tenant's jobs of one queue are cancelled; one of another queue stays.
-    fn cancel_of_a_tenant(&mut self) {
+    /// Cancels a tenant's jobs in one queue; its job in another queue remains.
+    fn cancel_tenant_in_queue(&mut self) {
         let mut spec = job("withdrawn", vec![step("s", 1, &[])]);
         spec.tenant = tenant("b");
-        self.submit(WITHDRAWN, spec.clone());
+        self.submit(TENANT_CANCELLED_JOB, spec.clone());
         spec.job = name("left-out");
         spec.queue = queue("r");
-        self.submit(LEFT_OUT, spec);
+        self.submit(LEFT_OUT_QUEUE_JOB, spec);
         let selector = CancelSelector::Tenant {
             tenant: tenant("b"),
             queue: Some(queue("q")),
@@ -322,73 +329,73 @@
             update: seats_update(),
             at,
         });
-        self.configure(7, last_document());
+        self.configure(7, document_without_queue_r());
     }
 }
 
-/// The whole story.
-fn told() -> Driver {
+/// Returns the driver after the whole scenario.
+fn run_scenario() -> Driver {
     let driver = Driver::new();
-    let mut story = Story { driver };
-    story.configure(2, roomy_document());
-    story.forget_a_job();
-    story.let_a_job_wait();
-    story.let_a_job_go();
-    story.end_jobs();
-    story.run_a_gang();
-    story.take_seats();
-    story.lose_runs();
-    story.run_for_ever();
-    story.close_in_every_way();
-    story.cancel_of_a_tenant();
-    story.drain_runners();
-    story.change_configuration();
-    story.driver
+    let mut scenario = Scenario { driver };
+    scenario.configure(2, scenario_document());
+    scenario.add_forgotten_job();
+    scenario.add_waiting_job();
+    scenario.add_running_job();
+    scenario.add_finished_jobs();
+    scenario.add_gang();
+    scenario.add_licensed_job();
+    scenario.add_lost_runs();
+    scenario.add_endless_job();
+    scenario.add_retried_job();
+    scenario.cancel_tenant_in_queue();
+    scenario.drain_runners();
+    scenario.change_configuration();
+    scenario.driver
 }
 
-fn restored() -> StateMachine {
+fn restore_recorded() -> StateMachine {
     StateMachine::restore(&from_hex(RECORDED)).unwrap()
 }
 
-fn states(state_machine: &StateMachine) -> Vec<(u64, JobState)> {
+fn job_states(state_machine: &StateMachine) -> Vec<(u64, JobState)> {
     let jobs = state_machine.jobs(None, None, None, usize::MAX).into_iter();
     jobs.map(|(number, view)| (number.0, view.state)).collect()
 }
 
-fn standing(state_machine: &StateMachine, name: &str, task: usize) -> state_machine::TaskStatus {
+fn task_status(state_machine: &StateMachine, name: &str, task: usize) -> state_machine::TaskStatus {
     state_machine.task_states(&key("a", name)).unwrap()[task].clone()
 }
 
 #[test]
-fn a_snapshot_has_its_recorded_bytes() {
-    assert_recorded_whole(RECORDED, &told().state_machine.snapshot().unwrap());
+fn scenario_snapshot_equals_recorded_bytes() {
+    assert_recorded_bytes(RECORDED, &run_scenario().state_machine.snapshot().unwrap());
 }
 
 #[test]
-fn the_recorded_snapshot_is_restored_whole() {
-    let restored = restored();
-    assert_eq!(restored, told().state_machine);
+fn recorded_snapshot_restores_scenario_state() {
+    let restored = restore_recorded();
+    assert_eq!(restored, run_scenario().state_machine);
     assert_eq!(restored.snapshot().unwrap(), from_hex(RECORDED));
 }
 
 #[test]
-fn the_restored_jobs_stand_as_they_stood() {
-    let states = states(&restored());
+fn restored_jobs_have_states_of_scenario() {
+    let states = job_states(&restore_recorded());
     let expected = [
-        (WAITS, JobState::Waiting),
-        (GOES, JobState::Running),
-        (STOPPED, JobState::Cancelled),
-        (ENDED, JobState::Done),
-        (BROKEN, JobState::Failed),
-        (TOGETHER, JobState::Running),
-        (SEATED, JobState::Running),
-        (GIVEN_UP, JobState::Running),
-        (LATE_FAILURE, JobState::Running),
-        (LATE_END, JobState::Done),
-        (FOREVER, JobState::Running),
-        (RETRIED, JobState::Running),
-        (WITHDRAWN, JobState::Cancelled),
-        (LEFT_OUT, JobState::Waiting),
+        (WAITING_JOB, JobState::Waiting),
+        (RUNNING_JOB, JobState::Running),
+        (CANCELLED_JOB, JobState::Cancelled),
+        (DONE_JOB, JobState::Done),
+        (FAILED_JOB, JobState::Failed),
+        (GANG_JOB, JobState::Running),
+        (LICENSED_JOB, JobState::Running),
+        (LOST_RUN_JOB, JobState::Running),
+        (LATE_FAILURE_JOB, JobState::Running),
+        (LATE_SUCCESS_JOB, JobState::Done),
+        (ENDLESS_JOB, JobState::Running),
+        (RETRIED_JOB, JobState::Running),
+        (TENANT_CANCELLED_JOB, JobState::Cancelled),
+        (LEFT_OUT_QUEUE_JOB, JobState::Waiting),
     ];
     assert_eq!(states, expected);
     variants!(JobState {
@@ -399,17 +406,21 @@
         Cancelled
     })
     .assert_covered(states.iter().map(|(_, state)| state));
-    let broken = restored().job(&key("a", "broken")).unwrap();
+    let failed_job = restore_recorded().job(&key("a", "broken")).unwrap();
     let reason = "task 0 of step s failed 1 times, last: it broke";
-    assert_eq!(broken.reason.as_deref(), Some(reason));
+    assert_eq!(failed_job.reason.as_deref(), Some(reason));
 }
 
 #[test]
-fn the_restored_tasks_stand_as_they_stood() {
-    let state_machine = restored();
+fn restored_tasks_have_states_and_counts_of_scenario() {
+    let state_machine = restore_recorded();
     let names = ["waits", "goes", "stopped", "ended", "broken"];
     let statuses = names.map(|name| state_machine.task_states(&key("a", name)).unwrap());
-    let states: Vec<TaskState> = statuses.iter().flatten().map(|one| one.state).collect();
+    let states: Vec<TaskState> = statuses
+        .iter()
+        .flatten()
+        .map(|status| status.state)
+        .collect();
     variants!(TaskState {
         Blocked,
         Ready,
@@ -419,33 +430,36 @@
         Cancelled
     })
     .assert_covered(&states);
-    let failed_once = standing(&state_machine, "goes", 0);
+    let failed_once = task_status(&state_machine, "goes", 0);
     assert_eq!(failed_once.failed_runs, 1);
     assert!(failed_once.not_before.is_some());
-    assert_eq!(standing(&state_machine, "goes", 1).open_runs, 2);
-    assert_eq!(standing(&state_machine, "stopped", 0).open_runs, 1);
-    assert_eq!(standing(&state_machine, "together", 0).failed_runs, 1);
-    assert_eq!(standing(&state_machine, "late-failure", 0).failed_runs, 1);
-    assert_eq!(standing(&state_machine, "late-end", 0).open_runs, 1);
-    assert_eq!(standing(&state_machine, "retried", 0).failed_runs, 1);
+    assert_eq!(task_status(&state_machine, "goes", 1).open_runs, 2);
+    assert_eq!(task_status(&state_machine, "stopped", 0).open_runs, 1);
+    assert_eq!(task_status(&state_machine, "together", 0).failed_runs, 1);
+    assert_eq!(
+        task_status(&state_machine, "late-failure", 0).failed_runs,
+        1
+    );
+    assert_eq!(task_status(&state_machine, "late-end", 0).open_runs, 1);
+    assert_eq!(task_status(&state_machine, "retried", 0).failed_runs, 1);
 }
 
 #[test]
-fn the_restored_runs_hold_what_they_held() {
-    let state_machine = restored();
+fn restored_runs_keep_resources_seats_and_checkpoints() {
+    let state_machine = restore_recorded();
     let open = state_machine.open_runs();
     let jobs: Vec<u64> = open.iter().map(|run| run.task.job.0).collect();
     let expected = [
-        GOES,
-        GOES,
-        STOPPED,
-        TOGETHER,
-        TOGETHER,
-        SEATED,
-        SEATED,
-        LATE_FAILURE,
-        LATE_END,
-        FOREVER,
+        RUNNING_JOB,
+        RUNNING_JOB,
+        CANCELLED_JOB,
+        GANG_JOB,
+        GANG_JOB,
+        LICENSED_JOB,
+        LICENSED_JOB,
+        LATE_FAILURE_JOB,
+        LATE_SUCCESS_JOB,
+        ENDLESS_JOB,
     ];
     assert_eq!(jobs, expected);
     assert_eq!(state_machine.seats_used(&licence()), 2);
@@ -453,17 +467,17 @@
     assert_eq!(state_machine.unfinished_jobs(), 9);
     assert_eq!(state_machine.unfinished_of_queue(&queue("r")), 1);
     assert_eq!(state_machine.draining_runners(), [name("sorb-2")]);
-    let of_gang = open.iter().find(|run| run.task.job.0 == TOGETHER).unwrap();
-    assert_eq!(of_gang.attempt, 2);
-    let start = state_machine.run_spec(of_gang.run).unwrap();
-    assert_eq!(start.checkpoint.as_deref(), Some("half way"));
-    let named = state_machine.run_name(of_gang).unwrap();
-    assert_eq!(state_machine.find_open_run(&named), Some(of_gang.run));
+    let gang_run = open.iter().find(|run| run.task.job.0 == GANG_JOB).unwrap();
+    assert_eq!(gang_run.attempt, 2);
+    let spec = state_machine.run_spec(gang_run.run).unwrap();
+    assert_eq!(spec.checkpoint.as_deref(), Some("half way"));
+    let run_name = state_machine.run_name(gang_run).unwrap();
+    assert_eq!(state_machine.find_open_run(&run_name), Some(gang_run.run));
 }
 
 #[test]
-fn the_restored_record_knows_what_it_took() {
-    let state_machine = restored();
+fn restored_state_recognizes_applied_configurations() {
+    let state_machine = restore_recorded();
     let (version, document) = state_machine.configuration();
     assert_eq!(version, ConfigurationVersion(7));
     assert_eq!(document.queues[&queue("r")].mode, QueueMode::Draining);
@@ -473,25 +487,25 @@
         version: ConfigurationVersion(2),
         known: true,
     };
-    let mut driver = told();
+    let mut driver = run_scenario();
     driver.state_machine = state_machine;
-    assert_eq!(driver.configure(2, roomy_document()), known);
+    assert_eq!(driver.configure(2, scenario_document()), known);
 }
 
 #[test]
-fn the_restored_record_refuses_runs_of_forgotten_jobs() {
-    let mut driver = told();
-    driver.state_machine = restored();
-    let again = driver.reserve_as(run_id(1), task(GIVEN_UP, 0, 0), "rowan");
-    assert_eq!(again, Err(ReservationRejection::KnownRun));
-    let on_drained = driver.reserve_as(run_id(900), task(GIVEN_UP, 0, 0), "sorb-2");
-    assert_eq!(on_drained, Err(ReservationRejection::RunnerDraining));
+fn restored_state_rejects_runs_of_forgotten_jobs_and_on_draining_runners() {
+    let mut driver = run_scenario();
+    driver.state_machine = restore_recorded();
+    let of_forgotten = driver.reserve_as(run_id(1), task(LOST_RUN_JOB, 0, 0), "rowan");
+    assert_eq!(of_forgotten, Err(ReservationRejection::KnownRun));
+    let on_draining = driver.reserve_as(run_id(900), task(LOST_RUN_JOB, 0, 0), "sorb-2");
+    assert_eq!(on_draining, Err(ReservationRejection::RunnerDraining));
 }
 
 #[test]
-fn the_restored_state_applies_late_reports() {
-    let mut driver = told();
-    driver.state_machine = restored();
+fn restored_state_applies_late_report_of_lost_run() {
+    let mut driver = run_scenario();
+    driver.state_machine = restore_recorded();
     let lost = (0..=driver.last_run)
         .map(run_id)
         .filter(|run| driver.state_machine.awaits_late_report(*run))
--- a/crates/state_machine/tests/properties/main.rs
+++ b/crates/state_machine/tests/properties/main.rs
@@ -1,32 +1,32 @@
-//! Random commands against what must always hold.
+//! Random commands, with a check of all invariants after each one.
 
 mod check;
-mod step;
+mod harness;
+mod operation;
 #[path = "../support/mod.rs"]
 mod support;
-mod world;
 
+use harness::Harness;
+use operation::{Operation, operations};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use step::{Step, steps};
-use world::World;
 
 #[test]
-fn random_commands_keep_every_promise() {
+fn random_commands_keep_all_invariants() {
     let config = Config {
         cases: 400,
         failure_persistence: None,
         ..Config::default()
     };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
-    let check = |steps: Vec<Step>| {
-        let mut world = World::new();
-        for step in &steps {
-            world.step(step);
-            world.check();
+    let check = |operations: Vec<Operation>| {
+        let mut harness = Harness::new();
+        for operation in &operations {
+            harness.execute(operation);
+            harness.check();
         }
         Ok(())
     };
     TestRunner::new_with_rng(config, rng)
-        .run(&steps(), check)
+        .run(&operations(), check)
         .unwrap();
 }
--- a/crates/state_machine/tests/properties/step.rs
+++ b/crates/state_machine/tests/properties/operation.rs
@@ -1,4 +1,4 @@
-//! Random moves.
+//! Random operations on the state machine, and the jobs that they submit.
 
 use crate::support::*;
 use configuration::QueueMode;
@@ -10,9 +10,10 @@
 pub const QUEUES: [&str; 2] = ["q", "r"];
 pub const RUNNERS: [&str; 2] = ["one", "two"];
 
-/// One move against the records; picks are accepted from what is there then.
+/// Operation on the harness. A `pick` selects among the items that exist when the
+/// operation is executed.
 #[derive(Debug, Clone)]
-pub enum Step {
+pub enum Operation {
     Submit {
         tenant: usize,
         job: u8,
@@ -30,25 +31,28 @@
         pick: prop::sample::Index,
         runner: usize,
     },
-    ReserveAgain {
+    /// Reserves a run under an identifier that was used before.
+    ReuseRunId {
         pick: prop::sample::Index,
     },
     Close {
         pick: prop::sample::Index,
         close: RunClose,
     },
-    CloseAgain {
+    /// Closes a run that is closed already.
+    CloseClosedRun {
         pick: prop::sample::Index,
         close: RunClose,
     },
     Configure {
         resource_limit: u32,
         mode: QueueMode,
-        drop_tenant: bool,
+        remove_tenant: bool,
     },
-    ConfigureAgain {
-        pick: prop::sample::Index,
-        other: prop::sample::Index,
+    /// Sends one applied document under the version of another, or of its own.
+    ResendConfiguration {
+        version_pick: prop::sample::Index,
+        document_pick: prop::sample::Index,
     },
     Drain {
         runner: usize,
@@ -58,6 +62,7 @@
         age: u64,
         limit: u32,
     },
+    /// Replaces the replica by one restored from a snapshot.
     Restore,
 }
 
@@ -81,31 +86,36 @@
     ]
 }
 
-pub fn steps() -> impl Strategy<Value = Vec<Step>> {
+pub fn operations() -> impl Strategy<Value = Vec<Operation>> {
     let index = any::<prop::sample::Index>;
-    let step = prop_oneof![
+    let operation = prop_oneof![
         6 => (0..2_usize, 0..5_u8, 0..4_u8)
-            .prop_map(|(tenant, job, shape)| Step::Submit { tenant, job, shape }),
-        1 => (0..2_usize, 0..5_u8).prop_map(|(tenant, job)| Step::CancelJob { tenant, job }),
+            .prop_map(|(tenant, job, shape)| Operation::Submit { tenant, job, shape }),
+        1 => (0..2_usize, 0..5_u8).prop_map(|(tenant, job)| Operation::CancelJob { tenant, job }),
         1 => (0..2_usize, prop::option::of(0..2_usize))
-            .prop_map(|(tenant, queue)| Step::CancelTenant { tenant, queue }),
-        14 => (index(), 0..2_usize).prop_map(|(pick, runner)| Step::Reserve { pick, runner }),
-        1 => index().prop_map(|pick| Step::ReserveAgain { pick }),
-        10 => (index(), close()).prop_map(|(pick, close)| Step::Close { pick, close }),
-        2 => (index(), close()).prop_map(|(pick, close)| Step::CloseAgain { pick, close }),
+            .prop_map(|(tenant, queue)| Operation::CancelTenant { tenant, queue }),
+        14 => (index(), 0..2_usize).prop_map(|(pick, runner)| Operation::Reserve { pick, runner }),
+        1 => index().prop_map(|pick| Operation::ReuseRunId { pick }),
+        10 => (index(), close()).prop_map(|(pick, close)| Operation::Close { pick, close }),
+        2 => (index(), close()).prop_map(|(pick, close)| Operation::CloseClosedRun { pick, close }),
         1 => (1..5_u32, mode(), prop::bool::weighted(0.3)).prop_map(
-            |(resource_limit, mode, drop_tenant)| Step::Configure { resource_limit, mode, drop_tenant }),
+            |(resource_limit, mode, remove_tenant)| Operation::Configure { resource_limit, mode, remove_tenant }),
         1 => (index(), index())
-            .prop_map(|(pick, other)| Step::ConfigureAgain { pick, other }),
+            .prop_map(|(version_pick, document_pick)| Operation::ResendConfiguration {
+                version_pick,
+                document_pick,
+            }),
         1 => (0..2_usize, prop::bool::weighted(0.3))
-            .prop_map(|(runner, draining)| Step::Drain { runner, draining }),
-        1 => (0..40_u64, 0..3_u32).prop_map(|(age, limit)| Step::Forget { age, limit }),
-        1 => Just(Step::Restore),
+            .prop_map(|(runner, draining)| Operation::Drain { runner, draining }),
+        1 => (0..40_u64, 0..3_u32).prop_map(|(age, limit)| Operation::Forget { age, limit }),
+        1 => Just(Operation::Restore),
     ];
-    prop::collection::vec(step, 1..120)
+    prop::collection::vec(operation, 1..120)
 }
 
-pub fn spec(tenant_at: usize, name: u8, shape: u8) -> JobSpec {
+/// Returns a job of the given tenant. An odd `shape` adds a dependent step and
+/// copies; `shape / 2` is the index of the queue.
+pub fn job_spec(tenant_index: usize, name: u8, shape: u8) -> JobSpec {
     let mut steps = vec![step("s", 2, &[])];
     if shape % 2 == 1 {
         steps.push(step("t", 1, &["s"]));
@@ -115,7 +125,7 @@
         step.allowed_failures = ALLOWED_FAILURES;
     }
     JobSpec {
-        tenant: tenant(TENANTS[tenant_at]),
+        tenant: tenant(TENANTS[tenant_index]),
         queue: queue(QUEUES[usize::from(shape / 2)]),
         ..job(&format!("j{name}"), steps)
     }
--- a/crates/state_machine/tests/runs.rs
+++ b/crates/state_machine/tests/runs.rs
@@ -7,20 +7,20 @@
 use support::*;
 use types::*;
 
-fn with_job(steps: Vec<StepSpec>) -> Driver {
+fn driver_with(steps: Vec<StepSpec>) -> Driver {
     let mut driver = Driver::new();
     driver.submit(job("j", steps));
     driver
 }
 
 #[test]
-fn steps_start_in_order_and_the_last_one_ends_the_job() {
-    let mut driver = with_job(vec![
+fn step_starts_after_its_dependencies_and_last_step_ends_job() {
+    let mut driver = driver_with(vec![
         step("late", 1, &["left", "right"]),
         step("left", 1, &[]),
         step("right", 1, &[]),
     ]);
-    assert_eq!(driver.ready(), [task(1, 1, 0), task(1, 2, 0)]);
+    assert_eq!(driver.ready_tasks(), [task(1, 1, 0), task(1, 2, 0)]);
     assert_eq!(
         driver.reserve(task(1, 0, 0)),
         Err(ReservationRejection::NotReady)
@@ -28,22 +28,22 @@
     driver.at = WallTime(1_500);
     let left = driver.reserve(task(1, 1, 0)).unwrap();
     assert_eq!(driver.view("j").state, JobState::Running);
-    assert!(ready_in(&driver.close(left, DONE)).is_empty());
+    assert!(ready_tasks_in(&driver.close(left, DONE)).is_empty());
     let right = driver.reserve(task(1, 2, 0)).unwrap();
-    assert_eq!(ready_in(&driver.close(right, DONE)), [task(1, 0, 0)]);
-    assert_eq!(driver.ready(), [task(1, 0, 0)]);
+    assert_eq!(ready_tasks_in(&driver.close(right, DONE)), [task(1, 0, 0)]);
+    assert_eq!(driver.ready_tasks(), [task(1, 0, 0)]);
     let late = driver.reserve(task(1, 0, 0)).unwrap();
     let changes = driver.close(late, DONE);
     let waited = Some(Milliseconds(500));
     assert!(changes.iter().any(|change| matches!(change,
-        Change::JobEnded { state: JobState::Done, waited: w, .. } if *w == waited)));
+        Change::JobEnded { state: JobState::Done, waited: time, .. } if *time == waited)));
     assert_eq!(driver.view("j").state, JobState::Done);
     assert_eq!(driver.state_machine.unfinished_jobs(), 0);
 }
 
 #[test]
-fn reservations_are_checked_again() {
-    let mut driver = with_job(vec![step("s", 3, &[])]);
+fn reservation_is_checked_against_run_task_runner_queue_and_tenant() {
+    let mut driver = driver_with(vec![step("s", 3, &[])]);
     let first = driver.reserve(task(1, 0, 0)).unwrap();
     let again = driver.reserve_as(first, task(1, 0, 1), "runner");
     assert_eq!(again, Err(ReservationRejection::KnownRun));
@@ -60,8 +60,8 @@
         draining: true,
         at: driver.at,
     });
-    let on_leaving = driver.reserve_as(run_id(70), task(1, 0, 1), "leaving");
-    assert_eq!(on_leaving, Err(ReservationRejection::RunnerDraining));
+    let on_draining = driver.reserve_as(run_id(70), task(1, 0, 1), "leaving");
+    assert_eq!(on_draining, Err(ReservationRejection::RunnerDraining));
     for (version, mode) in [(2, QueueMode::Paused), (3, QueueMode::Shadow)] {
         let mut changed = document();
         changed.queues.get_mut(&queue("q")).unwrap().mode = mode;
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_run_that_did_not_fail_is_tried_again_at_once() {
+fn run_closed_without_failure_is_retried_without_backoff() {
     let stopped = RunClose::Ended(Outcome::Stopped);
     for close in [
         RunClose::Revoked,
@@ -92,7 +92,7 @@
         RunClose::Rejected,
         stopped,
     ] {
-        let mut driver = with_job(vec![step("s", 1, &[])]);
+        let mut driver = driver_with(vec![step("s", 1, &[])]);
         for _ in 0..4 {
             let run = driver.reserve(task(1, 0, 0)).unwrap();
             let changes = driver.close(run, close.clone());
@@ -104,8 +104,8 @@
 }
 
 #[test]
-fn a_late_report_decides_on_the_task_of_a_lost_run() {
-    let mut driver = with_job(vec![step("a", 3, &[])]);
+fn late_report_of_lost_run_counts_once_for_its_task() {
+    let mut driver = driver_with(vec![step("a", 3, &[])]);
     let tasks = [task(1, 0, 0), task(1, 0, 1), task(1, 0, 2)];
     let runs = tasks.map(|task| driver.reserve(task).unwrap());
     for run in runs {
@@ -113,32 +113,34 @@
         assert!(driver.state_machine.awaits_late_report(run));
     }
     let changes = driver.close(runs[0], RunClose::Ended(Outcome::Done));
-    assert_eq!(ended_in(&changes), [(tasks[0], vec![])]);
+    assert_eq!(ended_tasks_in(&changes), [(tasks[0], vec![])]);
     assert!(!driver.state_machine.awaits_late_report(runs[0]));
     driver.close(runs[1], failed());
     assert_eq!(driver.view("j").steps[0].failed_runs, 1);
-    // Told twice, it changes nothing more.
+    // A repeated late report has no further effect.
     driver.close(runs[1], failed());
     assert_eq!(driver.view("j").steps[0].failed_runs, 1);
 }
 
-/// A job of one task with `allowed_failures`, whose first run was lost and
-/// whose second is open.
-fn with_lost_run(allowed_failures: u32) -> (Driver, RunId, RunId) {
-    let mut only = step("a", 1, &[]);
-    only.allowed_failures = allowed_failures;
-    let mut driver = with_job(vec![only]);
+/// Returns a driver with a job of one task, and the task's lost first run and open
+/// second run.
+fn driver_with_lost_run(allowed_failures: u32) -> (Driver, RunId, RunId) {
+    let mut single = step("a", 1, &[]);
+    single.allowed_failures = allowed_failures;
+    let mut driver = driver_with(vec![single]);
     let lost = driver.reserve(task(1, 0, 0)).unwrap();
     driver.close(lost, RunClose::Lost);
     let second = driver.reserve(task(1, 0, 0)).unwrap();
     (driver, lost, second)
 }
 
+/// A run that was closed as lost may have succeeded. If its late report were ignored,
+/// the finished task would run again.
 #[test]
-fn a_late_success_finishes_a_task_that_runs_again() {
-    let (mut driver, lost, second) = with_lost_run(1);
+fn late_success_finishes_task_that_has_a_new_open_run() {
+    let (mut driver, lost, second) = driver_with_lost_run(1);
     let changes = driver.close(lost, DONE);
-    assert_eq!(ended_in(&changes), [(task(1, 0, 0), vec![second])]);
+    assert_eq!(ended_tasks_in(&changes), [(task(1, 0, 0), vec![second])]);
     assert!(!driver.state_machine.awaits_late_report(lost));
     assert_eq!(driver.view("j").state, JobState::Done);
 
@@ -151,36 +153,38 @@
 }
 
 #[test]
-fn a_late_failure_counts_though_the_task_runs_again() {
-    let (mut driver, lost, second) = with_lost_run(1);
+fn late_failure_counts_for_task_that_has_a_new_open_run() {
+    let (mut driver, lost, second) = driver_with_lost_run(1);
     assert!(driver.close(lost, failed()).is_empty());
-    assert_eq!(driver.states("j"), [TaskState::Running]);
+    assert_eq!(driver.task_states("j"), [TaskState::Running]);
     driver.close(second, failed());
     assert_eq!(driver.view("j").state, JobState::Failed);
 }
 
+/// The open run may still succeed, so a late failure must not fail the task before that
+/// run has closed without a result.
 #[test]
-fn a_late_failure_beyond_the_allowance_waits_for_the_open_run() {
-    let (mut driver, lost, second) = with_lost_run(0);
+fn late_failure_beyond_allowed_number_takes_effect_when_open_run_closes() {
+    let (mut driver, lost, second) = driver_with_lost_run(0);
     driver.close(lost, failed());
-    assert_eq!(driver.states("j"), [TaskState::Running]);
+    assert_eq!(driver.task_states("j"), [TaskState::Running]);
     driver.close(second, DONE);
     assert_eq!(driver.view("j").state, JobState::Done);
 
-    let (mut driver, lost, second) = with_lost_run(0);
+    let (mut driver, lost, second) = driver_with_lost_run(0);
     driver.close(lost, failed());
     let changes = driver.close(second, RunClose::Lost);
-    assert!(ready_in(&changes).is_empty(), "{changes:?}");
+    assert!(ready_tasks_in(&changes).is_empty(), "{changes:?}");
     assert_eq!(driver.view("j").state, JobState::Failed);
 }
 
 #[test]
-fn failures_wait_longer_each_time_and_the_last_one_fails_the_job() {
+fn backoff_doubles_up_to_maximum_and_failure_beyond_allowed_number_fails_job() {
     let mut retried = step("s", 1, &[]);
     retried.allowed_failures = 8;
-    let mut driver = with_job(vec![retried, step("t", 1, &[]), step("u", 1, &["s"])]);
+    let mut driver = driver_with(vec![retried, step("t", 1, &[]), step("u", 1, &["s"])]);
     let other = driver.reserve(task(1, 1, 0)).unwrap();
-    let mut waits = Vec::new();
+    let mut backoffs = Vec::new();
     for _ in 0..8 {
         let run = driver.reserve(task(1, 0, 0)).unwrap();
         let changes = driver.close(run, RunClose::TimedOut);
@@ -188,13 +192,16 @@
             panic!("{changes:?}")
         };
         let not_before = again.as_ref().unwrap().not_before.unwrap();
-        waits.push(not_before.0 - driver.at.0);
+        backoffs.push(not_before.0 - driver.at.0);
     }
-    assert_eq!(waits, [200, 400, 800, 1_600, 3_200, 6_400, 10_000, 10_000]);
+    assert_eq!(
+        backoffs,
+        [200, 400, 800, 1_600, 3_200, 6_400, 10_000, 10_000]
+    );
     let last = driver.reserve(task(1, 0, 0)).unwrap();
     let changes = driver.close(last, failed());
     assert_eq!(
-        ended_in(&changes),
+        ended_tasks_in(&changes),
         [
             (task(1, 0, 0), vec![]),
             (task(1, 1, 0), vec![other]),
@@ -208,7 +215,7 @@
         assert!(reason.contains(part), "{reason}");
     }
     assert_eq!(
-        driver.states("j"),
+        driver.task_states("j"),
         [
             TaskState::Failed,
             TaskState::Cancelled,
@@ -218,7 +225,7 @@
 }
 
 #[test]
-fn the_start_time_and_the_backoff_are_both_kept() {
+fn not_before_is_the_start_time_and_after_a_failure_the_backoff() {
     let mut driver = Driver::new();
     let mut spec = job("j", vec![step("s", 1, &[])]);
     spec.start_at = Some(WallTime(5_000));
@@ -233,47 +240,47 @@
 }
 
 #[test]
-fn the_first_successful_copy_finishes_the_task_and_the_others_are_reported() {
+fn first_successful_copy_finishes_task_and_reports_other_copies() {
     let mut copied = step("s", 1, &[]);
     copied.max_copies = 2;
-    let mut driver = with_job(vec![copied, step("t", 1, &["s"])]);
+    let mut driver = driver_with(vec![copied, step("t", 1, &["s"])]);
     let first = driver.reserve(task(1, 0, 0)).unwrap();
-    assert_eq!(driver.ready(), [task(1, 0, 0)], "a copy may start");
+    assert_eq!(driver.ready_tasks(), [task(1, 0, 0)], "a copy may start");
     let second = driver.reserve(task(1, 0, 0)).unwrap();
     assert_eq!(
         driver.reserve(task(1, 0, 0)),
         Err(ReservationRejection::NotReady)
     );
     let changes = driver.close(second, DONE);
-    assert_eq!(ended_in(&changes), [(task(1, 0, 0), vec![first])]);
-    assert_eq!(ready_in(&changes), [task(1, 1, 0)]);
+    assert_eq!(ended_tasks_in(&changes), [(task(1, 0, 0), vec![first])]);
+    assert_eq!(ready_tasks_in(&changes), [task(1, 1, 0)]);
     let changes = driver.close(first, failed());
     assert!(matches!(
         &changes[..],
         [Change::RunClosed { again: None, .. }]
     ));
-    assert_eq!(driver.states("j"), [TaskState::Done, TaskState::Ready]);
+    assert_eq!(driver.task_states("j"), [TaskState::Done, TaskState::Ready]);
 }
 
 #[test]
-fn a_failed_copy_uses_the_allowance_and_the_other_goes_on() {
+fn failed_copies_share_the_allowed_failures_of_their_task() {
     let mut copied = step("s", 1, &[]);
     copied.max_copies = 2;
-    let mut driver = with_job(vec![copied]);
+    let mut driver = driver_with(vec![copied]);
     let first = driver.reserve(task(1, 0, 0)).unwrap();
     let second = driver.reserve(task(1, 0, 0)).unwrap();
     driver.close(first, failed());
-    assert_eq!(driver.states("j"), [TaskState::Running]);
+    assert_eq!(driver.task_states("j"), [TaskState::Running]);
     let third = driver.reserve(task(1, 0, 0)).unwrap();
     let changes = driver.close(third, failed());
-    assert_eq!(ended_in(&changes), [(task(1, 0, 0), vec![second])]);
+    assert_eq!(ended_tasks_in(&changes), [(task(1, 0, 0), vec![second])]);
     driver.close(second, DONE);
     assert_eq!(driver.view("j").state, JobState::Failed);
 }
 
 #[test]
-fn cancelling_ends_every_task_and_a_late_done_changes_nothing() {
-    let mut driver = with_job(vec![step("s", 2, &[])]);
+fn cancellation_ends_every_task_and_later_success_changes_nothing() {
+    let mut driver = driver_with(vec![step("s", 2, &[])]);
     let run = driver.reserve(task(1, 0, 1)).unwrap();
     let keys = vec![key("a", "j"), key("a", "none")];
     let applied = driver.cancel(CancelSelector::Jobs(keys.clone()));
@@ -284,10 +291,10 @@
     };
     assert_eq!(applied.reply, reply(1, 0));
     assert_eq!(
-        ended_in(&applied.changes),
+        ended_tasks_in(&applied.changes),
         [(task(1, 0, 0), vec![]), (task(1, 0, 1), vec![run])]
     );
-    assert!(driver.ready().is_empty());
+    assert!(driver.ready_tasks().is_empty());
     driver.forget(10);
     let changes = driver.close(run, DONE);
     assert!(matches!(
@@ -295,12 +302,12 @@
         [Change::RunClosed { again: None, .. }]
     ));
     assert_eq!(driver.view("j").state, JobState::Cancelled);
-    assert!(driver.close(run, failed()).is_empty(), "closed for good");
+    assert!(driver.close(run, failed()).is_empty(), "the run is closed");
     assert_eq!(driver.cancel(CancelSelector::Jobs(keys)).reply, reply(0, 1));
 }
 
 #[test]
-fn a_tenant_is_cancelled_whole_or_within_a_queue() {
+fn cancellation_of_tenant_covers_one_queue_or_all_queues() {
     let mut driver = Driver::new();
     for (name, in_queue) in [("1", "q"), ("2", "r"), ("3", "q")] {
         let spec = job(name, vec![step("s", 1, &[])]);
@@ -323,9 +330,11 @@
     assert_eq!(driver.state_machine.unfinished_of_tenant(&tenant("a")), 0);
 }
 
+/// The closed runs of a forgotten job are no longer stored. A reservation that reuses
+/// such a run identifier must still be rejected.
 #[test]
-fn runs_of_forgotten_jobs_never_start_again() {
-    let mut driver = with_job(vec![step("s", 1, &[])]);
+fn run_of_forgotten_job_is_rejected() {
+    let mut driver = driver_with(vec![step("s", 1, &[])]);
     driver.submit(job("k", vec![step("s", 1, &[])]));
     let run = driver.reserve(task(1, 0, 0)).unwrap();
     driver.close(run, DONE);
@@ -340,8 +349,8 @@
 }
 
 #[test]
-fn an_open_run_tells_what_its_runner_needs() {
-    let mut driver = with_job(vec![step("s", 1, &[])]);
+fn run_spec_is_available_only_while_the_run_is_open() {
+    let mut driver = driver_with(vec![step("s", 1, &[])]);
     let run = driver.reserve(task(1, 0, 0)).unwrap();
     let spec = driver.state_machine.run_spec(run).unwrap();
     assert_eq!((spec.job, spec.payload.as_str()), (key("a", "j"), "work"));
@@ -354,11 +363,11 @@
 }
 
 #[test]
-fn a_runner_has_at_most_as_many_runs_of_a_step_as_the_step_allows() {
-    let mut spread = step("s", 3, &[]);
-    spread.rules.max_per_runner = Some(1);
+fn runner_at_the_step_limit_gets_no_further_run_of_the_step() {
+    let mut limited = step("s", 3, &[]);
+    limited.rules.max_per_runner = Some(1);
     let mut driver = Driver::new();
-    driver.submit(job("j", vec![spread]));
+    driver.submit(job("j", vec![limited]));
     let first = driver.reserve_as(run_id(1), task(1, 0, 0), "r1").unwrap();
     let rejected = driver.reserve_as(run_id(2), task(1, 0, 1), "r1");
     assert_eq!(rejected, Err(ReservationRejection::RunnerAtStepLimit));
--- a/crates/state_machine/tests/seats.rs
+++ b/crates/state_machine/tests/seats.rs
@@ -1,4 +1,4 @@
-//! Seats of licences: the state machine's count decides, in the order of the log.
+//! Seats of licences: the state machine counts them in the order of the log.
 
 mod support;
 
@@ -11,7 +11,7 @@
     LicenceName::new("finishing").unwrap()
 }
 
-fn with_seats(seats: u32) -> ClusterConfiguration {
+fn document_with_seats(seats: u32) -> ClusterConfiguration {
     let mut document = document();
     document
         .licences
@@ -19,22 +19,24 @@
     document
 }
 
-fn licensed(name: &str, tasks: u32) -> StepSpec {
+/// Returns a step whose tasks need one seat each.
+fn licensed_step(name: &str, tasks: u32) -> StepSpec {
     let mut step = step(name, tasks, &[]);
     step.rules.licence = Some(licence());
     step
 }
 
-fn driver(seats: u32) -> Driver {
+/// Returns a driver with a job of four tasks that need a seat each.
+fn driver_with_seats(seats: u32) -> Driver {
     let mut driver = Driver::new();
-    driver.configure(2, with_seats(seats));
-    driver.submit(job("j", vec![licensed("s", 4)]));
+    driver.configure(2, document_with_seats(seats));
+    driver.submit(job("j", vec![licensed_step("s", 4)]));
     driver
 }
 
 #[test]
-fn the_last_seat_is_granted_once() {
-    let mut driver = driver(2);
+fn reservation_without_a_free_seat_is_rejected() {
+    let mut driver = driver_with_seats(2);
     driver.reserve(task(1, 0, 0)).unwrap();
     driver.reserve(task(1, 0, 1)).unwrap();
     assert_eq!(
@@ -45,7 +47,7 @@
 }
 
 #[test]
-fn a_seat_is_free_again_only_when_its_run_is_certainly_over() {
+fn seat_is_released_by_any_close_of_its_run() {
     for close in [
         DONE,
         failed(),
@@ -53,7 +55,7 @@
         RunClose::Lost,
         RunClose::Rejected,
     ] {
-        let mut driver = driver(1);
+        let mut driver = driver_with_seats(1);
         let run = driver.reserve(task(1, 0, 0)).unwrap();
         assert_eq!(
             driver.reserve(task(1, 0, 1)),
@@ -65,10 +67,12 @@
     }
 }
 
+/// The run of a cancelled job uses its seat until it has stopped. If the cancellation
+/// released the seat, more runs than seats could be active.
 #[test]
-fn a_cancelled_job_s_run_keeps_its_seat_until_it_has_stopped() {
-    let mut driver = driver(1);
-    driver.submit(job("k", vec![licensed("s", 1)]));
+fn run_of_cancelled_job_keeps_its_seat_until_it_is_closed() {
+    let mut driver = driver_with_seats(1);
+    driver.submit(job("k", vec![licensed_step("s", 1)]));
     let run = driver.reserve(task(1, 0, 0)).unwrap();
     driver.cancel(state_machine::CancelSelector::Jobs(vec![key("a", "j")]));
     assert_eq!(
@@ -80,12 +84,12 @@
 }
 
 #[test]
-fn fewer_seats_stop_no_run_and_grant_none_until_enough_are_free() {
-    let mut driver = driver(3);
+fn lowered_seat_count_keeps_open_runs_and_grants_no_seat_until_one_is_free() {
+    let mut driver = driver_with_seats(3);
     let runs: Vec<_> = (0..3)
-        .map(|t| driver.reserve(task(1, 0, t)).unwrap())
+        .map(|position| driver.reserve(task(1, 0, position)).unwrap())
         .collect();
-    driver.configure(3, with_seats(1));
+    driver.configure(3, document_with_seats(1));
     driver.close(runs[0], DONE);
     driver.close(runs[1], DONE);
     assert_eq!(
@@ -97,17 +101,17 @@
 }
 
 #[test]
-fn a_gang_uses_all_its_seats_or_none() {
-    let mut gang = licensed("g", 3);
+fn gang_with_too_few_free_seats_is_rejected_as_a_whole() {
+    let mut gang = licensed_step("g", 3);
     gang.rules.gang = true;
     let mut driver = Driver::new();
-    driver.configure(2, with_seats(2));
+    driver.configure(2, document_with_seats(2));
     driver.submit(job("j", vec![gang]));
     let reservations: Vec<_> = (0..3)
-        .map(|member| types::Reservation {
+        .map(|position| types::Reservation {
             endpoint: None,
-            run: run_id(u64::from(member) + 1),
-            task: task(1, 0, member),
+            run: run_id(u64::from(position) + 1),
+            task: task(1, 0, position),
             runner: runner("runner"),
             incarnation: types::RunnerIncarnation(1),
             self_stop: true,
@@ -117,20 +121,20 @@
     let command = state_machine::Command::Reserve { reservations, at };
     let CommandReply::Reserved { accepted, rejected } = driver.state_machine.apply(&command).reply
     else {
-        panic!("no answer to a reservation");
+        panic!("unexpected reply to a reservation");
     };
     assert!(accepted.is_empty());
     assert!(
         rejected
             .iter()
-            .all(|(_, why)| *why == ReservationRejection::NoSeat)
+            .all(|(_, rejection)| *rejection == ReservationRejection::NoSeat)
     );
     assert_eq!(driver.state_machine.seats_used(&licence()), 0);
 }
 
 #[test]
-fn a_restart_counts_the_seats_anew_from_the_open_runs() {
-    let mut driver = driver(2);
+fn restored_state_counts_seats_from_open_runs() {
+    let mut driver = driver_with_seats(2);
     driver.reserve(task(1, 0, 0)).unwrap();
     driver.reserve(task(1, 0, 1)).unwrap();
     let bytes = driver.state_machine.snapshot().unwrap();
@@ -143,20 +147,20 @@
 }
 
 #[test]
-fn a_job_that_names_an_unknown_licence_is_refused() {
+fn job_with_unknown_licence_is_rejected() {
     let mut driver = Driver::new();
-    let reply = driver.submit(job("j", vec![licensed("s", 1)])).reply;
+    let reply = driver.submit(job("j", vec![licensed_step("s", 1)])).reply;
     assert!(matches!(reply, CommandReply::Rejected(_)), "{reply:?}");
 }
 
 #[test]
-fn a_task_that_waited_for_a_seat_runs_once() {
-    let mut driver = driver(1);
+fn tasks_that_wait_for_one_seat_run_one_by_one_and_once_each() {
+    let mut driver = driver_with_seats(1);
     let mut done = 0;
     while driver.view("j").state != JobState::Done {
-        let next = driver.ready()[0];
+        let next = driver.ready_tasks()[0];
         let run = driver.reserve(next).unwrap();
-        for other in driver.ready() {
+        for other in driver.ready_tasks() {
             assert_eq!(driver.reserve(other), Err(ReservationRejection::NoSeat));
         }
         driver.close(run, DONE);
--- a/crates/state_machine/tests/snapshot.rs
+++ b/crates/state_machine/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots, and bytes that are none.
+//! Snapshots, and the rejection of bytes that are no valid snapshot or command.
 
 mod support;
 
@@ -8,8 +8,9 @@
 use support::*;
 use types::*;
 
-/// A record that holds something of every kind.
-fn full_record() -> Driver {
+/// Returns a driver whose state has jobs in several states, open and closed runs,
+/// and a draining runner.
+fn populated_driver() -> Driver {
     let mut driver = Driver::new();
     let mut copied = step("s", 3, &[]);
     copied.max_copies = 2;
@@ -35,8 +36,8 @@
 }
 
 #[test]
-fn a_snapshot_restores_the_same_record() {
-    let driver = full_record();
+fn snapshot_restores_an_equal_state() {
+    let driver = populated_driver();
     let bytes = driver.state_machine.snapshot().unwrap();
     let restored = StateMachine::restore(&bytes).unwrap();
     assert_eq!(restored, driver.state_machine);
@@ -47,8 +48,8 @@
 }
 
 #[test]
-fn other_versions_and_damaged_bytes_are_refused() {
-    let bytes = full_record().state_machine.snapshot().unwrap();
+fn snapshot_of_other_version_or_wrong_length_is_rejected() {
+    let bytes = populated_driver().state_machine.snapshot().unwrap();
     let mut newer = bytes.clone();
     newer[0] += 1;
     assert!(matches!(
@@ -69,7 +70,7 @@
     }
 }
 
-fn runner_of(cases: u32) -> TestRunner {
+fn test_runner(cases: u32) -> TestRunner {
     let config = Config {
         cases,
         failure_persistence: None,
@@ -78,22 +79,22 @@
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-/// Bytes at random, and good bytes with a few places overwritten.
-fn hostile(good: Vec<u8>) -> impl Strategy<Value = Vec<u8>> {
-    let places = prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4);
-    let damaged = places.prop_map(move |places| {
-        let mut bytes = good.clone();
-        for (place, value) in places {
-            let place = place.index(bytes.len());
-            bytes[place] = value;
+/// Returns random bytes, or valid bytes of which up to three are overwritten.
+fn damaged_bytes(valid: Vec<u8>) -> impl Strategy<Value = Vec<u8>> {
+    let overwrites = prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..4);
+    let damaged = overwrites.prop_map(move |overwrites| {
+        let mut bytes = valid.clone();
+        for (index, value) in overwrites {
+            let position = index.index(bytes.len());
+            bytes[position] = value;
         }
         bytes
     });
     prop_oneof![damaged, prop::collection::vec(any::<u8>(), 0..200)]
 }
 
-/// Exercises a record that strange bytes gave: nothing in it may panic.
-fn use_record(mut state_machine: StateMachine) {
+/// Exercises a state that was restored from damaged bytes; no operation may panic.
+fn exercise(mut state_machine: StateMachine) {
     state_machine.snapshot().unwrap();
     let open = state_machine.open_runs();
     let runs = open.iter().map(|open| state_machine::ClosedRun {
@@ -124,9 +125,9 @@
 }
 
 #[test]
-fn hostile_snapshots_never_panic() {
-    let bytes = full_record().state_machine.snapshot().unwrap();
-    let headed = hostile(bytes).prop_map(|mut bytes| {
+fn damaged_snapshots_never_panic() {
+    let bytes = populated_driver().state_machine.snapshot().unwrap();
+    let versioned = damaged_bytes(bytes).prop_map(|mut bytes| {
         let version = 2_u32.to_le_bytes();
         let head = bytes.len().min(version.len());
         bytes[..head].copy_from_slice(&version[..head]);
@@ -134,15 +135,15 @@
     });
     let check = |bytes: Vec<u8>| {
         if let Ok(state_machine) = StateMachine::restore(&bytes) {
-            use_record(state_machine);
+            exercise(state_machine);
         }
         Ok(())
     };
-    runner_of(4_000).run(&headed, check).unwrap();
+    test_runner(4_000).run(&versioned, check).unwrap();
 }
 
 #[test]
-fn hostile_commands_never_panic() {
+fn damaged_commands_never_panic() {
     let command = Command::Submit {
         spec: job("j", vec![step("s", 1, &[]), step("t", 2, &["s"])]),
         at: WallTime(1),
@@ -157,5 +158,7 @@
         }
         Ok(())
     };
-    runner_of(4_000).run(&hostile(bytes), check).unwrap();
+    test_runner(4_000)
+        .run(&damaged_bytes(bytes), check)
+        .unwrap();
 }
--- a/crates/state_machine/tests/submit.rs
+++ b/crates/state_machine/tests/submit.rs
@@ -1,4 +1,4 @@
-//! Submissions: idempotence, rejections and limits.
+//! Submissions: idempotency, rejections and limits on unfinished jobs.
 
 mod support;
 
@@ -7,7 +7,8 @@
 use support::*;
 use types::*;
 
-fn number(reply: &CommandReply) -> Option<(u64, bool)> {
+/// Returns the job number and whether the job was known; `None` for a rejection.
+fn submitted(reply: &CommandReply) -> Option<(u64, bool)> {
     match reply {
         CommandReply::Submitted { number, known } => Some((number.0, *known)),
         _ => None,
@@ -15,14 +16,17 @@
 }
 
 #[test]
-fn a_resent_job_is_one_job_and_other_content_is_refused() {
+fn resent_job_is_acknowledged_and_other_content_is_rejected() {
     let mut driver = Driver::new();
     let spec = job("j", vec![step("s", 2, &[])]);
     let first = driver.submit(spec.clone());
-    assert_eq!(number(&first.reply), Some((1, false)));
-    assert_eq!(ready_in(&first.changes), [task(1, 0, 0), task(1, 0, 1)]);
+    assert_eq!(submitted(&first.reply), Some((1, false)));
+    assert_eq!(
+        ready_tasks_in(&first.changes),
+        [task(1, 0, 0), task(1, 0, 1)]
+    );
     let resent = driver.submit(spec.clone());
-    assert_eq!(number(&resent.reply), Some((1, true)));
+    assert_eq!(submitted(&resent.reply), Some((1, true)));
     assert!(resent.changes.is_empty());
     let other = driver.submit(job("j", vec![step("s", 3, &[])]));
     let rejection = CommandRejection::OtherContent { key: key("a", "j") };
@@ -31,34 +35,42 @@
 }
 
 #[test]
-fn a_finished_job_stays_known_until_it_is_forgotten() {
+fn resent_finished_job_is_acknowledged_until_the_job_is_forgotten() {
     let mut driver = Driver::new();
     let spec = job("j", vec![step("s", 1, &[])]);
     driver.submit(spec.clone());
     let run = driver.reserve(task(1, 0, 0)).unwrap();
     driver.close(run, DONE);
-    assert_eq!(number(&driver.submit(spec.clone()).reply), Some((1, true)));
+    assert_eq!(
+        submitted(&driver.submit(spec.clone()).reply),
+        Some((1, true))
+    );
     driver.forget(1);
-    assert_eq!(number(&driver.submit(spec).reply), Some((2, false)));
+    assert_eq!(submitted(&driver.submit(spec).reply), Some((2, false)));
 }
 
+/// The acknowledgement of a job may be lost, and the caller may resend the job after its
+/// queue was set to draining.
 #[test]
-fn a_resent_job_is_known_even_in_a_draining_queue() {
+fn draining_queue_acknowledges_resent_job_and_rejects_new_job() {
     let mut driver = Driver::new();
     let spec = job("j", vec![step("s", 1, &[])]);
     driver.submit(spec.clone());
     let mut draining = document();
     draining.queues.get_mut(&queue("q")).unwrap().mode = QueueMode::Draining;
     driver.configure(2, draining);
-    assert_eq!(number(&driver.submit(spec).reply), Some((1, true)));
+    assert_eq!(submitted(&driver.submit(spec).reply), Some((1, true)));
     let rejection = CommandRejection::QueueDraining { queue: queue("q") };
     let reply = driver.submit(job("k", vec![step("s", 1, &[])])).reply;
     assert_eq!(reply, CommandReply::Rejected(rejection));
-    assert!(driver.reserve(task(1, 0, 0)).is_ok(), "what is there ends");
+    assert!(
+        driver.reserve(task(1, 0, 0)).is_ok(),
+        "stored jobs still start"
+    );
 }
 
 #[test]
-fn unknown_tenants_and_queues_are_refused() {
+fn job_of_unknown_tenant_or_queue_is_rejected() {
     let mut driver = Driver::new();
     let mut spec = job("j", vec![step("s", 1, &[])]);
     spec.queue = queue("none");
@@ -74,11 +86,11 @@
     assert_eq!(driver.submit(spec).reply, CommandReply::Rejected(rejection));
 }
 
-type Break = fn(&mut JobSpec);
+type Invalidate = fn(&mut JobSpec);
 
 #[test]
-fn jobs_that_can_never_succeed_are_refused_with_the_reason() {
-    let rules: Vec<(&str, Break)> = vec![
+fn job_that_can_never_succeed_is_rejected_with_the_reason() {
+    let cases: Vec<(&str, Invalidate)> = vec![
         ("1 to 1024 steps", |j| j.steps.clear()),
         ("1 to 1024 steps", |j| {
             j.steps = (0..1025).map(|i| step(&format!("s{i}"), 1, &[])).collect();
@@ -117,10 +129,10 @@
             j.steps[0].labels = Labels::from([("k".to_owned(), "v".repeat(129))]);
         }),
     ];
-    for (text, rule) in rules {
+    for (text, invalidate) in cases {
         let mut driver = Driver::new();
         let mut spec = job("j", vec![step("s", 1, &[]), step("t", 1, &["s"])]);
-        rule(&mut spec);
+        invalidate(&mut spec);
         match driver.submit(spec).reply {
             CommandReply::Rejected(CommandRejection::InvalidJob { error }) => {
                 assert!(error.contains(text), "{error:?} lacks {text:?}");
@@ -131,17 +143,17 @@
 }
 
 #[test]
-fn full_tenants_and_queues_refuse_until_a_job_ends() {
+fn tenant_or_queue_at_its_job_limit_rejects_jobs_until_one_ends() {
     let mut driver = Driver::new();
     let spec = |name: &str| job(name, vec![step("s", 1, &[])]);
-    let of_b = |name: &str| JobSpec {
+    let spec_of_b = |name: &str| JobSpec {
         tenant: tenant("b"),
         ..spec(name)
     };
     for name in ["1", "2", "3", "4"] {
-        assert!(number(&driver.submit(spec(name)).reply).is_some());
+        assert!(submitted(&driver.submit(spec(name)).reply).is_some());
     }
-    let full = |reply: CommandReply| match reply {
+    let full_owner = |reply: CommandReply| match reply {
         CommandReply::Rejected(CommandRejection::Full {
             what, retry_after, ..
         }) => {
@@ -150,10 +162,10 @@
         }
         other => panic!("{other:?}"),
     };
-    assert_eq!(full(driver.submit(spec("5")).reply), "tenant a");
-    assert!(number(&driver.submit(of_b("1")).reply).is_some());
-    assert_eq!(full(driver.submit(of_b("2")).reply), "queue q");
+    assert_eq!(full_owner(driver.submit(spec("5")).reply), "tenant a");
+    assert!(submitted(&driver.submit(spec_of_b("1")).reply).is_some());
+    assert_eq!(full_owner(driver.submit(spec_of_b("2")).reply), "queue q");
     assert_eq!(driver.state_machine.unfinished_of_queue(&queue("q")), 5);
     driver.cancel(CancelSelector::Jobs(vec![key("a", "1")]));
-    assert!(number(&driver.submit(of_b("2")).reply).is_some());
+    assert!(submitted(&driver.submit(spec_of_b("2")).reply).is_some());
 }
--- a/crates/state_machine/tests/support/mod.rs
+++ b/crates/state_machine/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! A small cluster document, jobs for it, and a state machine driven by commands.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! A small cluster configuration, jobs for it, and a driver that applies commands
+//! to a state machine.
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use configuration::{
     ClusterConfiguration, ErrorBudget, PoolSettings, QueueMode, QueueSettings, TenantSettings,
@@ -10,7 +11,8 @@
 };
 use types::*;
 
-pub const RUNNER_ROOM: Resources = slots(4);
+/// Resources of the largest runner of the pool.
+pub const RUNNER_CAPACITY: Resources = slots(4);
 
 pub const fn slots(slots: u32) -> Resources {
     Resources {
@@ -57,12 +59,13 @@
     }
 }
 
-/// Tenants `a` (resource limit 4 slots) and `b` (2), queues `q` and `r`.
+/// Returns a configuration with tenants `a` (resource limit 4 slots) and `b` (2
+/// slots), and active queues `q` and `r` on one pool.
 pub fn document() -> ClusterConfiguration {
     let mut document = ClusterConfiguration::default();
     let pool = PoolName::new("p").unwrap();
     let settings = PoolSettings {
-        largest_runner: RUNNER_ROOM,
+        largest_runner: RUNNER_CAPACITY,
     };
     document.pools.insert(pool.clone(), settings);
     for name in ["q", "r"] {
@@ -79,6 +82,7 @@
     document
 }
 
+/// Returns a step whose tasks need one slot each and may fail once.
 pub fn step(name: &str, tasks: u32, after: &[&str]) -> StepSpec {
     StepSpec {
         rules: Default::default(),
@@ -94,7 +98,7 @@
     }
 }
 
-/// A job of tenant `a` in queue `q`.
+/// Returns a job of tenant `a` in queue `q`.
 pub fn job(name: &str, steps: Vec<StepSpec>) -> JobSpec {
     JobSpec {
         payload: String::new(),
@@ -128,14 +132,17 @@
 
 pub const DONE: RunClose = RunClose::Ended(Outcome::Done);
 
-/// A record and the clock of its leader.
+/// Applies commands to a state machine as its leader does.
 pub struct Driver {
     pub state_machine: StateMachine,
+    /// Wall time with which the next command is stamped.
     pub at: WallTime,
+    /// Sequence number of the newest run identifier.
     pub last_run: u64,
 }
 
 impl Driver {
+    /// Creates a state machine with [`document`] as version 1.
     pub fn new() -> Self {
         let mut driver = Self {
             state_machine: StateMachine::new(),
@@ -169,17 +176,18 @@
         self.state_machine.apply(&Command::Cancel { selector, at })
     }
 
+    /// Reserves a run under the given identifier on the given runner.
     pub fn reserve_as(
         &mut self,
         run: RunId,
         task: TaskRef,
-        on: &str,
+        runner_name: &str,
     ) -> Result<RunId, ReservationRejection> {
         let reservation = Reservation {
             endpoint: None,
             run,
             task,
-            runner: runner(on),
+            runner: runner(runner_name),
             incarnation: RunnerIncarnation(1),
             self_stop: true,
         };
@@ -194,6 +202,7 @@
         }
     }
 
+    /// Reserves a run under the next identifier.
     pub fn reserve(&mut self, task: TaskRef) -> Result<RunId, ReservationRejection> {
         self.last_run += 1;
         self.reserve_as(run_id(self.last_run), task, "runner")
@@ -211,6 +220,7 @@
         self.state_machine.apply(&command).changes
     }
 
+    /// Forgets at most `limit` jobs that ended until now.
     pub fn forget(&mut self, limit: u32) {
         let command = Command::Forget {
             ended_before: self.at,
@@ -219,23 +229,26 @@
         self.state_machine.apply(&command);
     }
 
+    /// Returns the view of a job of tenant `a`.
     pub fn view(&self, name: &str) -> JobView {
         self.state_machine.job(&key("a", name)).unwrap()
     }
 
-    pub fn states(&self, name: &str) -> Vec<TaskState> {
+    /// Returns the states of all tasks of a job of tenant `a`.
+    pub fn task_states(&self, name: &str) -> Vec<TaskState> {
         let statuses = self.state_machine.task_states(&key("a", name)).unwrap();
-        statuses.iter().map(|standing| standing.state).collect()
+        statuses.iter().map(|status| status.state).collect()
     }
 
-    pub fn ready(&self) -> Vec<TaskRef> {
+    /// Returns all tasks that may start now or at their `not_before`.
+    pub fn ready_tasks(&self) -> Vec<TaskRef> {
         let metas = self.state_machine.ready_tasks(None, usize::MAX);
         metas.iter().map(|meta| meta.task).collect()
     }
 }
 
-/// Tasks told ready, ended, and runs told open at their end.
-pub fn ready_in(changes: &[Change]) -> Vec<TaskRef> {
+/// Returns the tasks that the changes report as ready.
+pub fn ready_tasks_in(changes: &[Change]) -> Vec<TaskRef> {
     let ready = changes.iter().filter_map(|change| match change {
         Change::TaskReady(meta) => Some(meta.task),
         _ => None,
@@ -243,7 +256,8 @@
     ready.collect()
 }
 
-pub fn ended_in(changes: &[Change]) -> Vec<(TaskRef, Vec<RunId>)> {
+/// Returns the tasks that the changes report as ended, with their open runs.
+pub fn ended_tasks_in(changes: &[Change]) -> Vec<(TaskRef, Vec<RunId>)> {
     let ended = changes.iter().filter_map(|change| match change {
         Change::TaskEnded { task, open_runs } => {
             Some((*task, open_runs.iter().map(|run| run.run).collect()))
