--- a/crates/state_machine/src/command.rs
+++ b/crates/state_machine/src/command.rs
@@ -121,7 +121,7 @@
     },
 }
 
-/// A run to close.
+/// Run to close, with the reason and the last checkpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClosedRun {
     /// Identifier of the run; the run may be closed already.
@@ -234,7 +234,7 @@
     /// The tenant or queue has its maximum number of unfinished jobs.
     #[error("{what} holds its most unfinished jobs ({limit})")]
     Full {
-        /// `tenant NAME` or `queue NAME`.
+        /// Owner of the limit, as `tenant NAME` or `queue NAME`.
         what: String,
         /// Maximum number of unfinished jobs.
         limit: u64,
--- a/crates/state_machine/src/lib.rs
+++ b/crates/state_machine/src/lib.rs
@@ -1,5 +1,4 @@
-//! The deterministic replicated state machine of jobs, runs and
-//! configuration.
+//! Deterministic replicated state machine of jobs, runs and configuration.
 //!
 //! Every coordinator applies the same commands in the same order and reaches
 //! the same state. This crate reads no clock and no source of randomness: the
--- a/crates/state_machine/src/state/run_outcome.rs
+++ b/crates/state_machine/src/state/run_outcome.rs
@@ -19,7 +19,7 @@
 }
 
 /// Applies the outcome of a closed run to its unfinished task and returns
-/// whether this run failed the task.
+/// whether the task failed by that.
 ///
 /// A failure beyond the allowed number fails the task even if another copy is
 /// running, because copies race for one result and share the allowed failures.
