--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,79 +1,79 @@
-//! Errors of the store.
+//! Errors of the store and of its disks.
 
 use thiserror::Error;
 
-/// Operation on a disk.
+/// Disk operation that failed, as named in error texts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum DiskOperation {
-    /// Create the data folder.
+    /// Creation of the data folder.
     #[error("create")]
     Create,
-    /// Lock the data folder.
+    /// Lock of the data folder.
     #[error("lock")]
     Lock,
-    /// List the data folder.
+    /// Listing of the data folder.
     #[error("list")]
     List,
-    /// Read a file.
+    /// Read of a file.
     #[error("read")]
     Read,
-    /// Write a file.
+    /// Write of a whole file.
     #[error("write")]
     Write,
     /// Append to a file.
     #[error("append to")]
     Append,
-    /// Sync a file or the data folder.
+    /// Sync of a file or of the data folder.
     #[error("sync")]
     Sync,
-    /// Rename a temporary file to its final name.
+    /// Rename of a temporary file to its final name.
     #[error("rename to")]
     Rename,
-    /// Remove a file.
+    /// Removal of a file.
     #[error("remove")]
     Remove,
 }
 
-/// Why bytes do not verify. In the tail of the newest segment this may be a
-/// torn write; elsewhere it is damage.
+/// Cause for which bytes do not verify. At the end of the newest segment this
+/// may be a torn write; elsewhere it is damage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Unverified {
-    /// The file's header is short, or its checksum does not match.
-    #[error("the header is not whole")]
+    /// The file's header is incomplete, or its checksum does not match.
+    #[error("the header is incomplete or its checksum does not match")]
     Header,
     /// The file ends within a record's header.
-    #[error("the record's header is cut off")]
+    #[error("the record's header is truncated")]
     RecordHeaderTruncated,
     /// The bytes do not begin with the mark of a record.
-    #[error("no record begins here")]
+    #[error("the mark of a record is missing")]
     NoRecordMark,
     /// The file ends within a record's payload.
-    #[error("the record is cut off")]
+    #[error("the record is truncated")]
     RecordTruncated,
     /// The record's checksum does not match.
     #[error("the record's checksum does not match")]
     Checksum,
 }
 
-/// Damage to synced data.
+/// Damage to synced data, as opposed to a torn write.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Damage {
-    /// Bytes that cannot be a torn tail do not verify.
+    /// Bytes do not verify where no torn write is possible.
     #[error(transparent)]
     Unverified(#[from] Unverified),
     /// Bytes do not verify, but a record after them does.
-    #[error("{cause}, yet a whole record follows at byte {next_record}")]
+    #[error("{cause}, but a valid record follows at byte {next_record}")]
     BeforeRecord {
-        /// Why the bytes do not verify.
+        /// Cause for which the bytes do not verify.
         cause: Unverified,
-        /// Offset of the record, in bytes.
+        /// Offset in the file of the record that verifies, in bytes.
         next_record: usize,
     },
-    /// The header is whole, but of another file.
+    /// The header verifies, but has the kind or number of another file.
     #[error("the header belongs to another file")]
     HeaderOfOtherFile,
-    /// A file of one record is longer than its record.
-    #[error("there are bytes behind the record")]
+    /// A file with a single record (snapshot or identity) has bytes after it.
+    #[error("there are bytes after the record")]
     TrailingBytes,
     /// The payload of a record is longer than its encoded content.
     #[error("the record is longer than its content")]
@@ -85,92 +85,94 @@
     #[error("the log is missing")]
     LogMissing,
     /// The first record of the only segment does not verify.
-    #[error("the first record is not whole")]
+    #[error("the first record does not verify")]
     FirstRecord,
-    /// A segment has no record.
+    /// A segment has a header but no record.
     #[error("there is no record")]
     NoRecord,
     /// The first record of a segment has no checkpoint.
-    #[error("the first record is no checkpoint")]
+    #[error("the first record has no checkpoint")]
     NoCheckpoint,
-    /// A segment between two others is missing.
+    /// A segment is missing that later segments or the checkpoint require.
     #[error("the segment is missing")]
     SegmentMissing,
-    /// A segment has another length than the next checkpoint records.
-    #[error("the segment is not as long as the next one says")]
+    /// A segment's length differs from the one in the next checkpoint.
+    #[error("the length differs from the one recorded in the next segment")]
     SegmentLength {
-        /// Length in the next segment's checkpoint, in bytes.
+        /// Length in the next segment's checkpoint, in bytes. `None` if that
+        /// segment has no checkpoint.
         expected: Option<u64>,
-        /// Length of the segment, in bytes.
+        /// Length of the segment's verified bytes.
         found: usize,
     },
-    /// The snapshot in force is missing.
+    /// The snapshot file that the checkpoint refers to is missing.
     #[error("the snapshot is missing")]
     SnapshotMissing,
-    /// The snapshot has another index or term than the checkpoint records.
-    #[error("the snapshot is not the one that the log names")]
+    /// The snapshot's index or term differs from the one in the checkpoint.
+    #[error("the snapshot's index or term differs from the log's checkpoint")]
     SnapshotMismatch,
-    /// An entry does not follow the entries before it.
+    /// The indexes of the log's entries have a gap.
     #[error("entries are missing")]
     EntryGap,
-    /// The first entry does not follow the snapshot.
+    /// The first entry after the snapshot does not have the next index.
     #[error("entries from {first} to {next} are missing")]
     EntriesAfterSnapshot {
-        /// First index that is missing.
+        /// First missing index, right after the snapshot.
         first: u64,
-        /// First index that is present.
+        /// Index of the first entry after the gap.
         next: u64,
     },
 }
 
-/// Why a batch, or an identity, cannot be written.
+/// Cause for which a batch or an identity cannot be written.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum BatchError {
-    /// The entries leave a gap, or begin within the snapshot.
+    /// The entries leave a gap, or begin at an index that the snapshot covers.
     #[error("its entries do not follow the log")]
     Gap,
-    /// The data does not fit in one record.
+    /// The data exceeds the maximum size of a record.
     #[error("it is too large for one record")]
     TooLarge,
-    /// The data cannot be encoded.
+    /// The encoder failed.
     #[error("it cannot be encoded")]
     Encode(postcard::Error),
 }
 
-/// Errors on the files of one data folder.
+/// Errors of the files in one data folder.
 #[derive(Debug, Error)]
 pub enum StorageError {
     /// The operating system reported an error.
     #[error("{operation} {file}: {source}")]
     Disk {
-        /// The operation that failed.
+        /// Operation that failed.
         operation: DiskOperation,
-        /// The file, or the folder.
+        /// Name of the file, or a description of the folder.
         file: String,
-        /// Cause.
+        /// Error of the operating system, or an injected one.
         source: std::io::Error,
     },
-    /// Damage that is not a torn tail: synced data is lost.
+    /// The file is damaged other than by a torn write: synced data is lost.
     #[error("{file} is damaged at byte {offset}: {damage}; refusing to start from it")]
     Damaged {
-        /// The file.
+        /// Name of the damaged or missing file.
         file: String,
-        /// Offset at which the damage begins, in bytes.
+        /// Offset at which the damage begins, in bytes; 0 for the whole file.
         offset: u64,
-        /// The damage.
+        /// Kind of the damage.
         damage: Damage,
     },
-    /// A log or snapshot without an identity: the node whose votes and entries
-    /// they are is unknown. The identity is saved before either is written.
+    /// The folder has a log or a snapshot but no identity, so it is unknown which
+    /// node wrote its votes and entries. The identity is saved before any of
+    /// them.
     #[error(
-        "the data folder holds a log or a snapshot but no identity file; refusing to start \
-         from it: bring the file back, or start with an empty folder as a new coordinator"
+        "the data folder contains a log or a snapshot but no identity file; refusing to start \
+         from it: restore the file, or start with an empty folder as a new coordinator"
     )]
     IdentityMissing,
-    /// A file of another format version.
+    /// A file has another format version than this program reads.
     #[error("{file} has format version {found}, this program reads {supported}")]
     Version {
-        /// The file.
+        /// Name of the file with the other version.
         file: String,
         /// Version in the file.
         found: u32,
@@ -180,7 +182,7 @@
     /// The batch is invalid. Nothing was written.
     #[error("the batch cannot be written: {reason}")]
     InvalidBatch {
-        /// Why.
+        /// Cause for which the batch was rejected.
         reason: BatchError,
     },
     /// An earlier write or sync failed, so the content of the disk is unknown
@@ -190,6 +192,7 @@
 }
 
 impl StorageError {
+    /// Creates a [`StorageError::Damaged`] from a byte offset in `file`.
     pub(crate) fn damaged(file: &str, offset: usize, damage: impl Into<Damage>) -> Self {
         Self::Damaged {
             file: file.to_owned(),
@@ -198,6 +201,7 @@
         }
     }
 
+    /// Creates a [`StorageError::Disk`] for a file, or a description of the folder.
     pub(crate) fn disk(operation: DiskOperation, file: &str, source: std::io::Error) -> Self {
         Self::Disk {
             operation,
--- a/crates/storage/src/frame.rs
+++ b/crates/storage/src/frame.rs
@@ -6,9 +6,9 @@
 //! record := mark[4] length:u32 crc32:u32 payload[length]
 //! ```
 //!
-//! A record's checksum covers the file's number and the record's offset, so a
-//! record at any other place does not verify, and neither does a payload that
-//! looks like a record by chance.
+//! A record's checksum also covers the file's number and the record's offset, so
+//! a record does not verify in another file or at another offset, and neither
+//! does a payload that resembles a record by chance.
 
 use crate::error::{BatchError, Damage, StorageError, Unverified};
 
@@ -30,7 +30,7 @@
 /// First bytes of each record.
 const RECORD_MARK: [u8; 4] = [0xC7, 0x5D, 0x9E, 0x31];
 
-/// Kind of a file.
+/// Kind of a file, identified by the first bytes of its header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FileKind {
     Log,
@@ -39,6 +39,7 @@
 }
 
 impl FileKind {
+    /// Returns the first bytes of the header.
     fn magic(self) -> [u8; 8] {
         match self {
             Self::Log => *b"CYPDLOG\n",
@@ -48,26 +49,27 @@
     }
 }
 
-/// Why a header is rejected.
+/// Cause for which a header is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HeaderError {
-    /// Short, or its checksum does not match: torn, or damaged.
+    /// The header is incomplete or its checksum does not match: it is torn or
+    /// damaged.
     Unverified,
-    /// Verified, but of another version.
+    /// The header verifies but has this other format version.
     Version(u32),
-    /// Verified, but of another file.
+    /// The header verifies but has the kind or number of another file.
     OtherFile,
 }
 
-/// A verified record.
+/// Payload of a verified record, borrowed from the file's bytes.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RecordSlice<'a> {
     pub payload: &'a [u8],
-    /// Offset after the record, in bytes.
+    /// Offset of the first byte after the record.
     pub end: usize,
 }
 
-/// The header of a file.
+/// Encodes the header of a file.
 pub(crate) fn encode_header(kind: FileKind, number: u64) -> Vec<u8> {
     let mut header = Vec::with_capacity(HEADER_BYTES);
     header.extend_from_slice(&kind.magic());
@@ -97,8 +99,8 @@
     Ok(())
 }
 
-/// Appends to `out` the record for `offset` of file `number`. Fails if the
-/// payload is too long for a record.
+/// Encodes the record at `offset` of file `number` and appends it to `out`.
+/// Returns an error if the payload is too long for a record.
 pub(crate) fn push_record(
     out: &mut Vec<u8>,
     number: u64,
@@ -137,7 +139,7 @@
     Ok(RecordSlice { payload, end })
 }
 
-/// Offset of the first verified record after `offset`.
+/// Returns the offset of the first verified record after `offset`.
 pub(crate) fn find_record_after(bytes: &[u8], number: u64, offset: usize) -> Option<usize> {
     let tail = bytes.get(offset + 1..)?;
     tail.windows(RECORD_MARK.len())
@@ -178,7 +180,7 @@
     Ok(record.payload)
 }
 
-/// The error for a header that cannot be torn.
+/// Returns the error for a rejected header in a place where it cannot be torn.
 pub(crate) fn header_error(file: &str, reason: HeaderError) -> StorageError {
     match reason {
         HeaderError::Version(found) => StorageError::Version {
@@ -191,6 +193,7 @@
     }
 }
 
+/// Returns the checksum of a record at `offset` of file `number`.
 fn record_checksum(number: u64, offset: u64, payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&number.to_le_bytes());
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -1,19 +1,20 @@
-//! Identity of a coordinator.
+//! Persistent identity of a coordinator.
 
 use consensus::Membership;
 use serde::{Deserialize, Serialize};
 use types::{ClusterId, NodeId};
 
-/// Identity of the coordinator that owns a data folder. It is created at the
-/// first start; cluster and initial voters are added once all initial
-/// coordinators agree.
+/// Identity of the coordinator that owns a data folder.
+///
+/// The identity is created at the first start. Cluster and initial voters are
+/// added once all initial coordinators agree on them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Identity of the node.
+    /// Identifier of the coordinator as a node of its cluster.
     pub node: NodeId,
-    /// The cluster, once the node belongs to one.
+    /// Cluster that the node belongs to, or `None` before it joins one.
     pub cluster: Option<ClusterId>,
-    /// Voters agreed at the cluster's first start; empty for a node that joined
-    /// later.
+    /// Voters agreed on at the cluster's first start; empty for a node that
+    /// joined later.
     pub initial: Membership,
 }
--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -1,4 +1,4 @@
-//! Content of the log's records, and the state that they add up to.
+//! Content of the log's records, and the state recovered by applying them.
 
 use crate::convert::to_usize;
 use consensus::{Entry, HardState, Snapshot};
@@ -6,10 +6,10 @@
 use std::collections::VecDeque;
 use types::{LogIndex, Term};
 
-/// Reference to the snapshot file in force.
+/// Reference to a snapshot file, in a checkpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SnapshotReference {
-    /// Number of the file.
+    /// Number in the file's name.
     pub file: u64,
     /// Last index that the snapshot covers.
     pub index: LogIndex,
@@ -17,22 +17,22 @@
     pub term: Term,
 }
 
-/// State at the begin of a segment, in its first record. With it older segments
-/// are needed only for their live entries.
+/// State at the start of a segment, in the segment's first record. Because of
+/// it, older segments are needed only for their live entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Checkpoint {
-    /// Hard state in force.
+    /// Current hard state.
     pub hard_state: HardState,
-    /// Snapshot in force.
+    /// Current snapshot; `None` before the first one.
     pub snapshot: Option<SnapshotReference>,
     /// Oldest segment with live entries; older ones are obsolete.
     pub first_segment: u64,
-    /// Length of the previous segment in bytes, which shows if that segment is
-    /// truncated between two records.
+    /// Length of the previous segment in bytes. Recovery detects by it that the
+    /// previous segment was truncated between two records.
     pub previous_bytes: u64,
 }
 
-/// One batch in the log.
+/// One batch in the log, as decoded from a record's payload.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub(crate) struct Record {
     pub checkpoint: Option<Checkpoint>,
@@ -49,16 +49,17 @@
     pub entries: &'a [Entry],
 }
 
-/// Term of a live entry, and the segment that contains it.
+/// Term of a live entry, and number of the segment that contains it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct EntryLocation {
     pub term: Term,
     pub segment: u64,
 }
 
-/// Hard state, snapshot in force, and locations of the live entries after it.
-/// Later entries are never in earlier segments, since an append overwrites all
-/// entries from its first index on.
+/// Hard state, current snapshot, and locations of the live entries after it.
+///
+/// Entries with higher indexes are never in earlier segments, since an append
+/// overwrites all entries from its first index on.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(crate) struct LogState {
     pub hard_state: HardState,
@@ -67,23 +68,25 @@
 }
 
 impl LogState {
-    /// Last index that the snapshot covers, or 0.
+    /// Returns the last index that the snapshot covers, or 0 without a snapshot.
     pub fn base(&self) -> u64 {
         self.snapshot.map_or(0, |snapshot| snapshot.index.0)
     }
 
-    /// Index of the last entry, or of the snapshot.
+    /// Returns the index of the last entry, or [`LogState::base`] if there are no
+    /// entries.
     pub fn last_index(&self) -> u64 {
         self.base() + self.locations.len() as u64
     }
 
-    /// Returns whether a snapshot is not older than the one in force.
+    /// Returns whether a snapshot is at least as recent as the current one.
     pub fn accepts_snapshot(&self, snapshot: &Snapshot) -> bool {
         snapshot.meta.index.0 >= self.base()
     }
 
-    /// Puts a snapshot in force. The entries after it remain if the log has the
-    /// snapshot's last index with its term; otherwise the whole log is dropped.
+    /// Makes `snapshot` the current one. The entries after it remain if the log
+    /// contains the snapshot's last index with its term; otherwise all entries
+    /// are dropped.
     pub fn install(&mut self, snapshot: SnapshotReference) {
         if self.contains(snapshot.index, snapshot.term) {
             let covered = to_usize(snapshot.index.0.saturating_sub(self.base()));
@@ -95,8 +98,8 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Returns whether entries follow the log, once the given snapshot is in
-    /// force.
+    /// Returns whether `entries` have consecutive indexes and leave no gap after
+    /// the log, once `snapshot` is installed.
     pub fn can_append(&self, snapshot: Option<&Snapshot>, entries: &[Entry]) -> bool {
         let Some(first) = entries.first().map(|entry| entry.index.0) else {
             return true;
@@ -109,8 +112,9 @@
         first > base && first <= last + 1 && are_consecutive(entries, first)
     }
 
-    /// Records entries that are written to a segment. They replace those from
-    /// the first one's index on, and must satisfy [`LogState::can_append`].
+    /// Records the locations of entries written to `segment`. They replace all
+    /// entries from the first one's index on, and must satisfy
+    /// [`LogState::can_append`].
     pub fn append(&mut self, entries: &[Entry], segment: u64) {
         let Some(first) = entries.first() else {
             return;
@@ -124,13 +128,16 @@
         self.locations.extend(locations);
     }
 
-    /// Oldest segment with live entries; `newest` if there are none.
+    /// Returns the number of the oldest segment with live entries, or `newest` if
+    /// there are none.
     pub fn first_segment(&self, newest: u64) -> u64 {
         self.locations
             .front()
             .map_or(newest, |location| location.segment)
     }
 
+    /// Returns whether the entry at `index` is live, or the last one that the
+    /// snapshot covers, and has this term.
     fn contains(&self, index: LogIndex, term: Term) -> bool {
         if let Some(snapshot) = self.snapshot
             && snapshot.index == index
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -1,10 +1,10 @@
-//! A disk in memory that loses unsynced data in a crash, for simulation and
+//! In-memory [`Disk`] that loses unsynced data in a crash, for simulation and
 //! tests.
 //!
-//! It distinguishes written from synced state, for the bytes of each file and
-//! for the names in the folder. A crash may keep any prefix of a file's
-//! unsynced bytes, corrupt its end, and keep or lose each unsynced change of a
-//! name. Clones share content until one of them writes.
+//! Written and synced state are separate, for the bytes of each file and for
+//! the names in the folder. A crash may keep any prefix of a file's unsynced
+//! bytes, corrupt the end of that prefix, and keep or lose each unsynced change
+//! of a name. Clones share content until one of them writes.
 
 use crate::Disk;
 use crate::convert::to_usize;
@@ -13,22 +13,26 @@
 use std::io;
 use std::sync::Arc;
 
-/// One in this many files with unsynced bytes is corrupted in a crash.
+/// On average one in this many files with unsynced bytes is corrupted in a
+/// crash.
 const CORRUPT_ONE_IN: u32 = 3;
-/// Most bytes corrupted at the end of the bytes that a crash keeps.
+/// Maximum number of bytes that a crash corrupts at the end of a file.
 const MAX_CORRUPTED_BYTES: usize = 64;
 
+/// Content of a file, written and synced.
 #[derive(Debug, Clone, Default)]
 struct File {
     /// Content that a read returns.
     bytes: Arc<Vec<u8>>,
-    /// Number of bytes from the start that are synced, unless `replaced` is set.
+    /// Number of synced bytes from the start of `bytes`; 0 while `replaced` is
+    /// set.
     synced: usize,
-    /// Synced content that was overwritten or truncated since.
+    /// Synced content that an unsynced write or truncation replaced. `None` if
+    /// the file was only appended to since its last sync.
     replaced: Option<Arc<Vec<u8>>>,
 }
 
-/// A change of names that becomes durable with the sync of the folder.
+/// Change of a name that becomes durable when the folder is synced.
 #[derive(Debug, Clone)]
 enum NameChange {
     Create { name: String, file: u64 },
@@ -36,27 +40,35 @@
     Remove { name: String },
 }
 
-/// A folder in memory.
+/// Folder in memory, with injected crashes, errors and damage.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryDisk {
+    /// Files by number. A number is never reused, so a file keeps its number
+    /// when it is renamed.
     files: BTreeMap<u64, File>,
     next_file: u64,
+    /// Numbers of the files by current name.
     names: BTreeMap<String, u64>,
+    /// Numbers of the files by name at the last sync of the folder.
     synced_names: BTreeMap<String, u64>,
+    /// Changes of names since the last sync of the folder, in order.
     unsynced_names: Vec<NameChange>,
+    /// Number of changes so far, failed ones included.
     changes: u64,
+    /// Number of the first change that fails; `None` without an injected error.
     fail_from: Option<u64>,
+    /// Maximum total size of all files, in bytes; `None` if unlimited.
     capacity: Option<u64>,
 }
 
 impl MemoryDisk {
-    /// An empty disk.
+    /// Creates an empty disk.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Loses power: `rng` decides which unsynced changes are kept. Injected
-    /// errors end.
+    /// Simulates a power loss after which `rng` decides which unsynced changes
+    /// are kept. Clears the errors injected by [`MemoryDisk::fail_from`].
     pub fn crash(&mut self, rng: &mut impl Rng) {
         let changes = std::mem::take(&mut self.unsynced_names);
         for change in changes {
@@ -70,15 +82,15 @@
         self.restart();
     }
 
-    /// Loses power and all unsynced changes.
+    /// Simulates a power loss that loses all unsynced changes.
     pub fn crash_losing_unsynced(&mut self) {
         for file in self.files.values_mut() {
-            file.keep_synced();
+            file.restore_synced();
         }
         self.restart();
     }
 
-    /// Loses power after all unsynced changes have reached the disk.
+    /// Simulates a power loss that keeps all unsynced changes.
     pub fn crash_keeping_unsynced(&mut self) {
         self.synced_names = self.names.clone();
         for file in self.files.values_mut() {
@@ -87,25 +99,26 @@
         self.restart();
     }
 
-    /// Replaces the disk with an empty one.
+    /// Replaces the disk with an empty one, without limit or injected errors.
     pub fn wipe(&mut self) {
         *self = Self::default();
     }
 
-    /// Number of changes so far, failed ones included: writes, syncs, renames,
-    /// removals.
+    /// Returns the number of changes so far, failed ones included: writes,
+    /// truncations, syncs, renames and removals.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Makes every change from number `change` on fail, until the next crash. If
-    /// the first one is a write or append, it writes half of its bytes.
+    /// Makes every change from number `change` on fail until the next crash. If
+    /// the first one that fails is a write or an append, it writes half of its
+    /// bytes.
     pub fn fail_from(&mut self, change: u64) {
         self.fail_from = Some(change);
     }
 
-    /// Limits the total size of all files, in bytes. A write beyond the limit
-    /// writes the bytes that fit, and fails.
+    /// Limits the total size of all files to `bytes`, or removes the limit if
+    /// `None`. A write beyond the limit writes the bytes that fit and fails.
     pub fn set_capacity(&mut self, bytes: Option<u64>) {
         self.capacity = bytes;
     }
@@ -114,7 +127,7 @@
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::NotFound`] if the file does not exist.
+    /// Returns [`io::ErrorKind::NotFound`] if the file does not exist.
     pub fn damage(&mut self, name: &str, change: impl FnOnce(&mut Vec<u8>)) -> io::Result<()> {
         let file = self.file_mut(name)?;
         change(Arc::make_mut(&mut file.bytes));
@@ -122,6 +135,7 @@
         Ok(())
     }
 
+    /// Resets the names to the synced ones and clears injected errors.
     fn restart(&mut self) {
         self.unsynced_names.clear();
         self.names = self.synced_names.clone();
@@ -129,6 +143,8 @@
         self.fail_from = None;
     }
 
+    /// Drops the files that have no current or synced name and that no unsynced
+    /// change names.
     fn drop_unnamed_files(&mut self) {
         let mut named: BTreeSet<u64> = self.names.values().copied().collect();
         named.extend(self.synced_names.values());
@@ -150,6 +166,7 @@
         self.files.get_mut(number).ok_or_else(not_found)
     }
 
+    /// Returns the file of this name, and creates it if necessary.
     fn file_or_new(&mut self, name: &str) -> &mut File {
         let number = match self.names.get(name) {
             Some(number) => *number,
@@ -158,6 +175,7 @@
         self.files.entry(number).or_default()
     }
 
+    /// Adds the name of a new file and returns the file's number.
     fn create(&mut self, name: &str) -> u64 {
         let file = self.next_file;
         self.next_file += 1;
@@ -169,17 +187,18 @@
         file
     }
 
-    /// Counts a change, and fails if an error is injected for it.
+    /// Counts a change. Returns an error if one is injected for this change.
     fn begin_change(&mut self) -> io::Result<()> {
         let change = self.changes;
         self.changes += 1;
         if self.fail_from.is_some_and(|first| change >= first) {
-            return Err(injected());
+            return Err(injected_error());
         }
         Ok(())
     }
 
-    /// Begins to write `requested` bytes in place of `freed` ones.
+    /// Counts a write of `requested` bytes that frees `freed` bytes, and returns
+    /// how many of them to write, and the result to return.
     fn begin_write(&mut self, requested: usize, freed: usize) -> WriteOutcome {
         let is_first_failure = self.fail_from == Some(self.changes);
         if let Err(error) = self.begin_change() {
@@ -205,21 +224,23 @@
     }
 }
 
-/// Number of bytes that a write changes, and its result.
+/// Number of bytes that a write writes, and its result.
 struct WriteOutcome {
     written: usize,
     result: io::Result<()>,
 }
 
 impl File {
+    /// Makes the current content the synced one.
     fn sync(&mut self) {
         self.synced = self.bytes.len();
         self.replaced = None;
     }
 
-    fn keep_synced(&mut self) {
+    /// Restores the synced content.
+    fn restore_synced(&mut self) {
         match self.replaced.take() {
-            Some(old) => self.bytes = old,
+            Some(synced) => self.bytes = synced,
             None if self.synced < self.bytes.len() => {
                 Arc::make_mut(&mut self.bytes).truncate(self.synced);
             }
@@ -228,7 +249,8 @@
         self.sync();
     }
 
-    /// Replaces the content. A crash may restore the synced content.
+    /// Replaces the content. The synced content is kept in `replaced`, so that a
+    /// crash can restore it.
     fn replace(&mut self, bytes: Vec<u8>) {
         let old = std::mem::replace(&mut self.bytes, Arc::new(bytes));
         if self.replaced.is_none() {
@@ -241,9 +263,11 @@
         self.synced = 0;
     }
 
+    /// Simulates a power loss: keeps a random prefix of the unsynced bytes, and
+    /// corrupts the end of some files.
     fn crash(&mut self, rng: &mut impl Rng) {
         if self.replaced.is_some() && rng.random() {
-            self.keep_synced();
+            self.restore_synced();
             return;
         }
         let unsynced = self.bytes.len() - self.synced;
@@ -260,7 +284,8 @@
     }
 }
 
-/// Overwrites the last unsynced bytes with random bytes or zeros.
+/// Overwrites the last bytes, but none of the first `synced` ones, with random
+/// bytes or zeros.
 fn corrupt_end(bytes: &mut [u8], synced: usize, rng: &mut impl Rng) {
     let start = synced.max(bytes.len().saturating_sub(MAX_CORRUPTED_BYTES));
     let Some(end) = bytes.get_mut(start..) else {
@@ -273,6 +298,7 @@
     }
 }
 
+/// Applies a change of a name to `names`.
 fn apply_change(names: &mut BTreeMap<String, u64>, change: NameChange) {
     match change {
         NameChange::Create { name, file } => {
@@ -294,7 +320,7 @@
     io::ErrorKind::NotFound.into()
 }
 
-fn injected() -> io::Error {
+fn injected_error() -> io::Error {
     io::Error::other("injected failure")
 }
 
--- a/crates/storage/src/name.rs
+++ b/crates/storage/src/name.rs
@@ -7,27 +7,32 @@
 /// Name of the identity file.
 pub(crate) const IDENTITY_FILE: &str = "identity";
 
+/// Prefix of the name of a segment file.
 const LOG_PREFIX: &str = "log-";
+/// Prefix of the name of a snapshot file.
 const SNAPSHOT_PREFIX: &str = "snapshot-";
+/// Suffix of a temporary file's name, which is the final name before it.
 const TEMPORARY_SUFFIX: &str = ".tmp";
+/// Digits of a file's number, with leading zeros: as many as `u64::MAX` has.
 const NUMBER_DIGITS: usize = 20;
 
-/// Name of a segment file.
+/// Returns the name of a segment file.
 pub(crate) fn segment_file(number: u64) -> String {
     format!("{LOG_PREFIX}{number:0NUMBER_DIGITS$}")
 }
 
-/// Name of a snapshot file.
+/// Returns the name of a snapshot file.
 pub(crate) fn snapshot_file(number: u64) -> String {
     format!("{SNAPSHOT_PREFIX}{number:0NUMBER_DIGITS$}")
 }
 
-/// Name under which a file is written before it is renamed to `file`.
+/// Returns the temporary name under which a file is written before it is
+/// renamed to `file`.
 pub(crate) fn temporary_file(file: &str) -> String {
     format!("{file}{TEMPORARY_SUFFIX}")
 }
 
-/// Kind of a file, as its name says.
+/// Kind and number of a file, parsed from its name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FileName {
     Segment(u64),
@@ -39,7 +44,7 @@
     Other,
 }
 
-/// Finds the kind of a file.
+/// Parses the name of a file in the data folder.
 pub(crate) fn parse_name(name: &str) -> FileName {
     if let Some(final_name) = name.strip_suffix(TEMPORARY_SUFFIX) {
         return match parse_name(final_name) {
@@ -62,6 +67,7 @@
 }
 
 fn parse_number(digits: &str) -> Option<u64> {
-    let is_plain = digits.len() == NUMBER_DIGITS && digits.bytes().all(|b| b.is_ascii_digit());
-    is_plain.then(|| digits.parse().ok()).flatten()
+    let is_well_formed =
+        digits.len() == NUMBER_DIGITS && digits.bytes().all(|b| b.is_ascii_digit());
+    is_well_formed.then(|| digits.parse().ok()).flatten()
 }
--- a/crates/storage/src/real.rs
+++ b/crates/storage/src/real.rs
@@ -1,4 +1,4 @@
-//! A folder of the operating system.
+//! [`Disk`] on a folder of the file system.
 
 use crate::error::DiskOperation;
 use crate::{Disk, StorageError};
@@ -6,34 +6,36 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// File whose lock excludes a second process from the folder.
+/// File that is locked to keep a second process from using the folder.
 const LOCK_FILE: &str = "lock";
 
-/// A folder of the operating system. It is locked while this value exists, so
-/// that two daemons never write to the same folder.
+/// Folder of the file system. It is locked while this value exists, so that two
+/// daemons never write to the same folder.
 #[derive(Debug)]
 pub struct RealDisk {
     folder: PathBuf,
-    /// The file appended to last, kept open: the log's newest segment.
+    /// File that was appended to last, kept open: the log's newest segment.
+    /// `None` until the first append, and after a change of the file's name.
     append_file: Option<OpenFile>,
     _lock: File,
 }
 
 impl RealDisk {
-    /// Opens the folder, and creates it and its missing parents durably.
+    /// Opens and locks the folder. Creates it and its missing parents first, and
+    /// syncs each of them.
     ///
     /// # Errors
     ///
-    /// [`StorageError::Disk`] if the folder cannot be created, or if another
-    /// process has locked it.
+    /// Returns [`StorageError::Disk`] if the folder cannot be created, or if
+    /// another process has locked it.
     pub fn open(path: impl AsRef<Path>) -> Result<Self, StorageError> {
         let folder = path.as_ref();
-        let failed = |operation| {
+        let disk_error = |operation| {
             let file = folder.display().to_string();
             move |source| StorageError::disk(operation, &file, source)
         };
-        create_folder(folder).map_err(failed(DiskOperation::Create))?;
-        let lock = lock_folder(folder).map_err(failed(DiskOperation::Lock))?;
+        create_folder(folder).map_err(disk_error(DiskOperation::Create))?;
+        let lock = lock_folder(folder).map_err(disk_error(DiskOperation::Lock))?;
         Ok(Self {
             folder: folder.to_owned(),
             append_file: None,
@@ -45,7 +47,8 @@
         self.folder.join(file)
     }
 
-    /// Closes the open file if it has this name, before the name changes.
+    /// Closes the open file if it has this name. Must be called before the file
+    /// is replaced, renamed or removed.
     fn close(&mut self, file: &str) {
         if self
             .append_file
@@ -56,7 +59,7 @@
         }
     }
 
-    /// Opens the file for appending, unless it is open.
+    /// Returns the file open for appending, and opens it if necessary.
     fn open_for_append(&mut self, file: &str) -> io::Result<&mut File> {
         let open = match self.append_file.take() {
             Some(open) if open.name == file => open,
@@ -72,14 +75,14 @@
     }
 }
 
-/// A file that is open for appending.
+/// File that is open for appending.
 #[derive(Debug)]
 struct OpenFile {
     name: String,
     handle: File,
 }
 
-/// Creates a folder with its parents and syncs each new name.
+/// Creates a folder and its missing parents, and syncs each new name.
 fn create_folder(folder: &Path) -> io::Result<()> {
     if folder.is_dir() {
         return Ok(());
@@ -91,13 +94,14 @@
     };
     create_folder(parent)?;
     match fs::create_dir(folder) {
-        // Another process has created it in the meantime.
+        // Another process created the folder in the meantime.
         Err(error) if error.kind() == io::ErrorKind::AlreadyExists && folder.is_dir() => {}
         result => result?,
     }
     File::open(parent)?.sync_all()
 }
 
+/// Locks the folder. The lock is released when the returned file is dropped.
 fn lock_folder(folder: &Path) -> io::Result<File> {
     let lock = OpenOptions::new()
         .create(true)
@@ -116,7 +120,7 @@
             if !entry.file_type()?.is_file() {
                 continue;
             }
-            // A name that is not UTF-8 is not a file of the store.
+            // The store's files have UTF-8 names, so other names are skipped.
             if let Ok(name) = entry.file_name().into_string() {
                 names.push(name);
             }
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -1,5 +1,5 @@
-//! Reads a whole data folder. Recovery changes nothing on the disk, so a folder
-//! that is rejected remains as it is.
+//! Recovery of the state in a data folder. Recovery only reads, so a rejected
+//! folder stays unchanged.
 
 use crate::convert::to_usize;
 use crate::error::Damage;
@@ -15,29 +15,29 @@
 use consensus::{Entry, Recovered, Snapshot};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Content of a data folder.
+/// State recovered from a data folder.
 #[derive(Debug, Default)]
 pub(crate) struct Recovery {
     pub identity: Option<Identity>,
     pub recovered: Recovered,
     pub state: LogState,
-    /// The segment to continue; none if the folder is new.
+    /// Segment to continue; `None` if the folder is new.
     pub last: Option<LastSegment>,
-    /// Files to remove: temporary files, and segments and snapshots that are
-    /// not in force.
+    /// Files to remove: temporary files, and segments and snapshots that the
+    /// newest checkpoint does not need.
     pub obsolete_files: Vec<String>,
     /// Length of the torn tail, in bytes.
     pub truncated_bytes: u64,
 }
 
-/// The newest segment, with its verified bytes.
+/// Newest segment with a verified record, and its verified bytes.
 #[derive(Debug)]
 pub(crate) struct LastSegment {
     pub number: u64,
     pub bytes: Vec<u8>,
 }
 
-/// An entry that no later one overwrites, and its segment.
+/// Entry that is not overwritten so far, and the segment that contains it.
 #[derive(Debug)]
 struct LiveEntry {
     entry: Entry,
@@ -46,14 +46,15 @@
 
 /// Files in the folder, by kind.
 #[derive(Debug, Default)]
-struct Names {
+struct FileNames {
     segments: BTreeSet<u64>,
     snapshots: BTreeSet<u64>,
     temporary: Vec<String>,
     has_identity: bool,
 }
 
-/// Reads a data folder; [`crate::segment`] defines what counts as damage.
+/// Recovers the state of a data folder. The rules that distinguish damage from a
+/// torn tail are in [`crate::segment`].
 pub(crate) fn recover(disk: &impl Disk) -> Result<Recovery, StorageError> {
     let names = list_names(disk)?;
     let mut recovery = Recovery {
@@ -76,8 +77,9 @@
     Ok(recovery)
 }
 
-fn list_names(disk: &impl Disk) -> Result<Names, StorageError> {
-    let mut names = Names::default();
+/// Lists the files of the folder by kind. Other files are ignored.
+fn list_names(disk: &impl Disk) -> Result<FileNames, StorageError> {
+    let mut names = FileNames::default();
     for name in list(disk)? {
         match parse_name(&name) {
             FileName::Segment(number) => {
@@ -94,7 +96,8 @@
     Ok(names)
 }
 
-fn read_identity(disk: &impl Disk, names: &Names) -> Result<Option<Identity>, StorageError> {
+/// Reads the identity; returns `None` if there is no identity file.
+fn read_identity(disk: &impl Disk, names: &FileNames) -> Result<Option<Identity>, StorageError> {
     if !names.has_identity {
         return Ok(None);
     }
@@ -105,12 +108,15 @@
     Ok(Some(identity))
 }
 
-/// Finds the newest segment whose first record verifies. A segment after it may
-/// be from a rotation that was interrupted, and is obsolete; it must have a
-/// predecessor, which is removed only after the rotation is synced.
+/// Finds the newest segment whose first record verifies, and its checkpoint.
+/// Returns `None` if the folder is new.
+///
+/// If the first record of the very newest segment does not verify, the segment
+/// is from an interrupted rotation and obsolete. Its predecessor must then be
+/// present, since it is removed only after the rotation is synced.
 fn find_last(
     disk: &impl Disk,
-    names: &Names,
+    names: &FileNames,
     recovery: &mut Recovery,
 ) -> Result<Option<(Segment, Checkpoint)>, StorageError> {
     let Some(number) = names.segments.last().copied() else {
@@ -120,7 +126,7 @@
     let bytes = read(disk, &segment_file(number))?;
     let segment = read_segment(number, &bytes)?;
     if let Some(checkpoint) = first_checkpoint(&segment) {
-        keep_last(&segment, bytes, recovery);
+        record_last(&segment, bytes, recovery);
         return Ok(Some((segment, checkpoint)));
     }
     recovery.truncated_bytes = bytes.len() as u64;
@@ -136,11 +142,12 @@
         let file = segment_file(previous);
         return Err(StorageError::damaged(&file, 0, Damage::NoRecord));
     };
-    keep_last(&segment, bytes, recovery);
+    record_last(&segment, bytes, recovery);
     Ok(Some((segment, checkpoint)))
 }
 
-fn keep_last(segment: &Segment, mut bytes: Vec<u8>, recovery: &mut Recovery) {
+/// Records the segment to continue, without its torn tail.
+fn record_last(segment: &Segment, mut bytes: Vec<u8>, recovery: &mut Recovery) {
     recovery.truncated_bytes += (bytes.len() - segment.verified_bytes) as u64;
     bytes.truncate(segment.verified_bytes);
     recovery.last = Some(LastSegment {
@@ -149,26 +156,29 @@
     });
 }
 
+/// Returns the checkpoint in a segment's first record, or `None` if the segment
+/// has no record.
 fn first_checkpoint(segment: &Segment) -> Option<Checkpoint> {
     segment.records.first()?.checkpoint
 }
 
-/// Rejects a folder without a verified segment unless it is new, without any
-/// other file: the first segment is synced before anything else is written.
-fn require_new(names: &Names, segment: u64, damage: Damage) -> Result<(), StorageError> {
-    let is_only_file =
+/// Rejects a folder without a verified segment, unless it is new: it then has no
+/// other file, since the first segment is synced before anything else is
+/// written.
+fn require_new(names: &FileNames, segment: u64, damage: Damage) -> Result<(), StorageError> {
+    let has_no_other_file =
         names.segments.len() <= 1 && names.snapshots.is_empty() && !names.has_identity;
-    if is_only_file && segment == FIRST_SEGMENT {
+    if has_no_other_file && segment == FIRST_SEGMENT {
         return Ok(());
     }
     Err(StorageError::damaged(&segment_file(segment), 0, damage))
 }
 
-/// Rejects a folder without an identity unless it is new: with the first
-/// segment at most, which records only the default state.
+/// Rejects a folder without an identity, unless it is new: it then has at most
+/// the first segment, with the default state.
 fn require_identity(recovery: &Recovery) -> Result<(), StorageError> {
-    let first = recovery.last.as_ref();
-    let is_first = first.is_none_or(|last| last.number == FIRST_SEGMENT);
+    let last = recovery.last.as_ref();
+    let is_first = last.is_none_or(|last| last.number == FIRST_SEGMENT);
     let is_new = is_first && recovery.recovered == Recovered::default();
     if recovery.identity.is_none() && !is_new {
         return Err(StorageError::IdentityMissing);
@@ -176,9 +186,11 @@
     Ok(())
 }
 
+/// Reads the segments from `first` to before `last`. Rejects missing and
+/// incomplete ones.
 fn read_earlier(
     disk: &impl Disk,
-    names: &Names,
+    names: &FileNames,
     first: u64,
     last: u64,
 ) -> Result<Vec<Segment>, StorageError> {
@@ -194,8 +206,7 @@
     Ok(segments)
 }
 
-/// Rejects a segment whose length differs from the one that the next checkpoint
-/// records.
+/// Rejects a segment whose length differs from the one in the next checkpoint.
 fn check_lengths(segments: &[Segment]) -> Result<(), StorageError> {
     let pairs = segments.iter().zip(segments.iter().skip(1));
     for (segment, next) in pairs {
@@ -210,6 +221,8 @@
     Ok(())
 }
 
+/// Reads the snapshot that the checkpoint refers to; returns `None` if it refers
+/// to none.
 fn read_snapshot(
     disk: &impl Disk,
     reference: Option<SnapshotReference>,
@@ -229,7 +242,8 @@
     Ok(Some(snapshot))
 }
 
-/// Applies the records of all segments in order.
+/// Applies the records of all segments in order, and records hard state and
+/// live entries in `recovery`.
 fn replay(segments: Vec<Segment>, recovery: &mut Recovery) -> Result<(), StorageError> {
     let mut live: VecDeque<LiveEntry> = VecDeque::new();
     for segment in segments {
@@ -268,8 +282,8 @@
     Ok(())
 }
 
-/// Appends an entry, which overwrites those from its index on. Returns false if
-/// it would leave a gap.
+/// Appends an entry, which overwrites all entries from its index on. Returns
+/// false if there would be a gap before it.
 fn push_entry(live: &mut VecDeque<LiveEntry>, new: LiveEntry) -> bool {
     if let Some(first) = live.front() {
         let retained = new.entry.index.0.saturating_sub(first.entry.index.0);
@@ -282,34 +296,36 @@
     true
 }
 
-/// Drops the entries up to `base`, which the snapshot covers. Rejects a gap
-/// after it.
+/// Drops the entries up to index `base`, which the snapshot covers. Returns an
+/// error if the remaining entries do not begin right after it.
 fn drop_covered(live: &mut VecDeque<LiveEntry>, base: u64) -> Result<(), StorageError> {
-    while live.front().is_some_and(|live| live.entry.index.0 <= base) {
+    while live.front().is_some_and(|next| next.entry.index.0 <= base) {
         live.pop_front();
     }
     let first = base + 1;
-    let Some(live) = live.front().filter(|live| live.entry.index.0 != first) else {
+    let Some(next) = live.front().filter(|next| next.entry.index.0 != first) else {
         return Ok(());
     };
     let damage = Damage::EntriesAfterSnapshot {
         first,
-        next: live.entry.index.0,
+        next: next.entry.index.0,
     };
-    let file = segment_file(live.segment);
+    let file = segment_file(next.segment);
     Err(StorageError::damaged(&file, 0, damage))
 }
 
-fn record_obsolete_files(names: Names, checkpoint: Checkpoint, recovery: &mut Recovery) {
+/// Records temporary files, and the segments and snapshots that the checkpoint
+/// does not need, as obsolete.
+fn record_obsolete_files(names: FileNames, checkpoint: Checkpoint, recovery: &mut Recovery) {
     let segments = names.segments.range(..checkpoint.first_segment);
     recovery
         .obsolete_files
         .extend(segments.map(|number| segment_file(*number)));
-    let in_force = checkpoint.snapshot.map(|snapshot| snapshot.file);
+    let current_snapshot = checkpoint.snapshot.map(|snapshot| snapshot.file);
     let snapshots = names
         .snapshots
         .iter()
-        .filter(|number| Some(**number) != in_force);
+        .filter(|number| Some(**number) != current_snapshot);
     recovery
         .obsolete_files
         .extend(snapshots.map(|number| snapshot_file(*number)));
--- a/crates/storage/src/segment.rs
+++ b/crates/storage/src/segment.rs
@@ -1,15 +1,16 @@
 //! Reads one segment of the log, and distinguishes a torn tail from damage.
 //!
 //! Each batch is one record, written by one append and synced before the next
-//! one is written. So at most the last record of the last segment can be
-//! unsynced, and a record that verifies proves that all before it were synced:
+//! record is written. So at most the last record of the newest segment can be
+//! unsynced, and a record that verifies proves that all earlier records were
+//! synced. Bytes that do not verify are classified as follows:
 //!
-//! - Bytes that do not verify, with a verified record anywhere after them, are
-//!   damage.
-//! - Bytes that do not verify at the end of the newest segment count as a torn
-//!   tail. Damage to the last synced record, or a file truncated at or within
-//!   it, looks the same; the quorum of the other nodes makes up for it.
-//! - Bytes that do not verify in an earlier segment are damage.
+//! - Before a verified record of the same segment they are damage.
+//! - At the end of the newest segment they are a torn tail. Damage to the last
+//!   synced record, or a file truncated at or within it, cannot be
+//!   distinguished from a torn tail; the quorum of the other nodes compensates
+//!   for the loss.
+//! - In an earlier segment they are damage.
 
 use crate::error::{Damage, StorageError, Unverified};
 use crate::frame::{
@@ -23,14 +24,16 @@
 pub(crate) struct Segment {
     pub number: u64,
     pub records: Vec<Record>,
-    /// Number of bytes that verify, from the start.
+    /// Number of bytes from the start of the file that verify.
     pub verified_bytes: usize,
-    /// Why the bytes after them do not verify, if there are any.
+    /// Cause for which the bytes after the verified ones do not verify. `None`
+    /// if the segment verifies to its last byte.
     pub torn_tail: Option<Unverified>,
 }
 
 impl Segment {
-    /// Returns the segment if it has a checkpoint and verifies to its last byte.
+    /// Returns the segment if it has a record and verifies to its last byte,
+    /// and the damage otherwise.
     pub fn require_complete(self) -> Result<Self, StorageError> {
         let damage = match self.torn_tail {
             Some(cause) => Damage::Unverified(cause),
@@ -42,8 +45,8 @@
     }
 }
 
-/// Reads a segment. Reports a tail that may be torn in [`Segment::torn_tail`],
-/// and rejects other damage.
+/// Decodes a segment. Reports a tail that may be torn in
+/// [`Segment::torn_tail`], and rejects other damage.
 pub(crate) fn read_segment(number: u64, bytes: &[u8]) -> Result<Segment, StorageError> {
     let file = segment_file(number);
     let mut segment = Segment {
@@ -60,7 +63,7 @@
     while segment.torn_tail.is_none() && segment.verified_bytes < bytes.len() {
         match read_record(bytes, number, segment.verified_bytes) {
             Ok(record) => {
-                let decoded = decode(&file, segment.verified_bytes, record.payload)?;
+                let decoded = decode_record(&file, segment.verified_bytes, record.payload)?;
                 segment.records.push(decoded);
                 segment.verified_bytes = record.end;
             }
@@ -71,6 +74,8 @@
     Ok(segment)
 }
 
+/// Returns an error if the first record has no checkpoint, or if a verified
+/// record follows bytes that do not verify.
 fn reject_damage(file: &str, segment: &Segment, bytes: &[u8]) -> Result<(), StorageError> {
     let first = segment.records.first();
     if first.is_some_and(|record| record.checkpoint.is_none()) {
@@ -92,7 +97,7 @@
     }
 }
 
-fn decode(file: &str, offset: usize, payload: &[u8]) -> Result<Record, StorageError> {
+fn decode_record(file: &str, offset: usize, payload: &[u8]) -> Result<Record, StorageError> {
     match postcard::take_from_bytes(payload) {
         Ok((record, [])) => Ok(record),
         Ok(_) => Err(StorageError::damaged(file, offset, Damage::TrailingPayload)),
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,11 +1,11 @@
-//! The store of one coordinator.
+//! Store of one coordinator's log, snapshot and identity.
 //!
-//! A batch is one record in the newest segment and one sync. A batch with a
-//! snapshot first makes the snapshot's file durable, then begins a new segment
-//! whose checkpoint names it: with the sync of that segment the snapshot is in
-//! force, and only then the obsolete files are removed. Each checkpoint also
-//! repeats the hard state, so that the removal of older segments never loses
-//! it.
+//! A batch is one record in the newest segment and costs one sync. A batch with
+//! a snapshot first makes the snapshot file durable, then starts a new segment
+//! whose checkpoint refers to the file. The sync of that segment makes the
+//! snapshot the current one; only then are obsolete files removed. Each
+//! checkpoint also repeats the hard state, so the removal of older segments
+//! never loses it.
 
 use crate::error::BatchError;
 use crate::folder;
@@ -19,30 +19,30 @@
 use consensus::{Entry, HardState, Payload, Recovered, Snapshot};
 use serde::Serialize;
 
-/// Largest size of the commands in one batch, and of the data in one snapshot,
-/// in bytes.
+/// Maximum total size of the commands in one batch, and of the data in one
+/// snapshot, in bytes.
 const MAX_PAYLOAD_BYTES: usize = 1 << 30;
 
-/// Changes that one call writes, with one sync of the log. After a crash a
-/// batch is present as a whole or not at all.
+/// Changes written by one call, with one sync of the log. After a crash a batch
+/// is present completely or not at all.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Batch {
-    /// New hard state.
+    /// New hard state; `None` if it is unchanged.
     pub hard_state: Option<HardState>,
-    /// A snapshot that replaces the log up to its index, or the whole log if the
-    /// log has no entry with that index and term. A snapshot older than the one
-    /// in force is ignored.
+    /// Snapshot that replaces the log up to the snapshot's index, or the whole
+    /// log if it has no entry with that index and term. A snapshot older than
+    /// the current one is ignored. `None` if the batch has no snapshot.
     pub snapshot: Option<Snapshot>,
-    /// Entries to append; they overwrite the entries written earlier from the
-    /// first one's index on.
+    /// Entries to append. They overwrite all earlier entries from the first
+    /// one's index on.
     pub entries: Vec<Entry>,
 }
 
 /// Limits of a store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreOptions {
-    /// Size in bytes from which on a segment gets no further batch. The last
-    /// batch of a segment may exceed it.
+    /// Size of a segment, in bytes, from which on the next batch starts a new
+    /// segment. A segment's last batch may exceed it.
     pub segment_bytes: u64,
 }
 
@@ -54,12 +54,12 @@
     }
 }
 
-/// An open store and the state recovered from it.
+/// Open store and the state recovered from its files.
 #[derive(Debug)]
 pub struct Opened<D: Disk> {
-    /// The store, ready for batches.
+    /// Store, ready for further batches.
     pub store: Store<D>,
-    /// The identity, if one is saved.
+    /// Saved identity, or `None` if none was saved yet.
     pub identity: Option<Identity>,
     /// State for [`consensus::Node::new`].
     pub recovered: Recovered,
@@ -67,7 +67,7 @@
     pub truncated_bytes: u64,
 }
 
-/// The files of one coordinator.
+/// Data folder of one coordinator, open for writing.
 #[derive(Debug)]
 pub struct Store<D: Disk> {
     disk: D,
@@ -79,9 +79,9 @@
     segment_length: u64,
     /// Number of the oldest segment on the disk.
     oldest_segment: u64,
-    /// Number of the newest snapshot file on the disk.
+    /// Number of the newest snapshot file on the disk; `None` if there is none.
     snapshot_on_disk: Option<u64>,
-    /// Set while a write is in progress; stays set if it fails.
+    /// Whether a write is in progress or has failed.
     failed: bool,
 }
 
@@ -89,25 +89,26 @@
     /// Opens the store: reads all files, truncates a torn tail and rejects other
     /// damage.
     ///
-    /// The newest segment is rewritten and synced before this returns: after a
-    /// failed sync the operating system may show bytes that never reached the
-    /// disk.
+    /// The newest segment is rewritten and synced before the function returns,
+    /// since after a failed sync the operating system may return bytes that
+    /// never reached the disk.
     ///
     /// # Errors
     ///
-    /// * [`StorageError::Damaged`], [`StorageError::Version`] and
-    ///   [`StorageError::IdentityMissing`] if the folder is rejected; it is then
-    ///   unchanged.
+    /// * [`StorageError::Damaged`], [`StorageError::Version`] or
+    ///   [`StorageError::IdentityMissing`] if the folder is rejected; the folder
+    ///   is then unchanged.
     /// * [`StorageError::Disk`] if an operation on the disk fails.
     pub fn open(disk: D) -> Result<Opened<D>, StorageError> {
         Self::open_with(disk, StoreOptions::default())
     }
 
-    /// As [`Store::open`], with the given limits.
+    /// Opens the store as [`Store::open`] does, with other limits than the
+    /// default ones.
     ///
     /// # Errors
     ///
-    /// As [`Store::open`].
+    /// Returns the errors of [`Store::open`].
     pub fn open_with(disk: D, options: StoreOptions) -> Result<Opened<D>, StorageError> {
         let recovery = recover(&disk)?;
         let mut store = Self {
@@ -141,7 +142,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Store::write`].
+    /// Returns the errors of [`Store::write`].
     pub fn save_identity(&mut self, identity: &Identity) -> Result<(), StorageError> {
         let payload = encode(identity)?;
         let bytes = encode_single(FileKind::Identity, IDENTITY_NUMBER, &payload)?;
@@ -155,9 +156,9 @@
     ///
     /// # Errors
     ///
-    /// * [`StorageError::InvalidBatch`] if the batch does not follow the log or
-    ///   is too large; nothing is written.
-    /// * [`StorageError::Disk`] if an operation on the disk fails: the batch may
+    /// * [`StorageError::InvalidBatch`] if the entries leave a gap in the log or
+    ///   the batch is too large; nothing is written.
+    /// * [`StorageError::Disk`] if an operation on the disk fails; the batch may
     ///   or may not be present at the next open.
     /// * [`StorageError::Failed`] for every call after a failed write.
     pub fn write(&mut self, batch: &Batch) -> Result<(), StorageError> {
@@ -194,7 +195,8 @@
         self.disk
     }
 
-    /// Rejects a batch before anything is written.
+    /// Returns an error if the entries leave a gap in the log, or if commands or
+    /// snapshot are too large.
     fn validate(&self, snapshot: Option<&Snapshot>, entries: &[Entry]) -> Result<(), StorageError> {
         if !self.state.can_append(snapshot, entries) {
             return Err(BatchError::Gap.into());
@@ -207,13 +209,15 @@
         Ok(())
     }
 
-    /// Marks the store as failed until the write has succeeded.
+    /// Marks the store as failed. The caller resets the mark once the write has
+    /// succeeded.
     fn begin_write(&mut self) -> Result<(), StorageError> {
         self.require_usable()?;
         self.failed = true;
         Ok(())
     }
 
+    /// Returns [`StorageError::Failed`] if an earlier write failed.
     fn require_usable(&self) -> Result<(), StorageError> {
         if self.failed {
             return Err(StorageError::Failed);
@@ -221,8 +225,8 @@
         Ok(())
     }
 
-    /// Makes a snapshot's file durable. The checkpoint of the segment of the
-    /// same number puts it in force.
+    /// Writes and syncs a snapshot file. The snapshot becomes the current one with
+    /// the checkpoint of the segment that has the same number.
     fn install(&mut self, snapshot: &Snapshot, number: u64) -> Result<(), StorageError> {
         let payload = encode(snapshot)?;
         let bytes = encode_single(FileKind::Snapshot, number, &payload)?;
@@ -249,7 +253,7 @@
         Ok(())
     }
 
-    /// The checkpoint of the next segment, `number`.
+    /// Returns the checkpoint with which segment `number`, the next one, starts.
     fn checkpoint(&self, number: u64) -> Checkpoint {
         Checkpoint {
             hard_state: self.state.hard_state,
@@ -259,7 +263,8 @@
         }
     }
 
-    /// Begins a segment with a checkpoint and, in the same record, entries.
+    /// Starts segment `number` with one record that has the checkpoint and
+    /// `entries`, and syncs it.
     fn begin_segment(&mut self, number: u64, entries: &[Entry]) -> Result<(), StorageError> {
         let payload = encode(&RecordRef {
             checkpoint: Some(self.checkpoint(number)),
@@ -275,7 +280,7 @@
         Ok(())
     }
 
-    /// Rewrites the verified bytes of the newest segment.
+    /// Replaces the newest segment with its verified bytes, and syncs it.
     fn rewrite_segment(&mut self, last: &LastSegment) -> Result<(), StorageError> {
         folder::replace_file(&mut self.disk, &segment_file(last.number), &last.bytes)?;
         self.segment = last.number;
@@ -287,19 +292,19 @@
     fn remove_obsolete(&mut self) -> Result<(), StorageError> {
         let first = self.state.first_segment(self.segment);
         let mut obsolete: Vec<String> = (self.oldest_segment..first).map(segment_file).collect();
-        let in_force = self.state.snapshot.map(|snapshot| snapshot.file);
+        let current_snapshot = self.state.snapshot.map(|snapshot| snapshot.file);
         if let Some(on_disk) = self.snapshot_on_disk
-            && Some(on_disk) != in_force
+            && Some(on_disk) != current_snapshot
         {
             obsolete.push(snapshot_file(on_disk));
         }
         self.oldest_segment = first;
-        self.snapshot_on_disk = in_force;
+        self.snapshot_on_disk = current_snapshot;
         folder::remove_files(&mut self.disk, &obsolete)
     }
 }
 
-/// Size of an entry's command, in bytes.
+/// Returns the size of an entry's command in bytes; 0 for other payloads.
 fn command_bytes(entry: &Entry) -> usize {
     match &entry.payload {
         Payload::Command(command) => command.len(),
--- a/crates/storage/tests/errors.rs
+++ b/crates/storage/tests/errors.rs
@@ -17,13 +17,22 @@
 #[test]
 fn every_damage_has_its_text() {
     let texts = [
-        (Unverified::Header.into(), "the header is not whole"),
+        (
+            Unverified::Header.into(),
+            "the header is incomplete or its checksum does not match",
+        ),
         (
             Unverified::RecordHeaderTruncated.into(),
-            "the record's header is cut off",
+            "the record's header is truncated",
+        ),
+        (
+            Unverified::NoRecordMark.into(),
+            "the mark of a record is missing",
+        ),
+        (
+            Unverified::RecordTruncated.into(),
+            "the record is truncated",
         ),
-        (Unverified::NoRecordMark.into(), "no record begins here"),
-        (Unverified::RecordTruncated.into(), "the record is cut off"),
         (
             Unverified::Checksum.into(),
             "the record's checksum does not match",
@@ -33,33 +42,33 @@
                 cause: Unverified::Checksum,
                 next_record: 99,
             },
-            "the record's checksum does not match, yet a whole record follows at byte 99",
+            "the record's checksum does not match, but a valid record follows at byte 99",
         ),
         (
             Damage::HeaderOfOtherFile,
             "the header belongs to another file",
         ),
-        (Damage::TrailingBytes, "there are bytes behind the record"),
+        (Damage::TrailingBytes, "there are bytes after the record"),
         (
             Damage::TrailingPayload,
             "the record is longer than its content",
         ),
         (Damage::LogMissing, "the log is missing"),
-        (Damage::FirstRecord, "the first record is not whole"),
+        (Damage::FirstRecord, "the first record does not verify"),
         (Damage::NoRecord, "there is no record"),
-        (Damage::NoCheckpoint, "the first record is no checkpoint"),
+        (Damage::NoCheckpoint, "the first record has no checkpoint"),
         (Damage::SegmentMissing, "the segment is missing"),
         (
             Damage::SegmentLength {
                 expected: Some(1),
                 found: 2,
             },
-            "the segment is not as long as the next one says",
+            "the length differs from the one recorded in the next segment",
         ),
         (Damage::SnapshotMissing, "the snapshot is missing"),
         (
             Damage::SnapshotMismatch,
-            "the snapshot is not the one that the log names",
+            "the snapshot's index or term differs from the log's checkpoint",
         ),
         (Damage::EntryGap, "entries are missing"),
         (
