--- a/crates/storage/tests/common/mod.rs
+++ b/crates/storage/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A disk that tests reach while a store has it, a model of the store, and
-//! builders of what it keeps.
+//! Test support: a disk shared between test and store, a model of the store, and
+//! builders of batches and identities.
 #![allow(dead_code, clippy::unwrap_used)]
 
 use consensus::{Entry, HardState, Payload, Recovered, Snapshot, SnapshotMeta};
@@ -9,20 +9,22 @@
 use storage::{Batch, Disk, Identity, MemoryDisk, Opened, Store, StoreOptions};
 use types::{ClusterId, LogIndex, NodeId, Term};
 
-/// Small enough that a few batches fill a segment.
+/// Options with segments that a few batches fill.
 pub const SMALL_SEGMENTS: StoreOptions = StoreOptions { segment_bytes: 160 };
 
-/// A disk whose clones are the same disk. It can leave out syncs, as a faulty
+/// Disk whose clones share one [`MemoryDisk`]. It can skip syncs, as a faulty
 /// store would.
 #[derive(Debug, Clone, Default)]
 pub struct SharedDisk {
     pub memory: Arc<Mutex<MemoryDisk>>,
-    pub skips_files: bool,
-    pub skips_folder: bool,
+    /// Whether syncs of files have no effect.
+    pub skips_file_syncs: bool,
+    /// Whether syncs of the folder have no effect.
+    pub skips_folder_syncs: bool,
 }
 
 impl SharedDisk {
-    pub fn of(memory: MemoryDisk) -> Self {
+    pub fn new(memory: MemoryDisk) -> Self {
         Self {
             memory: Arc::new(Mutex::new(memory)),
             ..Self::default()
@@ -33,7 +35,7 @@
         self.memory.lock().unwrap()
     }
 
-    /// Lets the changes after the next `changes` fail.
+    /// Makes all changes fail after `changes` more have succeeded.
     pub fn fail_after(&self, changes: u64) {
         let mut memory = self.memory();
         let first = memory.changes() + changes;
@@ -58,13 +60,13 @@
         self.memory().truncate(file, length)
     }
     fn sync_file(&mut self, file: &str) -> io::Result<()> {
-        if self.skips_files {
+        if self.skips_file_syncs {
             return Ok(());
         }
         self.memory().sync_file(file)
     }
     fn sync_folder(&mut self) -> io::Result<()> {
-        if self.skips_folder {
+        if self.skips_folder_syncs {
             return Ok(());
         }
         self.memory().sync_folder()
@@ -86,7 +88,8 @@
     }
 }
 
-pub fn entries(indexes: impl Iterator<Item = u64>, term: u64) -> Batch {
+/// Builds a batch that appends the entries of `indexes`.
+pub fn append_batch(indexes: impl Iterator<Item = u64>, term: u64) -> Batch {
     Batch {
         entries: indexes.map(|index| entry(index, term)).collect(),
         ..Batch::default()
@@ -101,7 +104,8 @@
     }
 }
 
-pub fn vote(term: u64) -> Batch {
+/// Builds a batch with the hard state of `term`.
+pub fn vote_batch(term: u64) -> Batch {
     Batch {
         hard_state: Some(hard_state(term)),
         ..Batch::default()
@@ -122,7 +126,8 @@
     }
 }
 
-pub fn install(index: u64, term: u64) -> Batch {
+/// Builds a batch with a snapshot that covers the log up to `index`.
+pub fn snapshot_batch(index: u64, term: u64) -> Batch {
     Batch {
         snapshot: Some(snapshot(index, term)),
         ..Batch::default()
@@ -137,25 +142,26 @@
     }
 }
 
-/// A disk with an identity, synced, and nothing else: a coordinator writes no
-/// batch before.
-pub fn founded() -> MemoryDisk {
+/// Creates a disk with an identity and an empty log, as a coordinator has before
+/// its first batch.
+pub fn disk_with_identity() -> MemoryDisk {
     let mut store = open(MemoryDisk::new()).store;
     store.save_identity(&identity(1)).unwrap();
     store.into_disk()
 }
 
+/// Opens a store with [`SMALL_SEGMENTS`]; panics if the folder is rejected.
 pub fn open<D: Disk>(disk: D) -> Opened<D> {
-    Store::open_with(disk, SMALL_SEGMENTS).unwrap_or_else(|error| panic!("refused: {error}"))
+    Store::open_with(disk, SMALL_SEGMENTS).unwrap_or_else(|error| panic!("open failed: {error}"))
 }
 
-/// What a batch means, said in the plainest way.
+/// Applies a batch to the model, as a reference for [`Store::write`].
 pub fn apply(model: &mut Recovered, batch: &Batch) {
     if let Some(hard_state) = batch.hard_state {
         model.hard_state = hard_state;
     }
     if let Some(snapshot) = &batch.snapshot {
-        install_into(model, snapshot);
+        install_snapshot(model, snapshot);
     }
     if let Some(first) = batch.entries.first() {
         model.entries.retain(|entry| entry.index < first.index);
@@ -163,24 +169,25 @@
     }
 }
 
-fn install_into(model: &mut Recovered, snapshot: &Snapshot) {
+fn install_snapshot(model: &mut Recovered, snapshot: &Snapshot) {
     let current = model.snapshot.as_ref().map(|snapshot| &snapshot.meta);
     if current.is_some_and(|meta| meta.index > snapshot.meta.index) {
         return;
     }
-    let wanted = (snapshot.meta.index, snapshot.meta.term);
-    let held = current.is_some_and(|meta| (meta.index, meta.term) == wanted)
+    let position = (snapshot.meta.index, snapshot.meta.term);
+    let log_contains = current.is_some_and(|meta| (meta.index, meta.term) == position)
         || model
             .entries
             .iter()
-            .any(|entry| (entry.index, entry.term) == wanted);
+            .any(|entry| (entry.index, entry.term) == position);
     model
         .entries
-        .retain(|entry| held && entry.index > snapshot.meta.index);
+        .retain(|entry| log_contains && entry.index > snapshot.meta.index);
     model.snapshot = Some(snapshot.clone());
 }
 
-/// States after no batch, the first, the first two, and so on.
+/// Returns the model's state after each prefix of `batches`: after none, after
+/// the first, and so on.
 pub fn states(batches: &[Batch]) -> Vec<Recovered> {
     let mut state = Recovered::default();
     let mut states = vec![state.clone()];
@@ -191,26 +198,26 @@
     states
 }
 
-/// A history with votes, overwrites, rotations, an own snapshot that the log
-/// goes on behind, and a received one that the log does not hold.
+/// Returns batches with votes, overwrites, rotations, an own snapshot followed by
+/// further entries of the log, and a received snapshot that is ahead of the log.
 pub fn history() -> Vec<Batch> {
-    let mut both = entries(4..=6, 2);
-    both.hard_state = Some(hard_state(2));
-    let mut received = install(20, 4);
+    let mut entries_and_vote = append_batch(4..=6, 2);
+    entries_and_vote.hard_state = Some(hard_state(2));
+    let mut received = snapshot_batch(20, 4);
     received.hard_state = Some(hard_state(4));
-    received.entries = entries(21..=22, 4).entries;
+    received.entries = append_batch(21..=22, 4).entries;
     vec![
-        vote(1),
-        entries(1..=5, 1),
-        both,
-        entries(7..=9, 2),
-        install(6, 2),
-        entries(9..=12, 3),
-        vote(3),
+        vote_batch(1),
+        append_batch(1..=5, 1),
+        entries_and_vote,
+        append_batch(7..=9, 2),
+        snapshot_batch(6, 2),
+        append_batch(9..=12, 3),
+        vote_batch(3),
         received,
-        entries(23..=25, 4),
-        vote(5),
-        entries(25..=27, 5),
-        entries(28..=28, 5),
+        append_batch(23..=25, 4),
+        vote_batch(5),
+        append_batch(25..=27, 5),
+        append_batch(28..=28, 5),
     ]
 }
--- a/crates/storage/tests/crash.rs
+++ b/crates/storage/tests/crash.rs
@@ -1,10 +1,10 @@
-//! Random histories against a model, with power loss and failing disks at any
-//! point: what `write` acknowledged is there afterwards.
+//! Random batches against a model, with power losses and disk failures at any
+//! point. Guards against the loss of a batch that [`Store::write`] acknowledged.
 #![allow(clippy::unwrap_used)]
 
 mod common;
 
-use common::{SMALL_SEGMENTS, SharedDisk, apply, entry, founded, hard_state, snapshot};
+use common::{SMALL_SEGMENTS, SharedDisk, apply, disk_with_identity, entry, hard_state, snapshot};
 use consensus::Recovered;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
@@ -14,32 +14,23 @@
 
 #[derive(Debug, Clone)]
 enum Step {
+    /// Batch with a hard state.
     Vote,
-    /// Entries from `back` before the end on.
-    Append {
-        back: u64,
-        count: u64,
-        vote: bool,
-    },
-    /// Own snapshot, `back` before the end.
-    Compact {
-        back: u64,
-    },
-    /// A snapshot ahead of the log, with `count` entries behind it.
-    Install {
-        ahead: u64,
-        count: u64,
-    },
-    /// The next disk changes from this one on fail.
-    FailAfter {
-        changes: u64,
-    },
-    Crash {
-        seed: u64,
-    },
+    /// Batch with `count` entries, of which `back` overwrite the end of the log;
+    /// with a hard state if `vote` is set.
+    Append { back: u64, count: u64, vote: bool },
+    /// Batch with an own snapshot that leaves the last `back` entries in the log.
+    Compact { back: u64 },
+    /// Batch with a received snapshot that is ahead of the log, and `count`
+    /// entries after it.
+    Install { ahead: u64, count: u64 },
+    /// Makes all disk changes fail after `changes` more have succeeded.
+    FailAfter { changes: u64 },
+    /// Power loss with random outcome, and reopen.
+    Crash { seed: u64 },
 }
 
-fn steps() -> impl Strategy<Value = Vec<Step>> {
+fn any_steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         2 => Just(Step::Vote),
         6 => (0..4u64, 1..4u64, any::<bool>())
@@ -61,28 +52,30 @@
     }
 }
 
-/// Drives a store and the model side by side.
-struct Trial {
+/// Applies steps to a store and to the model, and compares them after crashes.
+struct ModelCheck {
     disk: SharedDisk,
     store: Store<SharedDisk>,
-    /// What was acknowledged.
+    /// State after the acknowledged batches.
     acknowledged: Recovered,
-    /// With the batch that failed, which may have become durable.
-    possible: Option<Recovered>,
+    /// State that includes the batch whose write failed, which may have become
+    /// durable. `None` if no write failed since the last open.
+    after_failed_write: Option<Recovered>,
     term: u64,
-    fails: bool,
+    /// Whether disk changes fail, now or after some more of them.
+    has_injected_failure: bool,
 }
 
-impl Trial {
+impl ModelCheck {
     fn new(disk: SharedDisk) -> Self {
         let opened = Store::open_with(disk.clone(), SMALL_SEGMENTS).unwrap();
         Self {
             disk,
             store: opened.store,
             acknowledged: Recovered::default(),
-            possible: None,
+            after_failed_write: None,
             term: 0,
-            fails: false,
+            has_injected_failure: false,
         }
     }
 
@@ -93,13 +86,14 @@
         self.crash(0).map(drop)
     }
 
+    /// Applies a step. Returns an error if store and model differ.
     fn step(mut self, step: &Step) -> Result<Self, String> {
         match step {
             Step::Crash { seed } => return self.crash(*seed),
             Step::FailAfter { changes } => {
-                if !self.fails {
+                if !self.has_injected_failure {
                     self.disk.fail_after(*changes);
-                    self.fails = true;
+                    self.has_injected_failure = true;
                 }
                 return Ok(self);
             }
@@ -109,39 +103,43 @@
         let mut next = self.acknowledged.clone();
         apply(&mut next, &batch);
         match self.store.write(&batch) {
-            Ok(()) if self.possible.is_none() => self.acknowledged = next,
-            Ok(()) => return Err("written after a failure".to_owned()),
-            Err(StorageError::Failed) if self.possible.is_some() => {}
-            Err(StorageError::Disk { .. }) if self.fails => self.possible = Some(next),
+            Ok(()) if self.after_failed_write.is_none() => self.acknowledged = next,
+            Ok(()) => return Err("write succeeded after a failed one".to_owned()),
+            Err(StorageError::Failed) if self.after_failed_write.is_some() => {}
+            Err(StorageError::Disk { .. }) if self.has_injected_failure => {
+                self.after_failed_write = Some(next)
+            }
             Err(error) => return Err(error.to_string()),
         }
         Ok(self)
     }
 
+    /// Simulates a power loss, reopens the store and compares it with the model.
     fn crash(mut self, seed: u64) -> Result<Self, String> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         self.disk.memory().crash(&mut rng);
-        // The first try to open may lose power as well.
+        // The first open may fail and lose power as well.
         self.disk.fail_after(seed % 10);
         drop(Store::open_with(self.disk.clone(), SMALL_SEGMENTS));
         self.disk.memory().crash(&mut rng);
         let opened =
             Store::open_with(self.disk.clone(), SMALL_SEGMENTS).map_err(|e| e.to_string())?;
-        let known = opened.recovered == self.acknowledged
-            || Some(&opened.recovered) == self.possible.as_ref();
-        if !known {
+        let is_expected = opened.recovered == self.acknowledged
+            || Some(&opened.recovered) == self.after_failed_write.as_ref();
+        if !is_expected {
             return Err(format!(
-                "acknowledged {:?}, found {:?}",
+                "acknowledged {:?}, recovered {:?}",
                 self.acknowledged, opened.recovered
             ));
         }
         self.acknowledged = opened.recovered;
-        self.possible = None;
-        self.fails = false;
+        self.after_failed_write = None;
+        self.has_injected_failure = false;
         self.store = opened.store;
         Ok(self)
     }
 
+    /// Builds the batch of a step.
     fn batch(&mut self, step: &Step) -> Batch {
         self.term += 1;
         let term = self.term;
@@ -183,14 +181,15 @@
 fn acknowledged_batches_survive_crashes_and_failing_disks() {
     let mut runner = TestRunner::new(config(400));
     runner
-        .run(&steps(), |steps| {
-            let trial = Trial::new(SharedDisk::of(founded()));
-            trial.run(&steps).map_err(TestCaseError::fail)
+        .run(&any_steps(), |steps| {
+            let check = ModelCheck::new(SharedDisk::new(disk_with_identity()));
+            check.run(&steps).map_err(TestCaseError::fail)
         })
         .unwrap();
 }
 
-/// Batches, rotations and a snapshot, then a crash drawn from `seed`.
+/// Returns steps with batches, rotations and a snapshot, and then a crash with
+/// random outcome.
 fn history_with_crash(seed: u64) -> Vec<Step> {
     let append = Step::Append {
         back: 0,
@@ -204,22 +203,26 @@
     steps
 }
 
-/// Crashes, of twenty, after which the model's check fails.
-fn failed_checks(skips_files: bool, skips_folder: bool) -> usize {
+/// Returns for how many of twenty crash seeds the model check fails.
+fn failed_checks(skips_file_syncs: bool, skips_folder_syncs: bool) -> usize {
     let check = |seed: &u64| {
         let disk = SharedDisk {
-            skips_files,
-            skips_folder,
-            ..SharedDisk::of(founded())
+            skips_file_syncs,
+            skips_folder_syncs,
+            ..SharedDisk::new(disk_with_identity())
         };
-        Trial::new(disk).run(&history_with_crash(*seed)).is_err()
+        ModelCheck::new(disk)
+            .run(&history_with_crash(*seed))
+            .is_err()
     };
     (0..20).filter(check).count()
 }
 
+/// Guards against a check that cannot fail: a store that leaves out syncs must
+/// lose acknowledged batches in some crashes, and the check must detect it.
 #[test]
-fn the_check_notices_a_missing_sync() {
+fn model_check_detects_skipped_syncs() {
     assert_eq!(failed_checks(false, false), 0);
-    assert!(failed_checks(true, false) > 0, "file syncs left out");
-    assert!(failed_checks(false, true) > 0, "folder syncs left out");
+    assert!(failed_checks(true, false) > 0, "file syncs skipped");
+    assert!(failed_checks(false, true) > 0, "folder syncs skipped");
 }
--- a/crates/storage/tests/errors.rs
+++ b/crates/storage/tests/errors.rs
@@ -1,8 +1,8 @@
-//! The texts of errors, which operators read in the log.
+//! Texts of the errors that operators read in the log.
 
 use storage::{BatchError, Damage, DiskOperation, FORMAT_VERSION, StorageError, Unverified};
 
-fn damaged(damage: impl Into<Damage>) -> String {
+fn damage_text(damage: impl Into<Damage>) -> String {
     let error = StorageError::Damaged {
         file: "log-1".to_owned(),
         offset: 24,
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn every_damage_has_its_text() {
+fn damage_errors_display_expected_text() {
     let texts = [
         (
             Unverified::Header.into(),
@@ -77,12 +77,12 @@
         ),
     ];
     for (damage, text) in texts {
-        assert_eq!(damaged(damage), text);
+        assert_eq!(damage_text(damage), text);
     }
 }
 
 #[test]
-fn other_errors_have_their_texts() {
+fn disk_batch_and_version_errors_display_expected_text() {
     let disk = |operation| StorageError::Disk {
         operation,
         file: "identity".to_owned(),
--- a/crates/storage/tests/real_disk.rs
+++ b/crates/storage/tests/real_disk.rs
@@ -1,4 +1,4 @@
-//! The store on a folder of the operating system.
+//! Store and disk operations on a folder of the file system.
 #![allow(clippy::unwrap_used)]
 
 mod common;
@@ -7,15 +7,16 @@
 use std::path::PathBuf;
 use storage::{Disk, DiskOperation, RealDisk, StorageError};
 
-fn fresh_folder(name: &str) -> PathBuf {
+/// Returns the path of a temporary folder, which is removed if it exists.
+fn removed_folder(name: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
     folder
 }
 
 #[test]
-fn a_history_is_read_back_after_each_reopen() {
-    let folder = fresh_folder("history").join("deeper/data");
+fn each_reopen_recovers_all_written_batches() {
+    let folder = removed_folder("history").join("deeper/data");
     let batches = history();
     let states = states(&batches);
     for (position, batch) in batches.iter().enumerate() {
@@ -31,8 +32,8 @@
 }
 
 #[test]
-fn a_folder_in_use_is_refused() {
-    let folder = fresh_folder("in_use");
+fn open_of_locked_folder_is_rejected() {
+    let folder = removed_folder("in_use");
     let first = RealDisk::open(&folder).unwrap();
     let second = RealDisk::open(&folder);
     assert!(matches!(
@@ -46,10 +47,12 @@
     RealDisk::open(&folder).unwrap();
 }
 
+/// Guards against a race: concurrent opens create the same missing parent, and an
+/// open must not fail because another one created it first.
 #[test]
-fn folders_below_one_missing_parent_are_made_at_once() {
+fn concurrent_opens_create_missing_parent_folder() {
     for round in 0..50 {
-        let parent = fresh_folder("race").join(format!("round-{round}"));
+        let parent = removed_folder("race").join(format!("round-{round}"));
         let start = std::sync::Barrier::new(4);
         std::thread::scope(|scope| {
             for number in 0..4 {
@@ -65,8 +68,8 @@
 }
 
 #[test]
-fn files_change_as_asked() {
-    let mut disk = RealDisk::open(fresh_folder("files")).unwrap();
+fn file_operations_change_content_and_names() {
+    let mut disk = RealDisk::open(removed_folder("files")).unwrap();
     disk.append("a", b"one").unwrap();
     disk.append("a", b"two").unwrap();
     disk.sync_file("a").unwrap();
