--- a/crates/session/src/client.rs
+++ b/crates/session/src/client.rs
@@ -1,4 +1,4 @@
-//! The session client, which composes the components of this crate.
+//! Session client, which composes the components of this crate.
 
 mod keep_alives;
 mod messages;
@@ -19,42 +19,43 @@
     Address, ClusterId, ConfigurationVersion, Milliseconds, Monotonic, Now, RunnerId, Term,
 };
 
-/// Bits of a keep-alive's number below the random part of the first one.
+/// Number of low bits that are zero in the sequence number of a process's first
+/// keep-alive; the bits above them are random.
 const SEQUENCE_BITS: u32 = 16;
 
 /// Settings of a session client.
 #[derive(Debug, Clone)]
 pub struct SessionOptions {
-    /// Identity, role and address of this process.
+    /// Node, role, zone and peer socket of this process.
     pub address: Address,
-    /// Peer addresses of other processes of any role. They need not be alive, and
-    /// may include the process itself.
+    /// Peer sockets at which members are discovered, of processes of any role.
+    /// They need not all be reachable, and may include this process.
     pub seeds: Vec<SocketAddr>,
-    /// Time between keep-alives.
+    /// Time between rounds of keep-alives while there is a lease.
     pub interval: Milliseconds,
-    /// How long the replica is valid after the leader last confirmed it.
+    /// Time for which the replica is valid after the leader last confirmed it.
     pub replica_valid: Milliseconds,
-    /// Seed of the random generator for jitter, discovery and the first
-    /// keep-alive's number.
+    /// Seed of the random generator for jitter, discovery and the sequence number
+    /// of the first keep-alive.
     pub seed: u64,
 }
 
-/// A change of the session.
+/// Change of the session, reported to the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SessionEvent {
-    /// A session began: the first one, or one after a lost lease, under a leader
-    /// of another term, or after a freeze.
+    /// A session was opened: the first one, or a new one after an expired lease,
+    /// a change of the leader's term, or a call of [`SessionClient::rejoin`].
     Opened {
-        /// The leader's term.
+        /// Term of the leader that granted the lease.
         term: Term,
     },
     /// The lease expired.
     Lost,
-    /// The replica has a newer configuration.
+    /// The replica received a newer configuration, of this version.
     Configuration(ConfigurationVersion),
 }
 
-/// The session client.
+/// State machine of one process's session with the leader.
 #[derive(Debug)]
 pub struct SessionClient {
     options: SessionOptions,
@@ -71,11 +72,11 @@
 }
 
 impl SessionClient {
-    /// A client that knows only its seeds.
+    /// Creates a client without a session, whose first round is due at `now`.
     pub fn new(options: SessionOptions, now: Now) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(options.seed ^ options.address.node.0);
-        // Random, so that a lease for an earlier process at the same address
-        // matches no keep-alive of this one.
+        // The first number is random, so that a lease for an earlier process at
+        // the same address matches no keep-alive of this one.
         let first_sequence = u64::from(random.random::<u32>()) << SEQUENCE_BITS;
         Self {
             directory: Directory::new(options.address.clone()),
@@ -92,8 +93,9 @@
         }
     }
 
-    /// Expires the lease, and sends keep-alives and discoveries that are due.
-    /// `out` receives the messages to send.
+    /// Expires the lease if its time is over, and adds the keep-alives and
+    /// discoveries that are due to `out`. `runners` are the runners that the
+    /// next keep-alives report.
     pub fn tick(&mut self, now: Now, runners: &[RunnerId], out: &mut Outbox) -> Vec<SessionEvent> {
         if self.runners != runners {
             self.runners = runners.to_vec();
@@ -104,11 +106,11 @@
     }
 
     /// Handles a message of the session: discovery, members, lease, not-leader,
-    /// configuration, or a relay to another process. Returns any other message,
-    /// extracted from a relay to this process.
+    /// configuration, or a relay to another process. Returns any other message
+    /// to the caller, without its relay if it arrived through one.
     ///
-    /// A lease that expired unnoticed, as in a freeze, is reported as lost before
-    /// the message is handled.
+    /// If the lease has expired since the last call, for example while the
+    /// process was frozen, it is reported as lost before the message is handled.
     pub fn handle(
         &mut self,
         now: Now,
@@ -132,8 +134,8 @@
         (events, other)
     }
 
-    /// Gives up the lease and requests a new one, for example after a freeze that
-    /// was shorter than the lease. Replies to earlier keep-alives are ignored.
+    /// Drops the lease and requests a new one, for example after a freeze that was
+    /// shorter than the lease. Replies to earlier keep-alives are ignored.
     pub fn rejoin(&mut self, now: Now, out: &mut Outbox) {
         self.lease.clear();
         self.keep_alives.clear();
@@ -141,15 +143,15 @@
         self.send_round_if_due(now.monotonic, out);
     }
 
-    /// Tells the leader that this process ends its session.
+    /// Sends a last keep-alive that ends the session at the leader.
     pub fn leave(&mut self, now: Now, out: &mut Outbox) {
         let sequence = self.keep_alives.record(now.monotonic, Path::Direct);
         let keep_alive = self.keep_alive(sequence, true);
         out.extend(self.to_leader(now, keep_alive));
     }
 
-    /// Addresses a message to the leader, directly or through a follower if the
-    /// direct path is unresponsive. None if no leader is known.
+    /// Addresses a message to the leader: directly, or through a follower if the
+    /// direct path is unresponsive. Returns `None` if no leader is known.
     pub fn to_leader(&self, now: Now, message: PeerMessage) -> Option<(SocketAddr, PeerMessage)> {
         let leader = self.leader.as_ref()?;
         let socket = leader.address().socket;
@@ -164,22 +166,24 @@
         }
     }
 
-    /// Term of the session; none without a valid lease.
+    /// Returns the term of the session, or `None` without a valid lease.
     pub fn term(&self, now: Now) -> Option<Term> {
         self.lease.term(now.monotonic)
     }
 
-    /// Highest term of a leader that granted this process a lease.
+    /// Returns the highest term of a leader that granted this process a lease.
     pub fn highest_term(&self) -> Term {
         self.highest_term
     }
 
-    /// The replica, while it is valid.
+    /// Returns the replica's version and document, or `None` if the leader has not
+    /// confirmed it recently.
     pub fn configuration(&self, now: Now) -> Option<(ConfigurationVersion, &ClusterConfiguration)> {
         self.replica.valid(now.monotonic)
     }
 
-    /// When the caller must call [`SessionClient::tick`] next.
+    /// Returns the time at which the caller must call [`SessionClient::tick`]
+    /// next.
     pub fn next_wakeup(&self) -> Monotonic {
         let next_round = self.schedule.next_round();
         match self.lease.expires_at() {
@@ -188,7 +192,8 @@
         }
     }
 
-    /// Reports a lease that has expired.
+    /// Removes the lease and reports it as lost if it has expired. A new round is
+    /// then due at once.
     fn expire_lease(&mut self, now: Monotonic) -> Vec<SessionEvent> {
         if !self.lease.expire(now) {
             return Vec::new();
--- a/crates/session/src/client/keep_alives.rs
+++ b/crates/session/src/client/keep_alives.rs
@@ -1,4 +1,4 @@
-//! Sends keep-alives and discoveries.
+//! Sending of keep-alives and discoveries.
 
 use super::SessionClient;
 use crate::keep_alive::Path;
@@ -18,9 +18,14 @@
         }
     }
 
-    /// Sends a keep-alive to the leader; also through a follower if the direct
-    /// path is unresponsive; also to another coordinator, and a discovery to the
-    /// seeds, if the leader is unresponsive on all paths.
+    /// Sends the keep-alives of one round:
+    ///
+    /// - without a known leader, one to the next coordinator, and discoveries;
+    /// - otherwise one to the leader, except in the rounds that leave out the
+    ///   direct path while a relay is in use;
+    /// - also one through a follower if the direct path is unresponsive;
+    /// - also one to that follower itself, and discoveries, if the leader is
+    ///   unresponsive on all paths.
     fn send_round(&mut self, now: Monotonic, out: &mut Outbox) {
         let Some(leader) = &self.leader else {
             self.contact_next_coordinator(now, out);
@@ -48,20 +53,21 @@
         }
     }
 
-    /// Sends a keep-alive to the next known coordinator, which may lead or know
-    /// the leader.
+    /// Sends a keep-alive to the next known coordinator, which is the leader or
+    /// replies with a hint to it.
     pub(super) fn contact_next_coordinator(&mut self, now: Monotonic, out: &mut Outbox) {
         if let Some(socket) = self.directory.next_coordinator(None) {
             self.send_keep_alive(now, socket, out);
         }
     }
 
-    /// Sends a keep-alive to a coordinator.
+    /// Sends a keep-alive directly to the coordinator at `to`.
     pub(super) fn send_keep_alive(&mut self, now: Monotonic, to: SocketAddr, out: &mut Outbox) {
         let sequence = self.keep_alives.record(now, Path::Direct);
         out.push((to, self.keep_alive(sequence, false)));
     }
 
+    /// Sends a keep-alive to the leader, relayed by a follower.
     fn send_keep_alive_through(
         &mut self,
         now: Monotonic,
@@ -79,7 +85,8 @@
         ));
     }
 
-    /// The keep-alive of number `sequence`.
+    /// Builds the keep-alive with sequence number `sequence`. `leaving` ends the
+    /// session.
     pub(super) fn keep_alive(&self, sequence: u64, leaving: bool) -> PeerMessage {
         PeerMessage::KeepAlive(KeepAlive {
             sequence,
@@ -90,8 +97,8 @@
         })
     }
 
-    /// Sends a discovery to all seeds, and to one known gateway or agent at
-    /// random.
+    /// Sends a discovery to all seeds except this process, and to one random known
+    /// gateway or agent.
     fn discover(&mut self, out: &mut Outbox) {
         let own = self.options.address.socket;
         let seeds = self.options.seeds.iter().copied();
--- a/crates/session/src/client/messages.rs
+++ b/crates/session/src/client/messages.rs
@@ -1,4 +1,4 @@
-//! Handles the messages of the session.
+//! Handling of the messages of the session.
 
 use super::{SessionClient, SessionEvent};
 use crate::keep_alive::{Path, SentKeepAlive};
@@ -9,8 +9,8 @@
 use types::{Address, ClusterId, Monotonic};
 
 impl SessionClient {
-    /// Handles a message to this process, or returns it if it does not belong to
-    /// the session.
+    /// Handles a message to this process. Returns the message if it does not
+    /// belong to the session.
     pub(super) fn handle_own(
         &mut self,
         now: Monotonic,
@@ -34,6 +34,8 @@
         None
     }
 
+    /// Adds the members that another process listed, and follows the leader that
+    /// it reported unless the leader's term is outdated.
     fn on_members(&mut self, now: Monotonic, members: &Members, out: &mut Outbox) {
         if self.is_other_cluster(members.cluster) {
             return;
@@ -46,7 +48,7 @@
             Some(leader) if members.term >= self.highest_term => {
                 self.directory.add(leader);
                 if members.term > self.highest_term {
-                    self.abandon_superseded(leader);
+                    self.drop_superseded_leader(leader);
                 }
                 self.follow_hint(now, leader, out);
             }
@@ -57,15 +59,17 @@
         }
     }
 
-    /// Stops following a leader once another one has a higher term, even if the
-    /// old one still replies.
-    fn abandon_superseded(&mut self, newer: &Address) {
-        let followed = self.leader.as_ref().map(LeaderContact::address);
-        if followed.is_some_and(|followed| followed != newer) {
+    /// Drops the present leader if `newer`, a leader of a higher term, is another
+    /// one, even if the present leader still replies.
+    fn drop_superseded_leader(&mut self, newer: &Address) {
+        let present = self.leader.as_ref().map(LeaderContact::address);
+        if present.is_some_and(|present| present != newer) {
             self.leader = None;
         }
     }
 
+    /// Extends or begins a lease. Ignores a lease that is no reply to a recorded
+    /// keep-alive, of a lower term, or of another cluster.
     fn on_lease(
         &mut self,
         now: Monotonic,
@@ -92,7 +96,7 @@
         }
     }
 
-    /// Records which path to the leader a lease proves to work.
+    /// Records the path to the leader that a lease proves to work.
     fn record_reply(
         &mut self,
         now: Monotonic,
@@ -108,12 +112,13 @@
         let Some(contact) = &mut self.leader else {
             return;
         };
-        // A direct keep-alive with a relayed reply proves no path in both
+        // A direct keep-alive with a relayed reply proves no path to work in both
         // directions.
         let proves_path = matches!(keep_alive.path, Path::Relayed(_)) || via.is_none();
         contact.record_contact(proves_path.then_some(keep_alive.path), now);
     }
 
+    /// Drops the leader if it is the sender, and follows the sender's hint.
     fn on_not_leader(
         &mut self,
         now: Monotonic,
@@ -134,8 +139,8 @@
         }
     }
 
-    /// Follows the coordinator that another member names as the leader, unless
-    /// the present leader is responsive: hints may be old.
+    /// Sends a keep-alive to the coordinator that another member reported as the
+    /// leader, unless the present leader is responsive: hints may be outdated.
     fn follow_hint(&mut self, now: Monotonic, hint: &Address, out: &mut Outbox) {
         let is_own = hint.node == self.options.address.node;
         let is_leader_responsive = self
@@ -150,12 +155,14 @@
         self.send_keep_alive(now, hint.socket, out);
     }
 
+    /// Updates the replica with a configuration that the leader sent.
     fn on_configuration(&mut self, envelope: Envelope, events: &mut Vec<SessionEvent>) {
         let from_leader = self
             .leader
             .as_ref()
             .is_some_and(|contact| contact.address().node == envelope.from.node);
-        // Before the first lease no leader of this cluster is known.
+        // Before the first lease the cluster is unknown, and the sender may belong
+        // to another one.
         if !from_leader || self.cluster.is_none() {
             return;
         }
@@ -166,6 +173,8 @@
         }
     }
 
+    /// Builds the reply to a discovery. It reports the leader only while there is
+    /// a lease.
     fn members(&self) -> Members {
         let leader = self.leader.as_ref().filter(|_| self.lease.is_some());
         Members {
@@ -176,6 +185,8 @@
         }
     }
 
+    /// Returns whether `cluster` is known to be another one than that of this
+    /// process.
     fn is_other_cluster(&self, cluster: Option<ClusterId>) -> bool {
         matches!((self.cluster, cluster), (Some(own), Some(other)) if own != other)
     }
--- a/crates/session/src/directory.rs
+++ b/crates/session/src/directory.rs
@@ -1,28 +1,30 @@
-//! Known members of the cluster, in lists of limited length.
+//! Directory of the known members of the cluster, limited in size.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use types::{Address, Role};
 
-/// Largest number of coordinators kept.
+/// Maximum number of coordinators kept.
 pub const MAX_COORDINATORS: usize = 16;
-/// Largest number of gateways and agents kept. A process needs only a few of
-/// them, to discover coordinators again if all known ones are gone.
+/// Maximum number of gateways and agents kept. A process needs only a few of
+/// them, to discover coordinators again if no known one can be reached.
 pub const MAX_OTHERS: usize = 64;
-/// Largest number of members in one reply to a discovery.
+/// Maximum number of members in one reply to a discovery.
 pub const MAX_MEMBERS_LISTED: usize = 32;
 
-/// Known members by peer socket, without the process itself.
+/// Known members by peer socket, without this process.
 #[derive(Debug)]
 pub struct Directory {
     own: Address,
     coordinators: BTreeMap<SocketAddr, Address>,
     others: BTreeMap<SocketAddr, Address>,
+    /// Coordinator that [`Directory::next_coordinator`] returned last; `None`
+    /// before the first one.
     last_contacted: Option<SocketAddr>,
 }
 
 impl Directory {
-    /// An empty directory of the process at `own`.
+    /// Creates an empty directory for the process at `own`.
     pub fn new(own: Address) -> Self {
         Self {
             own,
@@ -32,24 +34,25 @@
         }
     }
 
-    /// Adds a member, or updates the member at the same socket. Ignored if the
-    /// list of its role is full.
+    /// Adds a member, or updates the member at the same socket. Ignores the
+    /// process itself, and a new member if the list of its role is full.
     pub fn add(&mut self, member: &Address) {
         if member.node == self.own.node || member.socket == self.own.socket {
             return;
         }
-        let (list, limit, elsewhere) = match member.role {
+        let (list, limit, other_list) = match member.role {
             Role::Coordinator => (&mut self.coordinators, MAX_COORDINATORS, &mut self.others),
             Role::Gateway | Role::Agent => (&mut self.others, MAX_OTHERS, &mut self.coordinators),
         };
-        elsewhere.remove(&member.socket);
+        other_list.remove(&member.socket);
         if list.len() < limit || list.contains_key(&member.socket) {
             list.insert(member.socket, member.clone());
         }
     }
 
-    /// Replaces the known members with the leader's list of live ones. Not every
-    /// list has gateways and agents; without them the known ones remain.
+    /// Replaces the known members with the leader and the live members that it
+    /// listed. If `others` is empty, the known gateways and agents remain, since
+    /// the leader does not always list them.
     pub fn replace(&mut self, leader: &Address, coordinators: &[Address], others: &[Address]) {
         self.coordinators.clear();
         if !others.is_empty() {
@@ -61,13 +64,14 @@
         }
     }
 
-    /// The coordinator after the one returned last, without `except`.
-    pub fn next_coordinator(&mut self, except: Option<SocketAddr>) -> Option<SocketAddr> {
+    /// Returns the coordinator that follows the one returned last, in the order of
+    /// the sockets and without `excluded`. Returns `None` if there is none.
+    pub fn next_coordinator(&mut self, excluded: Option<SocketAddr>) -> Option<SocketAddr> {
         let candidates = || {
             self.coordinators
                 .keys()
                 .copied()
-                .filter(|socket| Some(*socket) != except)
+                .filter(|socket| Some(*socket) != excluded)
         };
         let after_last = candidates().find(|socket| Some(*socket) > self.last_contacted);
         let next = after_last.or_else(|| candidates().next());
@@ -80,12 +84,13 @@
         self.coordinators.is_empty()
     }
 
-    /// Sockets of known gateways and agents, in order.
+    /// Returns the sockets of the known gateways and agents, sorted.
     pub fn other_sockets(&self) -> Vec<SocketAddr> {
         self.others.keys().copied().collect()
     }
 
-    /// The process itself and the members it knows, coordinators first.
+    /// Returns the members for a reply to a discovery: this process, known
+    /// coordinators, and then gateways and agents.
     pub fn members_to_list(&self) -> Vec<Address> {
         std::iter::once(&self.own)
             .chain(self.coordinators.values())
--- a/crates/session/src/keep_alive.rs
+++ b/crates/session/src/keep_alive.rs
@@ -1,36 +1,36 @@
-//! The keep-alives sent recently: a lease is dated from when its keep-alive was
-//! sent.
+//! Keep-alives sent recently. They are recorded because a lease counts from the
+//! time at which its keep-alive was sent.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use types::Monotonic;
 
-/// Largest number of keep-alives remembered; a reply to an older one could not
+/// Maximum number of keep-alives recorded. A reply to an older one could not
 /// begin a lease.
-const MAX_REMEMBERED: usize = 64;
+const MAX_RECORDED: usize = 64;
 
-/// Path of a keep-alive.
+/// Path on which a keep-alive was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Path {
-    /// Directly to the coordinator.
+    /// Sent directly to the coordinator.
     Direct,
-    /// To the leader, through this follower.
+    /// Relayed to the leader by the follower at this socket.
     Relayed(SocketAddr),
 }
 
-/// A keep-alive that was sent.
+/// Record of a keep-alive that was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SentKeepAlive {
-    /// Its number.
+    /// Sequence number, which the leader repeats in the lease.
     pub sequence: u64,
-    /// When it was sent.
+    /// Time of sending, from which the lease counts.
     pub sent_at: Monotonic,
-    /// Its path.
+    /// Path to the coordinator, which a reply proves to work.
     pub path: Path,
 }
 
-/// The keep-alives of one process. Their numbers begin at a random one, so that
-/// a reply to an earlier process at the same address finds no match.
+/// Keep-alives of one process. Their sequence numbers begin at a random one, so
+/// that a reply to an earlier process at the same address matches none of them.
 #[derive(Debug)]
 pub struct KeepAliveLog {
     next_sequence: u64,
@@ -38,7 +38,8 @@
 }
 
 impl KeepAliveLog {
-    /// An empty log whose first keep-alive has this number.
+    /// Creates an empty log, in which the first keep-alive will have the sequence
+    /// number `first_sequence`.
     pub fn new(first_sequence: u64) -> Self {
         Self {
             next_sequence: first_sequence,
@@ -46,11 +47,11 @@
         }
     }
 
-    /// Records a keep-alive sent at `sent_at`, and returns its number.
+    /// Records a keep-alive sent at `sent_at`, and returns its sequence number.
     pub fn record(&mut self, sent_at: Monotonic, path: Path) -> u64 {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        if self.sent.len() == MAX_REMEMBERED {
+        if self.sent.len() == MAX_RECORDED {
             self.sent.pop_front();
         }
         self.sent.push_back(SentKeepAlive {
@@ -61,12 +62,13 @@
         sequence
     }
 
-    /// Forgets all keep-alives; numbers continue to increase.
+    /// Removes all keep-alives. Sequence numbers continue to increase.
     pub fn clear(&mut self) {
         self.sent.clear();
     }
 
-    /// The keep-alive of this number, while it is remembered.
+    /// Returns the keep-alive with this sequence number, or `None` if it is not
+    /// recorded or no longer recorded.
     pub fn find(&self, sequence: u64) -> Option<SentKeepAlive> {
         self.sent
             .iter()
--- a/crates/session/src/leader.rs
+++ b/crates/session/src/leader.rs
@@ -1,25 +1,31 @@
-//! The leader of a session, and the responsive paths to it.
+//! Leader of a session, and the state of the paths to it.
 
 use crate::keep_alive::Path;
 use std::net::SocketAddr;
 use types::{Address, Milliseconds, Monotonic};
 
-/// Keep-alive intervals without a reply after which a path is unresponsive.
+/// Keep-alive intervals without a reply after which a path counts as
+/// unresponsive.
 const UNRESPONSIVE_INTERVALS: u64 = 2;
-/// Keep-alive intervals for which a relay is used after its last reply.
+/// Keep-alive intervals for which a relay is used after the last reply through
+/// it.
 const RELAY_INTERVALS: u64 = 4;
 
-/// The coordinator that receives the keep-alives.
+/// Leader, or presumed leader, that receives the keep-alives.
 #[derive(Debug)]
 pub struct LeaderContact {
     address: Address,
     interval: Milliseconds,
+    /// Time of the last reply on any path.
     last_contact: Monotonic,
+    /// Time of the last reply that proves the direct path to work.
     last_direct_contact: Monotonic,
+    /// Relay of the last relayed keep-alive with a reply; `None` before the
+    /// first one.
     relay: Option<RelayContact>,
 }
 
-/// A follower that relayed a keep-alive to the leader and its reply back.
+/// Follower that relayed a keep-alive to which the leader replied.
 #[derive(Debug, Clone, Copy)]
 struct RelayContact {
     follower: SocketAddr,
@@ -27,8 +33,8 @@
 }
 
 impl LeaderContact {
-    /// A leader that becomes known at `now`. The time without a reply counts from
-    /// then.
+    /// Creates the contact of a leader that becomes known at `now`. The time
+    /// without a reply counts from `now`.
     pub fn new(address: Address, interval: Milliseconds, now: Monotonic) -> Self {
         Self {
             address,
@@ -39,13 +45,13 @@
         }
     }
 
-    /// Identity and address of the leader.
+    /// Returns the node, role, zone and peer socket of the leader.
     pub fn address(&self) -> &Address {
         &self.address
     }
 
-    /// Records a reply; `path` is the path that it proves to work in both
-    /// directions.
+    /// Records a reply. `path` is the path that the reply proves to work in both
+    /// directions, or `None` if it proves none.
     pub fn record_contact(&mut self, path: Option<Path>, now: Monotonic) {
         self.last_contact = now;
         match path {
@@ -70,8 +76,8 @@
         now.since(self.last_direct_contact) > self.intervals(UNRESPONSIVE_INTERVALS)
     }
 
-    /// The follower to use as a relay: only if the direct path is unresponsive
-    /// and the follower relayed a reply recently.
+    /// Returns the follower to use as a relay. Returns `None` if the direct path is
+    /// responsive, or if no relayed keep-alive got a reply recently.
     pub fn relay(&self, now: Monotonic) -> Option<SocketAddr> {
         let is_recent =
             |relay: &RelayContact| now.since(relay.last_contact) <= self.intervals(RELAY_INTERVALS);
@@ -79,6 +85,7 @@
         self.is_direct_unresponsive(now).then_some(relay.follower)
     }
 
+    /// Returns the duration of `count` keep-alive intervals.
     fn intervals(&self, count: u64) -> Milliseconds {
         Milliseconds(self.interval.0.saturating_mul(count))
     }
--- a/crates/session/src/lease.rs
+++ b/crates/session/src/lease.rs
@@ -1,43 +1,46 @@
-//! The lease of a session: the right to act under a leader until it expires.
+//! Lease of a session. Until it expires, the process may act under the leader
+//! that granted it.
 
 use types::{Monotonic, Term};
 
-/// A lease under the leader of one term.
+/// Lease granted by the leader of one term.
 #[derive(Debug, Clone, Copy)]
 struct Lease {
     term: Term,
     expires_at: Monotonic,
 }
 
-/// The lease of one process, if it has any.
+/// Lease of one process, if there is any.
 #[derive(Debug, Default)]
 pub(crate) struct LeaseState {
     lease: Option<Lease>,
 }
 
 impl LeaseState {
-    /// Returns whether there is a lease, which may have expired unnoticed.
+    /// Returns whether there is a lease. It may have expired since the last call of
+    /// [`LeaseState::expire`].
     pub fn is_some(&self) -> bool {
         self.lease.is_some()
     }
 
-    /// Term of the lease; none if there is none or it has expired.
+    /// Returns the term of the lease, or `None` if there is no lease or it has
+    /// expired.
     pub fn term(&self, now: Monotonic) -> Option<Term> {
         let lease = self.lease.filter(|lease| now < lease.expires_at)?;
         Some(lease.term)
     }
 
-    /// When the lease expires.
+    /// Returns the time at which the lease expires, or `None` without a lease.
     pub fn expires_at(&self) -> Option<Monotonic> {
         self.lease.map(|lease| lease.expires_at)
     }
 
-    /// Gives up the lease.
+    /// Removes the lease, expired or not.
     pub fn clear(&mut self) {
         self.lease = None;
     }
 
-    /// Removes a lease that has expired. Returns whether it did.
+    /// Removes the lease if it has expired. Returns whether it was removed.
     pub fn expire(&mut self, now: Monotonic) -> bool {
         let has_expired = self.lease.is_some_and(|lease| now >= lease.expires_at);
         if has_expired {
@@ -46,9 +49,11 @@
         has_expired
     }
 
-    /// Extends the lease of `term`, or begins one. Returns whether a lease
-    /// began. Ignores a lease that has expired on arrival: it answers a
-    /// keep-alive from before a freeze or a long delay.
+    /// Extends the lease if it is of the same term, and otherwise begins a new one.
+    /// Returns whether a new lease began.
+    ///
+    /// Ignores a lease that has already expired: it is the reply to a keep-alive
+    /// sent before a freeze or a long delay.
     pub fn extend(&mut self, term: Term, expires_at: Monotonic, now: Monotonic) -> bool {
         if expires_at <= now {
             return false;
--- a/crates/session/src/route.rs
+++ b/crates/session/src/route.rs
@@ -1,10 +1,10 @@
-//! Addresses of replies, and relays through other members.
+//! Routing of replies, and of messages relayed by other members.
 
 use std::net::SocketAddr;
 use transport::{Envelope, PeerMessage, Relay};
 use types::Address;
 
-/// Messages to send, with the sockets of their receivers.
+/// Messages to send, each with the socket of its receiver.
 pub(crate) type Outbox = Vec<(SocketAddr, PeerMessage)>;
 
 /// Addresses a reply to the sender of `envelope`, through the member that
@@ -20,7 +20,8 @@
     }
 }
 
-/// Addresses a message to `destination` through `relay`.
+/// Wraps a message to `destination` in a relay, addressed to the member at
+/// `relay`.
 pub fn through(
     own: &Address,
     relay: SocketAddr,
@@ -35,23 +36,24 @@
     (relay, message)
 }
 
-/// How a process handles an envelope that may contain a relay.
+/// Decision on an envelope that may contain a relay.
 #[derive(Debug)]
 pub enum Opened {
-    /// The message is for this process.
+    /// The message is addressed to this process, directly or through a relay.
     Own(Envelope),
-    /// The message must be forwarded to this socket.
+    /// The message must be forwarded unchanged to the process at this socket.
     Forward(SocketAddr, PeerMessage),
-    /// The message is invalid and dropped.
+    /// The message is an invalid relay and must be dropped.
     Dropped,
 }
 
-/// Opens an envelope, which may contain a relay to `own` or to another process.
+/// Decides how to handle an envelope, which may contain a relay to `own` or to
+/// another process.
 ///
-/// A relay to another process is forwarded only if it comes from its origin and
-/// is not addressed to its origin, and a relay within a relay never: a message
-/// takes at most two hops and cannot loop. A relay whose sender or origin is
-/// `own` is dropped.
+/// A relay to another process is forwarded only if it was sent by its origin and
+/// is not addressed to its origin. A relay within a relay is dropped. So a
+/// message takes at most two hops and cannot loop. A relay whose sender or
+/// origin is `own` is dropped as well.
 pub fn open(own: &Address, envelope: Envelope) -> Opened {
     let Envelope { from, via, body } = envelope;
     let PeerMessage::Relay(relay) = body else {
--- a/crates/session/src/schedule.rs
+++ b/crates/session/src/schedule.rs
@@ -1,32 +1,35 @@
-//! When rounds of keep-alives are due.
+//! Schedule of the rounds of keep-alives.
 
 use rand::Rng;
 use types::{Milliseconds, Monotonic};
 
-/// Largest number of hints to another leader that a client follows between two
-/// rounds. Two coordinators that name each other would otherwise keep it busy.
+/// Maximum number of hints to another leader that a client follows between two
+/// rounds. Without a limit, two coordinators that each report the other one as
+/// leader would cause an endless exchange of messages.
 const MAX_HINTS_PER_ROUND: u32 = 3;
-/// While a relay is in use the direct path is probed once in this many rounds.
+/// Rounds between two probes of the direct path while a relay is in use.
 const DIRECT_PROBE_ROUNDS: u64 = 4;
-/// A round is delayed by a random part of the interval divided by this, so that
-/// the keep-alives of many processes spread.
+/// A round is delayed by a random time of up to the interval divided by this
+/// number, to spread the keep-alives of many processes.
 const JITTER_DIVISOR: u64 = 8;
-/// Without a lease the interval between rounds is divided by this: the process
-/// serves nothing until it finds a leader.
+/// The interval between rounds is divided by this number while there is no lease,
+/// since the process cannot serve requests until it finds a leader.
 const SEARCH_DIVISOR: u64 = 4;
 
-/// Schedule of the rounds of one client.
+/// Schedule of one client's rounds, with the hints that are left until the next
+/// round.
 #[derive(Debug)]
 pub(crate) struct RoundSchedule {
     interval: Milliseconds,
     next_round: Monotonic,
+    /// Number of rounds so far.
     number: u64,
     hints_left: u32,
 }
 
 impl RoundSchedule {
-    /// A schedule whose first round is due at `now`; `interval` is the time
-    /// between two rounds with a lease.
+    /// Creates a schedule whose first round is due at `now`. `interval` is the
+    /// time between two rounds while there is a lease, without jitter.
     pub fn new(interval: Milliseconds, now: Monotonic) -> Self {
         Self {
             interval,
@@ -36,12 +39,12 @@
         }
     }
 
-    /// When the next round is due.
+    /// Returns the time at which the next round is due.
     pub fn next_round(&self) -> Monotonic {
         self.next_round
     }
 
-    /// Makes the next round due at `now`.
+    /// Advances the next round to `now`.
     pub fn expedite(&mut self, now: Monotonic) {
         self.next_round = now;
     }
@@ -51,7 +54,7 @@
         now >= self.next_round
     }
 
-    /// Begins a round and schedules the next one.
+    /// Counts a round that begins at `now`, and schedules the next one.
     pub fn begin_round(&mut self, now: Monotonic, has_lease: bool, random: &mut impl Rng) {
         let interval = if has_lease {
             self.interval
@@ -64,13 +67,14 @@
         self.hints_left = MAX_HINTS_PER_ROUND;
     }
 
-    /// Returns whether the current round probes the direct path although a
-    /// relay is in use.
+    /// Returns whether the current round probes the direct path while a relay is
+    /// in use.
     pub fn probes_direct_path(&self) -> bool {
         self.number.is_multiple_of(DIRECT_PROBE_ROUNDS)
     }
 
-    /// Returns whether the client may follow a hint, and counts it.
+    /// Returns whether the client may follow a further hint in this round, and
+    /// counts it if so.
     pub fn take_hint(&mut self) -> bool {
         if self.hints_left == 0 {
             return false;
