--- a/crates/session/tests/session/bench.rs
+++ b/crates/session/tests/session/bench.rs
@@ -1,4 +1,5 @@
-//! A session client with a hand-moved clock, and answers of coordinators.
+//! Test support: a session client with a simulated clock, and messages of
+//! coordinators.
 
 use configuration::ClusterConfiguration;
 use session::{SessionClient, SessionEvent, SessionOptions};
@@ -9,10 +10,14 @@
     ZoneName,
 };
 
+/// Keep-alive interval, in milliseconds.
 pub const INTERVAL: u64 = 400;
+/// Duration of a lease, in milliseconds.
 pub const LEASE: u64 = 2_000;
+/// Number of the process under test.
 pub const OWN: u64 = 50;
 
+/// Returns the peer socket of a process; a process of number `n` is node `n`.
 pub fn socket(number: u64) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], 1_000 + u16::try_from(number).unwrap()))
 }
@@ -30,15 +35,20 @@
     address(number, Role::Coordinator)
 }
 
-pub struct Bench {
+/// Session client with a simulated clock and recorded output.
+pub struct Harness {
     pub client: SessionClient,
-    pub at: u64,
+    /// Time of the clock, in milliseconds.
+    pub time_ms: u64,
+    /// Messages sent since the last tick, that tick included.
     pub sent: Vec<(SocketAddr, PeerMessage)>,
+    /// All events so far.
     pub events: Vec<SessionEvent>,
-    pub rest: Vec<Envelope>,
+    /// Messages that the client returned because they are not of the session.
+    pub returned: Vec<Envelope>,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(seeds: &[u64]) -> Self {
         let options = SessionOptions {
             address: address(OWN, Role::Agent),
@@ -49,29 +59,30 @@
         };
         Self {
             client: SessionClient::new(options, Now::default()),
-            at: 0,
+            time_ms: 0,
             sent: Vec::new(),
             events: Vec::new(),
-            rest: Vec::new(),
+            returned: Vec::new(),
         }
     }
 
     pub fn now(&self) -> Now {
         Now {
-            monotonic: Monotonic(self.at),
-            wall: WallTime(self.at),
+            monotonic: Monotonic(self.time_ms),
+            wall: WallTime(self.time_ms),
         }
     }
 
-    /// Moves the clock and ticks; what is sent is in `sent` alone.
-    pub fn tick_at(&mut self, at: u64) {
-        self.at = at;
+    /// Sets the clock, clears the recorded messages and calls the client's tick.
+    pub fn tick_at(&mut self, time_ms: u64) {
+        self.time_ms = time_ms;
         self.sent.clear();
         let now = self.now();
         self.events
             .extend(self.client.tick(now, &[], &mut self.sent));
     }
 
+    /// Passes a message from a process to the client.
     pub fn receive(&mut self, from: &Address, body: PeerMessage) {
         let envelope = Envelope {
             from: from.clone(),
@@ -79,22 +90,23 @@
             body,
         };
         let now = self.now();
-        let (events, rest) = self.client.handle(now, envelope, &mut self.sent);
+        let (events, returned) = self.client.handle(now, envelope, &mut self.sent);
         self.events.extend(events);
-        self.rest.extend(rest);
+        self.returned.extend(returned);
     }
 
-    pub fn receive_relayed(&mut self, by: &Address, origin: &Address, body: PeerMessage) {
-        let relay = Relay {
+    /// Passes a message to the client that `relay` relayed from `origin`.
+    pub fn receive_relayed(&mut self, relay: &Address, origin: &Address, body: PeerMessage) {
+        let message = Relay {
             origin: origin.clone(),
             destination: socket(OWN),
             body: Box::new(body),
         };
-        self.receive(by, PeerMessage::Relay(relay));
+        self.receive(relay, PeerMessage::Relay(message));
     }
 
-    /// The newest direct keep-alive to a socket.
-    pub fn hello_to(&self, number: u64) -> Option<KeepAlive> {
+    /// Returns the last direct keep-alive in `sent` to a process.
+    pub fn keep_alive_to(&self, number: u64) -> Option<KeepAlive> {
         self.sent
             .iter()
             .rev()
@@ -106,42 +118,45 @@
             })
     }
 
-    /// The newest keep-alive through one member to another.
-    pub fn hello_through(&self, relay: u64, leader: u64) -> Option<KeepAlive> {
+    /// Returns the last keep-alive in `sent` to `leader` through `relay`.
+    pub fn keep_alive_through(&self, relay: u64, leader: u64) -> Option<KeepAlive> {
         self.sent.iter().rev().find_map(|(to, message)| {
             let PeerMessage::Relay(relayed) = message else {
                 return None;
             };
-            let fits = *to == socket(relay) && relayed.destination == socket(leader);
+            let is_on_path = *to == socket(relay) && relayed.destination == socket(leader);
             match &*relayed.body {
-                PeerMessage::KeepAlive(keep_alive) if fits => Some(keep_alive.clone()),
+                PeerMessage::KeepAlive(keep_alive) if is_on_path => Some(keep_alive.clone()),
                 _ => None,
             }
         })
     }
 
-    /// Discovery and first lease of term 1 under coordinator 1, at time 0.
-    pub fn opened() -> Self {
-        let mut bench = Self::new(&[1]);
-        bench.tick_at(0);
+    /// Creates a client with a session: discovery and first lease at time 0, from
+    /// coordinator 1 in term 1.
+    pub fn with_session() -> Self {
+        let mut harness = Self::new(&[1]);
+        harness.tick_at(0);
         let members = transport::Members {
             members: vec![coordinator(1), coordinator(2), coordinator(3)],
             leader: Some(coordinator(1)),
             term: Term(1),
             cluster: Some(ClusterId(9)),
         };
-        bench.receive(&coordinator(1), PeerMessage::Members(members));
-        let keep_alive = bench.hello_to(1).expect("a hello to the leader");
-        bench.receive(&coordinator(1), lease(1, 1, keep_alive.sequence));
-        bench
+        harness.receive(&coordinator(1), PeerMessage::Members(members));
+        let keep_alive = harness.keep_alive_to(1).expect("keep-alive to the leader");
+        harness.receive(&coordinator(1), lease(1, 1, keep_alive.sequence));
+        harness
     }
 }
 
+/// Builds a lease of `leader` in reply to the keep-alive with number `sequence`.
 pub fn lease(term: u64, leader: u64, sequence: u64) -> PeerMessage {
-    lease_with(term, leader, sequence, 0)
+    lease_with_version(term, leader, sequence, 0)
 }
 
-pub fn lease_with(term: u64, leader: u64, sequence: u64, version: u64) -> PeerMessage {
+/// Builds a lease that reports configuration version `version`.
+pub fn lease_with_version(term: u64, leader: u64, sequence: u64, version: u64) -> PeerMessage {
     PeerMessage::Lease(SessionLease {
         term: Term(term),
         leader: coordinator(leader),
@@ -154,6 +169,7 @@
     })
 }
 
+/// Builds a message with an empty configuration of version `version`.
 pub fn configuration(version: u64) -> PeerMessage {
     PeerMessage::Configuration {
         version: ConfigurationVersion(version),
--- a/crates/session/tests/session/main.rs
+++ b/crates/session/tests/session/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the session client.
+//! Tests of the session client, with a simulated clock and without a network.
 
 mod bench;
 mod membership;
--- a/crates/session/tests/session/membership.rs
+++ b/crates/session/tests/session/membership.rs
@@ -1,31 +1,33 @@
-//! Finding the leader, leases, terms, freezes and the configuration replica.
+//! Discovery of the leader, leases, terms, freezes and the configuration replica.
 
 use crate::bench::{
-    Bench, INTERVAL, LEASE, OWN, configuration, coordinator, lease, lease_with, socket,
+    Harness, INTERVAL, LEASE, OWN, configuration, coordinator, lease, lease_with_version, socket,
 };
 use session::SessionEvent;
 use transport::PeerMessage;
 use types::{ConfigurationVersion, Term};
 
 #[test]
-fn asks_every_seed_but_itself() {
-    let mut bench = Bench::new(&[OWN, 7, 8]);
-    bench.tick_at(0);
-    let asked: Vec<_> = bench.sent.iter().map(|(to, _)| *to).collect();
-    assert_eq!(asked, vec![socket(7), socket(8)]);
+fn first_tick_discovers_all_seeds_except_own() {
+    let mut harness = Harness::new(&[OWN, 7, 8]);
+    harness.tick_at(0);
+    let targets: Vec<_> = harness.sent.iter().map(|(to, _)| *to).collect();
+    assert_eq!(targets, vec![socket(7), socket(8)]);
     assert!(
-        bench
+        harness
             .sent
             .iter()
             .all(|(_, message)| *message == PeerMessage::Discover)
     );
 }
 
+/// Guards against a process that cannot join because most of its seeds do not
+/// reply, or because the one that does is no coordinator.
 #[test]
-fn joins_through_the_one_live_seed_of_any_role() {
-    let mut bench = Bench::new(&[OWN, 7, 8]);
+fn joins_through_single_live_seed_of_any_role() {
+    let mut harness = Harness::new(&[OWN, 7, 8]);
     for round in 0..5 {
-        bench.tick_at(round * 2 * INTERVAL);
+        harness.tick_at(round * 2 * INTERVAL);
     }
     let gateway = crate::bench::address(8, types::Role::Gateway);
     let members = transport::Members {
@@ -34,221 +36,258 @@
         term: Term(0),
         cluster: None,
     };
-    bench.receive(&gateway, PeerMessage::Members(members));
-    assert!(bench.hello_to(2).is_some(), "tries the coordinator at once");
+    harness.receive(&gateway, PeerMessage::Members(members));
+    assert!(
+        harness.keep_alive_to(2).is_some(),
+        "the coordinator must be contacted at once"
+    );
     let hint = PeerMessage::NotLeader {
         leader: Some(coordinator(3)),
     };
-    bench.receive(&coordinator(2), hint);
-    let keep_alive = bench.hello_to(3).expect("follows the hint at once");
-    bench.receive(&coordinator(3), lease(4, 3, keep_alive.sequence));
-    assert_eq!(bench.events, vec![SessionEvent::Opened { term: Term(4) }]);
-    assert_eq!(bench.client.term(bench.now()), Some(Term(4)));
+    harness.receive(&coordinator(2), hint);
+    let keep_alive = harness
+        .keep_alive_to(3)
+        .expect("the hint must be followed at once");
+    harness.receive(&coordinator(3), lease(4, 3, keep_alive.sequence));
+    assert_eq!(harness.events, vec![SessionEvent::Opened { term: Term(4) }]);
+    assert_eq!(harness.client.term(harness.now()), Some(Term(4)));
 }
 
+/// Guards against a lease that outlasts the leader's view of it because the
+/// client counts it from the arrival of the reply.
 #[test]
-fn a_lease_counts_from_when_its_hello_was_sent() {
-    let mut bench = Bench::opened();
-    bench.at = LEASE - 1;
-    assert_eq!(bench.client.term(bench.now()), Some(Term(1)));
-    bench.at = LEASE;
-    assert_eq!(bench.client.term(bench.now()), None);
-    bench.tick_at(LEASE);
-    assert_eq!(bench.events.last(), Some(&SessionEvent::Lost));
+fn lease_counts_from_send_time_of_keep_alive() {
+    let mut harness = Harness::with_session();
+    harness.time_ms = LEASE - 1;
+    assert_eq!(harness.client.term(harness.now()), Some(Term(1)));
+    harness.time_ms = LEASE;
+    assert_eq!(harness.client.term(harness.now()), None);
+    harness.tick_at(LEASE);
+    assert_eq!(harness.events.last(), Some(&SessionEvent::Lost));
 }
 
 #[test]
-fn a_lease_that_arrives_after_its_end_opens_nothing() {
-    let mut bench = Bench::new(&[1]);
-    bench.tick_at(0);
+fn lease_expired_on_arrival_opens_no_session() {
+    let mut harness = Harness::new(&[1]);
+    harness.tick_at(0);
     let hint = PeerMessage::NotLeader {
         leader: Some(coordinator(1)),
     };
-    bench.receive(&coordinator(2), hint);
-    let keep_alive = bench.hello_to(1).expect("a hello");
-    bench.at = LEASE;
-    bench.receive(&coordinator(1), lease(1, 1, keep_alive.sequence));
-    assert!(bench.events.is_empty());
-    assert_eq!(bench.client.term(bench.now()), None);
+    harness.receive(&coordinator(2), hint);
+    let keep_alive = harness.keep_alive_to(1).expect("keep-alive");
+    harness.time_ms = LEASE;
+    harness.receive(&coordinator(1), lease(1, 1, keep_alive.sequence));
+    assert!(harness.events.is_empty());
+    assert_eq!(harness.client.term(harness.now()), None);
 }
 
 #[test]
-fn a_lease_for_a_hello_never_sent_is_ignored() {
-    let mut bench = Bench::opened();
-    bench.receive(&coordinator(2), lease(5, 2, 1));
-    assert_eq!(bench.client.highest_term(), Term(1));
+fn lease_for_unknown_keep_alive_is_ignored() {
+    let mut harness = Harness::with_session();
+    harness.receive(&coordinator(2), lease(5, 2, 1));
+    assert_eq!(harness.client.highest_term(), Term(1));
 }
 
 #[test]
-fn terms_only_rise() {
-    let mut bench = Bench::opened();
-    bench.tick_at(2 * INTERVAL);
-    let keep_alive = bench.hello_to(1).expect("a hello");
-    bench.receive(&coordinator(2), lease(3, 2, keep_alive.sequence));
-    assert_eq!(bench.client.term(bench.now()), Some(Term(3)));
-    bench.receive(&coordinator(1), lease(2, 1, keep_alive.sequence));
-    assert_eq!(bench.client.term(bench.now()), Some(Term(3)));
-    let (to, _) = bench
+fn lease_of_lower_term_is_ignored() {
+    let mut harness = Harness::with_session();
+    harness.tick_at(2 * INTERVAL);
+    let keep_alive = harness.keep_alive_to(1).expect("keep-alive");
+    harness.receive(&coordinator(2), lease(3, 2, keep_alive.sequence));
+    assert_eq!(harness.client.term(harness.now()), Some(Term(3)));
+    harness.receive(&coordinator(1), lease(2, 1, keep_alive.sequence));
+    assert_eq!(harness.client.term(harness.now()), Some(Term(3)));
+    let (to, _) = harness
         .client
-        .to_leader(bench.now(), PeerMessage::Discover)
-        .expect("a leader");
+        .to_leader(harness.now(), PeerMessage::Discover)
+        .expect("a known leader");
     assert_eq!(to, socket(2));
 }
 
 #[test]
-fn another_clusters_lease_is_ignored() {
-    let mut bench = Bench::opened();
-    bench.tick_at(2 * INTERVAL);
-    let keep_alive = bench.hello_to(1).expect("a hello");
+fn lease_of_other_cluster_is_ignored() {
+    let mut harness = Harness::with_session();
+    harness.tick_at(2 * INTERVAL);
+    let keep_alive = harness.keep_alive_to(1).expect("keep-alive");
     let PeerMessage::Lease(mut other) = lease(8, 1, keep_alive.sequence) else {
-        panic!("a lease");
+        panic!("lease() must build a lease");
     };
     other.cluster = types::ClusterId(10);
-    bench.receive(&coordinator(1), PeerMessage::Lease(other));
-    assert_eq!(bench.client.highest_term(), Term(1));
+    harness.receive(&coordinator(1), PeerMessage::Lease(other));
+    assert_eq!(harness.client.highest_term(), Term(1));
 }
 
 #[test]
-fn a_new_leader_is_found_when_the_old_one_dies() {
-    let mut bench = Bench::opened();
-    let mut at = 0;
-    while bench.hello_to(2).is_none() && bench.hello_to(3).is_none() {
-        at += INTERVAL / 4;
+fn client_joins_new_leader_after_leader_failure() {
+    let mut harness = Harness::with_session();
+    let mut time_ms = 0;
+    while harness.keep_alive_to(2).is_none() && harness.keep_alive_to(3).is_none() {
+        time_ms += INTERVAL / 4;
         assert!(
-            at < 6 * INTERVAL,
-            "a follower is asked within six intervals"
+            time_ms < 6 * INTERVAL,
+            "a follower must be contacted within six intervals"
         );
-        bench.tick_at(at);
+        harness.tick_at(time_ms);
     }
-    let asked = if bench.hello_to(2).is_some() { 2 } else { 3 };
+    let contacted = if harness.keep_alive_to(2).is_some() {
+        2
+    } else {
+        3
+    };
     let hint = PeerMessage::NotLeader {
         leader: Some(coordinator(3)),
     };
-    bench.receive(&coordinator(asked), hint);
-    let keep_alive = bench.hello_to(3).expect("a hello to the new leader");
-    bench.receive(&coordinator(3), lease(2, 3, keep_alive.sequence));
+    harness.receive(&coordinator(contacted), hint);
+    let keep_alive = harness
+        .keep_alive_to(3)
+        .expect("keep-alive to the new leader");
+    harness.receive(&coordinator(3), lease(2, 3, keep_alive.sequence));
     assert_eq!(
-        bench.events.last(),
+        harness.events.last(),
         Some(&SessionEvent::Opened { term: Term(2) })
     );
 }
 
 #[test]
-fn an_old_hint_does_not_turn_it_from_a_leader_that_answers() {
-    let mut bench = Bench::opened();
+fn hint_is_ignored_while_leader_is_responsive() {
+    let mut harness = Harness::with_session();
     let hint = PeerMessage::NotLeader {
         leader: Some(coordinator(3)),
     };
-    bench.receive(&coordinator(2), hint);
-    assert!(bench.hello_to(3).is_none());
+    harness.receive(&coordinator(2), hint);
+    assert!(harness.keep_alive_to(3).is_none());
 }
 
+/// Guards against an endless exchange of messages: two coordinators each report
+/// the other one as leader, and the client follows each hint.
 #[test]
-fn coordinators_pointing_at_each_other_do_not_keep_it_busy() {
-    let mut bench = Bench::new(&[1]);
-    bench.tick_at(0);
+fn circular_hints_cause_bounded_number_of_messages() {
+    let mut harness = Harness::new(&[1]);
+    harness.tick_at(0);
     for _ in 0..20 {
         for (from, hint) in [(1, 2), (2, 1)] {
             let leader = Some(coordinator(hint));
-            bench.receive(&coordinator(from), PeerMessage::NotLeader { leader });
+            harness.receive(&coordinator(from), PeerMessage::NotLeader { leader });
         }
     }
-    assert!(bench.sent.len() < 8, "{} messages", bench.sent.len());
+    assert!(harness.sent.len() < 8, "{} messages", harness.sent.len());
 }
 
+/// Guards against a process that acts on messages received right after a freeze
+/// although its lease expired during the freeze.
 #[test]
-fn after_a_freeze_it_loses_the_lease_before_it_takes_anything() {
-    let mut bench = Bench::opened();
-    bench.tick_at(INTERVAL * 2);
-    let keep_alive = bench.hello_to(1).expect("a hello");
-    bench.events.clear();
-    bench.at = 30_000;
-    bench.receive(&coordinator(1), lease(1, 1, keep_alive.sequence));
-    assert_eq!(bench.events, vec![SessionEvent::Lost]);
-    let keep_alive = bench.hello_to(1).expect("rejoins at once");
-    bench.receive(&coordinator(1), lease(1, 1, keep_alive.sequence));
+fn freeze_expires_lease_before_next_message_is_handled() {
+    let mut harness = Harness::with_session();
+    harness.tick_at(INTERVAL * 2);
+    let keep_alive = harness.keep_alive_to(1).expect("keep-alive");
+    harness.events.clear();
+    harness.time_ms = 30_000;
+    harness.receive(&coordinator(1), lease(1, 1, keep_alive.sequence));
+    assert_eq!(harness.events, vec![SessionEvent::Lost]);
+    let keep_alive = harness
+        .keep_alive_to(1)
+        .expect("the client must rejoin at once");
+    harness.receive(&coordinator(1), lease(1, 1, keep_alive.sequence));
     assert_eq!(
-        bench.events,
+        harness.events,
         vec![SessionEvent::Lost, SessionEvent::Opened { term: Term(1) }]
     );
 }
 
 #[test]
-fn tells_newcomers_about_the_coordinators_and_itself() {
-    let mut bench = Bench::opened();
-    bench.sent.clear();
-    let newcomer = crate::bench::address(60, types::Role::Agent);
-    bench.receive(&newcomer, PeerMessage::Discover);
-    let [(to, PeerMessage::Members(members))] = bench.sent.as_slice() else {
-        panic!("one answer, not {:?}", bench.sent);
+fn discovery_reply_lists_coordinators_and_own_address() {
+    let mut harness = Harness::with_session();
+    harness.sent.clear();
+    let joining_agent = crate::bench::address(60, types::Role::Agent);
+    harness.receive(&joining_agent, PeerMessage::Discover);
+    let [(to, PeerMessage::Members(members))] = harness.sent.as_slice() else {
+        panic!("expected one reply, found {:?}", harness.sent);
     };
-    assert_eq!(*to, newcomer.socket);
+    assert_eq!(*to, joining_agent.socket);
     assert_eq!(members.leader, Some(coordinator(1)));
     for number in [OWN, 1, 2, 3] {
-        let known = members
+        let is_listed = members
             .members
             .iter()
             .any(|member| member.socket == socket(number));
-        assert!(known, "{number} is missing");
+        assert!(is_listed, "{number} is missing");
     }
 }
 
 #[test]
-fn the_replica_only_rises_and_needs_a_fresh_word() {
-    let mut bench = Bench::opened();
-    let version = |bench: &Bench| bench.client.configuration(bench.now()).map(|(v, _)| v.0);
-    assert_eq!(version(&bench), Some(0));
-    bench.tick_at(1_000);
-    let keep_alive = bench.hello_to(1).expect("a hello");
-    bench.receive(&coordinator(1), lease_with(1, 1, keep_alive.sequence, 3));
-    bench.at = 2_000;
-    assert_eq!(version(&bench), None, "known to be behind since 1000");
-    bench.receive(&coordinator(1), configuration(3));
-    assert_eq!(version(&bench), Some(3));
-    bench.receive(&coordinator(1), configuration(2));
-    assert_eq!(version(&bench), Some(3));
-    let taken = SessionEvent::Configuration(ConfigurationVersion(3));
-    assert_eq!(bench.events.last(), Some(&taken));
-    bench.at = 2_999;
-    assert_eq!(version(&bench), Some(3));
-    bench.at = 3_000;
-    assert_eq!(version(&bench), None, "2000 after the hello of 1000");
+fn replica_version_only_increases_and_expires_without_confirmation() {
+    let mut harness = Harness::with_session();
+    let version = |harness: &Harness| {
+        harness
+            .client
+            .configuration(harness.now())
+            .map(|(v, _)| v.0)
+    };
+    assert_eq!(version(&harness), Some(0));
+    harness.tick_at(1_000);
+    let keep_alive = harness.keep_alive_to(1).expect("keep-alive");
+    harness.receive(
+        &coordinator(1),
+        lease_with_version(1, 1, keep_alive.sequence, 3),
+    );
+    harness.time_ms = 2_000;
+    assert_eq!(
+        version(&harness),
+        None,
+        "the leader reported a newer version at 1000"
+    );
+    harness.receive(&coordinator(1), configuration(3));
+    assert_eq!(version(&harness), Some(3));
+    harness.receive(&coordinator(1), configuration(2));
+    assert_eq!(version(&harness), Some(3));
+    let updated = SessionEvent::Configuration(ConfigurationVersion(3));
+    assert_eq!(harness.events.last(), Some(&updated));
+    harness.time_ms = 2_999;
+    assert_eq!(version(&harness), Some(3));
+    harness.time_ms = 3_000;
+    assert_eq!(
+        version(&harness),
+        None,
+        "2000 ms after the keep-alive sent at 1000"
+    );
 }
 
 #[test]
-fn a_configuration_from_a_stranger_is_ignored() {
-    let mut bench = Bench::opened();
-    bench.receive(&coordinator(2), configuration(3));
-    let held = bench.client.configuration(bench.now()).map(|(v, _)| v);
-    assert_eq!(held, Some(ConfigurationVersion(0)));
+fn configuration_from_non_leader_is_ignored() {
+    let mut harness = Harness::with_session();
+    harness.receive(&coordinator(2), configuration(3));
+    let version = harness.client.configuration(harness.now()).map(|(v, _)| v);
+    assert_eq!(version, Some(ConfigurationVersion(0)));
 }
 
 #[test]
-fn the_same_seed_gives_the_same_messages() {
+fn same_seed_sends_same_messages() {
     let run = || {
-        let mut bench = Bench::opened();
-        let mut all = Vec::new();
+        let mut harness = Harness::with_session();
+        let mut messages = Vec::new();
         for step in 0..40 {
-            bench.tick_at(step * 100);
-            all.append(&mut bench.sent);
+            harness.tick_at(step * 100);
+            messages.append(&mut harness.sent);
         }
-        all
+        messages
     };
     assert_eq!(run(), run());
 }
 
+/// Guards against a lease from before a freeze: a reply to an earlier keep-alive
+/// must not open a session after the client rejoined.
 #[test]
-fn rejoining_takes_answers_to_new_hellos_only() {
-    let mut bench = Bench::opened();
-    bench.tick_at(2 * INTERVAL);
-    let before = bench.hello_to(1).expect("a hello");
-    bench.events.clear();
-    let now = bench.now();
-    bench.client.rejoin(now, &mut bench.sent);
-    assert_eq!(bench.client.term(now), None);
-    bench.receive(&coordinator(1), lease(1, 1, before.sequence));
-    assert!(bench.events.is_empty());
-    let after = bench.hello_to(1).expect("a hello at once");
-    bench.receive(&coordinator(1), lease(1, 1, after.sequence));
-    assert_eq!(bench.events, vec![SessionEvent::Opened { term: Term(1) }]);
+fn rejoin_ignores_replies_to_earlier_keep_alives() {
+    let mut harness = Harness::with_session();
+    harness.tick_at(2 * INTERVAL);
+    let before = harness.keep_alive_to(1).expect("keep-alive");
+    harness.events.clear();
+    let now = harness.now();
+    harness.client.rejoin(now, &mut harness.sent);
+    assert_eq!(harness.client.term(now), None);
+    harness.receive(&coordinator(1), lease(1, 1, before.sequence));
+    assert!(harness.events.is_empty());
+    let after = harness.keep_alive_to(1).expect("keep-alive at once");
+    harness.receive(&coordinator(1), lease(1, 1, after.sequence));
+    assert_eq!(harness.events, vec![SessionEvent::Opened { term: Term(1) }]);
 }
--- a/crates/session/tests/session/property.rs
+++ b/crates/session/tests/session/property.rs
@@ -1,6 +1,7 @@
-//! What holds of a session whatever arrives, in any order, after any pause.
+//! Properties of a session that hold for random messages in any order, after
+//! pauses of any length.
 
-use crate::bench::{Bench, LEASE, configuration, coordinator, lease_with};
+use crate::bench::{Harness, LEASE, configuration, coordinator, lease_with_version};
 use proptest::prelude::*;
 use session::SessionEvent;
 use transport::{KeepAlive, PeerMessage};
@@ -8,26 +9,24 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Pass(u64),
+    /// The clock advances by this number of milliseconds.
+    Advance(u64),
+    /// A lease arrives for the keep-alive `back` before the last one.
     Lease {
         back: usize,
         term: u64,
         version: u64,
     },
-    Hint {
-        from: u64,
-        leader: Option<u64>,
-    },
-    Configuration {
-        from: u64,
-        version: u64,
-    },
+    /// A coordinator replies that it is not the leader.
+    Hint { from: u64, leader: Option<u64> },
+    /// A coordinator sends a configuration.
+    Configuration { from: u64, version: u64 },
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
     let pause = prop_oneof![4 => 1..500_u64, 1 => 500..30_000_u64];
     prop_oneof![
-        4 => pause.prop_map(Step::Pass),
+        4 => pause.prop_map(Step::Advance),
         4 => (0..6_usize, 1..5_u64, 0..4_u64)
             .prop_map(|(back, term, version)| Step::Lease { back, term, version }),
         1 => (1..4_u64, prop::option::of(1..4_u64))
@@ -37,67 +36,80 @@
     ]
 }
 
-fn hello_in(message: &PeerMessage) -> Option<&KeepAlive> {
+/// Returns the keep-alive in a message, relayed or not.
+fn find_keep_alive(message: &PeerMessage) -> Option<&KeepAlive> {
     match message {
         PeerMessage::KeepAlive(keep_alive) => Some(keep_alive),
-        PeerMessage::Relay(relay) => hello_in(&relay.body),
+        PeerMessage::Relay(relay) => find_keep_alive(&relay.body),
         _ => None,
     }
 }
 
-/// Keep-alives seen, with the time each was sent, and the latest end of a lease.
+/// Checks the client's events, term and version after each step.
 #[derive(Default)]
-struct Observer {
+struct Checker {
+    /// Sequence number of each keep-alive sent, and the time of sending.
     keep_alives: Vec<(u64, u64)>,
-    latest_end: u64,
+    /// Latest time at which a lease that was granted expires.
+    latest_expiry: u64,
     is_open: bool,
-    events_seen: usize,
+    checked_events: usize,
     highest_term: Term,
     version: u64,
 }
 
-impl Observer {
-    fn look(&mut self, bench: &Bench) {
-        for (_, message) in &bench.sent {
-            if let Some(keep_alive) = hello_in(message)
+impl Checker {
+    /// Records the keep-alives sent, and panics if a property does not hold.
+    fn check(&mut self, harness: &Harness) {
+        for (_, message) in &harness.sent {
+            if let Some(keep_alive) = find_keep_alive(message)
                 && !self
                     .keep_alives
                     .iter()
-                    .any(|(known, _)| *known == keep_alive.sequence)
+                    .any(|(sequence, _)| *sequence == keep_alive.sequence)
             {
-                self.keep_alives.push((keep_alive.sequence, bench.at));
+                self.keep_alives
+                    .push((keep_alive.sequence, harness.time_ms));
             }
         }
-        for event in &bench.events[self.events_seen..] {
+        for event in &harness.events[self.checked_events..] {
             match event {
                 SessionEvent::Opened { .. } => self.is_open = true,
                 SessionEvent::Lost => {
-                    assert!(self.is_open, "lost without a session");
+                    assert!(self.is_open, "lease lost without a session");
                     self.is_open = false;
                 }
                 SessionEvent::Configuration(version) => {
-                    assert!(version.0 > self.version, "the replica slid back");
+                    assert!(
+                        version.0 > self.version,
+                        "the replica's version did not increase"
+                    );
                     self.version = version.0;
                 }
             }
         }
-        self.events_seen = bench.events.len();
-        let term = bench.client.highest_term();
-        assert!(term >= self.highest_term, "the term fell");
+        self.checked_events = harness.events.len();
+        let term = harness.client.highest_term();
+        assert!(term >= self.highest_term, "the highest term decreased");
         self.highest_term = term;
-        if bench.client.term(bench.now()).is_some() {
-            assert!(self.is_open, "a lease without a session");
-            assert!(bench.at < self.latest_end, "a lease longer than any given");
+        if harness.client.term(harness.now()).is_some() {
+            assert!(self.is_open, "lease without a session");
+            assert!(
+                harness.time_ms < self.latest_expiry,
+                "lease longer than any granted one"
+            );
         }
     }
 
-    fn newest_hello(&self, back: usize) -> Option<(u64, u64)> {
+    /// Returns the keep-alive `back` before the last one.
+    fn keep_alive_from_end(&self, back: usize) -> Option<(u64, u64)> {
         self.keep_alives.iter().rev().nth(back).copied()
     }
 }
 
-/// The same cases in every run.
-fn fixed_seed() -> ProptestConfig {
+/// Returns the configuration of the property test, with a fixed seed so that each
+/// run has the same cases.
+fn fixed_seed_config() -> ProptestConfig {
     ProptestConfig {
         cases: 512,
         failure_persistence: None,
@@ -107,38 +119,41 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_seed())]
+    #![proptest_config(fixed_seed_config())]
 
+    /// Guards against a lease that outlasts its grant, and against a term or a
+    /// configuration version that decreases, because replies are delayed,
+    /// repeated or out of order.
     #[test]
-    fn no_lease_outlives_its_hello_and_terms_and_versions_rise(
+    fn lease_ends_in_time_and_terms_and_versions_increase(
         steps in prop::collection::vec(any_step(), 1..60),
     ) {
-        let mut bench = Bench::opened();
-        let mut observer = Observer { latest_end: LEASE, ..Observer::default() };
-        observer.look(&bench);
+        let mut harness = Harness::with_session();
+        let mut checker = Checker { latest_expiry: LEASE, ..Checker::default() };
+        checker.check(&harness);
         for step in steps {
             match step {
-                Step::Pass(pause) => {
-                    let at = bench.at + pause;
-                    bench.tick_at(at);
+                Step::Advance(pause) => {
+                    let time_ms = harness.time_ms + pause;
+                    harness.tick_at(time_ms);
                 }
                 Step::Lease { back, term, version } => {
-                    if let Some((sequence, sent_at)) = observer.newest_hello(back) {
-                        observer.latest_end = observer.latest_end.max(sent_at + LEASE);
+                    if let Some((sequence, sent_at)) = checker.keep_alive_from_end(back) {
+                        checker.latest_expiry = checker.latest_expiry.max(sent_at + LEASE);
                         let leader = 1 + term % 3;
-                        let lease = lease_with(term, leader, sequence, version);
-                        bench.receive(&coordinator(leader), lease);
+                        let reply = lease_with_version(term, leader, sequence, version);
+                        harness.receive(&coordinator(leader), reply);
                     }
                 }
                 Step::Hint { from, leader } => {
                     let leader = leader.map(coordinator);
-                    bench.receive(&coordinator(from), PeerMessage::NotLeader { leader });
+                    harness.receive(&coordinator(from), PeerMessage::NotLeader { leader });
                 }
                 Step::Configuration { from, version } => {
-                    bench.receive(&coordinator(from), configuration(version));
+                    harness.receive(&coordinator(from), configuration(version));
                 }
             }
-            observer.look(&bench);
+            checker.check(&harness);
         }
     }
 }
--- a/crates/session/tests/session/relay.rs
+++ b/crates/session/tests/session/relay.rs
@@ -1,10 +1,12 @@
-//! Ways round a cut: relays through followers, and what is not relayed.
+//! Relays through followers while the direct path to the leader fails, and
+//! messages that must not be relayed.
 
-use crate::bench::{Bench, INTERVAL, OWN, coordinator, lease, socket};
+use crate::bench::{Harness, INTERVAL, OWN, coordinator, lease, socket};
 use session::SessionEvent;
 use transport::{PeerMessage, Relay};
 use types::{Address, Term};
 
+/// Builds a relay from `origin` to `destination`.
 fn relay(origin: &Address, destination: u64, body: PeerMessage) -> PeerMessage {
     PeerMessage::Relay(Relay {
         origin: origin.clone(),
@@ -13,81 +15,95 @@
     })
 }
 
-/// A leader whose answers no longer arrive; followers still carry them.
-fn cut_from_leader() -> Bench {
-    let mut bench = Bench::opened();
-    let mut at = 0;
+/// Returns a client with a session whose direct path to the leader failed, and
+/// which received one lease through a follower.
+fn relayed_session() -> Harness {
+    let mut harness = Harness::with_session();
+    let mut time_ms = 0;
     loop {
-        at += INTERVAL / 4;
-        assert!(at < 8 * INTERVAL, "a relay is used within eight intervals");
-        bench.tick_at(at);
+        time_ms += INTERVAL / 4;
+        assert!(
+            time_ms < 8 * INTERVAL,
+            "a relay must be used within eight intervals"
+        );
+        harness.tick_at(time_ms);
         let follower = [2, 3]
             .into_iter()
-            .find(|follower| bench.hello_through(*follower, 1).is_some());
+            .find(|follower| harness.keep_alive_through(*follower, 1).is_some());
         if let Some(follower) = follower {
-            let keep_alive = bench.hello_through(follower, 1).expect("found above");
-            let answer = lease(1, 1, keep_alive.sequence);
-            bench.receive_relayed(&coordinator(follower), &coordinator(1), answer);
-            return bench;
+            let keep_alive = harness
+                .keep_alive_through(follower, 1)
+                .expect("keep-alive found above");
+            let reply = lease(1, 1, keep_alive.sequence);
+            harness.receive_relayed(&coordinator(follower), &coordinator(1), reply);
+            return harness;
         }
     }
 }
 
+/// Guards against a lost session in a one-way partition: the leader receives the
+/// keep-alives, but its direct replies do not arrive.
 #[test]
-fn one_way_cut_keeps_the_session_through_a_follower() {
-    let mut bench = cut_from_leader();
-    assert!(!bench.events.contains(&SessionEvent::Lost));
-    assert_eq!(bench.client.term(bench.now()), Some(Term(1)));
-    let (to, message) = bench
+fn one_way_partition_keeps_session_through_follower() {
+    let mut harness = relayed_session();
+    assert!(!harness.events.contains(&SessionEvent::Lost));
+    assert_eq!(harness.client.term(harness.now()), Some(Term(1)));
+    let (to, message) = harness
         .client
-        .to_leader(bench.now(), PeerMessage::Discover)
-        .expect("a leader");
+        .to_leader(harness.now(), PeerMessage::Discover)
+        .expect("a known leader");
     assert!([socket(2), socket(3)].contains(&to));
     let own = crate::bench::address(OWN, types::Role::Agent);
     assert_eq!(message, relay(&own, 1, PeerMessage::Discover));
-    let mut at = bench.at;
+    let mut time_ms = harness.time_ms;
     for _ in 0..40 {
-        at += INTERVAL / 4;
-        bench.tick_at(at);
+        time_ms += INTERVAL / 4;
+        harness.tick_at(time_ms);
         for follower in [2, 3] {
-            if let Some(keep_alive) = bench.hello_through(follower, 1) {
-                let answer = lease(1, 1, keep_alive.sequence);
-                bench.receive_relayed(&coordinator(follower), &coordinator(1), answer);
+            if let Some(keep_alive) = harness.keep_alive_through(follower, 1) {
+                let reply = lease(1, 1, keep_alive.sequence);
+                harness.receive_relayed(&coordinator(follower), &coordinator(1), reply);
             }
         }
     }
-    assert!(!bench.events.contains(&SessionEvent::Lost));
+    assert!(!harness.events.contains(&SessionEvent::Lost));
 }
 
 #[test]
-fn the_direct_way_is_taken_again_once_it_answers() {
-    let mut bench = cut_from_leader();
-    let mut at = bench.at;
+fn direct_path_is_used_again_once_responsive() {
+    let mut harness = relayed_session();
+    let mut time_ms = harness.time_ms;
     let keep_alive = loop {
-        at += INTERVAL / 4;
-        assert!(at < 40 * INTERVAL, "the direct way is tried now and then");
-        bench.tick_at(at);
-        if let Some(keep_alive) = bench.hello_to(1) {
+        time_ms += INTERVAL / 4;
+        assert!(
+            time_ms < 40 * INTERVAL,
+            "the direct path must be probed regularly"
+        );
+        harness.tick_at(time_ms);
+        if let Some(keep_alive) = harness.keep_alive_to(1) {
             break keep_alive;
         }
     };
-    bench.receive(&coordinator(1), lease(1, 1, keep_alive.sequence));
-    let (to, message) = bench
+    harness.receive(&coordinator(1), lease(1, 1, keep_alive.sequence));
+    let (to, message) = harness
         .client
-        .to_leader(bench.now(), PeerMessage::Discover)
-        .expect("a leader");
+        .to_leader(harness.now(), PeerMessage::Discover)
+        .expect("a known leader");
     assert_eq!((to, message), (socket(1), PeerMessage::Discover));
 }
 
 #[test]
-fn a_relay_to_this_process_is_opened() {
-    let mut bench = Bench::opened();
+fn relay_to_own_address_is_unwrapped() {
+    let mut harness = Harness::with_session();
     let reply = PeerMessage::OrderResults {
         results: Vec::new(),
     };
-    bench.receive_relayed(&coordinator(2), &coordinator(1), reply.clone());
-    let [envelope] = bench.rest.as_slice() else {
-        panic!("one message given back, not {:?}", bench.rest);
+    harness.receive_relayed(&coordinator(2), &coordinator(1), reply.clone());
+    let [envelope] = harness.returned.as_slice() else {
+        panic!(
+            "expected one returned message, found {:?}",
+            harness.returned
+        );
     };
     assert_eq!(envelope.from, coordinator(1));
     assert_eq!(envelope.via, Some(socket(2)));
@@ -95,27 +111,32 @@
 }
 
 #[test]
-fn a_relayed_discovery_is_answered_through_the_relay() {
-    let mut bench = Bench::opened();
-    bench.sent.clear();
-    bench.receive_relayed(&coordinator(2), &coordinator(3), PeerMessage::Discover);
-    let [(to, PeerMessage::Relay(answer))] = bench.sent.as_slice() else {
-        panic!("one relay, not {:?}", bench.sent);
+fn relayed_discovery_is_answered_through_relay() {
+    let mut harness = Harness::with_session();
+    harness.sent.clear();
+    harness.receive_relayed(&coordinator(2), &coordinator(3), PeerMessage::Discover);
+    let [(to, PeerMessage::Relay(reply))] = harness.sent.as_slice() else {
+        panic!("expected one relay, found {:?}", harness.sent);
     };
     assert_eq!(*to, socket(2));
-    assert_eq!(answer.destination, socket(3));
+    assert_eq!(reply.destination, socket(3));
 }
 
+/// Guards against relays that loop between processes: only the origin's relay is
+/// forwarded, and a nested relay is dropped.
 #[test]
-fn a_relay_for_another_goes_on_once_and_never_in_a_circle() {
-    let mut bench = Bench::opened();
-    bench.sent.clear();
+fn relay_to_other_process_is_forwarded_once_without_loop() {
+    let mut harness = Harness::with_session();
+    harness.sent.clear();
     let message = relay(&coordinator(2), 3, PeerMessage::Discover);
-    bench.receive(&coordinator(2), message.clone());
-    assert_eq!(bench.sent, vec![(socket(3), message.clone())]);
-    bench.sent.clear();
-    bench.receive(&coordinator(1), message.clone());
-    assert!(bench.sent.is_empty(), "not from its origin");
-    bench.receive(&coordinator(2), relay(&coordinator(2), OWN, message));
-    assert!(bench.sent.is_empty(), "a relay in a relay");
+    harness.receive(&coordinator(2), message.clone());
+    assert_eq!(harness.sent, vec![(socket(3), message.clone())]);
+    harness.sent.clear();
+    harness.receive(&coordinator(1), message.clone());
+    assert!(
+        harness.sent.is_empty(),
+        "a relay that its origin did not send must be dropped"
+    );
+    harness.receive(&coordinator(2), relay(&coordinator(2), OWN, message));
+    assert!(harness.sent.is_empty(), "a nested relay must be dropped");
 }
