--- a/crates/storage/src/log.rs
+++ b/crates/storage/src/log.rs
@@ -17,8 +17,8 @@
     pub term: Term,
 }
 
-/// State at the start of a segment, in the segment's first record. Because of
-/// it, older segments are needed only for their live entries.
+/// State at the start of a segment, in the segment's first record. With it,
+/// recovery needs older segments only for their live entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Checkpoint {
     /// Current hard state.
@@ -98,8 +98,8 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Returns whether `entries` have consecutive indexes and leave no gap after
-    /// the log, once `snapshot` is installed.
+    /// Returns whether `entries` have consecutive indexes, begin after the snapshot
+    /// and leave no gap in the log, once `snapshot` is installed.
     pub fn can_append(&self, snapshot: Option<&Snapshot>, entries: &[Entry]) -> bool {
         let Some(first) = entries.first().map(|entry| entry.index.0) else {
             return true;
--- a/crates/storage/src/real.rs
+++ b/crates/storage/src/real.rs
@@ -15,7 +15,8 @@
 pub struct RealDisk {
     folder: PathBuf,
     /// File that was appended to last, kept open: the log's newest segment.
-    /// `None` until the first append, and after a change of the file's name.
+    /// `None` until the first append, and after the file was replaced, renamed or
+    /// removed.
     append_file: Option<OpenFile>,
     _lock: File,
 }
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -111,8 +111,8 @@
 /// Finds the newest segment whose first record verifies, and its checkpoint.
 /// Returns `None` if the folder is new.
 ///
-/// If the first record of the very newest segment does not verify, the segment
-/// is from an interrupted rotation and obsolete. Its predecessor must then be
+/// If the first record of the last segment does not verify, the segment may be
+/// from an interrupted rotation and is obsolete. Its predecessor must then be
 /// present, since it is removed only after the rotation is synced.
 fn find_last(
     disk: &impl Disk,
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -157,7 +157,8 @@
     /// # Errors
     ///
     /// * [`StorageError::InvalidBatch`] if the entries leave a gap in the log or
-    ///   the batch is too large; nothing is written.
+    ///   begin within the snapshot, or if the batch is too large; nothing is
+    ///   written.
     /// * [`StorageError::Disk`] if an operation on the disk fails; the batch may
     ///   or may not be present at the next open.
     /// * [`StorageError::Failed`] for every call after a failed write.
@@ -195,8 +196,8 @@
         self.disk
     }
 
-    /// Returns an error if the entries leave a gap in the log, or if commands or
-    /// snapshot are too large.
+    /// Returns an error if the entries leave a gap in the log or begin within the
+    /// snapshot, or if commands or snapshot are too large.
     fn validate(&self, snapshot: Option<&Snapshot>, entries: &[Entry]) -> Result<(), StorageError> {
         if !self.state.can_append(snapshot, entries) {
             return Err(BatchError::Gap.into());
--- a/crates/storage/tests/crash.rs
+++ b/crates/storage/tests/crash.rs
@@ -107,7 +107,7 @@
             Ok(()) => return Err("write succeeded after a failed one".to_owned()),
             Err(StorageError::Failed) if self.after_failed_write.is_some() => {}
             Err(StorageError::Disk { .. }) if self.has_injected_failure => {
-                self.after_failed_write = Some(next)
+                self.after_failed_write = Some(next);
             }
             Err(error) => return Err(error.to_string()),
         }
