--- a/crates/session/src/client.rs
+++ b/crates/session/src/client.rs
@@ -31,7 +31,7 @@
     /// Peer sockets at which members are discovered, of processes of any role.
     /// They need not all be reachable, and may include this process.
     pub seeds: Vec<SocketAddr>,
-    /// Time between rounds of keep-alives while there is a lease.
+    /// Time between rounds of keep-alives while there is a lease, without jitter.
     pub interval: Milliseconds,
     /// Time for which the replica is valid after the leader last confirmed it.
     pub replica_valid: Milliseconds,
--- a/crates/session/src/client/messages.rs
+++ b/crates/session/src/client/messages.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Extends or begins a lease. Ignores a lease that is no reply to a recorded
-    /// keep-alive, of a lower term, or of another cluster.
+    /// Extends or begins a lease. Ignores a lease of a lower term or of another
+    /// cluster, and one that replies to no recorded keep-alive.
     fn on_lease(
         &mut self,
         now: Monotonic,
--- a/crates/session/src/replica.rs
+++ b/crates/session/src/replica.rs
@@ -1,4 +1,4 @@
-//! In-memory replica of the cluster's configuration.
+//! Replica of the cluster's configuration in a process without a disk.
 
 use configuration::ClusterConfiguration;
 use types::{ConfigurationVersion, Milliseconds, Monotonic};
--- a/crates/session/src/schedule.rs
+++ b/crates/session/src/schedule.rs
@@ -44,7 +44,7 @@
         self.next_round
     }
 
-    /// Advances the next round to `now`.
+    /// Makes the next round due at `now`.
     pub fn expedite(&mut self, now: Monotonic) {
         self.next_round = now;
     }
