--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,4 +1,6 @@
-//! The clocks of the machine, which shells read and pass to the cores.
+//! Monotonic clock and wall clock of the machine.
+//!
+//! The shell of a daemon reads them and passes the time to its core.
 
 use nix::time::{ClockId, clock_gettime};
 use std::sync::OnceLock;
@@ -29,7 +31,7 @@
         .unwrap_or_default()
 }
 
-/// Reads a clock. Returns `None` on an error, or when its time is negative.
+/// Reads a clock. Returns `None` on an error or for a negative time.
 fn read(clock: ClockId) -> Option<Duration> {
     let time = clock_gettime(clock).ok()?;
     let seconds = u64::try_from(time.tv_sec()).ok()?;
--- a/crates/transport/src/decision.rs
+++ b/crates/transport/src/decision.rs
@@ -7,22 +7,23 @@
 /// One entry of the decision log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecisionEntry {
-    /// Number of the entry. Rises by one within the term of one leader.
+    /// Number of the entry, consecutive within the term of one leader.
     pub number: u64,
-    /// Term of the leader that made the entry.
+    /// Term of the leader that recorded the entry.
     pub term: Term,
-    /// Key of the job that the entry is about, if the leader knows it.
+    /// Key of the job that the entry concerns. `None` if the cluster no longer
+    /// stores the job.
     pub job: Option<JobKey>,
-    /// The event.
+    /// Scheduler decision or committed change that the entry records.
     pub event: DecisionEvent,
 }
 
 /// An event of the decision log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DecisionEvent {
-    /// The scheduler made a decision.
+    /// The scheduler placed a task, or did not place it for the stated reason.
     Dispatch(Decision),
-    /// A reservation was committed, and the order to start its run is sent.
+    /// A reservation was committed and the order to start its run was sent.
     Ordered {
         /// Run that was reserved.
         run: RunId,
@@ -30,10 +31,10 @@
         task: TaskRef,
         /// Runner of the run.
         runner: RunnerId,
-        /// Wall time of the leader.
+        /// Wall-clock time of the leader at the event.
         at: WallTime,
     },
-    /// The close of a run was committed.
+    /// A run was closed, and the close is committed.
     Closed {
         /// Run that was closed.
         run: RunId,
@@ -43,14 +44,14 @@
         runner: RunnerId,
         /// Reason of the close.
         close: RunClose,
-        /// Wall time of the leader.
+        /// Wall-clock time of the leader at the event.
         at: WallTime,
     },
     /// A job reached a final state.
     JobEnded {
-        /// The final state.
+        /// Final state of the job.
         state: JobState,
-        /// Wall time of the leader.
+        /// Wall-clock time of the leader at the event.
         at: WallTime,
     },
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -4,7 +4,8 @@
 //! Every message between processes is a variant of [`PeerMessage`]. The
 //! transport guarantees at-most-once delivery and nothing more: a message may be
 //! lost, and messages may be reordered when a connection is re-established. The
-//! cores handle both, and the simulation tests them with the same guarantees.
+//! daemons handle both, and the simulation delivers messages under the same
+//! guarantees.
 
 pub mod clock;
 pub mod decision;
--- a/crates/transport/src/membership.rs
+++ b/crates/transport/src/membership.rs
@@ -1,43 +1,46 @@
-//! Messages by which daemons find each other and a cluster starts for the
-//! first time.
+//! Messages for the discovery of members and the bootstrap of a new cluster.
 
 use serde::{Deserialize, Serialize};
 use types::{Address, ClusterId, Term};
 
-/// The members that a daemon knows, sent in answer to a discovery.
+/// Members and leader as seen by one daemon, in reply to
+/// [`PeerMessage::Discover`](crate::PeerMessage::Discover).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
-    /// Members that the sender believes alive, itself included.
+    /// Members that the sender considers alive, including itself.
     pub members: Vec<Address>,
-    /// Leader that the sender knows of, if any.
+    /// Leader as seen by the sender. `None` if the sender has no leader.
     pub leader: Option<Address>,
-    /// Term of that leader.
+    /// Term of the leader; without a leader, the highest term that the sender
+    /// has seen.
     pub term: Term,
-    /// Cluster of the sender, if it belongs to one.
+    /// Cluster of the sender. `None` if the sender has not joined a cluster.
     pub cluster: Option<ClusterId>,
 }
 
-/// A step of the first start of a cluster, between its initial coordinators.
+/// A step of the bootstrap of a new cluster, between its initial coordinators.
 ///
-/// The start succeeds only when all of them are present and their disks empty.
+/// The bootstrap succeeds only if all initial coordinators are present and their
+/// disks are empty.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Bootstrap {
-    /// Announces an empty coordinator to the others.
+    /// Announces a coordinator with an empty disk to the other initial
+    /// coordinators.
     Announce {
         /// Number of initial coordinators in the sender's settings.
         expected: u32,
     },
-    /// Proposes cluster and voters, from the coordinator with the lowest
-    /// identity to the others.
+    /// Proposes the cluster and its voters. Sent by the coordinator with the
+    /// lowest node identifier.
     Propose {
-        /// Identity of the new cluster.
+        /// Identifier of the new cluster.
         cluster: ClusterId,
-        /// Its voters, which are all initial coordinators.
+        /// Voters of the new cluster: all initial coordinators.
         voters: consensus::Membership,
     },
-    /// Accepts a proposal that the sender has synced to its disk.
+    /// Accepts a proposal after the sender has synced it to its disk.
     Accept {
-        /// Cluster that was proposed.
+        /// Identifier of the proposed cluster.
         cluster: ClusterId,
     },
 }
--- a/crates/transport/src/message.rs
+++ b/crates/transport/src/message.rs
@@ -1,7 +1,8 @@
-//! The messages that daemons send each other.
+//! Messages between daemons.
 //!
-//! Postcard numbers variants and fields by their order here, so neither may
-//! move; a change of either needs a new [`PROTOCOL_VERSION`](crate::PROTOCOL_VERSION).
+//! Postcard encodes variants and fields by their position. Adding, removing or
+//! moving one changes the message format and requires a new
+//! [`PROTOCOL_VERSION`](crate::PROTOCOL_VERSION).
 
 use crate::membership::{Bootstrap, Members};
 use crate::request::{Reply, Request};
@@ -15,88 +16,90 @@
 /// A received message with its sender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// The sender. Answers go to its socket.
+    /// Address of the sender. Replies go to its socket.
     pub from: Address,
-    /// The member that relayed the message, if one did. Answers go back through
-    /// the same member.
+    /// Socket of the member that relayed the message; replies are relayed by the
+    /// same member. `None` for a message that came directly from its sender.
     pub via: Option<SocketAddr>,
-    /// The message.
+    /// Message without the sender's address.
     pub body: PeerMessage,
 }
 
 /// A message between two daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Asks a daemon of any role for the members that it knows. Sent to seeds
-    /// by a daemon that looks for its cluster; answered with
+    /// Requests the members known to a daemon of any role. Sent to the seeds by
+    /// a daemon that is searching for its cluster; answered with
     /// [`PeerMessage::Members`].
     Discover,
-    /// The members that the sender knows, in answer to
-    /// [`PeerMessage::Discover`].
+    /// Members known to the sender, in reply to [`PeerMessage::Discover`].
     Members(Members),
-    /// A step of the first start of a cluster, between its initial coordinators.
+    /// A step of the bootstrap of a new cluster, between its initial
+    /// coordinators.
     Bootstrap(Bootstrap),
     /// A Raft message from one coordinator of a cluster to another.
     Raft {
         /// Cluster of the sender. A coordinator of another cluster drops the
         /// message.
         cluster: ClusterId,
-        /// Process that the message is meant for. Another process at the same
-        /// socket drops it.
+        /// Node identifier of the receiving process. A process with another
+        /// identifier at the same socket drops the message.
         to: NodeId,
-        /// The Raft message.
+        /// Message of the consensus algorithm.
         message: consensus::Message,
     },
     /// Opens or renews a session, from any daemon to the leader.
     KeepAlive(KeepAlive),
-    /// The leader's answer to a keep-alive.
+    /// Reply of the leader to a keep-alive.
     Lease(SessionLease),
-    /// Answers a keep-alive or a request sent to a coordinator that is not the
-    /// leader.
+    /// Reply of a coordinator that is not the leader to a keep-alive or a
+    /// request.
     NotLeader {
-        /// Leader that this coordinator knows of, if any.
+        /// Leader as seen by the replying coordinator. `None` if it has no
+        /// leader.
         leader: Option<Address>,
     },
     /// A whole configuration, from the leader to a daemon whose replica is
     /// behind.
     Configuration {
-        /// Version of the document.
+        /// Version of the configuration.
         version: ConfigurationVersion,
-        /// The document.
+        /// Complete configuration of that version.
         document: ClusterConfiguration,
     },
     /// A caller's or operator's request, from a gateway to the leader.
     Request(Request),
-    /// The final answer to a request, from the leader to the gateway.
+    /// Final reply to a request, from the leader to the gateway.
     Reply(Reply),
     /// Heartbeats of an agent's runners, from the agent to the leader.
     AgentReport(AgentReport),
-    /// The leader's answer to the heartbeats of one runner, to its agent.
+    /// Reply to the heartbeats of one runner, from the leader to the agent of the
+    /// runner.
     RunnerUpdate(RunnerUpdate),
     /// Orders for runners, from the leader to their agent.
     Orders {
-        /// Term of the leader. An agent that has seen a higher one rejects the
+        /// Term of the leader. An agent that has seen a higher term rejects the
         /// orders.
         term: Term,
-        /// Agent process that the orders are meant for. An agent that has
-        /// restarted since drops them.
+        /// Node identifier of the receiving agent process. An agent that has
+        /// restarted since has another identifier and drops the orders.
         agent: NodeId,
-        /// The orders.
+        /// Orders to start, stop or revoke runs.
         orders: Vec<RunnerOrder>,
     },
     /// Results of orders, from an agent to the leader.
     OrderResults {
-        /// One result for each order.
+        /// Results, one for each order.
         results: Vec<OrderResult>,
     },
-    /// A message that another member passes on, for a receiver that the sender
-    /// cannot reach itself.
+    /// A message to be forwarded by another member because the sender has no
+    /// working connection to the receiver.
     Relay(Relay),
 }
 
 impl PeerMessage {
-    /// Returns the value of the `kind` label under which metrics count the
-    /// message.
+    /// Returns the value of the metric label `kind`. Published labels stay fixed,
+    /// so a keep-alive has the label `hello`.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Discover => "discover",
@@ -118,33 +121,32 @@
     }
 }
 
-/// A message passed on by a member that reaches both its sender and its
+/// A message forwarded by a member that can reach both the sender and the
 /// receiver.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Relay {
-    /// Sender of the message.
+    /// Address of the original sender.
     pub origin: Address,
     /// Socket of the receiver.
     pub destination: SocketAddr,
-    /// The message. It is never a relay itself: encoding and decoding fail on a
-    /// nested one.
+    /// Forwarded message. Encoding and decoding fail if it is a relay itself.
     #[serde(with = "relay_body")]
     pub body: Box<PeerMessage>,
 }
 
-/// Encoding of a relayed message, as a byte string of its own.
+/// Encoding of a relayed message as a separate byte string.
 ///
-/// The decoder rejects a nested relay by the variant number that the bytes
-/// begin with, before it decodes them. Its recursion is therefore at most one
-/// deep, whatever a peer sends.
+/// The decoder reads the variant number at the start of the bytes and rejects a
+/// nested relay before decoding it. This limits the recursion to one level for
+/// any input from a peer.
 mod relay_body {
     use super::PeerMessage;
     use bytes::Bytes;
     use serde::{Deserialize, Deserializer, Serializer, de, ser};
 
-    /// Number of [`PeerMessage::Relay`] among the variants of its enum.
+    /// Position of [`PeerMessage::Relay`] in the enum, as postcard encodes it.
     const RELAY_VARIANT: u32 = 14;
-    const NESTED_RELAY: &str = "a relay inside a relay";
+    const NESTED_RELAY: &str = "a relay must not contain another relay";
 
     pub(super) fn serialize<S: Serializer>(
         body: &PeerMessage,
--- a/crates/transport/src/reply.rs
+++ b/crates/transport/src/reply.rs
@@ -1,4 +1,4 @@
-//! The leader's answers to requests of callers and operators.
+//! Replies of the leader to requests of callers and operators.
 
 use crate::decision::DecisionEntry;
 use crate::view::{LicenceView, MemberView, QueueView, TenantView};
@@ -7,63 +7,64 @@
 use serde::{Deserialize, Serialize};
 use types::{ConfigurationVersion, JobKey, JobNumber, JobState, JobView, Milliseconds, RunId};
 
-/// The result of an operation that was carried out.
+/// Result of a successful operation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperationReply {
-    /// The job is committed: a majority of the voters has it on disk.
+    /// The job is committed, that is, on the disks of a majority of the voters.
     Submitted {
         /// Number of the job.
         number: JobNumber,
-        /// Whether an earlier submit with the same key had created the job.
+        /// Whether the job was created by an earlier submit with the same key.
         known: bool,
     },
-    /// The job that was asked for, with its steps.
+    /// The requested job with its steps.
     Job(Box<JobView>),
     /// One page of a list of jobs.
     Jobs {
-        /// Jobs of the page, in order of submission.
+        /// Jobs in order of submission.
         jobs: Vec<JobView>,
-        /// Number of the page's last job if more jobs may follow, to be given as
-        /// [`JobFilter::after`](crate::JobFilter::after).
+        /// Number of the last job of the page, for
+        /// [`JobFilter::after`](crate::JobFilter::after) of the next request.
+        /// `None` if no more jobs follow.
         next: Option<JobNumber>,
     },
-    /// Result of a cancel.
+    /// Result of a request to cancel jobs.
     Cancelled {
         /// Number of jobs that this request cancelled.
         cancelled: u64,
-        /// Number of jobs that were in a final state before.
+        /// Number of jobs that had already reached a final state.
         finished: u64,
-        /// Keys of which the cluster has no job.
+        /// Requested keys for which the cluster has no job.
         unknown: Vec<JobKey>,
     },
-    /// Explanation of why a job's tasks are in their states.
+    /// Explanation of the states of a job's tasks.
     Explained {
-        /// One line for each finding.
+        /// Findings in plain text, one per line.
         lines: Vec<String>,
     },
     /// The configuration is committed under this version.
     Configured {
         /// Version of the configuration.
         version: ConfigurationVersion,
-        /// Whether an earlier request had committed the same configuration.
+        /// Whether the configuration was committed by an earlier request.
         known: bool,
     },
     /// The configuration in force.
     Configuration {
-        /// Version of the document.
+        /// Version of the configuration.
         version: ConfigurationVersion,
-        /// The document.
+        /// Complete configuration of that version.
         document: ClusterConfiguration,
     },
-    /// State of the job that was asked for.
+    /// State of the requested job.
     JobState(JobState),
-    /// Number of unfinished jobs.
+    /// Number of unfinished jobs in the requested queue.
     Count(u64),
-    /// The operation is carried out and returns nothing.
+    /// The operation succeeded and returns no data.
     Accepted,
-    /// Runs that were closed as lost.
+    /// A runner was declared lost.
     RunsLost {
-        /// Identifiers of the runs.
+        /// Identifiers of the runs that were closed as lost.
         runs: Vec<RunId>,
     },
     /// All runners.
@@ -80,42 +81,43 @@
     Decisions(Vec<DecisionEntry>),
 }
 
-/// A final answer that an operation was not carried out, or that its outcome is
+/// Final reply to an operation that was not carried out or whose outcome is
 /// unknown.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
-    /// Kind of the rejection.
+    /// Cause of the rejection, for programs.
     pub code: RejectionCode,
-    /// One sentence for people.
+    /// Cause of the rejection, for users.
     pub message: String,
-    /// Time after which to try again, in milliseconds. `None` where trying again
-    /// cannot help.
+    /// Time to wait before a retry, in milliseconds. `None` if a retry cannot
+    /// succeed.
     pub retry_after: Option<Milliseconds>,
-    /// All problems of a rejected configuration. Empty for other operations.
+    /// Problems of a rejected configuration. Empty for other operations.
     pub problems: Vec<ConfigurationError>,
 }
 
-/// Kinds of rejection.
+/// Causes for which a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RejectionCode {
     /// The request is not valid.
     Invalid,
-    /// The request has no key, or one that is unknown or revoked.
+    /// The request has no key, or its key is unknown or revoked.
     Unauthenticated,
     /// The role of the key does not allow the operation.
     Forbidden,
-    /// There is no such job, runner or queue.
+    /// The named job, runner or queue does not exist.
     NotFound,
-    /// The same key or version exists with other content.
+    /// A job with the same key, or a configuration with the same version, exists
+    /// with different content.
     Conflict,
-    /// A limit of the tenant, the queue or the daemon is reached. The same
-    /// request may succeed later.
+    /// A limit of the tenant, the queue or the daemon is reached. A retry may
+    /// succeed.
     Overloaded,
-    /// No leader with a valid lease can be reached. The operation was not
-    /// carried out.
+    /// No leader with a valid lease is reachable. The operation was not carried
+    /// out.
     Unavailable,
-    /// The time ran out before an answer came. The operation may or may not
-    /// have been carried out; the same request may be sent again.
+    /// No reply arrived before the deadline. The operation may or may not have
+    /// been carried out; the same request can be retried.
     TimedOut,
 }
--- a/crates/transport/src/request.rs
+++ b/crates/transport/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests of callers and operators, as gateways send them to the leader.
+//! Requests of callers and operators, sent by gateways to the leader.
 
 use crate::reply::{OperationReply, Rejection};
 use configuration::{ClusterConfiguration, ConfigurationUpdate};
@@ -19,25 +19,25 @@
 /// A request, from a gateway to the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// Number of the request, which the reply echoes.
+    /// Number of the request, repeated in the reply.
     pub id: RequestId,
-    /// Time until the caller gives up, in milliseconds, when the gateway sent
-    /// the request. The leader drops the request afterwards.
+    /// Time from the sending by the gateway to the caller's deadline, in
+    /// milliseconds. The leader drops the request after that time.
     pub time_left: Milliseconds,
-    /// The operation that is requested.
+    /// Operation to carry out, with its arguments.
     pub operation: Operation,
 }
 
-/// The final answer to a request, from the leader to the gateway.
+/// Final reply to a request, from the leader to the gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply {
-    /// Number of the request.
+    /// Number of the request that is answered.
     pub id: RequestId,
-    /// Result of the operation.
+    /// Result of the operation, or the reason for which it has none.
     pub result: Result<OperationReply, Rejection>,
 }
 
-/// The operations that callers and operators may request.
+/// Operations available to callers and operators.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Operation {
     /// Submits a job.
@@ -48,7 +48,7 @@
     GetJobState(JobKey),
     /// Lists jobs in order of submission.
     ListJobs(JobFilter),
-    /// Cancels jobs.
+    /// Cancels jobs by key, or all unfinished jobs of a tenant.
     Cancel(CancelSelector),
     /// Explains why a job is not running.
     Explain(JobKey),
@@ -56,11 +56,11 @@
     PutConfiguration {
         /// Version of the new configuration: the current one plus one.
         version: ConfigurationVersion,
-        /// The new document.
+        /// Complete new configuration.
         document: ClusterConfiguration,
     },
     /// Reads the configuration in force from the replica of the gateway, which
-    /// may be behind the leader's.
+    /// may be older than the leader's.
     GetConfiguration,
     /// Reads the configuration in force from the leader. It contains every
     /// change that was acknowledged before the request.
@@ -71,15 +71,15 @@
     DrainRunner {
         /// Runner to drain.
         runner: RunnerId,
-        /// Whether the runner drains from now on.
+        /// Whether draining starts (true) or ends (false).
         draining: bool,
     },
-    /// Declares a runner lost for good and closes its runs as lost.
+    /// Declares a runner permanently lost and closes its runs as lost.
     DeclareRunnerLost {
-        /// Runner that is lost.
+        /// Runner to declare lost.
         runner: RunnerId,
     },
-    /// Lists all runners that the leader knows.
+    /// Lists all runners registered with the leader.
     ListRunners,
     /// Lists all queues with their counts.
     ListQueues,
@@ -91,38 +91,39 @@
     ListMembers,
     /// Reads entries of the leader's decision log.
     Decisions {
-        /// Number of the last entry that the operator has; 0 reads from the
-        /// oldest entry that the leader keeps.
+        /// Number of the last entry already read; 0 reads from the oldest entry
+        /// that the leader keeps.
         after: u64,
         /// Maximum number of entries to return.
         limit: u32,
     },
-    /// Changes named items of the configuration.
+    /// Adds, replaces or removes single items of the configuration.
     UpdateConfiguration {
-        /// Version that the change makes.
+        /// Version of the configuration after the update.
         version: ConfigurationVersion,
-        /// The changes, with the version that they build on.
+        /// Changes, and the version to which they apply.
         update: ConfigurationUpdate,
     },
-    /// Asks whether an update was committed, for an operator that knows what it
-    /// sent but can no longer compute what that changed.
+    /// Checks whether an update was committed. For an operator that has the text
+    /// that was sent but can no longer compute the changes from it.
     ConfirmUpdate {
-        /// Version that the update was to make.
+        /// Version of the configuration that the update would have produced.
         version: ConfigurationVersion,
-        /// The update. The leader compares only the version that it replaces and
-        /// the text that was sent.
+        /// Update to check. The leader compares only the replaced version and the
+        /// text that was sent.
         update: ConfigurationUpdate,
     },
 }
 
-/// Selects the jobs of a list.
+/// Selection of the jobs in a list.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct JobFilter {
-    /// Lists only jobs of this tenant.
+    /// Tenant of the listed jobs. `None` lists the jobs of all tenants.
     pub tenant: Option<TenantId>,
-    /// Lists only jobs in this state.
+    /// State of the listed jobs. `None` lists jobs in any state.
     pub state: Option<JobState>,
-    /// Lists only jobs with a higher number than this.
+    /// Number of the last job already listed; only jobs with a higher number
+    /// follow. `None` starts with the first job.
     pub after: Option<JobNumber>,
     /// Maximum number of jobs to return.
     pub limit: u32,
--- a/crates/transport/src/runner.rs
+++ b/crates/transport/src/runner.rs
@@ -9,49 +9,50 @@
 /// Heartbeats of an agent's runners, from the agent to the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentReport {
-    /// The newest heartbeat of each runner that has sent one since the last
-    /// report.
+    /// Newest heartbeat of each runner that sent one since the last report.
     pub reports: Vec<RunnerReport>,
 }
 
-/// The answer to the heartbeats of one runner, from the leader to its agent.
+/// Reply to the heartbeats of one runner, from the leader to the agent of the
+/// runner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerUpdate {
-    /// Term of the leader.
+    /// Term of the leader that sent the update.
     pub term: Term,
-    /// Runner that the update is for.
+    /// Runner to which the update applies.
     pub runner: RunnerId,
-    /// Incarnation of the runner that the update is for.
+    /// Incarnation of the runner to which the update applies.
     pub incarnation: RunnerIncarnation,
-    /// Newest heartbeat that the leader has received. The run lease counts from
-    /// the time at which the runner sent it.
+    /// Newest heartbeat received by the leader. The run lease starts at the time
+    /// at which the runner sent this heartbeat.
     pub confirmed: HeartbeatSequence,
     /// Length of the run lease, in milliseconds.
     pub lease: Milliseconds,
-    /// Ended runs that are committed as such. The runner may forget them.
+    /// Runs whose end is committed. The runner may discard them.
     pub recorded: Vec<RunId>,
-    /// Runs that the runner reports as active but that are committed as closed.
-    /// The runner must stop them.
+    /// Runs to stop: the runner reports them as active, but they are committed as
+    /// closed.
     pub stop: Vec<RunId>,
-    /// Identifiers of the runs that the agent reported by name only.
+    /// Identifiers of the runs that the agent reported by name, without an
+    /// identifier.
     pub names: Vec<NamedRun>,
 }
 
-/// The identifier of a run that an agent reported by name only.
+/// Identifier of a run that an agent reported by name, without an identifier.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamedRun {
-    /// Name under which the agent reported the run.
+    /// Name of the run as reported by the agent.
     pub name: RunName,
-    /// Identifier of the run. `None` when no such run is open; the runner must
-    /// then stop and forget it.
+    /// Identifier of the run. `None` if no run with this name is open; the runner
+    /// then stops and discards it.
     pub run: Option<RunId>,
 }
 
 /// The result of one order, from an agent to the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderResult {
-    /// The order.
+    /// Order as received from the leader.
     pub order: RunnerOrder,
-    /// Answer of the runner, or that none came in time.
+    /// Answer of the runner, [`OrderAnswer::Unknown`] if none arrived in time.
     pub answer: OrderAnswer,
 }
--- a/crates/transport/src/session.rs
+++ b/crates/transport/src/session.rs
@@ -5,28 +5,28 @@
 
 /// Opens or renews a session with the leader.
 ///
-/// Gateways, agents and coordinators that are not members yet send one in every
-/// session interval. Members send it too, to report the configuration that they
-/// have applied.
+/// Gateways, agents and coordinators that are not members yet send one keep-alive
+/// per session interval. Members also send keep-alives, to report the
+/// configuration version that they have applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeepAlive {
-    /// Number of this keep-alive, rising within one process. The lease echoes
-    /// it.
+    /// Number of the keep-alive, increasing within one process and repeated in
+    /// the lease.
     pub sequence: u64,
-    /// Version of the sender's configuration replica; of a member, the version
-    /// that it has applied.
+    /// Version of the sender's configuration replica. For a member, the version
+    /// that the member has applied.
     pub configuration: ConfigurationVersion,
-    /// Runners that the sender serves. Empty unless it is an agent.
+    /// Runners of the sender. Empty unless the sender is an agent.
     pub runners: Vec<RunnerId>,
-    /// Whether the sender is about to stop.
+    /// Whether the sender is shutting down, which ends the session.
     pub leaving: bool,
     /// Cluster of the sender. `None` for a coordinator with an empty disk.
     pub cluster: Option<ClusterId>,
 }
 
-/// The leader's answer to a keep-alive.
+/// Reply of the leader to a keep-alive.
 ///
-/// The leader sends it only while its own leader lease is valid.
+/// Sent only while the leader lease is valid.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionLease {
     /// Term of the leader.
@@ -35,17 +35,17 @@
     pub leader: Address,
     /// Cluster of the leader.
     pub cluster: ClusterId,
-    /// Sequence of the keep-alive that is answered. The lease counts from the
-    /// time at which that one was sent.
+    /// Number of the keep-alive that is answered. The lease starts at the time at
+    /// which that keep-alive was sent.
     pub sequence: u64,
     /// Length of the session lease, in milliseconds.
     pub lease: Milliseconds,
-    /// Configuration version in force. If the receiver's replica is behind, the
-    /// document follows in a message of its own.
+    /// Configuration version in force. If the receiver's replica is older, the
+    /// configuration follows in a separate message.
     pub configuration: ConfigurationVersion,
-    /// Coordinators that are alive.
+    /// Addresses of the coordinators that are alive.
     pub coordinators: Vec<Address>,
-    /// Gateways and agents that are alive. Filled in some leases only; an empty
-    /// list does not mean that there are none.
+    /// Addresses of gateways and agents that are alive. Only some leases contain
+    /// them, so an empty list does not mean that there are none.
     pub others: Vec<Address>,
 }
--- a/crates/transport/src/stop.rs
+++ b/crates/transport/src/stop.rs
@@ -1,9 +1,9 @@
-//! Waiting for the stop of a task or a daemon.
+//! Stop signal for tasks and daemons.
 
 use tokio::sync::watch;
 
-/// Waits until the value is true or its sender is dropped, which counts as a stop.
+/// Waits for the stop signal: the value true, or the drop of its sender.
 pub async fn stopped(stop: &mut watch::Receiver<bool>) {
-    // The error of a dropped sender needs no handling.
+    // The error means that the sender was dropped, which is a stop as well.
     let _ = stop.wait_for(|stop| *stop).await;
 }
--- a/crates/transport/src/tcp/connection.rs
+++ b/crates/transport/src/tcp/connection.rs
@@ -1,4 +1,4 @@
-//! Establishing connections, and the timeouts that apply to them.
+//! Setup of connections, and the timeouts that apply to them.
 
 use super::Context;
 use super::handshake::{self, Authenticated, HandshakeError};
@@ -9,29 +9,30 @@
 use tokio::time::timeout;
 use types::Milliseconds;
 
-/// Connect timeout of the first attempt. A cut link, or a machine that is still
-/// starting, answers nothing, so that a retry succeeds sooner than a longer wait.
+/// Connect timeout of the first attempt. A partitioned or still booting machine
+/// sends no reply to the first packet, so an early retry succeeds sooner than a
+/// longer wait.
 pub(super) const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Maximum connect timeout. The timeout doubles with each attempt up to this, for
-/// links with a high latency.
+/// Maximum connect timeout. The timeout doubles with each attempt up to this
+/// value, for links with a high latency.
 pub(super) const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum duration of a handshake, at both ends.
+/// Maximum duration of a handshake, at each end.
 pub(super) const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Maximum duration of one write.
+/// Maximum duration of one write of frames or of an acknowledgement.
 pub(super) const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval at which the listening end acknowledges the frames that it has read.
+/// Interval at which the listening end acknowledges received frames.
 pub(super) const ACKNOWLEDGE_INTERVAL: Duration = Duration::from_millis(500);
-/// Maximum time without progress of the acknowledgements while frames are
-/// unacknowledged. The dialling end closes the connection afterwards.
+/// Time without a new acknowledgement, while frames are unacknowledged, after
+/// which the dialling end closes the connection.
 pub(super) const ACKNOWLEDGE_TIMEOUT: Milliseconds = Milliseconds(2_500);
 /// Time without a message after which the dialling end closes the connection.
 pub(super) const IDLE_TIMEOUT: Milliseconds = Milliseconds(30_000);
-/// Time without a frame after which the listening end closes the connection. It
-/// exceeds [`IDLE_TIMEOUT`], so that it applies only when the dialling end is gone.
+/// Time without a frame after which the listening end closes the connection.
+/// Exceeds [`IDLE_TIMEOUT`], so it applies only if the dialling end has failed.
 pub(super) const READ_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// Connects to `to` from the IP of the listener within `timeout`, and performs the
-/// handshake.
+/// Connects to `to` from the IP address of the listener within `timeout`, and
+/// performs the handshake.
 pub(super) async fn dial(
     context: &Context,
     to: SocketAddr,
@@ -68,8 +69,8 @@
     Ok(stream)
 }
 
-/// Runs `work` for at most `limit`. A timeout becomes an [`io::Error`] of the kind
-/// `TimedOut`.
+/// Runs `work` for at most `limit`. A timeout is returned as an [`io::Error`] of
+/// the kind `TimedOut`.
 pub(super) async fn within<T>(limit: Duration, work: impl Future<Output = T>) -> io::Result<T> {
     timeout(limit, work)
         .await
--- a/crates/transport/src/tcp/frame.rs
+++ b/crates/transport/src/tcp/frame.rs
@@ -4,12 +4,12 @@
 //! frame := length:u32 tag[16] body[length]     (little endian)
 //! ```
 //!
-//! The tag is a truncated HMAC, under the key of one direction of one
-//! connection, over the sequence number of the frame, its length and its body. A
-//! frame that was changed, dropped, repeated, reordered or taken from another
-//! connection therefore fails verification.
+//! The tag is a truncated HMAC over the sequence number, the length and the body
+//! of the frame. Each direction of each connection has its own key. The receiver
+//! therefore detects frames that were changed, dropped, repeated, reordered or
+//! copied from another connection.
 
-use super::key::{KeyedMac, keyed};
+use super::key::{KeyedMac, new_mac};
 use hmac::Mac;
 use std::io;
 use thiserror::Error;
@@ -17,21 +17,22 @@
 
 const LENGTH_BYTES: usize = 4;
 const TAG_BYTES: usize = 16;
-/// Length of a frame without its body, in bytes.
+/// Length of the frame header (length and tag) in bytes.
 pub(super) const OVERHEAD_BYTES: usize = LENGTH_BYTES + TAG_BYTES;
 
-/// A failure to read a frame, after which the connection is closed.
+/// Failure to read or write a frame. The connection is then closed.
 #[derive(Debug, Error)]
 pub(super) enum FrameError {
     #[error(transparent)]
     Closed(#[from] io::Error),
-    #[error("a frame of {length} bytes is longer than {max}")]
+    #[error("the frame body of {length} bytes exceeds the maximum of {max} bytes")]
     TooLong { length: usize, max: usize },
-    #[error("a frame's tag does not match")]
-    Forged,
+    #[error("the authentication tag of the frame does not match")]
+    InvalidTag,
 }
 
-/// The state of one direction of a connection, at either end.
+/// State of one direction of a connection: its key and the next sequence number.
+/// Both ends keep one for each direction.
 #[derive(Debug)]
 pub(super) struct Channel {
     mac: KeyedMac,
@@ -39,16 +40,16 @@
 }
 
 impl Channel {
-    /// Creates a direction that is keyed with `secret`.
+    /// Creates the state of a new connection, with `secret` as the key.
     pub fn new(secret: &[u8]) -> Self {
         Self {
-            mac: keyed(secret),
+            mac: new_mac(secret),
             next_sequence: 0,
         }
     }
 
-    /// Appends a frame with this body to `out`. Returns false, and appends nothing,
-    /// if the length of the body does not fit the frame header.
+    /// Appends a frame with this body to `out`. Returns false and appends nothing
+    /// if the length of the body does not fit the length field.
     pub fn seal(&mut self, body: &[u8], out: &mut Vec<u8>) -> bool {
         let Ok(length) = u32::try_from(body.len()) else {
             return false;
@@ -60,7 +61,8 @@
         true
     }
 
-    /// Reads the next frame, of at most `max_bytes`, and returns its verified body.
+    /// Reads the next frame, verifies its tag and returns its body of at most
+    /// `max_bytes`.
     pub async fn read(
         &mut self,
         reader: &mut (impl AsyncRead + Unpin),
@@ -87,7 +89,7 @@
         }
         self.next_mac(length, &body)
             .verify_truncated_left(&tag)
-            .map_err(|_| FrameError::Forged)?;
+            .map_err(|_| FrameError::InvalidTag)?;
         Ok(body)
     }
 
--- a/crates/transport/src/tcp/handshake.rs
+++ b/crates/transport/src/tcp/handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake, in which both ends prove that they have the cluster key.
+//! Handshake in which both ends prove possession of the cluster key.
 //!
 //! ```text
 //! client: magic version hello(nonce, address)
@@ -7,12 +7,12 @@
 //! server: HMAC(key, "server proof", both hellos)
 //! ```
 //!
-//! Fresh nonces prevent replay, and the different labels prevent reflection of a
-//! proof to its sender. The server proves last, so a client without the key
-//! receives nothing that was computed with it.
+//! Fresh nonces prevent the replay of a proof. Different labels prevent the
+//! reflection of a proof to its sender. The server sends its proof last, so a
+//! client without the key receives no data that was computed with it.
 
 use super::frame::Channel;
-use super::key::{ClusterKey, MAC_BYTES, labelled};
+use super::key::{ClusterKey, MAC_BYTES, labelled_mac};
 use hmac::Mac;
 use serde::{Deserialize, Serialize};
 use std::io;
@@ -27,7 +27,7 @@
 
 const MAGIC: [u8; 4] = *b"CYPD";
 const NONCE_BYTES: usize = 32;
-/// Maximum length of an encoded hello in bytes. An address is far shorter.
+/// Maximum length of an encoded hello in bytes, well above that of any address.
 const MAX_HELLO_BYTES: usize = 1024;
 
 const CLIENT_PROOF: &str = "client proof";
@@ -36,20 +36,22 @@
 const SESSION_KEY: &str = "session";
 const SERVER_FRAMES: &str = "server frames";
 
-/// A handshake that failed.
+/// Reason for which a handshake failed.
 #[derive(Debug, Error)]
 pub(super) enum HandshakeError {
     #[error(transparent)]
     Closed(#[from] io::Error),
-    #[error("the other end speaks another protocol")]
+    #[error("the peer uses a different protocol")]
     UnknownProtocol,
-    #[error("the other end speaks protocol version {theirs}, this daemon {PROTOCOL_VERSION}")]
-    VersionMismatch { theirs: u32 },
-    #[error("the other end's hello makes no sense")]
+    #[error("the peer uses protocol version {peer_version}, this daemon uses {PROTOCOL_VERSION}")]
+    VersionMismatch { peer_version: u32 },
+    #[error("the hello is malformed or too long")]
     InvalidHello,
-    #[error("the other end does not hold the cluster key")]
+    #[error("the peer's proof does not match the cluster key")]
     WrongKey,
-    #[error("the other end broke off, perhaps since it holds another cluster key")]
+    #[error(
+        "the connection closed before the peer's proof; the peer may have a different cluster key"
+    )]
     Aborted,
 }
 
@@ -59,10 +61,11 @@
     address: Address,
 }
 
-/// An authenticated connection: its peer, and a frame channel for each direction.
+/// Result of a successful handshake: the peer, and the frame keys of each
+/// direction.
 #[derive(Debug)]
 pub(super) struct Authenticated {
-    /// Address that the peer named in its hello.
+    /// Address in the hello of the peer, covered by the peer's proof.
     pub peer: Address,
     /// Frames from the dialling end to the listening end.
     pub client_frames: Channel,
@@ -96,10 +99,11 @@
 ) -> Result<Authenticated, HandshakeError> {
     let server_hello = encode_hello(own)?;
     let client_hello = match read_hello(stream).await {
-        Err(HandshakeError::VersionMismatch { theirs }) => {
-            // Tells the peer this version, so that it can log both.
+        Err(HandshakeError::VersionMismatch { peer_version }) => {
+            // The hello contains the version of this daemon, so the peer can log
+            // both versions.
             write_hello(stream, &server_hello).await?;
-            return Err(HandshakeError::VersionMismatch { theirs });
+            return Err(HandshakeError::VersionMismatch { peer_version });
         }
         result => result?,
     };
@@ -110,7 +114,7 @@
     transcript.authenticated(&client_hello)
 }
 
-/// Both hellos of a handshake, over which the proofs and session keys are computed.
+/// Both hellos of a handshake. Proofs and session keys are computed over them.
 struct Transcript<'a> {
     key: &'a ClusterKey,
     bytes: Vec<u8>,
@@ -127,7 +131,7 @@
     }
 
     fn proof(&self, label: &str) -> [u8; MAC_BYTES] {
-        let mut mac = self.key.labelled(label);
+        let mut mac = self.key.labelled_mac(label);
         mac.update(&self.bytes);
         mac.finalize().into_bytes().into()
     }
@@ -139,7 +143,7 @@
     ) -> Result<(), HandshakeError> {
         let mut proof = [0u8; MAC_BYTES];
         stream.read_exact(&mut proof).await?;
-        let mut mac = self.key.labelled(label);
+        let mut mac = self.key.labelled_mac(label);
         mac.update(&self.bytes);
         mac.verify_slice(&proof)
             .map_err(|_| HandshakeError::WrongKey)
@@ -151,7 +155,7 @@
             postcard::from_bytes(peer_hello).map_err(|_| HandshakeError::InvalidHello)?;
         let session_key = self.proof(SESSION_KEY);
         let channel = |label| {
-            let secret = labelled(&session_key, label).finalize().into_bytes();
+            let secret = labelled_mac(&session_key, label).finalize().into_bytes();
             Channel::new(&secret)
         };
         Ok(Authenticated {
@@ -189,9 +193,9 @@
     if magic != MAGIC {
         return Err(HandshakeError::UnknownProtocol);
     }
-    let theirs = stream.read_u32_le().await?;
-    if theirs != PROTOCOL_VERSION {
-        return Err(HandshakeError::VersionMismatch { theirs });
+    let peer_version = stream.read_u32_le().await?;
+    if peer_version != PROTOCOL_VERSION {
+        return Err(HandshakeError::VersionMismatch { peer_version });
     }
     let length = usize::from(stream.read_u16_le().await?);
     if length > MAX_HELLO_BYTES {
--- a/crates/transport/src/tcp/inbox.rs
+++ b/crates/transport/src/tcp/inbox.rs
@@ -1,35 +1,35 @@
-//! Received messages that wait for the core, in lanes of descending priority.
+//! Queue of received messages, in lanes of descending priority.
 //!
-//! A core that is overloaded for a moment must still process leases and
-//! keep-alives. Otherwise the sessions of its peers expire, all of them reconnect
-//! at once, and the overload grows. Messages that keep leases and sessions alive
-//! therefore never wait behind work, and neither waits behind requests, which can
-//! be sent again or rejected.
+//! A daemon under a short overload must still process leases and keep-alives.
+//! Otherwise the sessions of its peers expire, all peers reconnect at once, and
+//! the overload grows. Messages that renew leases and sessions therefore have
+//! priority over work, and both have priority over requests, which can be retried
+//! or rejected.
 
 use crate::{Envelope, PeerMessage};
 use std::time::Instant;
 use tokio::sync::mpsc;
 use types::Milliseconds;
 
-/// Capacity of one lane, in messages. Senders wait while the lane for liveness or
-/// for work is full.
+/// Capacity of one lane in messages. A connection waits while the lane for
+/// liveness or for work is full.
 const LANE_CAPACITY: usize = 1_024;
 
-/// Priority of a received message, highest first.
+/// Priorities of received messages, highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lane {
-    /// Elections, replication, discovery, sessions and their leases, and the
-    /// configuration that they confirm.
+    /// Elections, replication, discovery, keep-alives, session leases, and the
+    /// configuration that follows a lease.
     Liveness,
-    /// Heartbeats of runners, orders, and answers to either or to requests.
+    /// Heartbeats of runners, orders, the replies to both, and replies to
+    /// requests.
     Work,
     /// Requests of callers and operators.
     Requests,
 }
 
 impl Lane {
-    /// Returns the lane of a message. A relay has the lane of the message that it
-    /// carries.
+    /// Returns the lane of a message. A relay uses the lane of its body.
     pub fn of(message: &PeerMessage) -> Self {
         match message {
             PeerMessage::Request(_) => Self::Requests,
@@ -60,26 +60,26 @@
     }
 }
 
-/// A received message with the time at which it was received.
+/// A received message with its lane and the time of its receipt.
 #[derive(Debug)]
 pub struct Arrival {
-    /// The message with its sender.
+    /// Message with its sender.
     pub envelope: Envelope,
-    /// Lane in which it waited.
+    /// Lane in which the message was queued.
     pub lane: Lane,
-    /// Time at which it was read from its connection.
+    /// Time at which the message was read from its connection.
     received_at: Instant,
 }
 
 impl Arrival {
-    /// Returns the time since the message was received, in milliseconds.
+    /// Returns the time since the receipt of the message, in milliseconds.
     pub fn waited(&self) -> Milliseconds {
         let waited = self.received_at.elapsed().as_millis();
         Milliseconds(u64::try_from(waited).unwrap_or(u64::MAX))
     }
 }
 
-/// The receiving end of the inbox.
+/// Receiving end of the inbox.
 #[derive(Debug)]
 pub struct Inbox {
     liveness: mpsc::Receiver<Arrival>,
@@ -87,7 +87,7 @@
     requests: mpsc::Receiver<Arrival>,
 }
 
-/// The sending end of the inbox, which connections share.
+/// Sending end of the inbox, shared by all connections.
 #[derive(Debug, Clone)]
 pub(super) struct InboxSender {
     liveness: mpsc::Sender<Arrival>,
@@ -95,7 +95,7 @@
     requests: mpsc::Sender<Arrival>,
 }
 
-/// Creates an empty inbox and returns both of its ends.
+/// Creates an empty inbox and returns its sending and its receiving end.
 pub(super) fn channel() -> (InboxSender, Inbox) {
     let (liveness, liveness_receiver) = mpsc::channel(LANE_CAPACITY);
     let (work, work_receiver) = mpsc::channel(LANE_CAPACITY);
@@ -114,9 +114,9 @@
 }
 
 impl InboxSender {
-    /// Adds a message. Waits while its lane is full, except that a request is
-    /// dropped then: its gateway sends it again, and the connection must continue
-    /// to carry messages of the other lanes.
+    /// Appends a message to its lane. Waits while the lane is full. A request is
+    /// dropped instead: its gateway sends it again, and the connection must not
+    /// block messages of the other lanes.
     pub(super) async fn put(&self, envelope: Envelope) {
         let lane = Lane::of(&envelope.body);
         let arrival = Arrival {
@@ -124,8 +124,8 @@
             lane,
             received_at: Instant::now(),
         };
-        // An error means that the daemon is about to stop, or that the lane for
-        // requests is full.
+        // An error means that the daemon is stopping or that the lane for requests
+        // is full.
         match lane {
             Lane::Liveness => drop(self.liveness.send(arrival).await),
             Lane::Work => drop(self.work.send(arrival).await),
@@ -139,14 +139,15 @@
 }
 
 impl Inbox {
-    /// Receives the next message without its lane; see [`Inbox::arrival`].
+    /// Waits for the next message like [`Inbox::arrival`], and returns the message
+    /// without its lane. Returns `None` when the transport has stopped.
     pub async fn recv(&mut self) -> Option<Envelope> {
         let arrival = self.arrival().await?;
         Some(arrival.envelope)
     }
 
-    /// Waits for a message and returns the one of the highest priority. Returns
-    /// `None` when the transport has stopped.
+    /// Waits until a message is queued, and returns the first message of the lane
+    /// with the highest priority. Returns `None` when the transport has stopped.
     pub async fn arrival(&mut self) -> Option<Arrival> {
         tokio::select! {
             biased;
@@ -157,14 +158,14 @@
         }
     }
 
-    /// Returns the message of the highest priority without waiting, or `None` if
-    /// there is no message.
+    /// Returns the first message of the lane with the highest priority, or `None`
+    /// if no message is queued.
     pub fn try_arrival(&mut self) -> Option<Arrival> {
-        let urgent = self.liveness.try_recv().or_else(|_| self.work.try_recv());
-        urgent.or_else(|_| self.requests.try_recv()).ok()
+        let first = self.liveness.try_recv().or_else(|_| self.work.try_recv());
+        first.or_else(|_| self.requests.try_recv()).ok()
     }
 
-    /// Returns the number of messages that wait in a lane.
+    /// Returns the number of messages queued in a lane.
     pub fn waiting(&self, lane: Lane) -> usize {
         match lane {
             Lane::Liveness => self.liveness.len(),
--- a/crates/transport/src/tcp/incoming.rs
+++ b/crates/transport/src/tcp/incoming.rs
@@ -1,5 +1,5 @@
-//! The listening end: accepts connections and delivers the messages of their
-//! frames to the inbox.
+//! Listening end: accepts connections and delivers the received messages to the
+//! inbox.
 
 use super::Context;
 use super::connection::{ACKNOWLEDGE_INTERVAL, READ_TIMEOUT, WRITE_TIMEOUT, accept, within};
@@ -19,26 +19,28 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 use types::Address;
 
-/// Maximum number of connections in the handshake; further ones are closed at once.
+/// Maximum number of connections in the handshake. Further connections are closed
+/// at once.
 ///
-/// After a power loss or a change of leader a whole fleet connects at once, and a
-/// closed peer connects again, which costs more than the handshake.
+/// The limit is high because after a power loss or a change of leader all daemons
+/// of the cluster connect at the same time. A peer whose connection is closed
+/// dials again, which costs more than the handshake.
 const MAX_UNAUTHENTICATED: usize = 1_024;
-/// Pause after a failed accept, for example for lack of file descriptors.
+/// Pause after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// State that all accepted connections share.
+/// State shared by all accepted connections.
 #[derive(Debug, Clone)]
 pub(super) struct ListenerContext {
-    /// Key, limits and the daemon's own address.
+    /// Cluster key, options and the address of this daemon.
     pub context: Arc<Context>,
-    /// Destinations, to record which of them have connected.
+    /// Destinations, to record which daemons have connected to this one.
     pub destinations: Arc<Destinations>,
-    /// Inbox for received messages.
+    /// Sending end of the inbox for received messages.
     pub inbox: InboxSender,
 }
 
-/// Accepts connections until the transport ends.
+/// Accepts connections until the transport stops.
 pub(super) async fn listen(
     listener: TcpListener,
     shared: ListenerContext,
@@ -90,7 +92,7 @@
         client_frames,
         server_frames,
     } = authenticated;
-    shared.destinations.record_contact(peer.socket);
+    shared.destinations.record_reachable(peer.socket);
     let (reader, writer) = stream.into_split();
     let max_bytes = context.options.max_frame_bytes;
     let received = AtomicU64::new(0);
@@ -121,7 +123,7 @@
     }
 }
 
-/// The receiving side of one connection.
+/// Receiving side of one accepted connection.
 struct Incoming<'a> {
     peer: &'a Address,
     inbox: &'a InboxSender,
@@ -129,7 +131,8 @@
 }
 
 impl Incoming<'_> {
-    /// Receives frames and delivers their messages until the connection ends.
+    /// Receives frames and delivers their messages until the connection fails.
+    /// Returns the error.
     async fn receive_frames(
         &mut self,
         mut reader: impl AsyncRead + Unpin,
@@ -168,7 +171,8 @@
     }
 }
 
-/// Sends the number of received frames to the dialling end at an interval.
+/// Sends the number of received frames to the dialling end, at most once per
+/// [`ACKNOWLEDGE_INTERVAL`]. Returns the error that ended the connection.
 async fn acknowledge(
     mut writer: OwnedWriteHalf,
     mut frames: Channel,
--- a/crates/transport/src/tcp/key.rs
+++ b/crates/transport/src/tcp/key.rs
@@ -1,4 +1,4 @@
-//! The cluster key and the keyed MACs derived from it.
+//! Cluster key, and HMAC-SHA256 under the key and its derived keys.
 
 use hmac::{Hmac, Mac};
 use sha2::{Digest, Sha256};
@@ -8,29 +8,30 @@
 /// Length of an untruncated HMAC in bytes.
 pub(super) const MAC_BYTES: usize = 32;
 
-/// A keyed HMAC-SHA256.
+/// HMAC-SHA256 with its key set.
 pub(super) type KeyedMac = Hmac<Sha256>;
 
-/// The secret key that all daemons of a cluster share.
+/// Secret key shared by all daemons of a cluster.
 ///
-/// Both ends of a connection prove with fresh nonces that they have it. It is
-/// never sent or logged.
+/// Both ends of a connection prove possession of the key over fresh nonces. The
+/// key is never sent or logged.
 #[derive(Clone)]
 pub struct ClusterKey {
     secret: Vec<u8>,
 }
 
 impl ClusterKey {
-    /// Creates a key from the bytes of the operator's secret.
+    /// Creates a key from the secret that the operator has provided.
     pub fn new(secret: impl Into<Vec<u8>>) -> Self {
         Self {
             secret: secret.into(),
         }
     }
 
-    /// Returns an HMAC under this key for the one purpose that `label` names.
-    pub(super) fn labelled(&self, label: &str) -> KeyedMac {
-        labelled(&self.secret, label)
+    /// Returns an HMAC under this key. `label` names its purpose, so that an HMAC
+    /// for one purpose is not valid for another.
+    pub(super) fn labelled_mac(&self, label: &str) -> KeyedMac {
+        labelled_mac(&self.secret, label)
     }
 }
 
@@ -40,17 +41,18 @@
     }
 }
 
-/// Returns an HMAC under `secret` that has read `label` with its length.
-pub(super) fn labelled(secret: &[u8], label: &str) -> KeyedMac {
-    let mut mac = keyed(secret);
+/// Returns an HMAC under `secret` over the length of `label` and `label`, to be
+/// updated with the content.
+pub(super) fn labelled_mac(secret: &[u8], label: &str) -> KeyedMac {
+    let mut mac = new_mac(secret);
     mac.update(&(label.len() as u64).to_le_bytes());
     mac.update(label.as_bytes());
     mac
 }
 
-/// Returns an HMAC under a secret of any length. As in RFC 2104, a secret that is
-/// longer than a block is hashed first.
-pub(super) fn keyed(secret: &[u8]) -> KeyedMac {
+/// Returns an HMAC under a secret of any length. A secret longer than a block is
+/// hashed first, as RFC 2104 specifies.
+pub(super) fn new_mac(secret: &[u8]) -> KeyedMac {
     let digest;
     let key = if secret.len() > BLOCK_BYTES {
         digest = Sha256::digest(secret);
--- a/crates/transport/src/tcp/mod.rs
+++ b/crates/transport/src/tcp/mod.rs
@@ -1,9 +1,9 @@
-//! The framed, authenticated TCP transport between daemons.
+//! Framed, authenticated TCP transport between daemons.
 //!
-//! A connection carries messages in one direction, from the daemon that dialled
-//! it. The listening end only acknowledges the frames that it has read, which lets
-//! the dialling end detect a dead connection. Answers use another connection, to
-//! the sender's socket.
+//! A connection carries messages in one direction, from the dialling end to the
+//! listening end. In the other direction, the listening end only acknowledges
+//! received frames, so that the dialling end detects a failed connection. Replies
+//! use a separate connection, to the socket of the original sender.
 
 mod connection;
 mod frame;
@@ -28,23 +28,24 @@
 use tokio::sync::watch;
 use types::Address;
 
-/// Options of the transport.
+/// Listening socket and limits of a transport.
 #[derive(Debug, Clone)]
 pub struct TransportOptions {
-    /// Socket to listen on. Its IP is also the source of outgoing connections.
+    /// Socket to listen on. Outgoing connections use the same source IP address.
     pub listen: SocketAddr,
     /// Maximum number of messages queued for one destination. When the queue is
     /// full, the oldest message is dropped.
     pub queue_length: usize,
-    /// Maximum length of an encoded message in bytes. The sender drops a longer
-    /// message; a receiver closes a connection whose frame announces more.
+    /// Maximum length of an encoded message in bytes. A sender drops a longer
+    /// message; a receiver closes the connection if a frame header announces a
+    /// longer one.
     pub max_frame_bytes: usize,
 }
 
 /// A failure to start the transport.
 #[derive(Debug, Error)]
 pub enum TransportError {
-    /// Binding the listener failed.
+    /// The listener could not be bound.
     #[error("cannot listen on {listen}: {source}")]
     Listen {
         /// Socket of the listener.
@@ -54,7 +55,7 @@
     },
 }
 
-/// State that all tasks of one transport share.
+/// State shared by all tasks of a transport.
 #[derive(Debug)]
 struct Context {
     options: TransportOptions,
@@ -62,25 +63,25 @@
     own: Address,
 }
 
-/// Sends messages to other daemons, over one connection to each socket, which is
-/// established on demand.
+/// Sends messages to other daemons, over one connection per destination socket
+/// that is established on demand.
 ///
-/// Clones share the connections. All tasks end when the last clone is dropped.
+/// Clones share the connections. All tasks stop when the last clone is dropped.
 #[derive(Debug, Clone)]
 pub struct Transport {
     context: Arc<Context>,
     outgoing: Outgoing,
-    /// Each task has a receiver, and ends when the value is true or the sender is
-    /// dropped.
+    /// Stop signal: each task has a receiver and stops when the value is true or
+    /// the sender is dropped.
     stop: Arc<watch::Sender<bool>>,
 }
 
 impl Transport {
-    /// Starts listening, and returns the transport with the inbox of received
+    /// Starts to listen, and returns the transport with the inbox for received
     /// messages.
     ///
-    /// `own` is the address that other daemons connect to. If its port is 0, the
-    /// port of the listener takes its place.
+    /// `own` is the address under which other daemons connect to this daemon. A
+    /// port of 0 is replaced by the port of the listener.
     ///
     /// # Errors
     ///
@@ -116,21 +117,21 @@
         Ok((transport, inbox))
     }
 
-    /// Returns the address of this daemon, as other daemons know it.
+    /// Returns the address under which other daemons connect to this daemon.
     pub fn own(&self) -> &Address {
         &self.context.own
     }
 
-    /// Queues a message for the daemon at `to`. The message may be lost without
-    /// notice.
+    /// Queues a message for the daemon at `to`. The message may be lost without an
+    /// error. After [`Transport::shutdown`] it is discarded.
     pub fn send(&self, to: SocketAddr, message: PeerMessage) {
         if !*self.stop.borrow() {
             self.outgoing.send(to, message, &self.stop);
         }
     }
 
-    /// Closes the listener and all connections, and waits until all tasks have ended.
-    /// Queued messages are lost.
+    /// Closes the listener and all connections, and waits until all tasks have
+    /// stopped. Queued messages are discarded.
     pub async fn shutdown(&self) {
         self.stop.send_replace(true);
         self.stop.closed().await;
--- a/crates/transport/src/tcp/outgoing.rs
+++ b/crates/transport/src/tcp/outgoing.rs
@@ -1,6 +1,6 @@
-//! The dialling end: a queue and a task for each destination.
+//! Dialling end: one queue and one task per destination.
 //!
-//! The task connects while the queue has messages, and ends when the queue has
+//! The task connects when the queue has messages, and stops when the queue has
 //! been empty for the idle timeout.
 
 use super::Context;
@@ -26,16 +26,16 @@
 use tokio::time::{sleep, timeout};
 use types::Monotonic;
 
-/// Minimum pause between two connection attempts.
+/// Initial backoff between two connection attempts, doubled after each failure.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
-/// Maximum pause between two connection attempts.
+/// Maximum backoff between two connection attempts.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// Length in bytes from which a batch of frames is written.
+/// Length of a batch of frames in bytes from which the batch is written.
 const BATCH_BYTES: usize = 256 * 1024;
-/// Length of an acknowledgement in bytes: the number of received frames.
+/// Length of an acknowledgement, the number of received frames as `u64`, in bytes.
 const ACKNOWLEDGEMENT_BYTES: usize = 8;
 
-/// Sends messages to all destinations.
+/// Sender of messages, with one queue and one task per destination.
 #[derive(Debug, Clone)]
 pub(super) struct Outgoing {
     context: Arc<Context>,
@@ -43,7 +43,7 @@
     destinations: Arc<Destinations>,
 }
 
-/// The destinations with messages or a connection, by socket.
+/// Queues of the destinations that have a task, by socket.
 #[derive(Debug, Default)]
 pub(super) struct Destinations {
     queues: Mutex<BTreeMap<SocketAddr, Arc<Queue>>>,
@@ -54,16 +54,17 @@
         self.queues.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records that the daemon at `socket` has just connected to this one, which
-    /// shows that a connection attempt can succeed.
-    pub fn record_contact(&self, socket: SocketAddr) {
+    /// Records that the daemon at `socket` has just connected to this daemon, so a
+    /// connection attempt to it is likely to succeed.
+    pub fn record_reachable(&self, socket: SocketAddr) {
         if let Some(queue) = self.lock().get(&socket) {
             queue.record_reachable();
         }
     }
 
-    /// Removes a destination if its queue is empty, and returns whether it did.
-    /// Messages are queued under the same lock, so none is lost in between.
+    /// Removes a destination if its queue is empty. Returns whether the destination
+    /// was removed. Messages are queued under the same lock, so none is added to a
+    /// removed queue.
     fn remove_if_idle(&self, to: SocketAddr, queue: &Queue) -> bool {
         let mut queues = self.lock();
         let idle = queue.is_empty();
@@ -75,11 +76,11 @@
 }
 
 impl Outgoing {
-    /// Creates a sender without destinations.
+    /// Creates a sender that has no destinations yet.
     ///
     /// # Panics
     ///
-    /// Panics outside of a tokio runtime.
+    /// Panics if called outside a tokio runtime.
     pub fn new(context: Arc<Context>, destinations: Arc<Destinations>) -> Self {
         Self {
             context,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Queues a message, and starts the task of a new destination.
+    /// Queues a message. For a new destination, also starts its task.
     pub fn send(&self, to: SocketAddr, message: PeerMessage, stop: &watch::Sender<bool>) {
         let mut queues = self.destinations.lock();
         if let Some(queue) = queues.get(&to) {
@@ -114,18 +115,18 @@
     }
 }
 
-/// Reason for which the dialling end closes a connection.
+/// Reason for which the dialling end closed a connection.
 #[derive(Debug, thiserror::Error)]
 enum CloseReason {
     #[error("idle")]
     Idle,
-    #[error("nothing is acknowledged any more")]
+    #[error("no acknowledgement within the timeout")]
     Unacknowledged,
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
 
-/// The task of one destination.
+/// State of the task of one destination.
 struct Destination {
     to: SocketAddr,
     context: Arc<Context>,
@@ -134,8 +135,8 @@
 }
 
 impl Destination {
-    /// Connects while messages are queued. Returns when none was queued for the
-    /// idle timeout.
+    /// Connects and sends while messages are queued. Returns when the queue has been
+    /// empty for the idle timeout.
     async fn run(&self) {
         loop {
             let idle = Duration::from_millis(IDLE_TIMEOUT.0);
@@ -156,8 +157,8 @@
         }
     }
 
-    /// Attempts to connect until it succeeds. Returns `None` when no message is
-    /// queued any more.
+    /// Retries to connect until an attempt succeeds. Returns `None` if the queue
+    /// becomes empty first, because all messages have exceeded their maximum age.
     async fn connect(&self) -> Option<(TcpStream, Authenticated)> {
         let mut backoff = MIN_BACKOFF;
         let mut timeout = FIRST_CONNECT_TIMEOUT;
@@ -183,8 +184,9 @@
         None
     }
 
-    /// Dials, and starts over if the destination connects to this daemon meanwhile:
-    /// packets sent to it before it was up are lost.
+    /// Dials the destination. Dials again at once if the destination connects to
+    /// this daemon in the meantime: packets sent to the destination before its start
+    /// are lost, so the first attempt would wait for their retransmission.
     async fn dial_with_restart(
         &self,
         timeout: Duration,
@@ -218,7 +220,7 @@
     }
 }
 
-/// The sending side of one connection.
+/// Sending side of one dialled connection.
 struct Sender<'a> {
     destination: &'a Destination,
     writer: OwnedWriteHalf,
@@ -228,12 +230,13 @@
 }
 
 impl Sender<'_> {
-    /// Sends queued messages until the connection is idle or has failed.
+    /// Sends queued messages until the connection is idle or has failed. Returns the
+    /// reason for closing it.
     async fn send_frames(&mut self) -> CloseReason {
         let mut last_sent = clock::now().monotonic;
         let mut progress = Progress {
             acknowledged: 0,
-            at: last_sent,
+            last_progress: last_sent,
         };
         loop {
             let queued = timeout(
@@ -241,11 +244,14 @@
                 self.destination.queue.wait_for_message(),
             )
             .await;
-            // Read after the wait, so that a suspend of the machine is noticed
-            // before anything is sent.
+            // The clock is read after the wait, so that a suspend of the machine is
+            // detected before the next message is sent.
             let now = clock::now().monotonic;
-            if progress.record_is_stalled(self.acknowledged.load(Ordering::Relaxed), self.sent, now)
-            {
+            if progress.update_and_check_stalled(
+                self.acknowledged.load(Ordering::Relaxed),
+                self.sent,
+                now,
+            ) {
                 return CloseReason::Unacknowledged;
             }
             if now.since(last_sent) >= IDLE_TIMEOUT {
@@ -275,8 +281,8 @@
         Ok(())
     }
 
-    /// Appends the frame of a message to `bytes`. Returns false if the message is
-    /// dropped.
+    /// Encodes a message and appends its frame to `bytes`. Returns false if the
+    /// message is dropped.
     fn seal(&mut self, message: &PeerMessage, bytes: &mut Vec<u8>) -> bool {
         let to = self.destination.to;
         let max = self.destination.context.options.max_frame_bytes;
@@ -299,26 +305,27 @@
     }
 }
 
-/// Progress of the acknowledgements on one connection.
+/// Progress of the acknowledgements of one connection.
 struct Progress {
     acknowledged: u64,
-    /// Time at which frames were last acknowledged, or none was unacknowledged.
-    at: Monotonic,
+    /// Time of the last new acknowledgement, or the last time at which all frames
+    /// were acknowledged.
+    last_progress: Monotonic,
 }
 
 impl Progress {
-    /// Records the current counts, and returns whether the acknowledgements have made
-    /// no progress for longer than the timeout.
-    fn record_is_stalled(&mut self, acknowledged: u64, sent: u64, now: Monotonic) -> bool {
+    /// Updates the progress with the current counts of frames. Returns whether there
+    /// was no progress for longer than [`ACKNOWLEDGE_TIMEOUT`].
+    fn update_and_check_stalled(&mut self, acknowledged: u64, sent: u64, now: Monotonic) -> bool {
         if acknowledged > self.acknowledged || acknowledged >= sent {
             self.acknowledged = acknowledged;
-            self.at = now;
+            self.last_progress = now;
         }
-        now.since(self.at) > ACKNOWLEDGE_TIMEOUT
+        now.since(self.last_progress) > ACKNOWLEDGE_TIMEOUT
     }
 }
 
-/// Reads acknowledgements until the connection ends.
+/// Reads acknowledgements until the connection fails. Returns the error.
 async fn read_acknowledgements(
     mut reader: OwnedReadHalf,
     mut frames: Channel,
--- a/crates/transport/src/tcp/queue.rs
+++ b/crates/transport/src/tcp/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of messages for one destination.
+//! Queue of messages for one destination.
 
 use crate::{PeerMessage, clock};
 use std::collections::VecDeque;
@@ -6,8 +6,9 @@
 use tokio::sync::Notify;
 use types::{Milliseconds, Monotonic};
 
-/// Maximum age of a queued message. An older one is dropped: its sender has sent
-/// a newer one since, and after a suspend of the machine it must not be sent.
+/// Maximum age of a queued message. An older message is dropped: its sender has
+/// queued a newer one since, and a message from before a suspend of the machine
+/// must not be sent.
 const MAX_AGE: Milliseconds = Milliseconds(5_000);
 
 #[derive(Debug)]
@@ -16,7 +17,7 @@
     message: PeerMessage,
 }
 
-/// A bounded queue that drops its oldest message when it is full.
+/// Bounded queue that drops its oldest message when full.
 #[derive(Debug)]
 pub(super) struct Queue {
     capacity: usize,
@@ -26,7 +27,8 @@
 }
 
 impl Queue {
-    /// Creates an empty queue for at most `capacity` messages, at least one.
+    /// Creates an empty queue for at most `capacity` messages. A capacity of 0 is
+    /// raised to 1.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity: capacity.max(1),
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Appends a message.
+    /// Appends a message, and drops the oldest one if the queue is full.
     pub fn push(&self, message: PeerMessage) {
         let queued_at = clock::now().monotonic;
         let mut messages = self.lock();
@@ -49,21 +51,23 @@
         self.added.notify_one();
     }
 
-    /// Returns whether the queue has no message that may still be sent.
+    /// Drops messages that exceed the maximum age, and returns whether the queue is
+    /// empty.
     pub fn is_empty(&self) -> bool {
         let mut messages = self.lock();
         drop_stale(&mut messages);
         messages.is_empty()
     }
 
-    /// Waits until the queue has a message that may be sent.
+    /// Waits until the queue has a message that does not exceed the maximum age.
     pub async fn wait_for_message(&self) {
         while self.is_empty() {
             self.added.notified().await;
         }
     }
 
-    /// Records that the destination has just connected to this daemon.
+    /// Records that the destination has just connected to this daemon, which
+    /// completes [`Queue::wait_until_reachable`].
     pub fn record_reachable(&self) {
         self.reachable.notify_one();
     }
@@ -73,7 +77,8 @@
         self.reachable.notified().await;
     }
 
-    /// Removes and returns the oldest message that may still be sent.
+    /// Removes and returns the oldest message that does not exceed the maximum age.
+    /// Returns `None` if there is none.
     pub fn pop(&self) -> Option<PeerMessage> {
         let mut messages = self.lock();
         drop_stale(&mut messages);
@@ -96,7 +101,7 @@
     }
 }
 
-/// Counts messages that were dropped before sending.
+/// Counts messages that were dropped before they were sent.
 pub(super) fn count_dropped(messages: u64) {
     metrics::counter!("cypressdrum_peer_messages_dropped_total").increment(messages);
 }
