--- a/crates/transport/src/membership.rs
+++ b/crates/transport/src/membership.rs
@@ -30,8 +30,8 @@
         /// Number of initial coordinators in the sender's settings.
         expected: u32,
     },
-    /// Proposes the cluster and its voters. Sent by the coordinator with the
-    /// lowest node identifier.
+    /// Proposes the cluster and its voters. Sent by the coordinator that performs
+    /// the bootstrap, by default the one with the lowest node identifier.
     Propose {
         /// Identifier of the new cluster.
         cluster: ClusterId,
--- a/crates/transport/tests/dial.rs
+++ b/crates/transport/tests/dial.rs
@@ -1,44 +1,48 @@
-//! How soon a daemon is reached that answered nothing and then came up.
+//! Time until a message reaches a destination that starts during the dial.
+//!
+//! Packets sent before the start of the destination are lost, so without an early
+//! retry a dial would wait for its connect timeout.
 #![allow(clippy::unwrap_used)]
 
 mod common;
 
-use common::{Daemon, KEY, MAX_FRAME_BYTES, numbered};
+use common::{Daemon, KEY, MAX_FRAME_BYTES, numbered_message};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// A connection that is not made within this time is not made at all.
-const UNANSWERED: Duration = Duration::from_millis(50);
+/// Time after which a connect to a full listener counts as unanswered.
+const UNANSWERED_AFTER: Duration = Duration::from_millis(50);
 
-/// A socket that answers no dial, like that of a machine that is not up: its
-/// listener takes no connections and has no room for more.
-struct Silent {
+/// A socket that does not answer a connect, like that of a machine that is down.
+/// The backlog of its listener is full, and no connection is accepted.
+struct UnresponsiveSocket {
     socket: SocketAddr,
     _listener: TcpListener,
-    _filling: Vec<TcpStream>,
+    /// Connections that fill the backlog of the listener.
+    _backlog: Vec<TcpStream>,
 }
 
-impl Silent {
+impl UnresponsiveSocket {
     async fn start() -> Self {
         let bound = TcpSocket::new_v4().unwrap();
         bound.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let listener = bound.listen(1).unwrap();
         let socket = listener.local_addr().unwrap();
-        let mut filling = Vec::new();
-        while let Ok(stream) = timeout(UNANSWERED, TcpStream::connect(socket)).await {
-            filling.push(stream.unwrap());
+        let mut backlog = Vec::new();
+        while let Ok(stream) = timeout(UNANSWERED_AFTER, TcpStream::connect(socket)).await {
+            backlog.push(stream.unwrap());
         }
         Self {
             socket,
             _listener: listener,
-            _filling: filling,
+            _backlog: backlog,
         }
     }
 
-    /// The machine comes up with a daemon.
-    async fn come_up(self) -> Daemon {
+    /// Closes the listener and starts a daemon at the same socket.
+    async fn start_daemon(self) -> Daemon {
         let socket = self.socket.to_string();
         drop(self);
         Daemon::start_at(2, KEY, &socket, MAX_FRAME_BYTES).await
@@ -46,32 +50,36 @@
 }
 
 #[tokio::test]
-async fn a_daemon_that_comes_up_a_little_later_is_dialled_again_soon() {
+async fn daemon_started_during_first_dial_is_reached_within_600_ms() {
     let sender = Daemon::start(1, KEY).await;
-    let silent = Silent::start().await;
-    sender.transport.send(silent.socket, numbered(1));
+    let unresponsive = UnresponsiveSocket::start().await;
+    sender
+        .transport
+        .send(unresponsive.socket, numbered_message(1));
     sleep(Duration::from_millis(100)).await;
 
-    let mut late = silent.come_up().await;
-    let up_at = Instant::now();
-    assert_eq!(late.receive().await.body, numbered(1));
-    let waited = up_at.elapsed();
+    let mut started = unresponsive.start_daemon().await;
+    let started_at = Instant::now();
+    assert_eq!(started.receive().await.body, numbered_message(1));
+    let waited = started_at.elapsed();
     assert!(waited < Duration::from_millis(600), "{waited:?}");
 }
 
 #[tokio::test]
-async fn a_daemon_that_is_heard_of_is_dialled_at_once() {
+async fn daemon_that_connects_during_long_dial_is_redialled_at_once() {
     let mut sender = Daemon::start(1, KEY).await;
-    let silent = Silent::start().await;
-    sender.transport.send(silent.socket, numbered(1));
-    // By now a dial is going on that is given a whole second.
+    let unresponsive = UnresponsiveSocket::start().await;
+    sender
+        .transport
+        .send(unresponsive.socket, numbered_message(1));
+    // The dial in progress by now has the maximum connect timeout of 1 s.
     sleep(Duration::from_millis(1_300)).await;
 
-    let mut late = silent.come_up().await;
-    let up_at = Instant::now();
-    late.transport.send(sender.socket(), numbered(2));
-    assert_eq!(sender.receive().await.body, numbered(2));
-    assert_eq!(late.receive().await.body, numbered(1));
-    let waited = up_at.elapsed();
+    let mut started = unresponsive.start_daemon().await;
+    let started_at = Instant::now();
+    started.transport.send(sender.socket(), numbered_message(2));
+    assert_eq!(sender.receive().await.body, numbered_message(2));
+    assert_eq!(started.receive().await.body, numbered_message(1));
+    let waited = started_at.elapsed();
     assert!(waited < Duration::from_millis(400), "{waited:?}");
 }
--- a/crates/transport/tests/golden/answers.rs
+++ b/crates/transport/tests/golden/answers.rs
@@ -1,9 +1,9 @@
-//! Final answers to requests.
+//! Samples of final replies to requests.
 
 use super::bytes::Sample;
-use super::raft::links;
+use super::raft::link_healths;
 use super::samples::{
-    QUEUE_MODES, address, closes, document, key, name, reservations, resources, run, task,
+    QUEUE_MODES, address, document, key, name, reservations, resources, run, run_closes, task,
 };
 use configuration::{ConfigurationError, LeftOutQueues};
 use scheduler::{Decision, DecisionKind, NotPlacedReason, RunnerView};
@@ -24,7 +24,7 @@
     JobState::Cancelled,
 ];
 
-pub const REFUSAL_CODES: [RejectionCode; 8] = [
+pub const REJECTION_CODES: [RejectionCode; 8] = [
     RejectionCode::Invalid,
     RejectionCode::Unauthenticated,
     RejectionCode::Forbidden,
@@ -107,14 +107,14 @@
 }
 
 fn member_views() -> Vec<MemberView> {
-    let [slow, _] = links();
+    let [slow_disk, _] = link_healths();
     vec![
         MemberView {
             address: address(905, Role::Coordinator),
             status: "voter".to_owned(),
             since_last_contact: Milliseconds(149),
             configuration: Some(ConfigurationVersion(150)),
-            links: Some(slow),
+            links: Some(slow_disk),
         },
         MemberView {
             address: address(906, Role::Gateway),
@@ -148,7 +148,8 @@
     ]
 }
 
-/// A choice for each reservation, and a task left for each reason.
+/// Returns a placed task for each reservation, and a task that was not placed for
+/// each reason.
 pub fn decision_kinds() -> Vec<DecisionKind> {
     let placed = reservations()
         .into_iter()
@@ -181,7 +182,7 @@
         runner: name("rowan"),
         at: AT,
     };
-    let closed = closes().into_iter().map(|close| DecisionEvent::Closed {
+    let closed = run_closes().into_iter().map(|close| DecisionEvent::Closed {
         run: run(156),
         task: task(157),
         runner: name("sorb"),
@@ -204,7 +205,7 @@
     entries.collect()
 }
 
-fn about_jobs() -> Vec<Sample<OperationReply>> {
+fn job_replies() -> Vec<Sample<OperationReply>> {
     let submitted = OperationReply::Submitted {
         number: JobNumber(200),
         known: true,
@@ -255,7 +256,7 @@
     ]
 }
 
-fn about_configuration() -> Vec<Sample<OperationReply>> {
+fn configuration_replies() -> Vec<Sample<OperationReply>> {
     let configured = OperationReply::Configured {
         version: ConfigurationVersion(205),
         known: true,
@@ -280,7 +281,7 @@
     ]
 }
 
-fn about_the_fleet() -> Vec<Sample<OperationReply>> {
+fn cluster_replies() -> Vec<Sample<OperationReply>> {
     let lost = OperationReply::RunsLost {
         runs: vec![run(207), run(208)],
     };
@@ -322,9 +323,9 @@
     ]
 }
 
-/// Everything that may be answered.
+/// Returns samples of all replies to successful operations.
 pub fn replies() -> Vec<Sample<OperationReply>> {
-    let groups = [about_jobs(), about_configuration(), about_the_fleet()];
+    let groups = [job_replies(), configuration_replies(), cluster_replies()];
     groups.into_iter().flatten().collect()
 }
 
@@ -340,7 +341,7 @@
     }
 }
 
-/// A rejection under each code.
+/// Returns a rejection with each code.
 fn rejections() -> Vec<Sample<Rejection>> {
     let names = [
         "refusal.invalid",
@@ -352,7 +353,7 @@
         "refusal.unavailable",
         "refusal.timed-out",
     ];
-    let rejections = names.into_iter().zip(REFUSAL_CODES.map(rejection));
+    let rejections = names.into_iter().zip(REJECTION_CODES.map(rejection));
     rejections
         .map(|(name, value)| Sample { name, value })
         .collect()
@@ -365,7 +366,7 @@
             result,
         })
     };
-    let answered = replies().into_iter().map(|sample| Sample {
+    let successful = replies().into_iter().map(|sample| Sample {
         name: sample.name,
         value: reply(Ok(sample.value)),
     });
@@ -373,5 +374,5 @@
         name: sample.name,
         value: reply(Err(sample.value)),
     });
-    answered.chain(rejected).collect()
+    successful.chain(rejected).collect()
 }
--- a/crates/transport/tests/golden/bytes.rs
+++ b/crates/transport/tests/golden/bytes.rs
@@ -1,4 +1,4 @@
-//! Comparing encoded values with recorded lines of `name hex`.
+//! Comparison of encoded values with recorded lines of the form `name hex`.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{Debug, Write};
@@ -6,19 +6,20 @@
 const HEX_DIGITS_OF_BYTE: usize = 2;
 const HEX: u32 = 16;
 
-/// A value under the name of its recorded line.
+/// A sample value with the name of its recorded line.
 pub struct Sample<T> {
     pub name: &'static str,
     pub value: T,
 }
 
-/// How values become bytes, and values again.
+/// Encoding and decoding of sample values.
 pub struct Codec<T> {
     pub encode: fn(&T) -> Vec<u8>,
     pub decode: fn(&[u8]) -> T,
 }
 
-/// Each sample has its recorded bytes, and these give the sample again.
+/// Asserts that each sample encodes to its recorded bytes, that these decode to the
+/// sample, and that no other line is recorded.
 pub fn assert_recorded<T: PartialEq + Debug>(
     recorded: &str,
     samples: &[Sample<T>],
@@ -36,8 +37,8 @@
     }
 }
 
-/// The lines, as they would have to be recorded, of all samples that have
-/// other bytes.
+/// Returns the lines to record for all samples whose bytes differ from the recorded
+/// ones.
 fn find_differing<T>(
     recorded: &BTreeMap<&str, Vec<u8>>,
     samples: &[Sample<T>],
@@ -61,7 +62,7 @@
     lines.collect()
 }
 
-/// The bytes of hex digits, whatever white space stands between them.
+/// Decodes hex digits and ignores white space.
 pub fn from_hex(text: &str) -> Vec<u8> {
     let digits: String = text.split_whitespace().collect();
     let starts = (0..digits.len()).step_by(HEX_DIGITS_OF_BYTE);
@@ -77,14 +78,14 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// All variants of an enum, by position of their names. Made by [`variants`].
+/// Names of all variants of an enum. Created by [`variants`].
 pub struct Variants<T> {
     pub names: &'static [&'static str],
     pub name_of: fn(&T) -> &'static str,
 }
 
 impl<T> Variants<T> {
-    /// Every variant is among the values.
+    /// Asserts that the values contain every variant.
     pub fn assert_covered<'a>(&self, values: impl IntoIterator<Item = &'a T>)
     where
         T: 'a,
@@ -95,8 +96,8 @@
     }
 }
 
-/// Names all variants of an enum. The match has no wildcard: a new variant
-/// does not compile until it stands here, and then wants a sample.
+/// Creates the [`Variants`] of an enum. The match has no wildcard, so a new variant
+/// does not compile until it is listed, and a listed variant requires a sample.
 macro_rules! variants {
     ($type:ident { $($variant:ident),+ $(,)? }) => {
         $crate::golden::bytes::Variants::<$type> {
--- a/crates/transport/tests/golden/messages.rs
+++ b/crates/transport/tests/golden/messages.rs
@@ -1,4 +1,5 @@
-//! Messages about members, sessions and configuration, and all others.
+//! Samples of messages about members, sessions and configuration, and the list of
+//! all samples.
 
 use super::bytes::Sample;
 use super::samples::{address, addresses, document, name, socket};
@@ -20,7 +21,7 @@
     ]
 }
 
-fn first_start() -> Vec<Sample<PeerMessage>> {
+fn bootstrap_steps() -> Vec<Sample<PeerMessage>> {
     let [announce, propose, accept] = bootstraps().map(PeerMessage::Bootstrap);
     vec![
         Sample {
@@ -39,13 +40,13 @@
 }
 
 fn members() -> Vec<Sample<PeerMessage>> {
-    let known = Members {
+    let with_members = Members {
         members: addresses(),
         leader: Some(address(907, Role::Coordinator)),
         term: Term(40),
         cluster: Some(ClusterId(4_245)),
     };
-    let unknown = Members {
+    let without_members = Members {
         members: Vec::new(),
         leader: None,
         term: Term(0),
@@ -58,11 +59,11 @@
         },
         Sample {
             name: "members",
-            value: PeerMessage::Members(known),
+            value: PeerMessage::Members(with_members),
         },
         Sample {
             name: "members.none",
-            value: PeerMessage::Members(unknown),
+            value: PeerMessage::Members(without_members),
         },
     ]
 }
@@ -129,11 +130,11 @@
     }]
 }
 
-/// Every message between daemons.
+/// Returns samples of all messages between daemons.
 pub fn samples() -> Vec<Sample<PeerMessage>> {
     let groups = [
         members(),
-        first_start(),
+        bootstrap_steps(),
         raft::samples(),
         sessions(),
         operations::samples(),
@@ -144,14 +145,14 @@
     groups.into_iter().flatten().collect()
 }
 
-/// A message with its sender, come by a member and come directly.
+/// Returns a relayed message and one received directly, each with its sender.
 pub fn envelopes() -> Vec<Sample<Envelope>> {
-    let from_gateway = Envelope {
+    let relayed = Envelope {
         from: address(914, Role::Gateway),
         via: Some(socket("10.20.30.44:7004")),
         body: PeerMessage::Discover,
     };
-    let from_agent = Envelope {
+    let direct = Envelope {
         from: address(915, Role::Agent),
         via: None,
         body: PeerMessage::Discover,
@@ -159,11 +160,11 @@
     vec![
         Sample {
             name: "envelope.relayed",
-            value: from_gateway,
+            value: relayed,
         },
         Sample {
             name: "envelope.direct",
-            value: from_agent,
+            value: direct,
         },
     ]
 }
--- a/crates/transport/tests/golden/mod.rs
+++ b/crates/transport/tests/golden/mod.rs
@@ -1,14 +1,13 @@
-//! Recorded bytes, and the values they were recorded from.
+//! Recorded bytes of messages, and the sample values that encode to them.
 //!
-//! The encoding goes by the order of variants and fields, not by their names.
-//! A type that only gets another name keeps its bytes; a variant or field that
-//! is added, removed or moved changes them, and daemons of an earlier build
-//! could no longer be talked to.
+//! The encoding depends on the order of variants and fields, not on their names.
+//! Renaming a type does not change the bytes. Adding, removing or moving a variant
+//! or field does, and makes a daemon incompatible with earlier builds.
 #![allow(
     dead_code,
     unused_imports,
     unused_macros,
-    reason = "each test file uses its own part"
+    reason = "each test binary uses only some of the items"
 )]
 
 pub mod answers;
--- a/crates/transport/tests/golden/operations.rs
+++ b/crates/transport/tests/golden/operations.rs
@@ -1,4 +1,4 @@
-//! Requests of callers and operators.
+//! Samples of requests of callers and operators.
 
 use super::bytes::Sample;
 use super::samples::{document, job, key, name, update};
@@ -17,7 +17,7 @@
     ]
 }
 
-fn on_jobs() -> Vec<Sample<Operation>> {
+fn job_operations() -> Vec<Sample<Operation>> {
     let [cancel_jobs, cancel_tenant] = selectors().map(Operation::Cancel);
     let filter = JobFilter {
         tenant: Some(name("acorn")),
@@ -65,12 +65,12 @@
     ]
 }
 
-fn on_configuration() -> Vec<Sample<Operation>> {
+fn configuration_operations() -> Vec<Sample<Operation>> {
     let put = Operation::PutConfiguration {
         version: ConfigurationVersion(122),
         document: document(LeftOutQueues::Drain),
     };
-    let change = Operation::UpdateConfiguration {
+    let update_configuration = Operation::UpdateConfiguration {
         version: ConfigurationVersion(123),
         update: update(),
     };
@@ -94,7 +94,7 @@
         },
         Sample {
             name: "request.update-configuration",
-            value: change,
+            value: update_configuration,
         },
         Sample {
             name: "request.confirm-update",
@@ -103,7 +103,7 @@
     ]
 }
 
-fn on_the_fleet() -> Vec<Sample<Operation>> {
+fn cluster_operations() -> Vec<Sample<Operation>> {
     let drain = Operation::DrainRunner {
         runner: name("rowan"),
         draining: true,
@@ -151,9 +151,13 @@
     ]
 }
 
-/// Everything that may be asked.
+/// Returns samples of all operations.
 pub fn operations() -> Vec<Sample<Operation>> {
-    let groups = [on_jobs(), on_configuration(), on_the_fleet()];
+    let groups = [
+        job_operations(),
+        configuration_operations(),
+        cluster_operations(),
+    ];
     groups.into_iter().flatten().collect()
 }
 
--- a/crates/transport/tests/golden/orders.rs
+++ b/crates/transport/tests/golden/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to runners, what became of them, and what runners report.
+//! Samples of orders to runners, of their results, and of the reports of runners.
 
 use super::bytes::Sample;
 use super::samples::{key, name, outcomes, resources, run};
@@ -6,7 +6,7 @@
 use transport::{AgentReport, NamedRun, OrderResult, PeerMessage, RunnerUpdate};
 use types::*;
 
-pub const REFUSAL_REASONS: [RejectionReason; 7] = [
+pub const REJECTION_REASONS: [RejectionReason; 7] = [
     RejectionReason::StaleTerm,
     RejectionReason::OtherIncarnation,
     RejectionReason::StaleHeartbeat,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Every answer, and a rejection for every reason.
+/// Returns every answer, with a rejection for every reason.
 pub fn answers() -> Vec<OrderAnswer> {
     let mut answers = vec![
         OrderAnswer::Started,
@@ -73,7 +73,7 @@
         OrderAnswer::Ended,
         OrderAnswer::Unknown,
     ];
-    answers.extend(REFUSAL_REASONS.map(OrderAnswer::Rejected));
+    answers.extend(REJECTION_REASONS.map(OrderAnswer::Rejected));
     answers
 }
 
@@ -113,7 +113,8 @@
     ]
 }
 
-/// A heartbeat; `draining` and `self_stop` always differ.
+/// Returns a heartbeat. `self_stop` is the opposite of `draining`, so that swapped
+/// flags change the bytes.
 fn heartbeat(draining: bool) -> RunnerReport {
     RunnerReport {
         runner: name("rowan"),
--- a/crates/transport/tests/golden/raft.rs
+++ b/crates/transport/tests/golden/raft.rs
@@ -1,4 +1,4 @@
-//! Consensus traffic.
+//! Samples of consensus messages.
 
 use super::bytes::Sample;
 use super::samples::socket;
@@ -36,7 +36,7 @@
     entries.collect()
 }
 
-fn slow_link() -> LinkHealth {
+fn health_with_slow_disk() -> LinkHealth {
     LinkHealth {
         good_links: 3,
         bad_links: 2,
@@ -45,7 +45,7 @@
     }
 }
 
-fn link_after_giving_way() -> LinkHealth {
+fn health_after_transfer() -> LinkHealth {
     LinkHealth {
         good_links: 1,
         bad_links: 4,
@@ -54,9 +54,9 @@
     }
 }
 
-/// Both flags of a link's health, one at a time.
-pub fn links() -> [LinkHealth; 2] {
-    [slow_link(), link_after_giving_way()]
+/// Returns link health with each of its two flags set once.
+pub fn link_healths() -> [LinkHealth; 2] {
+    [health_with_slow_disk(), health_after_transfer()]
 }
 
 fn votes() -> Vec<Sample<Message>> {
@@ -164,7 +164,7 @@
 }
 
 fn probes() -> Vec<Sample<Message>> {
-    let [slow, gave_way] = links().map(|health| Message::Probe {
+    let [slow_disk, transferred] = link_healths().map(|health| Message::Probe {
         number: 6_000,
         health,
     });
@@ -172,11 +172,11 @@
     vec![
         Sample {
             name: "raft.probe.slow-disk",
-            value: slow,
+            value: slow_disk,
         },
         Sample {
             name: "raft.probe.gave-way",
-            value: gave_way,
+            value: transferred,
         },
         Sample {
             name: "raft.probe-reply",
@@ -185,13 +185,13 @@
     ]
 }
 
-/// Every message of consensus.
+/// Returns samples of all consensus messages.
 pub fn messages() -> Vec<Sample<Message>> {
     let groups = [votes(), replication(), snapshots(), probes()];
     groups.into_iter().flatten().collect()
 }
 
-/// The same as daemons send them.
+/// Returns [`messages`], each wrapped in the message between daemons.
 pub fn samples() -> Vec<Sample<PeerMessage>> {
     let messages = messages().into_iter();
     messages
--- a/crates/transport/tests/golden/samples.rs
+++ b/crates/transport/tests/golden/samples.rs
@@ -1,7 +1,6 @@
-//! Values in which every field differs from its default and from its
-//! neighbours, so that two fields that change places change the bytes.
-//! Nothing is left to a default: a new field does not compile until it stands
-//! here.
+//! Sample values in which each field differs from its default and from adjacent
+//! fields, so that swapping two fields changes the bytes. No field is filled from a
+//! default, so a new field does not compile until it has a sample value.
 
 use configuration::{
     ClusterConfiguration, ConfigurationUpdate, ErrorBudget, Key, KeyHash, KeyRole, LeftOutQueues,
@@ -20,7 +19,7 @@
     QueueMode::Draining,
 ];
 
-/// A checked name of whatever kind is wanted.
+/// Parses a name of any type.
 pub fn name<Name: FromStr<Err = InvalidName>>(text: &str) -> Name {
     text.parse().unwrap()
 }
@@ -69,9 +68,9 @@
     }
 }
 
-fn step(step: &str, rules: StepRules) -> StepSpec {
+fn step(step_name: &str, rules: StepRules) -> StepSpec {
     StepSpec {
-        name: name(step),
+        name: name(step_name),
         after: vec![name("elm"), name("fir")],
         tasks: 21,
         resources: resources(3),
@@ -84,7 +83,7 @@
     }
 }
 
-/// A job with one step for each flag of the rules.
+/// Returns a job with a step for each flag of the rules, and one with no flag set.
 pub fn job(urgency: Urgency) -> JobSpec {
     JobSpec {
         tenant: name("acorn"),
@@ -120,7 +119,7 @@
     }
 }
 
-/// A job that asks for as little as it can.
+/// Returns a job without optional values, with the minimum of each number.
 pub fn plain_job() -> JobSpec {
     JobSpec {
         tenant: name("acorn"),
@@ -168,7 +167,7 @@
     }
 }
 
-fn contract() -> TenantSettings {
+fn tenant_settings() -> TenantSettings {
     TenantSettings {
         share_percent: 35,
         resource_limit: resources(200),
@@ -195,7 +194,7 @@
     ]
 }
 
-/// A key of each role.
+/// Returns a key for each role.
 pub fn keys(tenant: &str) -> Vec<Key> {
     let numbered = (1..).zip(key_roles(tenant));
     let keys = numbered.map(|(number, role)| Key {
@@ -229,7 +228,7 @@
     ClusterConfiguration {
         pools: BTreeMap::from([(name("maple"), pool())]),
         queues: queues(),
-        tenants: BTreeMap::from([(name("acorn"), contract())]),
+        tenants: BTreeMap::from([(name("acorn"), tenant_settings())]),
         licences: BTreeMap::from([(name("cedar"), licence())]),
         keys: keys("acorn"),
         timings: timings(),
@@ -245,7 +244,7 @@
         upsert: UpsertedItems {
             pools: BTreeMap::from([(name("maple"), pool())]),
             queues: queues(),
-            tenants: BTreeMap::from([(name("acorn"), contract())]),
+            tenants: BTreeMap::from([(name("acorn"), tenant_settings())]),
             licences: BTreeMap::from([(name("cedar"), licence())]),
             keys: keys("acorn"),
         },
@@ -269,8 +268,8 @@
     ]
 }
 
-/// Every way to close a run, with every outcome.
-pub fn closes() -> Vec<RunClose> {
+/// Returns every reason to close a run; for an ended run, every outcome.
+pub fn run_closes() -> Vec<RunClose> {
     let others = [
         RunClose::Revoked,
         RunClose::Lost,
@@ -317,7 +316,7 @@
     }
 }
 
-/// A daemon of each role.
+/// Returns the address of a daemon of each role.
 pub fn addresses() -> Vec<Address> {
     let numbered = (900..).zip(ROLES);
     numbered.map(|(node, role)| address(node, role)).collect()
--- a/crates/transport/tests/golden_handshake.rs
+++ b/crates/transport/tests/golden_handshake.rs
@@ -1,15 +1,14 @@
-//! Hellos, proofs and frames keep their bytes.
+//! Compares the bytes of hellos, proofs and frames with the protocol.
 //!
-//! A daemon draws its nonce at random, so its hello is compared with the nonce
-//! blanked out. The proofs and tags, which the nonces go into, are compared with
-//! what a second implementation of the protocol makes of the bytes seen: it
-//! stands here, from the written description, and shares no code with the
-//! daemon.
+//! Nonces are random, so a hello is compared with the recorded one after its nonce
+//! is set to zero. Proofs and tags depend on the nonces. They are compared with
+//! those of a second implementation in this file, which follows the description of
+//! the protocol and shares no code with the daemon.
 
 mod common;
 mod golden;
 
-use common::{KEY, MAX_FRAME_BYTES, guarded, numbered};
+use common::{KEY, MAX_FRAME_BYTES, numbered_message, with_timeout};
 use golden::bytes::{Codec, Sample, assert_recorded, from_hex};
 use golden::samples::address;
 use hmac::{Hmac, Mac};
@@ -21,15 +20,16 @@
 use types::Role;
 
 const RECORDED: &str = include_str!("golden/handshake.txt");
-/// Magic, version and length of a hello.
+/// Length of the magic, the version and the length field of a hello, in bytes.
 const HELLO_HEADER_BYTES: usize = 10;
 const LENGTH_OFFSET: usize = 8;
 const NONCE_BYTES: usize = 32;
 const PROOF_BYTES: usize = 32;
 const TAG_BYTES: usize = 16;
-/// The number that the message sent here carries, and its whole encoding:
-/// variant of the message, variant of the bootstrap, number.
+/// Number in the message that the tests send.
 const SENT_NUMBER: u32 = 300;
+/// Encoding of that message: variant of the message, variant of the bootstrap step,
+/// number as a varint.
 const SENT_BODY: [u8; 4] = [0x02, 0x00, 0xAC, 0x02];
 
 const CLIENT_PROOF: &str = "client proof";
@@ -38,7 +38,8 @@
 const CLIENT_FRAMES: &str = "client frames";
 const SERVER_FRAMES: &str = "server frames";
 
-/// A daemon whose hello always names the same address, wherever it listens.
+/// Starts a daemon whose hello contains the sample address of `node`, independent
+/// of `listen`.
 async fn start(node: u64, role: Role, listen: SocketAddr) -> (Transport, Inbox) {
     let options = TransportOptions {
         listen,
@@ -50,7 +51,7 @@
     started.unwrap()
 }
 
-/// A socket that was free a moment ago.
+/// Returns a loopback socket whose port is free at the time of the call.
 async fn free_socket() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     listener.local_addr().unwrap()
@@ -58,11 +59,11 @@
 
 async fn read(stream: &mut TcpStream, length: usize) -> Vec<u8> {
     let mut bytes = vec![0; length];
-    guarded(stream.read_exact(&mut bytes)).await.unwrap();
+    with_timeout(stream.read_exact(&mut bytes)).await.unwrap();
     bytes
 }
 
-/// A hello with its header.
+/// Reads a hello, including its header.
 async fn read_hello(stream: &mut TcpStream) -> Vec<u8> {
     let mut hello = read(stream, HELLO_HEADER_BYTES).await;
     let length = [hello[LENGTH_OFFSET], hello[LENGTH_OFFSET + 1]];
@@ -71,13 +72,14 @@
     hello
 }
 
+/// Returns the hello with its nonce set to zero.
 fn without_nonce(hello: &[u8]) -> Vec<u8> {
-    let mut blanked = hello.to_vec();
-    blanked[HELLO_HEADER_BYTES..HELLO_HEADER_BYTES + NONCE_BYTES].fill(0);
-    blanked
+    let mut zeroed = hello.to_vec();
+    zeroed[HELLO_HEADER_BYTES..HELLO_HEADER_BYTES + NONCE_BYTES].fill(0);
+    zeroed
 }
 
-/// Compares the hello of a daemon with a recorded line.
+/// Asserts that the hello of a daemon equals the recorded line of this name.
 fn assert_hello(name: &'static str, hello: &[u8]) {
     let line = RECORDED
         .lines()
@@ -91,8 +93,8 @@
     assert_recorded(&line, &[Sample { name, value }], &codec);
 }
 
-/// A hello under a nonce of our own, from a recorded one.
-fn own_hello(name: &str) -> Vec<u8> {
+/// Returns the recorded hello of this name with the fixed nonce of the test.
+fn test_hello(name: &str) -> Vec<u8> {
     let prefix = format!("{name} ");
     let mut lines = RECORDED.lines();
     let mut hello = from_hex(lines.find_map(|line| line.strip_prefix(&prefix)).unwrap());
@@ -113,7 +115,7 @@
     hmac(secret, &[&length, label.as_bytes(), content])
 }
 
-/// Both hellos, as the proofs cover them.
+/// Both hellos, over which the proofs are computed.
 struct Handshake {
     transcript: Vec<u8>,
 }
@@ -133,72 +135,73 @@
         labelled(KEY.as_bytes(), label, &self.transcript)
     }
 
-    /// A frame: length, tag over place, length and body, and the body.
-    fn frame(&self, direction: &str, place: u64, body: &[u8]) -> Vec<u8> {
+    /// Returns a frame: length, tag, body. The tag covers the sequence number, the
+    /// length and the body.
+    fn frame(&self, direction: &str, sequence: u64, body: &[u8]) -> Vec<u8> {
         let secret = labelled(&self.proof(SESSION), direction, &[]);
         let length = u32::try_from(body.len()).unwrap().to_le_bytes();
-        let tag = hmac(&secret, &[&place.to_le_bytes(), &length, body]);
+        let tag = hmac(&secret, &[&sequence.to_le_bytes(), &length, body]);
         [&length, &tag[..TAG_BYTES], body].concat()
     }
 }
 
-/// Listens in the place of a daemon, up to the end of the handshake.
+/// Accepts a connection and performs the handshake of the listening end.
 async fn accept(listener: &TcpListener) -> (TcpStream, Handshake) {
-    let (mut stream, _) = guarded(listener.accept()).await.unwrap();
+    let (mut stream, _) = with_timeout(listener.accept()).await.unwrap();
     let client_hello = read_hello(&mut stream).await;
     assert_hello("hello.gateway", &client_hello);
-    let server_hello = own_hello("hello.agent");
+    let server_hello = test_hello("hello.agent");
     stream.write_all(&server_hello).await.unwrap();
     let handshake = Handshake::new(&client_hello, &server_hello);
     let proof = read(&mut stream, PROOF_BYTES).await;
     assert_eq!(proof, handshake.proof(CLIENT_PROOF));
-    let own_proof = handshake.proof(SERVER_PROOF);
-    stream.write_all(&own_proof).await.unwrap();
+    let test_proof = handshake.proof(SERVER_PROOF);
+    stream.write_all(&test_proof).await.unwrap();
     (stream, handshake)
 }
 
-/// Dials a daemon, up to the end of the handshake.
+/// Dials a daemon and performs the handshake of the dialling end.
 async fn dial(to: SocketAddr) -> (TcpStream, Handshake) {
     let mut stream = TcpStream::connect(to).await.unwrap();
-    let client_hello = own_hello("hello.gateway");
+    let client_hello = test_hello("hello.gateway");
     stream.write_all(&client_hello).await.unwrap();
     let server_hello = read_hello(&mut stream).await;
     assert_hello("hello.agent", &server_hello);
     let handshake = Handshake::new(&client_hello, &server_hello);
-    let own_proof = handshake.proof(CLIENT_PROOF);
-    stream.write_all(&own_proof).await.unwrap();
+    let test_proof = handshake.proof(CLIENT_PROOF);
+    stream.write_all(&test_proof).await.unwrap();
     let proof = read(&mut stream, PROOF_BYTES).await;
     assert_eq!(proof, handshake.proof(SERVER_PROOF));
     (stream, handshake)
 }
 
 #[tokio::test]
-async fn a_daemon_that_dials_sends_the_recorded_bytes() {
+async fn dialling_daemon_sends_expected_hello_proof_and_frames() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (transport, _inbox) = start(920, Role::Gateway, "127.0.0.1:0".parse().unwrap()).await;
     let to = listener.local_addr().unwrap();
-    transport.send(to, numbered(SENT_NUMBER));
+    transport.send(to, numbered_message(SENT_NUMBER));
     let (mut stream, handshake) = accept(&listener).await;
-    for place in [0, 1] {
-        let expected = handshake.frame(CLIENT_FRAMES, place, &SENT_BODY);
+    for sequence in [0, 1] {
+        let expected = handshake.frame(CLIENT_FRAMES, sequence, &SENT_BODY);
         assert_eq!(read(&mut stream, expected.len()).await, expected);
-        transport.send(to, numbered(SENT_NUMBER));
+        transport.send(to, numbered_message(SENT_NUMBER));
     }
 }
 
 #[tokio::test]
-async fn a_daemon_that_listens_takes_the_recorded_bytes_and_acknowledges_them() {
+async fn listening_daemon_accepts_expected_frames_and_acknowledges_them() {
     let listen = free_socket().await;
     let (_transport, mut inbox) = start(921, Role::Agent, listen).await;
     let (mut stream, handshake) = dial(listen).await;
-    for place in [0, 1] {
-        let frame = handshake.frame(CLIENT_FRAMES, place, &SENT_BODY);
+    for sequence in [0, 1] {
+        let frame = handshake.frame(CLIENT_FRAMES, sequence, &SENT_BODY);
         stream.write_all(&frame).await.unwrap();
-        let envelope = guarded(inbox.recv()).await.unwrap();
-        assert_eq!(envelope.body, numbered(SENT_NUMBER));
+        let envelope = with_timeout(inbox.recv()).await.unwrap();
+        assert_eq!(envelope.body, numbered_message(SENT_NUMBER));
         assert_eq!(envelope.from, address(920, Role::Gateway));
-        let taken = (place + 1).to_le_bytes();
-        let expected = handshake.frame(SERVER_FRAMES, place, &taken);
+        let received_count = (sequence + 1).to_le_bytes();
+        let expected = handshake.frame(SERVER_FRAMES, sequence, &received_count);
         assert_eq!(read(&mut stream, expected.len()).await, expected);
     }
 }
--- a/crates/transport/tests/golden_messages.rs
+++ b/crates/transport/tests/golden_messages.rs
@@ -1,4 +1,5 @@
-//! Messages between daemons keep the bytes of protocol version 3.
+//! Compares the encoding of all messages with the recorded bytes of protocol
+//! version 3.
 
 mod golden;
 
@@ -16,12 +17,12 @@
 };
 use types::{JobState, OrderAnswer, OrderKind, Outcome, RejectionReason, Role, RunClose};
 
-/// The version that the bytes were recorded under.
+/// Protocol version of the recorded bytes.
 const RECORDED_VERSION: u32 = 3;
 const MESSAGES: &str = include_str!("golden/messages.txt");
 const ENVELOPES: &str = include_str!("golden/envelopes.txt");
 
-/// The encoding of the body of a frame.
+/// Returns the codec of frame bodies.
 fn codec<T: Serialize + DeserializeOwned>() -> Codec<T> {
     Codec {
         encode: |value| postcard::to_stdvec(value).unwrap(),
@@ -34,18 +35,18 @@
 }
 
 #[test]
-fn every_message_has_its_recorded_bytes() {
+fn every_message_encodes_to_recorded_bytes() {
     assert_eq!(PROTOCOL_VERSION, RECORDED_VERSION);
     assert_recorded(MESSAGES, &messages::samples(), &codec());
 }
 
 #[test]
-fn an_envelope_has_its_recorded_bytes() {
+fn envelopes_encode_to_recorded_bytes() {
     assert_recorded(ENVELOPES, &messages::envelopes(), &codec());
 }
 
 #[test]
-fn the_samples_hold_every_message() {
+fn samples_cover_every_message_variant() {
     let samples = messages::samples();
     variants!(PeerMessage {
         Discover,
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn the_samples_hold_every_message_of_consensus() {
+fn samples_cover_every_consensus_message_variant() {
     variants!(Message {
         PreVote,
         PreVoteReply,
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn the_samples_hold_every_request() {
+fn samples_cover_every_operation_variant() {
     variants!(Operation {
         Submit,
         GetJob,
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn the_samples_hold_every_answer() {
+fn samples_cover_every_reply_variant() {
     variants!(OperationReply {
         Submitted,
         Job,
@@ -169,7 +170,7 @@
         Unavailable,
         TimedOut,
     })
-    .assert_covered(&answers::REFUSAL_CODES);
+    .assert_covered(&answers::REJECTION_CODES);
     variants!(JobState {
         Waiting,
         Running,
@@ -188,7 +189,7 @@
 }
 
 #[test]
-fn the_samples_hold_every_decision() {
+fn samples_cover_every_decision_variant() {
     variants!(DecisionEvent {
         Dispatch,
         Ordered,
@@ -222,11 +223,11 @@
         Rejected,
         TimedOut
     })
-    .assert_covered(&samples::closes());
+    .assert_covered(&samples::run_closes());
 }
 
 #[test]
-fn the_samples_hold_every_order_and_its_answers() {
+fn samples_cover_every_order_and_answer_variant() {
     variants!(OrderKind {
         Start,
         Stop,
@@ -252,7 +253,7 @@
         Draining,
         Unhealthy,
     })
-    .assert_covered(&orders::REFUSAL_REASONS);
+    .assert_covered(&orders::REJECTION_REASONS);
     variants!(Outcome {
         Done,
         Failed,
--- a/crates/transport/tests/lanes.rs
+++ b/crates/transport/tests/lanes.rs
@@ -1,16 +1,16 @@
-//! What keeps leases and sessions alive does not wait behind requests.
+//! Messages that renew leases and sessions do not wait behind requests.
 
 mod common;
 
-use common::{Daemon, KEY, guarded, numbered};
+use common::{Daemon, KEY, numbered_message, with_timeout};
 use std::time::Duration;
 use transport::{Lane, Operation, PeerMessage, Request, RequestId};
 use types::Milliseconds;
 
-/// More requests than find a place.
+/// More requests than a lane holds.
 const REQUESTS: u64 = 3_000;
-/// Sent in turns, since the sender's own queue is short.
-const AT_ONCE: u64 = 8;
+/// Requests sent in one batch: less than the length of the sender's queue.
+const BATCH_REQUESTS: u64 = 8;
 
 fn request(id: u64) -> PeerMessage {
     PeerMessage::Request(Request {
@@ -21,38 +21,40 @@
 }
 
 #[tokio::test]
-async fn a_liveness_message_overtakes_requests_of_the_same_connection() {
+async fn liveness_message_overtakes_requests_of_same_connection() {
     let sender = Daemon::start(1, KEY).await;
     let mut receiver = Daemon::start(2, KEY).await;
-    sender.reach(&mut receiver).await;
-    // Nothing is taken out meanwhile, and there are more than find a place.
+    sender.send_until_received(&mut receiver).await;
+    // The receiver reads nothing meanwhile, so the lane for requests overflows.
     for id in 0..REQUESTS {
         sender.transport.send(receiver.socket(), request(id));
-        if id % AT_ONCE == 0 {
+        if id % BATCH_REQUESTS == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
-    let full = async {
+    let request_queued = async {
         while receiver.inbox.waiting(Lane::Requests) == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    guarded(full).await;
-    sender.transport.send(receiver.socket(), numbered(7));
-    let arrived = async {
+    with_timeout(request_queued).await;
+    sender
+        .transport
+        .send(receiver.socket(), numbered_message(7));
+    let liveness_queued = async {
         while receiver.inbox.waiting(Lane::Liveness) == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    guarded(arrived).await;
-    let first = guarded(receiver.inbox.arrival()).await.unwrap();
+    with_timeout(liveness_queued).await;
+    let first = with_timeout(receiver.inbox.arrival()).await.unwrap();
     assert_eq!(first.lane, Lane::Liveness);
     let second = receiver.inbox.try_arrival().unwrap();
     assert_eq!(second.lane, Lane::Requests);
 }
 
 #[test]
-fn a_message_that_is_passed_on_waits_with_what_it_carries() {
+fn relay_uses_lane_of_its_body() {
     let own = types::Address {
         node: types::NodeId(1),
         role: types::Role::Agent,
--- a/crates/transport/tests/relay.rs
+++ b/crates/transport/tests/relay.rs
@@ -1,14 +1,15 @@
-//! A relay carries any message but a relay, and no bytes nest deep.
+//! A relay carries any message except a relay. Deeply nested input is rejected
+//! before the recursion of the decoder overflows the stack.
 #![allow(clippy::unwrap_used)]
 
 mod common;
 
-use common::{Daemon, KEY, numbered};
+use common::{Daemon, KEY, numbered_message};
 use transport::{PeerMessage, Relay};
 use types::{Address, NodeId, Role, ZoneName};
 
-/// More levels than a thread's stack could hold.
-const HOSTILE_LEVELS: usize = 200_000;
+/// Nesting depth at which a recursive decoder would overflow the stack.
+const MALICIOUS_DEPTH: usize = 200_000;
 
 fn relay(body: PeerMessage) -> PeerMessage {
     let socket = "127.0.0.1:1".parse().unwrap();
@@ -24,18 +25,19 @@
     })
 }
 
-/// The bytes of a relay up to the length of its body.
-fn head() -> Vec<u8> {
+/// Returns the bytes of an encoded relay up to the length of its body.
+fn relay_header() -> Vec<u8> {
     let mut bytes = postcard::to_stdvec(&relay(PeerMessage::Discover)).unwrap();
     assert_eq!(bytes.split_off(bytes.len() - 2), [1, 0]);
     bytes
 }
 
-/// Relays within relays, with right lengths, built from the inside.
-fn nested(levels: usize) -> Vec<u8> {
+/// Returns the encoding of `depth` relays inside each other, with correct lengths.
+/// Built in reverse from the innermost message, so that each step only appends.
+fn nested(depth: usize) -> Vec<u8> {
     let mut reversed: Vec<u8> = vec![0];
-    for _ in 0..levels {
-        let mut outer = head();
+    for _ in 0..depth {
+        let mut outer = relay_header();
         outer.extend(postcard::to_stdvec(&reversed.len()).unwrap());
         reversed.extend(outer.iter().rev());
     }
@@ -48,8 +50,12 @@
 }
 
 #[test]
-fn a_relay_carries_a_message() {
-    for body in [PeerMessage::Discover, numbered(7), common::sized(1_000)] {
+fn relay_of_other_message_round_trips() {
+    for body in [
+        PeerMessage::Discover,
+        numbered_message(7),
+        common::message_of_size(1_000),
+    ] {
         let message = relay(body);
         let bytes = postcard::to_stdvec(&message).unwrap();
         assert_eq!(decode(&bytes).unwrap(), message);
@@ -58,20 +64,20 @@
 }
 
 #[test]
-fn a_relay_inside_a_relay_is_neither_encoded_nor_decoded() {
+fn nested_relay_is_neither_encoded_nor_decoded() {
     assert!(postcard::to_stdvec(&relay(relay(PeerMessage::Discover))).is_err());
-    for levels in [2, 3, HOSTILE_LEVELS] {
-        assert!(decode(&nested(levels)).is_err(), "{levels} levels");
+    for depth in [2, 3, MALICIOUS_DEPTH] {
+        assert!(decode(&nested(depth)).is_err(), "depth {depth}");
     }
-    assert!(decode(&head().repeat(HOSTILE_LEVELS)).is_err());
+    assert!(decode(&relay_header().repeat(MALICIOUS_DEPTH)).is_err());
 }
 
 #[tokio::test]
-async fn a_nested_relay_is_dropped_and_the_connection_goes_on() {
+async fn nested_relay_is_dropped_and_next_message_arrives() {
     let sender = Daemon::start(1, KEY).await;
     let mut receiver = Daemon::start(2, KEY).await;
     let to = receiver.socket();
-    sender.transport.send(to, relay(relay(numbered(1))));
-    sender.transport.send(to, relay(numbered(2)));
-    assert_eq!(receiver.receive().await.body, relay(numbered(2)));
+    sender.transport.send(to, relay(relay(numbered_message(1))));
+    sender.transport.send(to, relay(numbered_message(2)));
+    assert_eq!(receiver.receive().await.body, relay(numbered_message(2)));
 }
--- a/crates/transport/tests/strangers.rs
+++ b/crates/transport/tests/strangers.rs
@@ -1,10 +1,10 @@
-//! What comes without the cluster key, changed, or a second time is rejected,
-//! and never ends the daemon.
+//! A daemon rejects connections without the cluster key and bytes that were
+//! changed, replayed or random, and keeps serving its other peers.
 #![allow(clippy::unwrap_used)]
 
 mod common;
 
-use common::{Daemon, KEY, Proxy, Spoil, guarded, numbered};
+use common::{Daemon, KEY, Proxy, Tampering, numbered_message, with_timeout};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddr;
@@ -16,124 +16,132 @@
 
 const RESEND_INTERVAL: Duration = Duration::from_millis(100);
 const PROOF_BYTES: usize = 32;
-/// Magic, version and length of a keep-alive.
+/// Length of the magic, the version and the length field of a hello, in bytes.
 const HELLO_HEADER_BYTES: usize = 10;
 
-/// Writes bytes and reads until the other end closes.
+/// Writes `bytes` to `to`, and returns all bytes received until the peer closes.
 async fn exchange(to: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(to).await.unwrap();
     let mut answer = Vec::new();
-    // Either may fail half way when the other end closes on unread bytes.
+    // Both can fail: the connection is reset if the peer closes it with unread
+    // bytes.
     let _ = stream.write_all(bytes).await;
-    let _ = guarded(stream.read_to_end(&mut answer)).await;
+    let _ = with_timeout(stream.read_to_end(&mut answer)).await;
     answer
 }
 
-/// The next thing the daemon receives is what a friend sends it.
-async fn assert_undisturbed(daemon: &mut Daemon) {
-    let friend = Daemon::start(77, KEY).await;
-    let envelope = guarded(friend.reach(daemon)).await;
+/// Asserts that a daemon with the cluster key reaches `daemon`, and that no other
+/// message was received before.
+async fn assert_still_serving(daemon: &mut Daemon) {
+    let peer = Daemon::start(77, KEY).await;
+    let envelope = with_timeout(peer.send_until_received(daemon)).await;
     assert_eq!(envelope.from.node, NodeId(77));
 }
 
-/// Length of the keep-alive that a recording begins with.
+/// Returns the length of the hello with which the recorded bytes begin.
 fn hello_bytes(recorded: &[u8]) -> usize {
     let length = u16::from_le_bytes(recorded[8..HELLO_HEADER_BYTES].try_into().unwrap());
     HELLO_HEADER_BYTES + usize::from(length)
 }
 
 #[tokio::test]
-async fn a_daemon_with_another_key_is_refused() {
+async fn dialling_daemon_with_other_key_is_rejected_before_first_frame() {
     let mut daemon = Daemon::start(1, KEY).await;
-    let stranger = Daemon::start(2, "another secret").await;
+    let intruder = Daemon::start(2, "another secret").await;
     let mut proxy = Proxy::start(daemon.socket()).await;
-    stranger.transport.send(proxy.socket, numbered(1));
-    let recorded = proxy.ended().await;
+    intruder.transport.send(proxy.socket, numbered_message(1));
+    let recorded = proxy.next_closed().await;
     let handshake = hello_bytes(&recorded.bytes) + PROOF_BYTES;
-    assert_eq!(recorded.bytes.len(), handshake, "no frame may follow");
-    assert_undisturbed(&mut daemon).await;
+    assert_eq!(
+        recorded.bytes.len(),
+        handshake,
+        "the dialling end sent a frame after its proof"
+    );
+    assert_still_serving(&mut daemon).await;
 }
 
 #[tokio::test]
-async fn a_listener_with_another_key_gets_no_message() {
+async fn listening_daemon_with_other_key_receives_no_message() {
     let daemon = Daemon::start(1, KEY).await;
-    let mut stranger = Daemon::start(2, "another secret").await;
-    let mut proxy = Proxy::start(stranger.socket()).await;
-    daemon.transport.send(proxy.socket, numbered(1));
-    let recorded = proxy.ended().await;
+    let mut intruder = Daemon::start(2, "another secret").await;
+    let mut proxy = Proxy::start(intruder.socket()).await;
+    daemon.transport.send(proxy.socket, numbered_message(1));
+    let recorded = proxy.next_closed().await;
     let handshake = hello_bytes(&recorded.bytes) + PROOF_BYTES;
     assert_eq!(recorded.bytes.len(), handshake);
-    assert!(stranger.inbox.try_arrival().is_none());
+    assert!(intruder.inbox.try_arrival().is_none());
 }
 
 #[tokio::test]
-async fn a_mirror_is_refused() {
+async fn listener_that_echoes_all_bytes_is_rejected() {
     let daemon = Daemon::start(1, KEY).await;
-    let mirror = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let socket = mirror.local_addr().unwrap();
-    daemon.transport.send(socket, numbered(1));
-    let (mut stream, _) = guarded(mirror.accept()).await.unwrap();
-    let mut seen = Vec::new();
-    let mut piece = [0u8; 1024];
-    while let Ok(length @ 1..) = guarded(stream.read(&mut piece)).await {
-        seen.extend_from_slice(&piece[..length]);
-        if stream.write_all(&piece[..length]).await.is_err() {
+    let echo = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let socket = echo.local_addr().unwrap();
+    daemon.transport.send(socket, numbered_message(1));
+    let (mut stream, _) = with_timeout(echo.accept()).await.unwrap();
+    let mut echoed = Vec::new();
+    let mut chunk = [0u8; 1024];
+    while let Ok(length @ 1..) = with_timeout(stream.read(&mut chunk)).await {
+        echoed.extend_from_slice(&chunk[..length]);
+        if stream.write_all(&chunk[..length]).await.is_err() {
             break;
         }
     }
-    assert_eq!(seen.len(), hello_bytes(&seen) + PROOF_BYTES);
+    assert_eq!(echoed.len(), hello_bytes(&echoed) + PROOF_BYTES);
 }
 
 #[tokio::test]
-async fn a_recorded_connection_is_refused() {
+async fn replayed_connection_is_rejected_without_server_proof() {
     let mut daemon = Daemon::start(1, KEY).await;
     let sender = Daemon::start(2, KEY).await;
     let mut proxy = Proxy::start(daemon.socket()).await;
-    sender.transport.send(proxy.socket, numbered(1));
-    assert_eq!(daemon.receive().await.body, numbered(1));
+    sender.transport.send(proxy.socket, numbered_message(1));
+    assert_eq!(daemon.receive().await.body, numbered_message(1));
     sender.transport.shutdown().await;
-    let recorded = proxy.ended().await.bytes;
+    let recorded = proxy.next_closed().await.bytes;
     assert!(recorded.len() > hello_bytes(&recorded) + PROOF_BYTES);
     let answer = exchange(daemon.socket(), &recorded).await;
     assert_eq!(
         answer.len(),
         hello_bytes(&answer),
-        "nothing was proved to it"
+        "the daemon sent its proof to a replayed connection"
     );
-    assert_undisturbed(&mut daemon).await;
+    assert_still_serving(&mut daemon).await;
 }
 
 #[tokio::test]
-async fn a_changed_byte_anywhere_ends_the_connection() {
+async fn changed_byte_in_handshake_or_frame_closes_connection() {
     let mut daemon = Daemon::start(1, KEY).await;
     let sender = Daemon::start(2, KEY).await;
     let mut proxy = Proxy::start(daemon.socket()).await;
-    sender.transport.send(proxy.socket, numbered(1));
+    sender.transport.send(proxy.socket, numbered_message(1));
     daemon.receive().await;
     sender.transport.shutdown().await;
-    let recorded = proxy.ended().await.bytes;
-    // Not the frame's length: a longer one would only be waited for.
-    let keep_alive = hello_bytes(&recorded);
-    let frame = keep_alive + PROOF_BYTES;
-    let places = [
-        4,
-        HELLO_HEADER_BYTES,
-        keep_alive,
-        frame + 4,
-        recorded.len() - 1,
-    ];
-    for (attempt, place) in (0..).zip(places) {
+    let recorded = proxy.next_closed().await.bytes;
+    // The length field of the frame is left out: with a greater length, the daemon
+    // would only wait for more bytes.
+    let proof = hello_bytes(&recorded);
+    let frame = proof + PROOF_BYTES;
+    let offsets = [4, HELLO_HEADER_BYTES, proof, frame + 4, recorded.len() - 1];
+    for (attempt, offset) in (0..).zip(offsets) {
         let sender = Daemon::start(10 + attempt, KEY).await;
         let mut proxy = Proxy::start(daemon.socket()).await;
-        *proxy.spoil.lock().unwrap() = Some(Spoil::Flip(place));
-        let spoiled = numbered(100 + u32::try_from(attempt).unwrap());
-        sender.transport.send(proxy.socket, spoiled.clone());
-        proxy.ended().await;
-        let later = numbered(200 + u32::try_from(attempt).unwrap());
+        *proxy.next_tampering.lock().unwrap() = Some(Tampering::FlipBitAt(offset));
+        let first = numbered_message(100 + u32::try_from(attempt).unwrap());
+        sender.transport.send(proxy.socket, first.clone());
+        proxy.next_closed().await;
+        let later = numbered_message(200 + u32::try_from(attempt).unwrap());
         loop {
-            let body = guarded(receive_sending(&mut daemon, &sender, &proxy, &later)).await;
-            // A handshake that failed has cost no message.
-            assert!(body != spoiled || place < frame, "byte {place}");
+            let body = with_timeout(send_until_any_received(
+                &mut daemon,
+                &sender,
+                &proxy,
+                &later,
+            ))
+            .await;
+            // A failed handshake leaves the message in the queue, so the next connection
+            // may deliver it. A message in a changed frame must not be delivered.
+            assert!(body != first || offset < frame, "byte {offset}");
             if body == later {
                 break;
             }
@@ -142,26 +150,27 @@
 }
 
 #[tokio::test]
-async fn a_repeated_frame_ends_the_connection() {
+async fn repeated_frame_closes_connection() {
     let mut daemon = Daemon::start(1, KEY).await;
     let sender = Daemon::start(2, KEY).await;
     let mut proxy = Proxy::start(daemon.socket()).await;
-    sender.transport.send(proxy.socket, numbered(1));
+    sender.transport.send(proxy.socket, numbered_message(1));
     daemon.receive().await;
     sender.transport.shutdown().await;
-    let frame = hello_bytes(&proxy.ended().await.bytes) + PROOF_BYTES;
+    let frame = hello_bytes(&proxy.next_closed().await.bytes) + PROOF_BYTES;
     let sender = Daemon::start(3, KEY).await;
-    *proxy.spoil.lock().unwrap() = Some(Spoil::Repeat(frame));
-    sender.transport.send(proxy.socket, numbered(2));
-    assert_eq!(daemon.receive().await.body, numbered(2));
-    proxy.ended().await;
-    let later = numbered(3);
-    let next = receive_sending(&mut daemon, &sender, &proxy, &later);
-    assert_eq!(guarded(next).await, later);
+    *proxy.next_tampering.lock().unwrap() = Some(Tampering::RepeatFrom(frame));
+    sender.transport.send(proxy.socket, numbered_message(2));
+    assert_eq!(daemon.receive().await.body, numbered_message(2));
+    proxy.next_closed().await;
+    let later = numbered_message(3);
+    let next = send_until_any_received(&mut daemon, &sender, &proxy, &later);
+    assert_eq!(with_timeout(next).await, later);
 }
 
-/// Sends a message, again when it was lost, until something is received.
-async fn receive_sending(
+/// Sends a message repeatedly, since it may be lost, until the daemon receives any
+/// message, and returns that one.
+async fn send_until_any_received(
     daemon: &mut Daemon,
     sender: &Daemon,
     proxy: &Proxy,
@@ -169,43 +178,43 @@
 ) -> PeerMessage {
     loop {
         sender.transport.send(proxy.socket, message.clone());
-        let waiting = tokio::time::timeout(RESEND_INTERVAL, daemon.inbox.recv());
-        if let Ok(envelope) = waiting.await {
+        let received = tokio::time::timeout(RESEND_INTERVAL, daemon.inbox.recv());
+        if let Ok(envelope) = received.await {
             return envelope.unwrap().body;
         }
     }
 }
 
 #[tokio::test]
-async fn another_protocol_version_is_told_ours() {
+async fn other_protocol_version_is_answered_with_own_version() {
     let mut daemon = Daemon::start(1, KEY).await;
-    let mut keep_alive = b"CYPD".to_vec();
-    keep_alive.extend_from_slice(&(PROTOCOL_VERSION + 1).to_le_bytes());
-    let answer = exchange(daemon.socket(), &keep_alive).await;
+    let mut hello_start = b"CYPD".to_vec();
+    hello_start.extend_from_slice(&(PROTOCOL_VERSION + 1).to_le_bytes());
+    let answer = exchange(daemon.socket(), &hello_start).await;
     assert_eq!(answer[..4], *b"CYPD");
     assert_eq!(answer[4..8], PROTOCOL_VERSION.to_le_bytes());
-    assert_undisturbed(&mut daemon).await;
+    assert_still_serving(&mut daemon).await;
 }
 
 #[tokio::test]
-async fn random_bytes_end_nothing_but_their_connection() {
+async fn random_bytes_close_only_their_connection() {
     let mut daemon = Daemon::start(1, KEY).await;
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     for round in 0..60 {
         let mut bytes = vec![0u8; rng.random_range(1..600)];
         rng.fill(&mut bytes[..]);
         if round % 2 == 0 {
-            let mut start = b"CYPD".to_vec();
-            start.extend_from_slice(&PROTOCOL_VERSION.to_le_bytes());
-            start.extend_from_slice(&(rng.random_range(0..200u16)).to_le_bytes());
-            start.extend(bytes);
-            bytes = start;
+            let mut hello = b"CYPD".to_vec();
+            hello.extend_from_slice(&PROTOCOL_VERSION.to_le_bytes());
+            hello.extend_from_slice(&(rng.random_range(0..200u16)).to_le_bytes());
+            hello.extend(bytes);
+            bytes = hello;
         }
         let mut stream = TcpStream::connect(daemon.socket()).await.unwrap();
         let _ = stream.write_all(&bytes).await;
         let _ = stream.shutdown().await;
         let mut answer = Vec::new();
-        let _ = guarded(stream.read_to_end(&mut answer)).await;
+        let _ = with_timeout(stream.read_to_end(&mut answer)).await;
     }
-    assert_undisturbed(&mut daemon).await;
+    assert_still_serving(&mut daemon).await;
 }
