--- a/crates/transport/src/tcp/outgoing.rs
+++ b/crates/transport/src/tcp/outgoing.rs
@@ -27,6 +27,7 @@
 use types::Monotonic;
 
 /// Initial backoff between two connection attempts, doubled after each failure.
+/// Also the pause after a connection that was closed because of an error.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
 /// Maximum backoff between two connection attempts.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
