--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -18,17 +18,17 @@
     RunnerOrder, Term,
 };
 
-/// Minimum time between two reports to the leader. Heartbeats that arrive meanwhile share
-/// a report.
+/// Minimum time between two reports to the leader. Heartbeats received in between are
+/// combined in one report.
 const REPORT_SPACING: Milliseconds = Milliseconds(20);
 
 /// The core of an agent.
 ///
-/// It delivers an order only if its session is open under the order's term, it has seen
+/// The agent delivers an order only if its session is open under the order's term, it has seen
 /// no higher term, the order is for this process, and the runner's current incarnation
 /// has sent a heartbeat since the session opened. It drops or rejects all other orders.
-/// The leader then revokes the run, so that a dropped order delays a task but never
-/// starts it twice.
+/// The leader then revokes the run, so a dropped order delays a task but never starts
+/// it twice.
 pub struct Agent {
     options: AgentOptions,
     mutation: Option<AgentMutation>,
@@ -46,7 +46,7 @@
 }
 
 impl Agent {
-    /// Creates an agent without a session. It is not ready.
+    /// Creates an agent that has no session and is therefore not ready.
     pub fn new(options: AgentOptions, now: Now) -> Self {
         let session = SessionOptions {
             address: options.address.clone(),
@@ -72,13 +72,14 @@
         }
     }
 
-    /// Disables a guard of the agent, to test that checkers detect its absence.
+    /// Disables one guard, so that a test can show that a checker detects its absence.
     pub fn with_mutation(mut self, mutation: AgentMutation) -> Self {
         self.mutation = Some(mutation);
         self
     }
 
-    /// Processes one input and appends the effects to carry out.
+    /// Processes one input, and appends the actions that the shell must carry out to
+    /// `effects`.
     pub fn handle(&mut self, now: Now, input: Input, effects: &mut Vec<Effect>) {
         self.detect_suspend(now, effects);
         match input {
@@ -101,15 +102,15 @@
 
     /// Returns the answer to a runner's heartbeat.
     ///
-    /// Lists of recorded and closed runs are returned once. If the answer is lost, the
-    /// runner's next heartbeat contains the runs again, and the leader repeats the lists.
+    /// The lists of runs are returned once. If the answer is lost, the runner's next
+    /// heartbeat contains the runs again, and the leader repeats the lists.
     pub fn heartbeat_answer(&mut self, runner: &RunnerId) -> HeartbeatAnswer {
         let mut answer = self.runners.answer(runner);
         answer.term = self.highest_term;
         answer
     }
 
-    /// Returns the configuration replica, while it is valid.
+    /// Returns the configuration replica, or `None` if it is missing or no longer valid.
     pub fn configuration(&self, now: Now) -> Option<&configuration::ClusterConfiguration> {
         self.session
             .configuration(now)
@@ -118,17 +119,19 @@
 
     /// Returns the time at which the core needs the next [`Input::Tick`].
     pub fn next_wakeup(&self) -> Monotonic {
-        // Frequent enough that an idle agent does not detect a suspend.
-        let heartbeat = self.last_input + Milliseconds(self.options.freeze_after.0 / 2);
+        // Half of the time that counts as a suspend, so that an idle agent detects none.
+        let idle_tick = self.last_input + Milliseconds(self.options.freeze_after.0 / 2);
         let report = self
             .last_report
             .filter(|_| self.runners.has_unsent())
             .map(|last| last + REPORT_SPACING);
         let wakeups = [self.orders.next_deadline(), report];
-        let first = self.session.next_wakeup().min(heartbeat);
+        let first = self.session.next_wakeup().min(idle_tick);
         wakeups.into_iter().flatten().fold(first, Monotonic::min)
     }
 
+    /// Closes the session and requests a new one after a suspend of the machine. Orders
+    /// received before or right after the suspend may be obsolete.
     fn detect_suspend(&mut self, now: Now, effects: &mut Vec<Effect>) {
         let gap = now.monotonic.since(self.last_input);
         self.last_input = now.monotonic;
@@ -144,7 +147,7 @@
     /// Closes the session, and drops the orders and heartbeats received in it.
     fn close_session(&mut self) {
         self.session_open = false;
-        self.runners.session_closed();
+        self.runners.close_session();
         if !self.has_mutation(AgentMutation::KeepOrdersOverLostSession) {
             self.orders.drop_queued();
         }
@@ -185,17 +188,17 @@
         if term > self.highest_term {
             self.highest_term = term;
             if !self.has_mutation(AgentMutation::NoTermFence) {
-                self.orders.raise_term(term);
+                self.orders.drop_lower_terms(term);
             }
         }
     }
 
     fn receive_message(&mut self, now: Now, envelope: Envelope, effects: &mut Vec<Effect>) {
         let mut out = Vec::new();
-        let (events, rest) = self.session.handle(now, envelope, &mut out);
+        let (events, other) = self.session.handle(now, envelope, &mut out);
         send_all(out, effects);
         self.handle_session_events(now, events, effects);
-        let Some(envelope) = rest else { return };
+        let Some(envelope) = other else { return };
         match &envelope.body {
             PeerMessage::Orders {
                 term,
@@ -239,7 +242,7 @@
         }
     }
 
-    /// Returns whether the session is open under this very term.
+    /// Returns whether the session is open under exactly this term.
     fn accepts_orders(&self, now: Now, term: Term) -> bool {
         match self.mutation {
             Some(AgentMutation::NoTermFence) => self.session_open,
@@ -273,14 +276,14 @@
         }
     }
 
-    /// Returns whether the order starts a run on a runner that is draining. The leader may
-    /// not have received the heartbeat that says so yet.
+    /// Returns whether the order starts a run on a draining runner. The leader sends such an
+    /// order if it has not yet received the heartbeat that reports the draining.
     fn is_start_on_draining(&self, order: &RunnerOrder) -> bool {
         matches!(order.kind, OrderKind::Start { .. }) && self.runners.is_draining(&order.runner)
     }
 
-    /// Rejects orders of a former leader. The results go to their sender, since the leader
-    /// of the session did not give these orders.
+    /// Rejects orders of a former leader. The results are sent to that leader, since the
+    /// leader of the session did not issue the orders.
     fn reject_stale(&self, envelope: &Envelope, orders: &[RunnerOrder], effects: &mut Vec<Effect>) {
         let rejected = |order: &RunnerOrder| OrderResult {
             order: order.clone(),
@@ -299,8 +302,8 @@
         answer: OrderAnswer,
         effects: &mut Vec<Effect>,
     ) {
-        // Otherwise the order has expired, and the leader is revoking it.
-        if self.orders.answered(&order) {
+        // An answer to an expired order is ignored: the leader already revokes the run.
+        if self.orders.remove_answered(&order) {
             self.report_result(now, order, answer, effects);
         }
     }
@@ -343,10 +346,10 @@
     }
 
     fn send_reports(&mut self, now: Now, effects: &mut Vec<Effect>) {
-        let spaced = self
+        let is_due = self
             .last_report
             .is_none_or(|last| now.monotonic >= last + REPORT_SPACING);
-        if !self.session_open || !spaced || !self.runners.has_unsent() {
+        if !self.session_open || !is_due || !self.runners.has_unsent() {
             return;
         }
         self.last_report = Some(now.monotonic);
@@ -356,8 +359,8 @@
     }
 
     fn send_to_leader(&self, now: Now, message: PeerMessage, effects: &mut Vec<Effect>) {
-        let addressed = self.session.to_leader(now, message);
-        send_all(addressed, effects);
+        let outgoing = self.session.to_leader(now, message);
+        send_all(outgoing, effects);
     }
 
     fn report_readiness(&mut self, now: Now, effects: &mut Vec<Effect>) {
@@ -381,8 +384,8 @@
         Ok(())
     }
 
-    /// Stops as soon as all delivered orders are answered, which takes at most the order
-    /// timeout.
+    /// Stops as soon as all delivered orders are answered or expired, which takes at most
+    /// the order timeout.
     fn stop_when_idle(&mut self, now: Now, effects: &mut Vec<Effect>) {
         if !self.stopping || self.stopped {
             return;
--- a/crates/agent/src/core/orders.rs
+++ b/crates/agent/src/core/orders.rs
@@ -1,19 +1,21 @@
-//! Orders from their receipt to their answer.
+//! Queue, deduplication and timeouts of orders.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use types::{Milliseconds, Monotonic, OrderSequence, RunnerId, RunnerOrder, Term};
 
-/// Maximum number of unanswered orders of one runner. Further ones are queued.
+/// Maximum number of delivered but unanswered orders of one runner. Further orders are
+/// queued.
 const MAX_IN_FLIGHT_PER_RUNNER: usize = 16;
-/// Maximum number of queued orders.
+/// Maximum number of queued orders of all runners.
 const MAX_QUEUED: usize = 4_096;
-/// Maximum number of order sequences stored for one runner, to detect duplicates.
+/// Maximum number of order sequences stored for one runner and term, to detect
+/// duplicates.
 const MAX_SEEN_PER_RUNNER: usize = 4_096;
 
 /// Result of receiving an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAdmission {
-    /// The order is accepted.
+    /// The order was not received before and is accepted.
     New,
     /// The order was received before and is ignored.
     Duplicate,
@@ -21,7 +23,7 @@
     Full,
 }
 
-/// Identity of an order.
+/// Key that identifies an order.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct OrderKey {
     term: Term,
@@ -39,18 +41,19 @@
     }
 }
 
-/// An order with the time at which it expires.
+/// A queued or delivered order, with the time at which it expires.
 #[derive(Debug)]
 struct PendingOrder {
     order: RunnerOrder,
     deadline: Monotonic,
 }
 
-/// Sequences of the orders of one runner in one term.
+/// Sequences of the orders that were received for one runner in one term.
 #[derive(Debug, Default)]
 struct SeenOrders {
     newest: BTreeSet<OrderSequence>,
-    /// All sequences up to this one count as received.
+    /// Highest sequence that was removed from `newest`. All sequences up to this one count
+    /// as received. `None` if none was removed.
     floor: Option<OrderSequence>,
 }
 
@@ -87,10 +90,10 @@
         }
     }
 
-    /// Drops the queued orders of lower terms.
-    pub fn raise_term(&mut self, term: Term) {
-        self.seen.retain(|(seen, _), _| *seen >= term);
-        self.queued.retain(|waiting| waiting.order.term >= term);
+    /// Drops the queued orders and the recorded sequences of terms lower than `term`.
+    pub fn drop_lower_terms(&mut self, term: Term) {
+        self.seen.retain(|(seen_term, _), _| *seen_term >= term);
+        self.queued.retain(|pending| pending.order.term >= term);
     }
 
     /// Records an order as received, without queueing it.
@@ -118,7 +121,8 @@
         OrderAdmission::New
     }
 
-    /// Removes and returns the queued orders to deliver now, and awaits their answers.
+    /// Removes and returns the queued orders that can be delivered now. They are in flight
+    /// until answered or expired.
     pub fn take_deliverable(&mut self, now: Monotonic) -> Vec<RunnerOrder> {
         if self.queued.is_empty() {
             return Vec::new();
@@ -129,70 +133,70 @@
         }
         let mut deliveries = Vec::new();
         let mut remaining = VecDeque::new();
-        for waiting in std::mem::take(&mut self.queued) {
+        for pending in std::mem::take(&mut self.queued) {
             let in_flight = in_flight_by_runner
-                .entry(waiting.order.runner.clone())
+                .entry(pending.order.runner.clone())
                 .or_default();
             if *in_flight >= MAX_IN_FLIGHT_PER_RUNNER {
-                remaining.push_back(waiting);
+                remaining.push_back(pending);
                 continue;
             }
             *in_flight += 1;
-            deliveries.push(waiting.order);
+            deliveries.push(pending.order);
         }
         self.queued = remaining;
         for order in &deliveries {
-            let waiting = PendingOrder {
+            let pending = PendingOrder {
                 order: order.clone(),
                 deadline: now + self.timeout,
             };
-            self.in_flight.insert(OrderKey::of(order), waiting);
+            self.in_flight.insert(OrderKey::of(order), pending);
         }
         deliveries
     }
 
-    /// Removes an answered order. Returns false if it was not awaiting an answer.
-    pub fn answered(&mut self, order: &RunnerOrder) -> bool {
+    /// Removes an answered order. Returns false if it was not in flight.
+    pub fn remove_answered(&mut self, order: &RunnerOrder) -> bool {
         self.in_flight.remove(&OrderKey::of(order)).is_some()
     }
 
-    /// Removes and returns the expired orders, delivered or not.
+    /// Removes and returns the expired orders, whether queued or in flight.
     pub fn expire(&mut self, now: Monotonic) -> Vec<RunnerOrder> {
         let mut expired = Vec::new();
-        self.queued.retain(|waiting| {
-            let is_expired = now >= waiting.deadline;
+        self.queued.retain(|pending| {
+            let is_expired = now >= pending.deadline;
             if is_expired {
-                expired.push(waiting.order.clone());
+                expired.push(pending.order.clone());
             }
             !is_expired
         });
-        self.in_flight.retain(|_, waiting| {
-            let is_expired = now >= waiting.deadline;
+        self.in_flight.retain(|_, pending| {
+            let is_expired = now >= pending.deadline;
             if is_expired {
-                expired.push(waiting.order.clone());
+                expired.push(pending.order.clone());
             }
             !is_expired
         });
         expired
     }
 
-    /// Drops the orders that have not been delivered.
+    /// Drops the orders that were not delivered.
     pub fn drop_queued(&mut self) {
         self.queued.clear();
     }
 
-    /// Returns the number of delivered orders without an answer.
+    /// Returns the number of delivered but unanswered orders.
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Returns the time at which the next order expires.
+    /// Returns the time at which the next order expires. `None` without any order.
     pub fn next_deadline(&self) -> Option<Monotonic> {
         let queued = self.queued.iter();
         let in_flight = self.in_flight.values();
         queued
             .chain(in_flight)
-            .map(|waiting| waiting.deadline)
+            .map(|pending| pending.deadline)
             .min()
     }
 }
--- a/crates/agent/src/core/runners.rs
+++ b/crates/agent/src/core/runners.rs
@@ -1,4 +1,4 @@
-//! The runners that an agent serves.
+//! Heartbeats of the agent's runners and the leader's answers to them.
 
 use super::HeartbeatAnswer;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,7 +7,7 @@
     HeartbeatSequence, Milliseconds, Monotonic, RunId, RunnerId, RunnerIncarnation, RunnerReport,
 };
 
-/// Maximum number of runners of one agent.
+/// Maximum number of runners of one agent. Heartbeats of further runners are ignored.
 const MAX_RUNNERS: usize = 256;
 /// Time without a heartbeat after which a runner is removed.
 const UNRESPONSIVE_TIMEOUT: Milliseconds = Milliseconds::from_seconds(30);
@@ -15,7 +15,8 @@
 /// State of the runner incarnation that an order is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunnerStatus {
-    /// The incarnation has sent a heartbeat since the session opened.
+    /// The incarnation has sent a heartbeat since the session opened. Orders for it are
+    /// delivered.
     Served,
     /// The incarnation has sent no heartbeat since the session opened.
     Unseen,
@@ -29,13 +30,17 @@
     incarnation: RunnerIncarnation,
     newest: HeartbeatSequence,
     last_seen: Monotonic,
+    /// Whether a heartbeat was received since the session opened.
     seen_in_session: bool,
+    /// Newest heartbeat, until it is reported to the leader.
     unsent: Option<RunnerReport>,
+    /// Newest heartbeat that the leader confirmed. `None` until it has confirmed one.
     confirmed: Option<HeartbeatSequence>,
     lease: Milliseconds,
     recorded: BTreeSet<RunId>,
     stop: BTreeSet<RunId>,
     names: Vec<NamedRun>,
+    /// Whether the newest heartbeat reports the runner as draining.
     draining: bool,
 }
 
@@ -64,8 +69,8 @@
 }
 
 impl RunnerTable {
-    /// Records a heartbeat. It is kept for the leader only while a session is open, so that
-    /// the first report of a session contains only heartbeats sent after it opened.
+    /// Records a heartbeat. It is queued for the leader only while a session is open, so that
+    /// the first report of a session contains no heartbeat received before it opened.
     pub fn heartbeat(&mut self, report: RunnerReport, now: Monotonic, session_open: bool) {
         let known = self.entries.get(&report.runner);
         if known.is_none() && self.entries.len() >= MAX_RUNNERS {
@@ -91,8 +96,8 @@
         }
     }
 
-    /// Records the leader's answer to the heartbeats of a runner. An answer for another
-    /// incarnation than the current one is ignored.
+    /// Records the leader's answer to the heartbeats of a runner. Ignores an answer for
+    /// another incarnation than the current one.
     pub fn update(&mut self, update: &RunnerUpdate) {
         let Some(entry) = self.entries.get_mut(&update.runner) else {
             return;
@@ -113,13 +118,13 @@
         }
     }
 
-    /// Returns whether the runner was draining in its last heartbeat.
+    /// Returns whether the runner's newest heartbeat reports it as draining.
     pub fn is_draining(&self, runner: &RunnerId) -> bool {
         self.entries.get(runner).is_some_and(|entry| entry.draining)
     }
 
-    /// Returns the answer to a runner's heartbeat, without the term. Lists are returned
-    /// once.
+    /// Returns the answer to a runner's heartbeat, without the term. Each entry of the lists
+    /// is returned once.
     pub fn answer(&mut self, runner: &RunnerId) -> HeartbeatAnswer {
         let Some(entry) = self.entries.get_mut(runner) else {
             return HeartbeatAnswer::default();
@@ -146,33 +151,33 @@
         }
     }
 
-    /// Records that the session was closed. Each runner must send a heartbeat before it is
-    /// served again.
-    pub fn session_closed(&mut self) {
+    /// Drops the unsent heartbeats of a closed session. Each runner must send a heartbeat in
+    /// the next session before orders for it are delivered.
+    pub fn close_session(&mut self) {
         for entry in self.entries.values_mut() {
             entry.seen_in_session = false;
             entry.unsent = None;
         }
     }
 
-    /// Removes the runners that have sent no heartbeat for a time.
+    /// Removes the runners that have sent no heartbeat for [`UNRESPONSIVE_TIMEOUT`].
     pub fn remove_unresponsive(&mut self, now: Monotonic) {
         self.entries
             .retain(|_, entry| now.since(entry.last_seen) < UNRESPONSIVE_TIMEOUT);
     }
 
-    /// Returns whether a heartbeat is to be reported to the leader.
+    /// Returns whether some heartbeat has not been reported to the leader.
     pub fn has_unsent(&self) -> bool {
         self.entries.values().any(|entry| entry.unsent.is_some())
     }
 
-    /// Removes and returns the newest heartbeats that are to be reported.
+    /// Removes and returns the newest unreported heartbeat of each runner.
     pub fn take_unsent(&mut self) -> Vec<RunnerReport> {
         let entries = self.entries.values_mut();
         entries.filter_map(|entry| entry.unsent.take()).collect()
     }
 
-    /// Returns the names of all runners.
+    /// Returns the names of all runners, in order.
     pub fn names(&self) -> Vec<RunnerId> {
         self.entries.keys().cloned().collect()
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,9 +1,10 @@
 //! The node agent role: a core without I/O and its tokio shell.
 //!
-//! Each runner machine has one agent. It passes heartbeats of its runners to the
-//! leader and delivers the leader's orders to them. It rejects orders of a lower
+//! Each runner machine has one agent. It forwards the heartbeats of its runners to
+//! the leader and delivers the leader's orders to them. It rejects orders of a lower
 //! term than the highest it has seen. After a lost session or a suspend of the
-//! machine it drops the orders in its queue and opens a new session first.
+//! machine it drops its queued orders, and accepts no others before it has opened a
+//! new session.
 
 pub mod core;
 pub mod shell;
--- a/crates/agent/src/shell.rs
+++ b/crates/agent/src/shell.rs
@@ -20,33 +20,33 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// One in this many parts of the grace time is reserved for closing HTTP connections.
-const CLOSING_PART: u32 = 4;
+/// Divisor of the grace time that gives the part for closing HTTP connections.
+const CLOSING_DIVISOR: u32 = 4;
 /// Time for sending the last messages before the transport is shut down.
 const FLUSH_TIME: Duration = Duration::from_millis(50);
 
-/// Options of the shell.
+/// Listeners, cluster key and grace time of the agent, and the options of its core.
 #[derive(Debug, Clone)]
 pub struct ShellOptions {
-    /// Options of the core.
+    /// Identity, timeouts and seeds of the core.
     pub core: AgentOptions,
-    /// Options of the transport.
+    /// Listener and limits of the connections to other daemons.
     pub transport: transport::TransportOptions,
     /// Key that all daemons of the cluster share.
     pub cluster_key: transport::ClusterKey,
-    /// HTTP listener for runners, and for livez, readyz and metrics.
+    /// Socket of the HTTP listener for runners, and for `/livez`, `/readyz` and `/metrics`.
     pub http_listen: SocketAddr,
-    /// Maximum time from the stop signal to the end, in milliseconds.
+    /// Maximum duration of a graceful shutdown, in milliseconds.
     pub grace: types::Milliseconds,
 }
 
-/// A failure of an agent.
+/// An error that ends the agent.
 #[derive(Debug, Error)]
 pub enum AgentError {
-    /// The transport cannot be started.
+    /// The transport to other daemons cannot be started.
     #[error(transparent)]
     Transport(#[from] transport::TransportError),
-    /// The HTTP listener failed.
+    /// The HTTP listener cannot be bound or failed.
     #[error("cannot listen on {listen}: {source}")]
     Http {
         /// Socket of the listener.
@@ -55,7 +55,7 @@
         source: std::io::Error,
     },
     /// The HTTP client for orders cannot be created.
-    #[error("cannot make the client for orders: {0}")]
+    #[error("cannot create the HTTP client for orders: {0}")]
     Client(#[from] reqwest::Error),
 }
 
@@ -74,8 +74,8 @@
 
 /// Runs an agent as [`run`] does, on an HTTP socket that is already bound.
 ///
-/// After the stop, the agent accepts no new orders, and within the grace time waits for
-/// the answers to delivered ones. It serves runners until then.
+/// After `stop` becomes true, the agent accepts no new orders and waits for the answers to
+/// delivered ones, at most for the grace time. It accepts heartbeats until then.
 ///
 /// # Errors
 ///
@@ -90,15 +90,16 @@
 }
 
 /// Runs an agent until `stop` becomes true, for runners with another interface than that of
-/// the `api` crate: `order_sender` sends them orders, and `routes` receives their requests.
+/// the `api` crate: `order_sender` sends them orders, and `routes` creates the routes for
+/// their requests.
 ///
 /// # Errors
 ///
 /// Returns an [`AgentError`] if a listener cannot be bound or fails.
-pub async fn run_with_order_sender<C: OrderSender>(
+pub async fn run_with_order_sender<S: OrderSender>(
     options: ShellOptions,
     stop: watch::Receiver<bool>,
-    order_sender: C,
+    order_sender: S,
     routes: impl FnOnce(CoreHandle, Readiness) -> Router,
 ) -> Result<(), AgentError> {
     let listen = options.http_listen;
@@ -108,42 +109,44 @@
     serve(listener, options, stop, order_sender, routes).await
 }
 
-async fn serve<C: OrderSender>(
+async fn serve<S: OrderSender>(
     listener: TcpListener,
     options: ShellOptions,
     stop: watch::Receiver<bool>,
-    order_sender: C,
+    order_sender: S,
     routes: impl FnOnce(CoreHandle, Readiness) -> Router,
 ) -> Result<(), AgentError> {
     let listen = options.http_listen;
     let mut core = options.core;
     let own = core.address.clone();
     let started = transport::Transport::start(options.transport, options.cluster_key, own);
-    let (transport, arriving) = started.await?;
-    // A port of 0 in the settings stands for the one that was found.
+    let (transport, inbox) = started.await?;
+    // Replaces port 0 by the port that the operating system assigned.
     core.address = transport.own().clone();
     let readiness = Readiness::starting();
     let (handle, requests) = handle::channel();
     let agent = Agent::new(core, transport::clock::now());
     let driver = Driver::new(agent, transport.clone(), order_sender, readiness.clone());
-    let (finished, mut finished_seen) = watch::channel(false);
+    let (finished, mut finished_receiver) = watch::channel(false);
     let grace = Duration::from_millis(options.grace.0);
-    let closing = grace / CLOSING_PART;
+    let closing_grace = grace / CLOSING_DIVISOR;
 
     let service = routes(handle, readiness).into_make_service_with_connect_info::<SocketAddr>();
     let serving = axum::serve(listener, service)
-        .with_graceful_shutdown(async move { transport::stopped(&mut finished_seen).await })
+        .with_graceful_shutdown(async move { transport::stopped(&mut finished_receiver).await })
         .into_future();
     let driving = async {
-        driver.run(requests, arriving, stop, grace - closing).await;
-        tokio::time::sleep(FLUSH_TIME.min(closing)).await;
+        driver
+            .run(requests, inbox, stop, grace - closing_grace)
+            .await;
+        tokio::time::sleep(FLUSH_TIME.min(closing_grace)).await;
         finished.send_replace(true);
-        tokio::time::sleep(closing).await;
+        tokio::time::sleep(closing_grace).await;
     };
-    let ended = tokio::select! {
-        ended = serving => ended.map_err(|source| AgentError::Http { listen, source }),
+    let result = tokio::select! {
+        served = serving => served.map_err(|source| AgentError::Http { listen, source }),
         () = driving => Ok(()),
     };
     transport.shutdown().await;
-    ended
+    result
 }
--- a/crates/agent/src/shell/delivery.rs
+++ b/crates/agent/src/shell/delivery.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 use types::{Milliseconds, Monotonic, OrderAnswer, RunnerOrder};
 
-/// Maximum length of a runner's answer, in bytes.
+/// Maximum length of a runner's answer, in bytes. A longer one counts as no answer.
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
-/// Connect timeout, on the same machine.
+/// Connect timeout. Runners are on the same machine as the agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Sends orders to runners over HTTP.
@@ -18,8 +18,8 @@
 }
 
 impl HttpOrderSender {
-    /// Creates a sender with a timeout for answers. It does not send an order that the
-    /// core issued longer ago than `freeze_after`.
+    /// Creates a sender with a timeout for answers. It sends no order that the core issued
+    /// `freeze_after` or longer ago.
     pub fn new(timeout: Milliseconds, freeze_after: Milliseconds) -> Result<Self, reqwest::Error> {
         let client = Client::builder()
             .no_proxy()
@@ -46,12 +46,14 @@
     }
 }
 
-/// Sends orders to runners.
+/// Interface by which an agent sends orders to runners.
 pub trait OrderSender: Clone + Send + Sync + 'static {
     /// Sends an order that the core issued at `issued_at`, and waits for the answer.
     ///
-    /// Returns [`OrderAnswer::Unknown`] without a valid answer: the order may or may not
-    /// have arrived, and is never sent again.
+    /// `url` is the runner's URL for orders, or `None` if no heartbeat contained one.
+    ///
+    /// Returns [`OrderAnswer::Unknown`] without a valid answer. The runner may or may not
+    /// have received the order then, and the order is never sent again.
     fn deliver(
         &self,
         url: Option<&OrdersUrl>,
@@ -68,9 +70,9 @@
         issued_at: Monotonic,
     ) -> OrderAnswer {
         // The process may have been suspended since the core issued the order.
-        let waited = transport::clock::now().monotonic.since(issued_at);
+        let age = transport::clock::now().monotonic.since(issued_at);
         let answer = match url {
-            Some(url) if waited < self.freeze_after => self.send(url, order).await,
+            Some(url) if age < self.freeze_after => self.send(url, order).await,
             _ => None,
         };
         if answer.is_none() {
@@ -80,7 +82,8 @@
     }
 }
 
-/// Reads a body. Returns `None` if it is too long or incomplete.
+/// Reads the body of a response. Returns `None` if it is longer than
+/// [`MAX_ANSWER_BYTES`] or incomplete.
 async fn read_bounded(mut response: Response) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
     while let Some(chunk) = response.chunk().await.ok()? {
--- a/crates/agent/src/shell/driver.rs
+++ b/crates/agent/src/shell/driver.rs
@@ -13,31 +13,31 @@
 use transport::Transport;
 use types::{Monotonic, Now, OrderAnswer, RunnerId, RunnerOrder};
 
-/// Maximum number of runners whose URL is stored, which is the maximum number of runners
-/// of the core. The URL that was received first is dropped first.
+/// Maximum number of runners whose URL is stored, equal to the maximum number of runners
+/// of the core. The URL that was not received for the longest time is dropped first.
 const MAX_URLS: usize = 256;
 
-/// URL at which a runner takes orders.
+/// URL for a runner's orders, and the time of the last heartbeat that contained it.
 #[derive(Debug)]
 struct KnownUrl {
     url: OrdersUrl,
     received_at: Monotonic,
 }
 
-/// The core, with the resources that its effects need.
-pub struct Driver<C> {
+/// The core of an agent, with the connections and tasks that carry out its effects.
+pub struct Driver<S> {
     agent: Agent,
     transport: Transport,
-    order_sender: C,
+    order_sender: S,
     readiness: Readiness,
     orders_urls: BTreeMap<RunnerId, KnownUrl>,
     deliveries: JoinSet<(RunnerOrder, OrderAnswer)>,
     stopped: bool,
 }
 
-impl<C: OrderSender> Driver<C> {
-    /// Creates a driver of a new agent.
-    pub fn new(agent: Agent, transport: Transport, order_sender: C, readiness: Readiness) -> Self {
+impl<S: OrderSender> Driver<S> {
+    /// Creates a driver. `readiness` is set when the agent becomes ready or not ready.
+    pub fn new(agent: Agent, transport: Transport, order_sender: S, readiness: Readiness) -> Self {
         Self {
             agent,
             transport,
@@ -49,18 +49,18 @@
         }
     }
 
-    /// Runs until the core has stopped, at most until `grace` after `stop` became true.
+    /// Runs until the core has stopped, at most for `grace` after `stop` becomes true.
     pub async fn run(
         mut self,
         mut requests: mpsc::Receiver<CoreRequest>,
-        mut arriving: transport::Inbox,
+        mut inbox: transport::Inbox,
         mut stop: watch::Receiver<bool>,
         grace: Duration,
     ) {
-        self.drive(&mut requests, &mut arriving, transport::stopped(&mut stop))
+        self.drive(&mut requests, &mut inbox, transport::stopped(&mut stop))
             .await;
         self.input(Input::Stop);
-        let stopping = self.drive(&mut requests, &mut arriving, std::future::pending());
+        let stopping = self.drive(&mut requests, &mut inbox, std::future::pending());
         if tokio::time::timeout(grace, stopping).await.is_err() {
             tracing::warn!("stopped with orders unanswered");
         }
@@ -70,34 +70,34 @@
     async fn drive(
         &mut self,
         requests: &mut mpsc::Receiver<CoreRequest>,
-        arriving: &mut transport::Inbox,
+        inbox: &mut transport::Inbox,
         until: impl Future<Output = ()>,
     ) {
         tokio::pin!(until);
         while !self.stopped {
-            let pause = self.pause();
+            let until_wakeup = self.time_until_wakeup();
             tokio::select! {
                 () = &mut until => return,
-                Some(envelope) = arriving.recv() => self.input(Input::Peer(envelope)),
-                Some(request) = requests.recv() => self.answer(request),
-                Some(delivered) = self.deliveries.join_next() => {
-                    // The core expires the order of a delivery that panicked.
-                    if let Ok((order, answer)) = delivered {
-                        self.answered(order, answer);
+                Some(envelope) = inbox.recv() => self.input(Input::Peer(envelope)),
+                Some(request) = requests.recv() => self.handle_request(request),
+                Some(delivery) = self.deliveries.join_next() => {
+                    // If the delivery panicked, the order expires in the core.
+                    if let Ok((order, answer)) = delivery {
+                        self.complete_delivery(order, answer);
                     }
                 }
-                () = tokio::time::sleep(pause) => self.input(Input::Tick),
+                () = tokio::time::sleep(until_wakeup) => self.input(Input::Tick),
             }
         }
     }
 
     /// Returns the time until the core needs a tick.
-    fn pause(&self) -> Duration {
+    fn time_until_wakeup(&self) -> Duration {
         let now = transport::clock::now().monotonic;
         Duration::from_millis(self.agent.next_wakeup().since(now).0)
     }
 
-    fn answered(&mut self, order: RunnerOrder, answer: OrderAnswer) {
+    fn complete_delivery(&mut self, order: RunnerOrder, answer: OrderAnswer) {
         metrics::counter!(
             "cypressdrum_agent_orders_total",
             "answer" => answer_name(&answer)
@@ -106,11 +106,11 @@
         self.input(Input::Answered { order, answer });
     }
 
-    fn answer(&mut self, request: CoreRequest) {
+    fn handle_request(&mut self, request: CoreRequest) {
         match request {
             CoreRequest::Authorize { token, answer } => {
                 let configuration = self.agent.configuration(transport::clock::now());
-                // An error means that the handler has been dropped.
+                // Sending fails if the HTTP handler was dropped.
                 let _ = answer.send(authorize(configuration, token.as_deref()));
             }
             CoreRequest::Heartbeat {
@@ -145,6 +145,7 @@
         }
     }
 
+    /// Passes an input to the core, and carries out its effects.
     fn input(&mut self, input: Input) {
         let now = transport::clock::now();
         let mut effects = Vec::new();
@@ -182,6 +183,7 @@
     }
 }
 
+/// Returns the value of the label `answer` of `cypressdrum_agent_orders_total`.
 fn answer_name(answer: &OrderAnswer) -> &'static str {
     match answer {
         OrderAnswer::Started => "started",
--- a/crates/agent/src/shell/handle.rs
+++ b/crates/agent/src/shell/handle.rs
@@ -6,46 +6,47 @@
 use transport::{Rejection, RejectionCode};
 use types::{Milliseconds, RunnerId, RunnerReport};
 
-/// Maximum number of requests that the core has not received yet.
+/// Maximum number of requests queued for the core. Further requests are rejected.
 const QUEUE_LENGTH: usize = 512;
-/// Retry time of a rejected request.
+/// Time after which a client should retry a rejected request.
 const RETRY_AFTER: Milliseconds = Milliseconds(500);
 
-/// A request for the core, with the channel for its answer.
+/// A request of an HTTP handler to the core, with the channel for the answer.
 #[derive(Debug)]
 pub enum CoreRequest {
     /// Checks whether a token allows sending heartbeats.
     Authorize {
-        /// Token of the HTTP request, if it has one.
+        /// Bearer token of the HTTP request. `None` if the request has none.
         token: Option<String>,
-        /// Channel for the answer.
+        /// Channel for the result: `Ok` if the token is valid.
         answer: oneshot::Sender<Result<(), Rejection>>,
     },
     /// Processes a heartbeat of an authorized runner.
     Heartbeat {
-        /// The heartbeat.
+        /// Heartbeat that the runner sent.
         report: RunnerReport,
-        /// URL at which the runner takes orders. `None` if the order sender knows it.
+        /// URL to which orders for the runner are sent. `None` if the order sender needs no
+        /// URL.
         orders_url: Option<OrdersUrl>,
-        /// Channel for the answer.
+        /// Channel for the answer to the runner.
         answer: oneshot::Sender<HeartbeatAnswer>,
     },
-    /// Reads the leader's answers since the last heartbeat of a runner.
+    /// Returns what the leader answered since the last heartbeat of a runner.
     Updates {
-        /// Name of the runner.
+        /// Runner whose answers are requested.
         runner: RunnerId,
-        /// Channel for the answer.
+        /// Channel for the answers of the leader.
         answer: oneshot::Sender<HeartbeatAnswer>,
     },
 }
 
-/// The handlers' end of the channel to the core.
+/// Sending end of the channel from the HTTP handlers to the core.
 #[derive(Debug, Clone)]
 pub struct CoreHandle {
     sender: mpsc::Sender<CoreRequest>,
 }
 
-/// Creates a channel, and returns both of its ends.
+/// Creates the channel from the HTTP handlers to the core, and returns both ends.
 pub fn channel() -> (CoreHandle, mpsc::Receiver<CoreRequest>) {
     let (sender, receiver) = mpsc::channel(QUEUE_LENGTH);
     (CoreHandle { sender }, receiver)
@@ -56,11 +57,12 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Rejection`] if it does not, or if the core cannot answer.
+    /// Returns a [`Rejection`] if the token does not, or if the core is overloaded or
+    /// stopping.
     pub async fn authorize(&self, token: Option<String>) -> Result<(), Rejection> {
         let (answer, receiver) = oneshot::channel();
         self.send(CoreRequest::Authorize { token, answer })?;
-        receiver.await.unwrap_or_else(|_| Err(stopping()))
+        receiver.await.unwrap_or_else(|_| Err(stopping_rejection()))
     }
 
     /// Sends a heartbeat to the core, and returns the answer for the runner.
@@ -79,10 +81,10 @@
             orders_url,
             answer,
         })?;
-        receiver.await.map_err(|_| stopping())
+        receiver.await.map_err(|_| stopping_rejection())
     }
 
-    /// Returns the leader's answers since the last heartbeat of a runner.
+    /// Returns what the leader answered since the last heartbeat of a runner.
     ///
     /// # Errors
     ///
@@ -90,7 +92,7 @@
     pub async fn updates(&self, runner: RunnerId) -> Result<HeartbeatAnswer, Rejection> {
         let (answer, receiver) = oneshot::channel();
         self.send(CoreRequest::Updates { runner, answer })?;
-        receiver.await.map_err(|_| stopping())
+        receiver.await.map_err(|_| stopping_rejection())
     }
 
     fn send(&self, request: CoreRequest) -> Result<(), Rejection> {
@@ -100,12 +102,12 @@
                 "too many heartbeats wait for this agent",
                 Some(RETRY_AFTER),
             ),
-            mpsc::error::TrySendError::Closed(_) => stopping(),
+            mpsc::error::TrySendError::Closed(_) => stopping_rejection(),
         })
     }
 }
 
-fn stopping() -> Rejection {
+fn stopping_rejection() -> Rejection {
     rejection(
         RejectionCode::Unavailable,
         "the agent is stopping",
@@ -113,7 +115,7 @@
     )
 }
 
-/// Creates a rejection without problems of a configuration.
+/// Creates a rejection with an empty list of configuration problems.
 pub fn rejection(
     code: RejectionCode,
     message: impl Into<String>,
--- a/crates/agent/src/shell/http.rs
+++ b/crates/agent/src/shell/http.rs
@@ -17,9 +17,9 @@
 
 /// Maximum length of a heartbeat, in bytes. A longer one is answered with 413.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
-const BEARER: &str = "Bearer ";
+const BEARER_PREFIX: &str = "Bearer ";
 
-/// Returns the routes for runners, those of the admin interface included.
+/// Returns the routes for runners and those of the admin interface.
 pub fn router(core: CoreHandle, readiness: Readiness) -> Router {
     Router::new()
         .route(HEARTBEAT_ROUTE, post(heartbeat))
@@ -34,11 +34,11 @@
     Path(runner): Path<String>,
     headers: HeaderMap,
     body: Bytes,
-) -> Result<Json<HeartbeatAnswerBody>, Failure> {
+) -> Result<Json<HeartbeatAnswerBody>, RejectedHeartbeat> {
     let answer = receive_heartbeat(&core, sender, runner, &headers, &body).await;
     let outcome = if answer.is_ok() { "taken" } else { "refused" };
     metrics::counter!("cypressdrum_agent_heartbeats_total", "outcome" => outcome).increment(1);
-    Ok(Json(body_of(answer?)))
+    Ok(Json(answer_body(answer?)))
 }
 
 async fn receive_heartbeat(
@@ -47,8 +47,8 @@
     runner: String,
     headers: &HeaderMap,
     body: &[u8],
-) -> Result<HeartbeatAnswer, Failure> {
-    core.authorize(token(headers)).await?;
+) -> Result<HeartbeatAnswer, RejectedHeartbeat> {
+    core.authorize(bearer_token(headers)).await?;
     let runner = RunnerId::new(runner).map_err(|error| invalid(&error))?;
     let body: HeartbeatBody = api::runner::read(body).map_err(|error| invalid(&error))?;
     let (report, orders_url) = body.into_report(runner).map_err(|error| invalid(&error))?;
@@ -57,8 +57,8 @@
 }
 
 /// Checks that the URL for orders is on the runner's own machine, so that no heartbeat can
-/// direct the agent's orders elsewhere.
-fn check_orders_host(orders_url: &OrdersUrl, sender: SocketAddr) -> Result<(), Failure> {
+/// redirect the agent's orders to another machine.
+fn check_orders_host(orders_url: &OrdersUrl, sender: SocketAddr) -> Result<(), RejectedHeartbeat> {
     let host = orders_url.socket().ip();
     if host.is_loopback() || host == sender.ip() {
         return Ok(());
@@ -69,38 +69,39 @@
     )))
 }
 
-fn token(headers: &HeaderMap) -> Option<String> {
+/// Returns the bearer token of a request. `None` if the request has none.
+fn bearer_token(headers: &HeaderMap) -> Option<String> {
     let value = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
-    value.strip_prefix(BEARER).map(str::to_owned)
+    value.strip_prefix(BEARER_PREFIX).map(str::to_owned)
 }
 
-fn body_of(answer: HeartbeatAnswer) -> HeartbeatAnswerBody {
-    let texts = |runs: Vec<RunId>| runs.into_iter().map(RunText).collect();
+fn answer_body(answer: HeartbeatAnswer) -> HeartbeatAnswerBody {
+    let run_texts = |runs: Vec<RunId>| runs.into_iter().map(RunText).collect();
     HeartbeatAnswerBody {
         term: answer.term.0,
         confirmed: answer.confirmed.map(|sequence| sequence.0),
         incarnation: answer.incarnation.0,
         lease_ms: answer.lease.0,
-        recorded: texts(answer.recorded),
-        stop: texts(answer.stop),
+        recorded: run_texts(answer.recorded),
+        stop: run_texts(answer.stop),
     }
 }
 
-fn invalid(error: &impl ToString) -> Failure {
-    Failure(rejection(RejectionCode::Invalid, error.to_string(), None))
+fn invalid(error: &impl ToString) -> RejectedHeartbeat {
+    RejectedHeartbeat(rejection(RejectionCode::Invalid, error.to_string(), None))
 }
 
-/// The HTTP response of a rejected heartbeat.
+/// Rejection of a heartbeat, as an HTTP response.
 #[derive(Debug)]
-struct Failure(Rejection);
+struct RejectedHeartbeat(Rejection);
 
-impl From<Rejection> for Failure {
+impl From<Rejection> for RejectedHeartbeat {
     fn from(rejection: Rejection) -> Self {
         Self(rejection)
     }
 }
 
-impl IntoResponse for Failure {
+impl IntoResponse for RejectedHeartbeat {
     fn into_response(self) -> Response {
         let body = RejectionBody::from(self.0);
         let status = StatusCode::from_u16(body.code.status());
--- a/crates/agent/src/shell/key.rs
+++ b/crates/agent/src/shell/key.rs
@@ -1,17 +1,17 @@
-//! Authorization of heartbeats.
+//! Authorization of heartbeats by the keys of the cluster configuration.
 
 use super::handle::rejection;
 use configuration::{ClusterConfiguration, KeyRole, authenticate, requires_keys};
 use transport::{Rejection, RejectionCode};
 use types::Milliseconds;
 
-/// Retry time while the configuration is not known.
+/// Time after which a runner should retry while the configuration is not known.
 const RETRY_AFTER: Milliseconds = Milliseconds(500);
 
 /// Checks whether a token allows sending heartbeats.
 ///
-/// `configuration` is `None` while the replica is not valid. Every token is rejected then,
-/// since its key may have been revoked.
+/// `configuration` is `None` while the replica is missing or no longer valid. Every token is
+/// rejected then, since the key may have been revoked.
 pub fn authorize(
     configuration: Option<&ClusterConfiguration>,
     token: Option<&str>,
