--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -24,11 +24,11 @@
 
 /// The core of an agent.
 ///
-/// The agent delivers an order only if its session is open under the order's term, it has seen
-/// no higher term, the order is for this process, and the runner's current incarnation
+/// The agent delivers an order only if its session is open under the order's term, it has
+/// seen no higher term, the order is for this process, and the runner's current incarnation
 /// has sent a heartbeat since the session opened. It drops or rejects all other orders.
-/// The leader then revokes the run, so a dropped order delays a task but never starts
-/// it twice.
+/// The leader then revokes the run, so a dropped order delays a task but never starts it
+/// twice.
 pub struct Agent {
     options: AgentOptions,
     mutation: Option<AgentMutation>,
--- a/crates/agent/tests/agent/bench.rs
+++ b/crates/agent/tests/agent/bench.rs
@@ -1,4 +1,4 @@
-//! An agent with a hand-moved clock, one runner and a leader.
+//! An agent with a manually advanced clock, and the messages of one runner and a leader.
 
 use agent::{Agent, AgentMutation, AgentOptions, Effect, Input, NotReady};
 use std::net::SocketAddr;
@@ -9,12 +9,13 @@
     RunnerId, RunnerIncarnation, RunnerOrder, RunnerReport, Term, WallTime, ZoneName,
 };
 
-pub const INTERVAL: u64 = 400;
-pub const LEASE: u64 = 2_000;
-pub const FREEZE: u64 = 1_000;
-pub const ORDER_TIMEOUT: u64 = 700;
-pub const LIFE: u64 = 3;
-const OWN: u64 = 50;
+pub const SESSION_INTERVAL_MS: u64 = 400;
+pub const SESSION_LEASE_MS: u64 = 2_000;
+pub const FREEZE_AFTER_MS: u64 = 1_000;
+pub const ORDER_TIMEOUT_MS: u64 = 700;
+/// Incarnation of the runner.
+pub const INCARNATION: u64 = 3;
+const AGENT_NODE: u64 = 50;
 
 pub fn address(number: u64, role: Role) -> Address {
     Address {
@@ -59,15 +60,15 @@
     }
 }
 
-/// A revocation of run `sequence`, numbered like it. To the agent all orders are
-/// alike.
+/// Returns an order that revokes the run with the same sequence. The agent treats all
+/// kinds of orders alike, except starts on draining runners.
 pub fn order(term: u64, sequence: u64) -> RunnerOrder {
     RunnerOrder {
         name: None,
         term: Term(term),
         sequence: OrderSequence(sequence),
         runner: runner_id(),
-        incarnation: RunnerIncarnation(LIFE),
+        incarnation: RunnerIncarnation(INCARNATION),
         kind: OrderKind::Revoke {
             run: run_id(sequence),
         },
@@ -79,7 +80,7 @@
         names: Vec::new(),
         term: Term(term),
         runner: runner_id(),
-        incarnation: RunnerIncarnation(LIFE),
+        incarnation: RunnerIncarnation(INCARNATION),
         confirmed: HeartbeatSequence(confirmed),
         lease: Milliseconds(10_000),
         recorded: Vec::new(),
@@ -87,12 +88,14 @@
     }
 }
 
+/// The agent under test, with its clock and the effects of its last input.
 pub struct Bench {
     pub agent: Agent,
-    pub at: u64,
+    pub now_ms: u64,
+    /// Effects of the last input.
     pub effects: Vec<Effect>,
     next_heartbeat: u64,
-    newest_hello: Option<u64>,
+    newest_keep_alive: Option<u64>,
     last_readiness: Option<Result<(), NotReady>>,
 }
 
@@ -101,59 +104,60 @@
         Self::build(|agent| agent)
     }
 
-    pub fn mutated(mutation: AgentMutation) -> Self {
+    pub fn with_mutation(mutation: AgentMutation) -> Self {
         Self::build(|agent| agent.with_mutation(mutation))
     }
 
-    fn build(change: impl FnOnce(Agent) -> Agent) -> Self {
+    fn build(configure: impl FnOnce(Agent) -> Agent) -> Self {
         let options = AgentOptions {
-            address: address(OWN, Role::Agent),
+            address: address(AGENT_NODE, Role::Agent),
             seeds: vec![leader().socket],
-            session_interval: Milliseconds(INTERVAL),
-            order_timeout: Milliseconds(ORDER_TIMEOUT),
-            freeze_after: Milliseconds(FREEZE),
+            session_interval: Milliseconds(SESSION_INTERVAL_MS),
+            order_timeout: Milliseconds(ORDER_TIMEOUT_MS),
+            freeze_after: Milliseconds(FREEZE_AFTER_MS),
             replica_valid: Milliseconds(2_000),
             seed: 5,
         };
         Self {
-            agent: change(Agent::new(options, Now::default())),
-            at: 0,
+            agent: configure(Agent::new(options, Now::default())),
+            now_ms: 0,
             effects: Vec::new(),
             next_heartbeat: 1,
-            newest_hello: None,
+            newest_keep_alive: None,
             last_readiness: None,
         }
     }
 
-    /// With a session of term 1 and a runner that has been heard in it.
-    pub fn serving() -> Self {
+    /// Creates an agent with a session of term 1 and a runner that has sent a heartbeat in
+    /// the session.
+    pub fn with_session_and_runner() -> Self {
         let mut bench = Self::new();
-        bench.open(1);
-        bench.heartbeat();
+        bench.open_session(1);
+        bench.receive_heartbeat();
         bench
     }
 
     pub fn now(&self) -> Now {
         Now {
-            monotonic: Monotonic(self.at),
-            wall: WallTime(self.at),
+            monotonic: Monotonic(self.now_ms),
+            wall: WallTime(self.now_ms),
         }
     }
 
-    /// Gives one input; `effects` holds what came of it.
+    /// Passes one input to the agent, and stores its effects in `effects`.
     pub fn input(&mut self, input: Input) {
         self.effects.clear();
         let now = self.now();
         self.agent.handle(now, input, &mut self.effects);
-        self.newest_hello = self.hello_in_effects().or(self.newest_hello);
+        self.newest_keep_alive = self.keep_alive_in_effects().or(self.newest_keep_alive);
         self.last_readiness = self.readiness().or(self.last_readiness.take());
     }
 
-    /// Lets time pass in ticks, as asked for by the agent.
-    pub fn run_to(&mut self, at: u64) {
-        while self.at < at {
+    /// Advances the clock to `end_ms`, with a tick at each wakeup that the agent requests.
+    pub fn advance_to(&mut self, end_ms: u64) {
+        while self.now_ms < end_ms {
             let wakeup = self.agent.next_wakeup().0;
-            self.at = wakeup.clamp(self.at + 1, at);
+            self.now_ms = wakeup.clamp(self.now_ms + 1, end_ms);
             self.input(Input::Tick);
         }
     }
@@ -167,19 +171,21 @@
         self.input(Input::Peer(envelope));
     }
 
-    /// Answers the newest keep-alive with a lease of this term.
-    pub fn open(&mut self, term: u64) {
-        if self.newest_hello.is_none() {
-            let hint = PeerMessage::NotLeader {
+    /// Opens a session by answering the newest keep-alive with a lease of this term.
+    pub fn open_session(&mut self, term: u64) {
+        if self.newest_keep_alive.is_none() {
+            let redirect = PeerMessage::NotLeader {
                 leader: Some(leader()),
             };
-            self.receive(address(2, Role::Coordinator), hint);
+            self.receive(address(2, Role::Coordinator), redirect);
         }
-        let sequence = self.newest_hello.expect("a hello to the leader");
+        let sequence = self
+            .newest_keep_alive
+            .expect("no keep-alive was sent to the leader");
         self.receive(leader(), lease(term, sequence));
     }
 
-    fn hello_in_effects(&self) -> Option<u64> {
+    fn keep_alive_in_effects(&self) -> Option<u64> {
         self.effects.iter().rev().find_map(|effect| match effect {
             Effect::Send {
                 message: PeerMessage::KeepAlive(keep_alive),
@@ -189,18 +195,20 @@
         })
     }
 
-    pub fn heartbeat(&mut self) {
-        let report = report(LIFE, self.next_heartbeat);
+    /// Passes the next heartbeat of the runner to the agent.
+    pub fn receive_heartbeat(&mut self) {
+        let report = report(INCARNATION, self.next_heartbeat);
         self.next_heartbeat += 1;
         self.input(Input::Heartbeat(report));
     }
 
-    pub fn order(&mut self, orders: Vec<RunnerOrder>) {
+    /// Sends orders under the term of the first one.
+    pub fn send_orders(&mut self, orders: Vec<RunnerOrder>) {
         let term = orders.first().map_or(Term(0), |order| order.term);
-        self.order_to(NodeId(OWN), term, orders);
+        self.send_orders_to(NodeId(AGENT_NODE), term, orders);
     }
 
-    pub fn order_to(&mut self, agent: NodeId, term: Term, orders: Vec<RunnerOrder>) {
+    pub fn send_orders_to(&mut self, agent: NodeId, term: Term, orders: Vec<RunnerOrder>) {
         let message = PeerMessage::Orders {
             term,
             agent,
@@ -209,11 +217,11 @@
         self.receive(leader(), message);
     }
 
-    pub fn answer(&mut self, order: RunnerOrder, answer: OrderAnswer) {
+    pub fn answer_order(&mut self, order: RunnerOrder, answer: OrderAnswer) {
         self.input(Input::Answered { order, answer });
     }
 
-    pub fn delivered(&self) -> Vec<OrderSequence> {
+    pub fn delivered_orders(&self) -> Vec<OrderSequence> {
         let delivered = self.effects.iter().filter_map(|effect| match effect {
             Effect::Deliver { order } => Some(order.sequence),
             _ => None,
@@ -229,13 +237,13 @@
         delivered.collect()
     }
 
-    /// The term that runners are told.
+    /// Returns the term in the answers to heartbeats.
     pub fn highest_term(&mut self) -> Term {
         self.agent.heartbeat_answer(&runner_id()).term
     }
 
-    /// Whether the agent said last that it has a session.
-    pub fn is_open(&self) -> bool {
+    /// Returns whether the last readiness that the agent reported is ready.
+    pub fn is_ready(&self) -> bool {
         self.last_readiness == Some(Ok(()))
     }
 
@@ -257,7 +265,8 @@
             .collect()
     }
 
-    pub fn reported(&self) -> Vec<HeartbeatSequence> {
+    /// Returns the heartbeats that the last input reported to the leader.
+    pub fn reported_heartbeats(&self) -> Vec<HeartbeatSequence> {
         let reports = self.effects.iter().filter_map(|effect| match effect {
             Effect::Send {
                 message: PeerMessage::AgentReport(report),
@@ -268,6 +277,7 @@
         reports.flatten().collect()
     }
 
+    /// Returns the readiness that the last input reported, or `None` if it did not change.
     pub fn readiness(&self) -> Option<Result<(), NotReady>> {
         self.effects.iter().rev().find_map(|effect| match effect {
             Effect::Ready(readiness) => Some(*readiness),
@@ -282,7 +292,7 @@
         leader: leader(),
         cluster: ClusterId(9),
         sequence,
-        lease: Milliseconds(LEASE),
+        lease: Milliseconds(SESSION_LEASE_MS),
         configuration: ConfigurationVersion(0),
         coordinators: vec![leader()],
         others: Vec::new(),
--- a/crates/agent/tests/agent/fencing.rs
+++ b/crates/agent/tests/agent/fencing.rs
@@ -1,27 +1,32 @@
-//! Terms, restarts, cuts and freezes.
+//! Rejection of obsolete orders after a new term, a restart, a lost session or a suspend.
 
-use crate::bench::{Bench, FREEZE, INTERVAL, LEASE, leader, order, run_id, update};
+use crate::bench::{
+    Bench, FREEZE_AFTER_MS, SESSION_INTERVAL_MS, SESSION_LEASE_MS, leader, order, run_id, update,
+};
 use agent::{AgentMutation, Input, NotReady};
 use transport::PeerMessage;
 use types::{NodeId, OrderAnswer, OrderSequence, RejectionReason, Term};
 
+/// A former leader may still send orders after its successor was elected.
 #[test]
-fn refuses_orders_of_a_lower_term() {
-    let mut bench = Bench::serving();
-    bench.run_to(INTERVAL * 2);
-    bench.open(3);
-    bench.heartbeat();
-    bench.order(vec![order(2, 1)]);
-    assert!(bench.delivered().is_empty());
+fn rejects_orders_of_lower_term() {
+    let mut bench = Bench::with_session_and_runner();
+    bench.advance_to(SESSION_INTERVAL_MS * 2);
+    bench.open_session(3);
+    bench.receive_heartbeat();
+    bench.send_orders(vec![order(2, 1)]);
+    assert!(bench.delivered_orders().is_empty());
     let rejected = OrderAnswer::Rejected(RejectionReason::StaleTerm);
     assert_eq!(bench.answers(), vec![rejected]);
-    bench.order(vec![order(3, 1)]);
-    assert_eq!(bench.delivered(), vec![OrderSequence(1)]);
+    bench.send_orders(vec![order(3, 1)]);
+    assert_eq!(bench.delivered_orders(), vec![OrderSequence(1)]);
 }
 
+/// A message of a higher term shows that another leader was elected. Orders of the former
+/// leader must not be delivered, even before a session with the new leader opens.
 #[test]
-fn a_word_of_a_higher_term_fences_the_old_leader_before_a_session() {
-    let mut bench = Bench::serving();
+fn runner_update_of_higher_term_fences_lower_term_before_session() {
+    let mut bench = Bench::with_session_and_runner();
     bench.receive(leader(), PeerMessage::RunnerUpdate(update(4, 1)));
     assert_eq!(
         bench
@@ -30,122 +35,138 @@
             .term,
         Term(4)
     );
-    bench.order(vec![order(1, 1)]);
-    assert!(bench.delivered().is_empty());
-    bench.order(vec![order(4, 1)]);
-    assert!(bench.delivered().is_empty(), "no session in that term yet");
+    bench.send_orders(vec![order(1, 1)]);
+    assert!(bench.delivered_orders().is_empty());
+    bench.send_orders(vec![order(4, 1)]);
+    assert!(
+        bench.delivered_orders().is_empty(),
+        "no session of that term is open"
+    );
 }
 
+/// Orders queued under a former leader must not be delivered under its successor.
 #[test]
-fn queued_orders_of_a_lower_term_are_dropped() {
-    let mut bench = Bench::serving();
-    bench.order((1..=20).map(|sequence| order(1, sequence)).collect());
-    bench.run_to(INTERVAL + INTERVAL / 8);
-    bench.open(2);
-    bench.answer(order(1, 1), OrderAnswer::Revoked);
-    assert!(bench.delivered().is_empty());
+fn new_session_of_higher_term_drops_queued_orders_of_lower_term() {
+    let mut bench = Bench::with_session_and_runner();
+    bench.send_orders((1..=20).map(|sequence| order(1, sequence)).collect());
+    bench.advance_to(SESSION_INTERVAL_MS + SESSION_INTERVAL_MS / 8);
+    bench.open_session(2);
+    bench.answer_order(order(1, 1), OrderAnswer::Revoked);
+    assert!(bench.delivered_orders().is_empty());
 }
 
+/// After a restart of the agent, orders for the previous process may still arrive.
 #[test]
-fn drops_orders_meant_for_an_earlier_process() {
-    let mut bench = Bench::serving();
-    bench.order_to(NodeId(49), Term(1), vec![order(1, 1)]);
-    assert!(bench.delivered().is_empty() && bench.results().is_empty());
+fn drops_orders_for_earlier_process() {
+    let mut bench = Bench::with_session_and_runner();
+    bench.send_orders_to(NodeId(49), Term(1), vec![order(1, 1)]);
+    assert!(bench.delivered_orders().is_empty() && bench.results().is_empty());
 }
 
 #[test]
-fn drops_an_order_whose_term_differs_from_its_message() {
-    let mut bench = Bench::serving();
-    bench.order_to(NodeId(50), Term(1), vec![order(7, 1)]);
-    assert!(bench.delivered().is_empty());
+fn drops_order_whose_term_differs_from_message_term() {
+    let mut bench = Bench::with_session_and_runner();
+    bench.send_orders_to(NodeId(50), Term(1), vec![order(7, 1)]);
+    assert!(bench.delivered_orders().is_empty());
 }
 
-/// Sixteen orders in flight and one in the queue.
-fn with_a_queue(mut bench: Bench) -> Bench {
-    bench.order((1..=17).map(|sequence| order(1, sequence)).collect());
-    assert_eq!(bench.delivered().len(), 16);
+/// Sends orders until 16 are in flight and one is queued.
+fn with_queued_order(mut bench: Bench) -> Bench {
+    bench.send_orders((1..=17).map(|sequence| order(1, sequence)).collect());
+    assert_eq!(bench.delivered_orders().len(), 16);
     bench
 }
 
-fn frees_a_place(bench: &mut Bench) {
-    bench.answer(order(1, 1), OrderAnswer::Revoked);
+fn answer_first_order(bench: &mut Bench) {
+    bench.answer_order(order(1, 1), OrderAnswer::Revoked);
 }
 
+/// After a suspend of the machine, orders from before it may be obsolete, both those in
+/// the queue and those still in the network.
 #[test]
-fn a_freeze_drops_the_queue_and_what_arrives_before_it_rejoined() {
-    let mut bench = with_a_queue(Bench::serving());
-    bench.at += FREEZE;
-    frees_a_place(&mut bench);
-    assert!(bench.delivered().is_empty());
-    bench.order(vec![order(1, 18)]);
-    assert!(bench.delivered().is_empty(), "sent before or in the freeze");
-    bench.open(1);
-    bench.order(vec![order(1, 19)]);
+fn suspend_drops_orders_until_new_session_and_heartbeat() {
+    let mut bench = with_queued_order(Bench::with_session_and_runner());
+    bench.now_ms += FREEZE_AFTER_MS;
+    answer_first_order(&mut bench);
+    assert!(bench.delivered_orders().is_empty());
+    bench.send_orders(vec![order(1, 18)]);
+    assert!(
+        bench.delivered_orders().is_empty(),
+        "the order was sent before or during the suspend"
+    );
+    bench.open_session(1);
+    bench.send_orders(vec![order(1, 19)]);
     assert!(
-        bench.delivered().is_empty(),
-        "the runner was not heard again"
+        bench.delivered_orders().is_empty(),
+        "the runner has sent no heartbeat in the new session"
     );
-    bench.heartbeat();
-    assert!(bench.delivered().is_empty());
-    bench.order(vec![order(1, 20)]);
-    assert_eq!(bench.delivered(), vec![OrderSequence(20)]);
+    bench.receive_heartbeat();
+    assert!(bench.delivered_orders().is_empty());
+    bench.send_orders(vec![order(1, 20)]);
+    assert_eq!(bench.delivered_orders(), vec![OrderSequence(20)]);
 }
 
+/// A suspend that does not outlast the session lease must be detected as well.
 #[test]
-fn a_freeze_shorter_than_the_lease_counts_too() {
-    let mut bench = Bench::serving();
-    bench.at += FREEZE;
-    const { assert!(FREEZE < LEASE) };
-    bench.order(vec![order(1, 1)]);
-    assert!(bench.delivered().is_empty());
+fn suspend_shorter_than_session_lease_drops_orders() {
+    let mut bench = Bench::with_session_and_runner();
+    bench.now_ms += FREEZE_AFTER_MS;
+    const { assert!(FREEZE_AFTER_MS < SESSION_LEASE_MS) };
+    bench.send_orders(vec![order(1, 1)]);
+    assert!(bench.delivered_orders().is_empty());
 }
 
+/// After a partition that outlasts the session lease, late orders must not be delivered.
 #[test]
-fn an_agent_cut_off_over_its_lease_takes_nothing_until_it_rejoined() {
-    let mut bench = Bench::serving();
-    bench.run_to(LEASE);
+fn expired_session_drops_orders_until_new_session() {
+    let mut bench = Bench::with_session_and_runner();
+    bench.advance_to(SESSION_LEASE_MS);
     let ready = bench.readiness();
     assert_eq!(ready, Some(Err(NotReady::NoSession)));
-    bench.order(vec![order(1, 1)]);
-    assert!(bench.delivered().is_empty() && bench.results().is_empty());
-    bench.open(1);
-    bench.heartbeat();
-    bench.order(vec![order(1, 2)]);
-    assert_eq!(bench.delivered(), vec![OrderSequence(2)]);
+    bench.send_orders(vec![order(1, 1)]);
+    assert!(bench.delivered_orders().is_empty() && bench.results().is_empty());
+    bench.open_session(1);
+    bench.receive_heartbeat();
+    bench.send_orders(vec![order(1, 2)]);
+    assert_eq!(bench.delivered_orders(), vec![OrderSequence(2)]);
 }
 
+/// An idle agent must not mistake the time between two ticks for a suspend.
 #[test]
-fn ticking_as_asked_is_no_freeze() {
-    let mut bench = Bench::serving();
-    bench.run_to(LEASE - 1);
-    bench.order(vec![order(1, 1)]);
-    assert_eq!(bench.delivered(), vec![OrderSequence(1)]);
+fn ticks_at_requested_wakeups_are_no_suspend() {
+    let mut bench = Bench::with_session_and_runner();
+    bench.advance_to(SESSION_LEASE_MS - 1);
+    bench.send_orders(vec![order(1, 1)]);
+    assert_eq!(bench.delivered_orders(), vec![OrderSequence(1)]);
 }
 
+/// Each mutation must make the agent deliver an obsolete order, so that checkers can detect
+/// the missing guard.
 #[test]
-fn each_mutation_lets_one_fault_through() {
-    let mut bench = Bench::mutated(AgentMutation::NoTermFence);
-    bench.open(3);
-    bench.heartbeat();
-    bench.order(vec![order(2, 1)]);
-    assert_eq!(bench.delivered(), vec![OrderSequence(1)]);
+fn each_mutation_disables_its_guard() {
+    let mut bench = Bench::with_mutation(AgentMutation::NoTermFence);
+    bench.open_session(3);
+    bench.receive_heartbeat();
+    bench.send_orders(vec![order(2, 1)]);
+    assert_eq!(bench.delivered_orders(), vec![OrderSequence(1)]);
 
-    let mut bench = Bench::mutated(AgentMutation::KeepOrdersOverLostSession);
-    bench.open(1);
-    bench.heartbeat();
-    let mut bench = with_a_queue(bench);
-    bench.at += FREEZE / 2;
+    let mut bench = Bench::with_mutation(AgentMutation::KeepOrdersOverLostSession);
+    bench.open_session(1);
+    bench.receive_heartbeat();
+    let mut bench = with_queued_order(bench);
+    bench.now_ms += FREEZE_AFTER_MS / 2;
     bench.input(Input::Tick);
-    bench.at += FREEZE;
-    bench.order(vec![order(1, 18)]);
-    assert!(bench.delivered().contains(&OrderSequence(18)));
+    bench.now_ms += FREEZE_AFTER_MS;
+    bench.send_orders(vec![order(1, 18)]);
+    assert!(bench.delivered_orders().contains(&OrderSequence(18)));
 }
 
+/// An update of a former leader could otherwise stop runs that are still valid.
 #[test]
-fn updates_of_lower_terms_are_ignored() {
+fn ignores_runner_updates_of_lower_term() {
     let mut bench = Bench::new();
-    bench.open(3);
-    bench.heartbeat();
+    bench.open_session(3);
+    bench.receive_heartbeat();
     let mut stale = update(2, 1);
     stale.stop = vec![run_id(1)];
     bench.receive(leader(), PeerMessage::RunnerUpdate(stale));
--- a/crates/agent/tests/agent/heartbeats.rs
+++ b/crates/agent/tests/agent/heartbeats.rs
@@ -1,57 +1,62 @@
-//! Heartbeats of runners, and readiness.
+//! Reports of heartbeats to the leader, answers to runners, and readiness.
 
-use crate::bench::{Bench, LIFE, leader, report, run_id, runner_id, update};
+use crate::bench::{Bench, INCARNATION, leader, report, run_id, runner_id, update};
 use agent::{Input, NotReady};
 use transport::PeerMessage;
 use types::{HeartbeatSequence, Milliseconds, RunnerIncarnation, Term};
 
 #[test]
-fn is_ready_with_a_session_only() {
+fn is_ready_only_with_session() {
     let mut bench = Bench::new();
     bench.input(Input::Tick);
     assert!(bench.readiness().is_some_and(|ready| ready.is_err()));
-    bench.open(1);
+    bench.open_session(1);
     assert_eq!(bench.readiness(), Some(Ok(())));
 }
 
 #[test]
-fn passes_a_heartbeat_on_at_once_and_those_that_follow_together() {
-    let mut bench = Bench::serving();
-    assert_eq!(bench.reported(), vec![HeartbeatSequence(1)]);
-    bench.at += 5;
-    bench.heartbeat();
-    bench.heartbeat();
-    assert!(bench.reported().is_empty());
+fn first_heartbeat_is_reported_at_once_and_next_ones_in_one_report() {
+    let mut bench = Bench::with_session_and_runner();
+    assert_eq!(bench.reported_heartbeats(), vec![HeartbeatSequence(1)]);
+    bench.now_ms += 5;
+    bench.receive_heartbeat();
+    bench.receive_heartbeat();
+    assert!(bench.reported_heartbeats().is_empty());
     assert_eq!(bench.agent.next_wakeup().0, 20);
-    bench.run_to(20);
-    assert_eq!(bench.reported(), vec![HeartbeatSequence(3)]);
+    bench.advance_to(20);
+    assert_eq!(bench.reported_heartbeats(), vec![HeartbeatSequence(3)]);
 }
 
+/// A delayed heartbeat must not replace the state of a newer one.
 #[test]
-fn an_old_heartbeat_never_follows_a_newer_one() {
-    let mut bench = Bench::serving();
-    bench.at += 100;
-    bench.input(Input::Heartbeat(report(LIFE, 9)));
-    assert_eq!(bench.reported(), vec![HeartbeatSequence(9)]);
-    bench.at += 100;
-    bench.input(Input::Heartbeat(report(LIFE, 8)));
-    bench.input(Input::Heartbeat(report(LIFE - 1, 50)));
-    assert!(bench.reported().is_empty());
+fn ignores_heartbeats_older_than_newest() {
+    let mut bench = Bench::with_session_and_runner();
+    bench.now_ms += 100;
+    bench.input(Input::Heartbeat(report(INCARNATION, 9)));
+    assert_eq!(bench.reported_heartbeats(), vec![HeartbeatSequence(9)]);
+    bench.now_ms += 100;
+    bench.input(Input::Heartbeat(report(INCARNATION, 8)));
+    bench.input(Input::Heartbeat(report(INCARNATION - 1, 50)));
+    assert!(bench.reported_heartbeats().is_empty());
 }
 
 #[test]
-fn heartbeats_wait_for_no_session() {
+fn heartbeats_before_session_are_not_reported() {
     let mut bench = Bench::new();
-    bench.heartbeat();
-    bench.open(1);
-    assert!(bench.reported().is_empty(), "heard before the session");
-    bench.heartbeat();
-    assert_eq!(bench.reported(), vec![HeartbeatSequence(2)]);
+    bench.receive_heartbeat();
+    bench.open_session(1);
+    assert!(
+        bench.reported_heartbeats().is_empty(),
+        "the heartbeat was received before the session"
+    );
+    bench.receive_heartbeat();
+    assert_eq!(bench.reported_heartbeats(), vec![HeartbeatSequence(2)]);
 }
 
+/// Updates received between two heartbeats are merged in one answer.
 #[test]
-fn the_leaders_answers_reach_the_runner_once() {
-    let mut bench = Bench::serving();
+fn lists_of_runner_updates_are_returned_once() {
+    let mut bench = Bench::with_session_and_runner();
     let mut first = update(1, 1);
     first.recorded = vec![run_id(1)];
     let mut second = update(1, 1);
@@ -63,38 +68,39 @@
     let answer = bench.agent.heartbeat_answer(&runner_id());
     assert_eq!(answer.term, Term(1));
     assert_eq!(answer.confirmed, Some(HeartbeatSequence(1)));
-    assert_eq!(answer.incarnation, RunnerIncarnation(LIFE));
+    assert_eq!(answer.incarnation, RunnerIncarnation(INCARNATION));
     assert_eq!(answer.lease, Milliseconds(10_000));
     assert_eq!(answer.recorded, vec![run_id(1), run_id(2)]);
     assert_eq!(answer.stop, vec![run_id(3)]);
-    let again = bench.agent.heartbeat_answer(&runner_id());
-    assert!(again.recorded.is_empty() && again.stop.is_empty());
-    assert_eq!(again.confirmed, Some(HeartbeatSequence(1)));
+    let repeated = bench.agent.heartbeat_answer(&runner_id());
+    assert!(repeated.recorded.is_empty() && repeated.stop.is_empty());
+    assert_eq!(repeated.confirmed, Some(HeartbeatSequence(1)));
 }
 
+/// A confirmation for an earlier incarnation must not count for a restarted runner.
 #[test]
-fn a_new_life_begins_without_confirmations() {
-    let mut bench = Bench::serving();
+fn new_incarnation_has_no_confirmed_heartbeat() {
+    let mut bench = Bench::with_session_and_runner();
     bench.receive(leader(), PeerMessage::RunnerUpdate(update(1, 1)));
-    bench.input(Input::Heartbeat(report(LIFE + 1, 1)));
+    bench.input(Input::Heartbeat(report(INCARNATION + 1, 1)));
     bench.receive(leader(), PeerMessage::RunnerUpdate(update(1, 2)));
     let answer = bench.agent.heartbeat_answer(&runner_id());
-    assert_eq!(answer.incarnation, RunnerIncarnation(LIFE + 1));
+    assert_eq!(answer.incarnation, RunnerIncarnation(INCARNATION + 1));
     assert_eq!(answer.confirmed, None);
 }
 
 #[test]
-fn an_unknown_runner_is_told_nothing_but_the_term() {
-    let mut bench = Bench::serving();
-    let stranger = types::RunnerId::new("stranger").unwrap();
-    let answer = bench.agent.heartbeat_answer(&stranger);
+fn answer_to_unknown_runner_contains_only_term() {
+    let mut bench = Bench::with_session_and_runner();
+    let unknown = types::RunnerId::new("stranger").unwrap();
+    let answer = bench.agent.heartbeat_answer(&unknown);
     assert_eq!(answer.confirmed, None);
     assert_eq!(answer.term, Term(1));
 }
 
-/// `/readyz` shows these texts.
+/// `/readyz` returns these texts to operators.
 #[test]
-fn reasons_have_the_texts_that_readyz_shows() {
+fn not_ready_reasons_have_fixed_texts() {
     assert_eq!(NotReady::Stopping.to_string(), "stopping");
     assert_eq!(
         NotReady::NoSession.to_string(),
--- a/crates/agent/tests/agent/property.rs
+++ b/crates/agent/tests/agent/property.rs
@@ -1,6 +1,6 @@
-//! What holds of deliveries whatever arrives, in any order, after any pause.
+//! Random sequences of messages, heartbeats and pauses, with checks of each delivery.
 
-use crate::bench::{Bench, FREEZE, order, report, update};
+use crate::bench::{Bench, FREEZE_AFTER_MS, order, report, update};
 use agent::Input;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -9,8 +9,8 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Pass(u64),
-    Open(u64),
+    Advance(u64),
+    OpenSession(u64),
     Heartbeat,
     Orders {
         agent: u64,
@@ -23,14 +23,14 @@
         term: u64,
         sequence: u64,
     },
-    NewLife(u64),
+    Restart(u64),
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
-    let pause = prop_oneof![4 => 1..400_u64, 1 => FREEZE..5_000_u64];
+    let pause = prop_oneof![4 => 1..400_u64, 1 => FREEZE_AFTER_MS..5_000_u64];
     prop_oneof![
-        3 => pause.prop_map(Step::Pass),
-        2 => (1..4_u64).prop_map(Step::Open),
+        3 => pause.prop_map(Step::Advance),
+        2 => (1..4_u64).prop_map(Step::OpenSession),
         3 => Just(Step::Heartbeat),
         6 => (49..52_u64, 1..5_u64, 1..30_u64, 1..20_u64).prop_map(
             |(agent, term, from, count)| Step::Orders { agent, term, from, count }
@@ -38,20 +38,21 @@
         1 => (1..4_u64).prop_map(Step::Update),
         2 => (1..4_u64, 1..30_u64)
             .prop_map(|(term, sequence)| Step::Answer { term, sequence }),
-        1 => (3..5_u64).prop_map(Step::NewLife),
+        1 => (3..5_u64).prop_map(Step::Restart),
     ]
 }
 
-/// What must hold before an order may be delivered.
+/// Checks that each order is delivered at most once, under no lower term than the highest
+/// seen, and only in a session in which the runner has sent a heartbeat.
 #[derive(Default)]
-struct Permission {
+struct DeliveryChecker {
     delivered: BTreeSet<(Term, OrderSequence)>,
     highest_term: Term,
     may_deliver: bool,
 }
 
-impl Permission {
-    fn look(&mut self, bench: &Bench) {
+impl DeliveryChecker {
+    fn check(&mut self, bench: &Bench) {
         for (term, sequence) in bench.delivered_with_terms() {
             assert!(self.may_deliver, "delivered without session or heartbeat");
             assert!(term >= self.highest_term, "delivered under a lower term");
@@ -60,7 +61,7 @@
     }
 }
 
-/// The same cases in every run.
+/// Returns a configuration with a fixed seed, so that each run checks the same cases.
 fn fixed_seed() -> ProptestConfig {
     ProptestConfig {
         cases: 512,
@@ -74,48 +75,48 @@
     #![proptest_config(fixed_seed())]
 
     #[test]
-    fn each_order_goes_out_once_under_a_session_of_its_term(
+    fn orders_are_delivered_at_most_once_in_session_of_their_term(
         steps in prop::collection::vec(any_step(), 1..80),
     ) {
         let mut bench = Bench::new();
-        let mut permission = Permission::default();
+        let mut checker = DeliveryChecker::default();
         for step in steps {
             match step {
-                Step::Pass(pause) => {
-                    bench.at += pause;
-                    // Nothing of before a freeze may go out, nor after it
-                    // until the runner was heard in a new session.
-                    permission.may_deliver &= pause < FREEZE;
+                Step::Advance(pause) => {
+                    bench.now_ms += pause;
+                    // After a suspend no order may be delivered until the
+                    // runner has sent a heartbeat in a new session.
+                    checker.may_deliver &= pause < FREEZE_AFTER_MS;
                     bench.input(Input::Tick);
                 }
-                Step::Open(term) => {
-                    bench.open(term);
+                Step::OpenSession(term) => {
+                    bench.open_session(term);
                 }
                 Step::Heartbeat => {
-                    permission.may_deliver |= bench.is_open();
-                    bench.heartbeat();
+                    checker.may_deliver |= bench.is_ready();
+                    bench.receive_heartbeat();
                 }
                 Step::Orders { agent, term, from, count } => {
                     let orders = (from..from + count).map(|n| order(term, n)).collect();
-                    bench.order_to(NodeId(agent), Term(term), orders);
+                    bench.send_orders_to(NodeId(agent), Term(term), orders);
                     if agent != 50 {
-                        prop_assert!(bench.delivered().is_empty());
+                        prop_assert!(bench.delivered_orders().is_empty());
                     }
                 }
                 Step::Update(term) => {
                     bench.receive(crate::bench::leader(), PeerMessage::RunnerUpdate(update(term, 1)));
                 }
                 Step::Answer { term, sequence } => {
-                    bench.answer(order(term, sequence), OrderAnswer::Revoked);
+                    bench.answer_order(order(term, sequence), OrderAnswer::Revoked);
                 }
-                Step::NewLife(incarnation) => {
-                    permission.may_deliver |= bench.is_open();
+                Step::Restart(incarnation) => {
+                    checker.may_deliver |= bench.is_ready();
                     bench.input(Input::Heartbeat(report(incarnation, 1_000)));
                 }
             }
-            permission.look(&bench);
-            permission.highest_term = permission.highest_term.max(bench.highest_term());
-            permission.may_deliver &= bench.is_open();
+            checker.check(&bench);
+            checker.highest_term = checker.highest_term.max(bench.highest_term());
+            checker.may_deliver &= bench.is_ready();
         }
     }
 }
--- a/crates/agent/tests/shell/bench.rs
+++ b/crates/agent/tests/shell/bench.rs
@@ -1,4 +1,4 @@
-//! A leader that does what a test says, and an agent that runs.
+//! A leader controlled by the test, and an agent that runs on loopback sockets.
 
 use agent::{AgentError, AgentOptions, ShellOptions};
 use configuration::{ClusterConfiguration, Key, KeyHash, KeyRole};
@@ -15,14 +15,14 @@
     RunnerIncarnation, RunnerOrder, RunnerReport, StepName, TenantId, Term, ZoneName,
 };
 
-/// Ends a test that hangs; no verdict depends on it otherwise.
-const HANG_GUARD: Duration = Duration::from_secs(60);
+/// Timeout that fails a test that hangs. No other result depends on it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 pub const TERM: Term = Term(3);
 
-pub async fn guarded<T>(work: impl Future<Output = T>) -> T {
-    tokio::time::timeout(HANG_GUARD, work)
+pub async fn with_timeout<T>(work: impl Future<Output = T>) -> T {
+    tokio::time::timeout(TEST_TIMEOUT, work)
         .await
-        .expect("the test hangs")
+        .expect("the test timed out")
 }
 
 pub fn loopback() -> SocketAddr {
@@ -46,9 +46,10 @@
     }
 }
 
+/// A leader that renews the agent's session and otherwise sends what the test asks for.
 pub struct Leader {
     transport: Transport,
-    arriving: transport::Inbox,
+    inbox: transport::Inbox,
     document: ClusterConfiguration,
     version: ConfigurationVersion,
 }
@@ -60,21 +61,22 @@
             ClusterKey::new("secret"),
             address(1, Role::Coordinator),
         );
-        let (transport, arriving) = started.await.unwrap();
+        let (transport, inbox) = started.await.unwrap();
         Self {
             transport,
-            arriving,
+            inbox,
             document,
             version: ConfigurationVersion(1),
         }
     }
 
-    /// Serves the agent's session until a message has what is looked for.
-    pub async fn until<T>(&mut self, find: impl Fn(&Envelope) -> Option<T>) -> T {
-        guarded(async {
+    /// Serves the agent's session until `find` returns a value for a message, and returns
+    /// the value.
+    pub async fn receive_until<T>(&mut self, find: impl Fn(&Envelope) -> Option<T>) -> T {
+        with_timeout(async {
             loop {
-                let envelope = self.arriving.recv().await.expect("a message");
-                self.serve(&envelope);
+                let envelope = self.inbox.recv().await.expect("the transport was closed");
+                self.serve_session(&envelope);
                 if let Some(found) = find(&envelope) {
                     return found;
                 }
@@ -83,31 +85,32 @@
         .await
     }
 
-    /// Serves the agent's session while something else goes on.
-    pub async fn during<T>(&mut self, work: impl Future<Output = T>) -> T {
-        guarded(async {
+    /// Serves the agent's session until `work` completes, and returns its output.
+    pub async fn serve_while<T>(&mut self, work: impl Future<Output = T>) -> T {
+        with_timeout(async {
             tokio::pin!(work);
             loop {
                 tokio::select! {
-                    done = &mut work => return done,
-                    Some(envelope) = self.arriving.recv() => self.serve(&envelope),
+                    output = &mut work => return output,
+                    Some(envelope) = self.inbox.recv() => self.serve_session(&envelope),
                 }
             }
         })
         .await
     }
 
-    pub async fn report(&mut self) -> (Address, RunnerReport) {
-        self.report_with(|_| true).await
+    pub async fn next_report(&mut self) -> (Address, RunnerReport) {
+        self.next_report_where(|_| true).await
     }
 
-    pub async fn report_with(
+    /// Returns the next heartbeat that matches, with the address of the agent.
+    pub async fn next_report_where(
         &mut self,
-        wanted: impl Fn(&RunnerReport) -> bool,
+        matches: impl Fn(&RunnerReport) -> bool,
     ) -> (Address, RunnerReport) {
-        self.until(|envelope| match &envelope.body {
+        self.receive_until(|envelope| match &envelope.body {
             PeerMessage::AgentReport(report) => {
-                let found = report.reports.iter().find(|report| wanted(report));
+                let found = report.reports.iter().find(|report| matches(report));
                 found.map(|report| (envelope.from.clone(), report.clone()))
             }
             _ => None,
@@ -115,15 +118,15 @@
         .await
     }
 
-    pub async fn result(&mut self) -> transport::OrderResult {
-        self.until(|envelope| match &envelope.body {
+    pub async fn next_result(&mut self) -> transport::OrderResult {
+        self.receive_until(|envelope| match &envelope.body {
             PeerMessage::OrderResults { results } => results.first().cloned(),
             _ => None,
         })
         .await
     }
 
-    pub fn order(&self, agent: &Address, order: RunnerOrder) {
+    pub fn send_order(&self, agent: &Address, order: RunnerOrder) {
         let message = PeerMessage::Orders {
             term: order.term,
             agent: agent.node,
@@ -136,7 +139,8 @@
         self.transport.send(to, message);
     }
 
-    fn serve(&self, envelope: &Envelope) {
+    /// Answers discovery and keep-alive messages.
+    fn serve_session(&self, envelope: &Envelope) {
         let own = self.transport.own().clone();
         let to = envelope.from.socket;
         match &envelope.body {
@@ -176,7 +180,7 @@
     }
 }
 
-/// A running agent.
+/// An agent that runs as a task, with its HTTP URL.
 pub struct RunningAgent {
     pub url: String,
     stop: watch::Sender<bool>,
@@ -193,7 +197,7 @@
                 seeds: vec![leader.transport.own().socket],
                 session_interval: Milliseconds(100),
                 order_timeout: Milliseconds(20_000),
-                // Tests may run on a busy machine; nothing here is frozen.
+                // Long enough that no delay of a busy machine counts as a suspend.
                 freeze_after: Milliseconds(30_000),
                 replica_valid: Milliseconds(30_000),
                 seed: 1,
@@ -217,22 +221,23 @@
         answer.is_ok_and(|answer| answer.status().is_success())
     }
 
-    /// Waits until the agent counts as ready.
-    pub async fn ready(&self, leader: &mut Leader) {
+    /// Waits until `/readyz` reports the agent as ready.
+    pub async fn wait_until_ready(&self, leader: &mut Leader) {
         let polling = async {
             while !self.is_ready().await {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        leader.during(polling).await;
+        leader.serve_while(polling).await;
     }
 
-    pub fn ask_to_stop(&self) {
+    pub fn request_stop(&self) {
         self.stop.send_replace(true);
     }
 
-    pub async fn ended(self) -> Result<(), AgentError> {
-        guarded(self.task).await.expect("no panic")
+    /// Waits for the agent to end, and returns its result.
+    pub async fn wait_for_end(self) -> Result<(), AgentError> {
+        with_timeout(self.task).await.expect("the agent panicked")
     }
 }
 
@@ -268,8 +273,9 @@
     }
 }
 
-/// A start of a run that takes 10 ms, from the room of `report`.
-pub fn start(report: &RunnerReport) -> RunnerOrder {
+/// Returns an order to start a run that takes 10 ms, based on the free resources of
+/// `report`.
+pub fn start_order(report: &RunnerReport) -> RunnerOrder {
     RunnerOrder {
         name: None,
         term: TERM,
@@ -297,8 +303,8 @@
     }
 }
 
-/// Keys `operator.o`, `runner.r` and `caller.c`.
-pub fn with_keys() -> ClusterConfiguration {
+/// Returns a configuration with the keys `operator.o`, `runner.r` and `caller.c`.
+pub fn configuration_with_keys() -> ClusterConfiguration {
     let key = |id: &str, secret: &str, role| Key {
         id: KeyId::new(id).unwrap(),
         role,
--- a/crates/agent/tests/shell/delivery.rs
+++ b/crates/agent/tests/shell/delivery.rs
@@ -1,7 +1,7 @@
-//! Orders and heartbeats from end to end.
+//! Orders and heartbeats between a leader, an agent and an emulated runner.
 
 use crate::bench::{
-    Leader, RunningAgent, guarded, loopback, run_id, runner_id, runner_options, start,
+    Leader, RunningAgent, loopback, run_id, runner_id, runner_options, start_order, with_timeout,
 };
 use configuration::ClusterConfiguration;
 use emulator::runner::RunnerEvent;
@@ -10,20 +10,22 @@
 use types::{Milliseconds, OrderAnswer, Outcome};
 
 #[tokio::test]
-async fn a_run_starts_ends_and_is_recorded() {
+async fn run_starts_ends_and_is_recorded() {
     let mut leader = Leader::start(ClusterConfiguration::default()).await;
     let agent = RunningAgent::start(&leader).await;
     let started = RunnerServer::start(runner_options(), &agent.url, None, loopback());
-    let (_runner, mut history) = started.await.unwrap();
+    let (_runner, mut events) = started.await.unwrap();
 
-    let (address, report) = leader.report().await;
+    let (address, report) = leader.next_report().await;
     assert_eq!(report.runner, runner_id());
-    leader.order(&address, start(&report));
-    let result = leader.result().await;
+    leader.send_order(&address, start_order(&report));
+    let result = leader.next_result().await;
     assert_eq!(result.answer, OrderAnswer::Started);
-    assert_eq!(result.order, start(&report));
+    assert_eq!(result.order, start_order(&report));
 
-    let (_, report) = leader.report_with(|report| !report.ended.is_empty()).await;
+    let (_, report) = leader
+        .next_report_where(|report| !report.ended.is_empty())
+        .await;
     assert_eq!(report.ended[0].run, run_id());
     assert_eq!(report.ended[0].outcome, Outcome::Done);
     let update = RunnerUpdate {
@@ -37,41 +39,43 @@
         stop: Vec::new(),
     };
     leader.send(address.socket, PeerMessage::RunnerUpdate(update));
-    leader.report_with(|report| report.ended.is_empty()).await;
+    leader
+        .next_report_where(|report| report.ended.is_empty())
+        .await;
 
     assert!(matches!(
-        guarded(history.recv()).await,
+        with_timeout(events.recv()).await,
         Some(RunnerEvent::Started(_))
     ));
     assert!(matches!(
-        guarded(history.recv()).await,
+        with_timeout(events.recv()).await,
         Some(RunnerEvent::Ended { .. })
     ));
 }
 
 #[tokio::test]
-async fn a_dead_runner_leaves_the_order_unknown() {
+async fn order_to_killed_runner_is_reported_unknown() {
     let mut leader = Leader::start(ClusterConfiguration::default()).await;
     let agent = RunningAgent::start(&leader).await;
     let started = RunnerServer::start(runner_options(), &agent.url, None, loopback());
-    let (runner, _history) = started.await.unwrap();
-    let (address, report) = leader.report().await;
-    leader.during(runner.kill()).await;
-    leader.order(&address, start(&report));
-    assert_eq!(leader.result().await.answer, OrderAnswer::Unknown);
+    let (runner, _events) = started.await.unwrap();
+    let (address, report) = leader.next_report().await;
+    leader.serve_while(runner.kill()).await;
+    leader.send_order(&address, start_order(&report));
+    assert_eq!(leader.next_result().await.answer, OrderAnswer::Unknown);
 }
 
 #[tokio::test]
-async fn a_polite_stop_says_goodbye_and_ends() {
+async fn graceful_stop_ends_session_and_returns() {
     let mut leader = Leader::start(ClusterConfiguration::default()).await;
     let agent = RunningAgent::start(&leader).await;
-    agent.ready(&mut leader).await;
-    agent.ask_to_stop();
+    agent.wait_until_ready(&mut leader).await;
+    agent.request_stop();
     leader
-        .until(|envelope| match &envelope.body {
+        .receive_until(|envelope| match &envelope.body {
             PeerMessage::KeepAlive(keep_alive) if keep_alive.leaving => Some(()),
             _ => None,
         })
         .await;
-    agent.ended().await.expect("a clean end");
+    agent.wait_for_end().await.expect("the agent failed");
 }
--- a/crates/agent/tests/shell/http.rs
+++ b/crates/agent/tests/shell/http.rs
@@ -1,12 +1,12 @@
-//! Who may send heartbeats, and which are rejected.
+//! Authorization and validation of heartbeats over HTTP.
 
-use crate::bench::{Leader, RunningAgent, with_keys};
+use crate::bench::{Leader, RunningAgent, configuration_with_keys};
 use api::rejection::{Code, RejectionBody};
 use api::runner::HeartbeatAnswerBody;
 use configuration::ClusterConfiguration;
 use serde_json::{Value, json};
 
-fn body() -> Value {
+fn heartbeat_body() -> Value {
     json!({
         "incarnation": 4, "sequence": 1, "pool": "stills", "rack": "rack-1",
         "capacity": {"slots": 2}, "free": {"slots": 2}, "self_stop": true,
@@ -14,7 +14,7 @@
     })
 }
 
-async fn post(
+async fn post_heartbeat(
     agent: &RunningAgent,
     runner: &str,
     key: Option<&str>,
@@ -25,32 +25,38 @@
     if let Some(key) = key {
         request = request.bearer_auth(key);
     }
-    request.send().await.expect("an answer")
+    request.send().await.expect("the request failed")
 }
 
-async fn rejected(response: reqwest::Response) -> (u16, RejectionBody) {
+async fn read_rejection(response: reqwest::Response) -> (u16, RejectionBody) {
     let status = response.status().as_u16();
-    (status, response.json().await.expect("a refusal"))
+    (
+        status,
+        response
+            .json()
+            .await
+            .expect("the response has no rejection body"),
+    )
 }
 
 #[tokio::test]
-async fn without_a_session_it_is_alive_but_takes_no_heartbeats() {
-    let leader = Leader::start(with_keys()).await;
+async fn agent_without_session_is_live_but_rejects_heartbeats() {
+    let leader = Leader::start(configuration_with_keys()).await;
     let agent = RunningAgent::start(&leader).await;
-    let alive = reqwest::get(format!("{}/livez", agent.url)).await.unwrap();
-    assert!(alive.status().is_success());
+    let livez = reqwest::get(format!("{}/livez", agent.url)).await.unwrap();
+    assert!(livez.status().is_success());
     assert!(!agent.is_ready().await);
-    let response = post(&agent, "runner-1", Some("runner.r"), &body()).await;
+    let response = post_heartbeat(&agent, "runner-1", Some("runner.r"), &heartbeat_body()).await;
     assert!(response.headers().contains_key("retry-after"));
-    let (status, rejection) = rejected(response).await;
+    let (status, rejection) = read_rejection(response).await;
     assert_eq!((status, rejection.code), (503, Code::Unavailable));
 }
 
 #[tokio::test]
-async fn a_runners_key_is_needed_once_there_are_keys() {
-    let mut leader = Leader::start(with_keys()).await;
+async fn heartbeat_requires_runner_or_operator_key_if_keys_are_configured() {
+    let mut leader = Leader::start(configuration_with_keys()).await;
     let agent = RunningAgent::start(&leader).await;
-    agent.ready(&mut leader).await;
+    agent.wait_until_ready(&mut leader).await;
     let cases = [
         (None, 401),
         (Some("runner.wrong"), 401),
@@ -60,39 +66,43 @@
         (Some("operator.o"), 200),
     ];
     for (key, status) in cases {
-        let response = post(&agent, "runner-1", key, &body()).await;
+        let response = post_heartbeat(&agent, "runner-1", key, &heartbeat_body()).await;
         assert_eq!(response.status().as_u16(), status, "{key:?}");
     }
 }
 
 #[tokio::test]
-async fn a_heartbeat_is_answered_with_the_term() {
+async fn heartbeat_answer_contains_term() {
     let mut leader = Leader::start(ClusterConfiguration::default()).await;
     let agent = RunningAgent::start(&leader).await;
-    agent.ready(&mut leader).await;
-    let response = post(&agent, "runner-1", None, &body()).await;
-    let answer: HeartbeatAnswerBody = response.json().await.expect("an answer");
+    agent.wait_until_ready(&mut leader).await;
+    let response = post_heartbeat(&agent, "runner-1", None, &heartbeat_body()).await;
+    let answer: HeartbeatAnswerBody = response
+        .json()
+        .await
+        .expect("the response has no answer body");
     assert_eq!(answer.term, crate::bench::TERM.0);
     assert_eq!(answer.incarnation, 4);
 }
 
 #[tokio::test]
-async fn wrong_heartbeats_are_refused_with_the_reason() {
+async fn invalid_heartbeats_are_rejected_with_reason() {
     let mut leader = Leader::start(ClusterConfiguration::default()).await;
     let agent = RunningAgent::start(&leader).await;
-    agent.ready(&mut leader).await;
-    let mut elsewhere = body();
-    elsewhere["orders_url"] = json!("http://192.0.2.1:80/orders");
-    let mut misspelt = body();
-    misspelt["holds"] = json!([]);
+    agent.wait_until_ready(&mut leader).await;
+    let mut other_host = heartbeat_body();
+    other_host["orders_url"] = json!("http://192.0.2.1:80/orders");
+    let mut misspelled = heartbeat_body();
+    misspelled["holds"] = json!([]);
     let cases = [
-        ("runner-1", elsewhere, "own machine"),
-        ("runner-1", misspelt, "holds"),
-        ("runner%201", body(), "a name holds only"),
+        ("runner-1", other_host, "own machine"),
+        ("runner-1", misspelled, "holds"),
+        ("runner%201", heartbeat_body(), "a name holds only"),
         ("runner-1", json!([1]), "form"),
     ];
     for (runner, body, expected) in cases {
-        let (status, rejection) = rejected(post(&agent, runner, None, &body).await).await;
+        let (status, rejection) =
+            read_rejection(post_heartbeat(&agent, runner, None, &body).await).await;
         assert_eq!((status, rejection.code), (400, Code::Invalid));
         assert!(
             rejection.message.contains(expected),
--- a/crates/agent/tests/shell/main.rs
+++ b/crates/agent/tests/shell/main.rs
@@ -1,4 +1,4 @@
-//! The agent's shell between a hand-made leader and emulated runners, over
+//! Tests of the agent's shell with a scripted leader and emulated runners, over
 //! loopback sockets.
 
 mod bench;
