--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -1,14 +1,14 @@
 //! The gateway's core.
 //!
-//! The core forwards a request to the leader. It sends the request again under
-//! the same number, after a timeout or a change of leader, until an answer
-//! arrives, the deadline passes or no leader can be reached any more. A retry is
-//! safe because every operation is idempotent: a submit by its key, a
-//! configuration by its version, and cancels and declarations about runners by
-//! their effect. All others only read.
+//! The core forwards a request to the leader. After a timeout or a change of leader,
+//! it sends the request again under the same number, until an answer arrives, the
+//! deadline passes or no leader can be reached any more. A retry is safe because
+//! every operation is idempotent: a submit by the key of the job, a configuration by
+//! its version, and cancels, drains and declarations of lost runners by their
+//! effect. All other operations only read.
 //!
-//! A request that can no longer be answered by the leader is rejected in the same
-//! call.
+//! A request that the leader can no longer answer is rejected in the call of
+//! [`Gateway::handle`] that detects this.
 
 mod access;
 mod interface;
@@ -28,7 +28,7 @@
 };
 use types::{ConfigurationVersion, Milliseconds, Monotonic, Now};
 
-/// Maximum random addition to the retry time while overloaded, in milliseconds.
+/// Maximum random addition to the retry time of an overloaded gateway, in milliseconds.
 const OVERLOADED_JITTER_MS: u64 = 500;
 const NO_LEADER: &str = "no leader can be reached";
 
@@ -38,7 +38,7 @@
     session: SessionClient,
     pending: PendingRequests,
     next_request: RequestId,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     readiness: Option<Result<(), NotReady>>,
     stopping: bool,
     stopped: bool,
@@ -47,7 +47,7 @@
 impl Gateway {
     /// Creates a gateway without a session. It is not ready.
     pub fn new(options: GatewayOptions, now: Now) -> Self {
-        let mut random = ChaCha8Rng::seed_from_u64(options.seed ^ options.address.node.0);
+        let mut rng = ChaCha8Rng::seed_from_u64(options.seed ^ options.address.node.0);
         let session = SessionOptions {
             address: options.address.clone(),
             seeds: options.seeds.clone(),
@@ -55,14 +55,14 @@
             replica_valid: options.replica_valid,
             seed: options.seed,
         };
-        // The random start prevents that a reply to an earlier process at the same
-        // socket matches a request of this one.
-        let first_request = u64::from(random.random::<u32>()) << 32;
+        // The random start keeps a reply to an earlier process at the same socket from
+        // matching a request of this process.
+        let first_request = u64::from(rng.random::<u32>()) << 32;
         Self {
             session: SessionClient::new(session, now),
             pending: PendingRequests::new(options.max_waiting_requests, options.resend_after),
             next_request: RequestId(first_request),
-            random,
+            rng,
             readiness: None,
             stopping: false,
             stopped: false,
@@ -72,8 +72,8 @@
 
     /// Processes one input and appends the effects to carry out.
     ///
-    /// Timeouts are processed first: after a suspend of the machine, expired requests
-    /// are answered before the input is processed.
+    /// Timeouts are processed first, so that after a suspend of the machine the expired
+    /// requests are rejected before the input is processed.
     pub fn handle(&mut self, now: Now, input: Input, effects: &mut Vec<Effect>) {
         if self.stopped {
             Self::reject_after_stop(&input, effects);
@@ -107,19 +107,19 @@
         self.stop_when_empty(now, effects);
     }
 
-    /// Returns the time at which the core needs the next [`Input::Tick`].
+    /// Returns the time by which the core needs the next [`Input::Tick`].
     pub fn next_wakeup(&self) -> Monotonic {
         let session = self.session.next_wakeup();
         let due = self.pending.next_due();
         due.map_or(session, |due| due.min(session))
     }
 
-    /// Returns the version of the configuration replica, while it is valid.
+    /// Returns the version of the configuration replica, or `None` if it is not valid.
     pub fn configuration_version(&self, now: Now) -> Option<ConfigurationVersion> {
         self.session.configuration(now).map(|(version, _)| version)
     }
 
-    /// Returns the configuration replica, while it is valid.
+    /// Returns the configuration replica, or `None` if it is not valid.
     pub fn configuration(&self, now: Now) -> Option<&ClusterConfiguration> {
         self.session
             .configuration(now)
@@ -148,7 +148,8 @@
         }
     }
 
-    /// Checks a request, and answers it if the leader is not needed.
+    /// Checks key, role and capacity for a request. Answers the request if that takes only
+    /// the configuration replica.
     fn admit(&mut self, now: Now, mut request: ClientRequest) -> Result<Admitted, Rejection> {
         if self.stopping {
             return Err(rejection::unavailable("this gateway is stopping"));
@@ -175,7 +176,7 @@
             Err(AdmissionError::QuotaExceeded) => "too many of this tenant's requests wait here",
             Err(AdmissionError::Full) => "too many requests wait here",
         };
-        let jitter = Milliseconds(self.random.random_range(0..=OVERLOADED_JITTER_MS));
+        let jitter = Milliseconds(self.rng.random_range(0..=OVERLOADED_JITTER_MS));
         let retry_after = rejection::OVERLOADED_RETRY + jitter;
         Err(rejection::overloaded(message, retry_after))
     }
@@ -191,13 +192,14 @@
         let not_leader = matches!(envelope.body, PeerMessage::NotLeader { .. })
             .then_some(envelope.via.unwrap_or(envelope.from.socket));
         let mut out = Vec::new();
-        let (events, rest) = self.session.handle(now, envelope, &mut out);
+        let (events, unhandled) = self.session.handle(now, envelope, &mut out);
         send_all(out, effects);
         self.handle_session_events(now, &events);
         if let Some(follower) = not_leader {
             self.retry_elsewhere(now, follower);
         }
-        if let Some(PeerMessage::Reply(Reply { id, result })) = rest.map(|message| message.body)
+        if let Some(PeerMessage::Reply(Reply { id, result })) =
+            unhandled.map(|message| message.body)
             && let Some(pending) = self.pending.remove(id)
         {
             let result = match pending.attempts {
@@ -224,8 +226,8 @@
         }
     }
 
-    /// Sends the requests again that went to a coordinator which is not the leader, if
-    /// another leader is known by now.
+    /// Makes the requests due at once that were sent to `follower`, a coordinator which
+    /// is not the leader, if another leader is known.
     fn retry_elsewhere(&mut self, now: Now, follower: SocketAddr) {
         let leader = self.session.to_leader(now, PeerMessage::Discover);
         if leader.is_none_or(|(socket, _)| socket == follower) {
@@ -236,8 +238,7 @@
         }
     }
 
-    /// Rejects the requests that can no longer be answered, and sends those that are
-    /// due.
+    /// Rejects the requests that can no longer be answered, and sends the due ones.
     fn process_due(&mut self, now: Now, effects: &mut Vec<Effect>) {
         self.reject_timed_out(now, effects);
         if self.session.configuration(now).is_none() || !self.may_reach_leader(now) {
@@ -286,9 +287,9 @@
             time_left: pending.deadline.since(now.monotonic),
             operation: pending.request.operation.clone(),
         });
-        let sending = self.session.to_leader(now, request);
-        let to = sending.as_ref().map(|(to, _)| *to);
-        send_all(sending.into_iter().collect(), effects);
+        let outgoing = self.session.to_leader(now, request);
+        let to = outgoing.as_ref().map(|(to, _)| *to);
+        send_all(outgoing.into_iter().collect(), effects);
         self.pending.record_attempt(id, to, now.monotonic);
     }
 
@@ -343,11 +344,11 @@
     }
 }
 
-/// A request that was admitted.
+/// Outcome of the admission of a valid request.
 enum Admitted {
-    /// The gateway answers it from its configuration replica.
+    /// Request that the gateway answers from its configuration replica.
     Answered(OperationReply),
-    /// It is forwarded to the leader.
+    /// Request that is forwarded to the leader.
     Forward(ClientRequest),
 }
 
--- a/crates/gateway/src/core/access.rs
+++ b/crates/gateway/src/core/access.rs
@@ -8,8 +8,8 @@
 use types::TenantId;
 
 /// Checks the key against the configuration, and the operation against the role of
-/// the key. Returns the operation to carry out: a caller's list is restricted to its
-/// own tenant.
+/// the key. Returns the operation to forward: a job list that a caller's key requests
+/// is restricted to the tenant of the key.
 ///
 /// # Errors
 ///
@@ -29,7 +29,7 @@
         KeyRole::Runner => Err(rejection::forbidden(
             "a runner's key may only send heartbeats",
         )),
-        KeyRole::Caller(tenant) => within_tenant(tenant, operation),
+        KeyRole::Caller(tenant) => authorize_caller(tenant, operation),
     }
 }
 
@@ -38,7 +38,7 @@
     !requires_keys(document) || find_key(document, token).is_ok()
 }
 
-/// Returns the quota to which an operation counts.
+/// Returns the quota against which an operation counts.
 pub fn quota_owner(operation: &Operation) -> QuotaOwner {
     let tenant = match operation {
         Operation::Submit(spec) => Some(&spec.tenant),
@@ -67,18 +67,25 @@
         .ok_or_else(|| rejection::unauthenticated("the key is not known or was revoked"))
 }
 
-fn within_tenant(own: &TenantId, mut operation: Operation) -> Result<Operation, Rejection> {
+/// Checks that an operation concerns only the tenant of a caller's key. Restricts a job
+/// list without a tenant to that tenant.
+fn authorize_caller(
+    key_tenant: &TenantId,
+    mut operation: Operation,
+) -> Result<Operation, Rejection> {
     if let Operation::ListJobs(filter) = &mut operation {
-        filter.tenant.get_or_insert_with(|| own.clone());
+        filter.tenant.get_or_insert_with(|| key_tenant.clone());
     }
     let allowed = match &operation {
-        Operation::Submit(spec) => spec.tenant == *own,
+        Operation::Submit(spec) => spec.tenant == *key_tenant,
         Operation::GetJob(key) | Operation::GetJobState(key) | Operation::Explain(key) => {
-            key.tenant == *own
+            key.tenant == *key_tenant
+        }
+        Operation::ListJobs(filter) => filter.tenant.as_ref() == Some(key_tenant),
+        Operation::Cancel(CancelSelector::Tenant { tenant, .. }) => tenant == key_tenant,
+        Operation::Cancel(CancelSelector::Jobs(jobs)) => {
+            jobs.iter().all(|key| key.tenant == *key_tenant)
         }
-        Operation::ListJobs(filter) => filter.tenant.as_ref() == Some(own),
-        Operation::Cancel(CancelSelector::Tenant { tenant, .. }) => tenant == own,
-        Operation::Cancel(CancelSelector::Jobs(jobs)) => jobs.iter().all(|key| key.tenant == *own),
         _ => return Err(rejection::forbidden("only an operator's key may do this")),
     };
     if allowed {
--- a/crates/gateway/src/core/interface.rs
+++ b/crates/gateway/src/core/interface.rs
@@ -8,30 +8,30 @@
 /// Options of the core.
 #[derive(Debug, Clone)]
 pub struct GatewayOptions {
-    /// Identity, zone and socket of this process.
+    /// Identity, role, zone and socket of this process.
     pub address: Address,
-    /// Sockets of other daemons of any role. They may be unreachable, and may include
-    /// the own one.
+    /// Sockets of daemons of any role, from which the gateway learns the coordinators.
+    /// Some may be unreachable, and the socket of this process may be among them.
     pub seeds: Vec<SocketAddr>,
     /// Interval between keep-alives, in milliseconds.
     pub session_interval: Milliseconds,
     /// Time for which the configuration replica stays valid after the leader
     /// confirmed it, in milliseconds.
     pub replica_valid: Milliseconds,
-    /// Maximum number of pending requests.
+    /// Maximum number of pending requests, of all tenants and operators together.
     pub max_waiting_requests: usize,
-    /// Time after which an unanswered request is sent again, in milliseconds. All
-    /// operations are idempotent, so a retry is safe.
+    /// Time after which an unanswered request is sent again for the first time, in
+    /// milliseconds. A retry is safe because all operations are idempotent.
     pub resend_after: Milliseconds,
-    /// Seed of the random numbers.
+    /// Seed of the random numbers of the core and its session.
     pub seed: u64,
 }
 
-/// Number that the shell gives to an HTTP request.
+/// Number that the shell assigns to a request of a caller or operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TicketId(pub u64);
 
-/// The sender of a request, by its bearer token.
+/// Sender of a request, identified by a bearer token.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Caller {
     /// Token in the form `<id>.<secret>`. `None` if the request has none.
@@ -40,7 +40,7 @@
 
 impl std::fmt::Debug for Caller {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // A token without a dot may be a bare secret, so nothing of it is printed.
+        // A token without a dot may be a bare secret, so no part of it is printed.
         let parts = self
             .token
             .as_deref()
@@ -53,19 +53,19 @@
 /// An event that the shell passes to the core.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// The wakeup time has come.
+    /// Time has passed. Due at the latest when [`crate::Gateway::next_wakeup`] is reached.
     Tick,
     /// A message of another daemon was received.
     Peer(Envelope),
     /// A request of a caller or operator was received.
     Request {
-        /// Number of the HTTP request.
+        /// Number of the request.
         ticket: TicketId,
         /// Sender of the request.
         caller: Caller,
-        /// Time until the caller gives up, in milliseconds.
+        /// Time until the caller's deadline, in milliseconds.
         time_left: Milliseconds,
-        /// Operation that is requested.
+        /// Requested operation.
         operation: Operation,
     },
     /// The caller closed its connection and needs no answer any more.
@@ -73,14 +73,14 @@
         /// Number of the request.
         ticket: TicketId,
     },
-    /// The process was asked to stop.
+    /// The process received the stop signal and shuts down gracefully.
     Stop,
 }
 
-/// Reason why a gateway should get no traffic.
+/// Reason why a gateway should receive no traffic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum NotReady {
-    /// The gateway was asked to stop.
+    /// The gateway is shutting down.
     #[error("stopping")]
     Stopping,
     /// The configuration replica is missing or no longer valid.
@@ -98,18 +98,18 @@
     Send {
         /// Socket of the receiver.
         to: SocketAddr,
-        /// The message.
+        /// Message of the session protocol, or forwarded request.
         message: PeerMessage,
     },
-    /// Answer a request. Emitted once for each request that is not abandoned.
+    /// Answer a request. Emitted exactly once for each request that is not abandoned.
     Respond {
         /// Number of the request.
         ticket: TicketId,
-        /// The answer.
+        /// Final answer: the reply to the operation, or a rejection.
         result: Result<OperationReply, Rejection>,
     },
-    /// Report whether the gateway should get traffic. Emitted on changes only.
+    /// Report whether the gateway should receive traffic. Emitted only on changes.
     Ready(Result<(), NotReady>),
-    /// End the process: all requests are answered.
+    /// End the process, since all requests are answered.
     Stopped,
 }
--- a/crates/gateway/src/core/pending.rs
+++ b/crates/gateway/src/core/pending.rs
@@ -1,4 +1,4 @@
-//! Requests that are pending at the leader: their quotas, deadlines and retries.
+//! Requests that await the leader's answer: quotas, deadlines and retries.
 
 use super::interface::{Caller, TicketId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,17 +6,17 @@
 use transport::{Operation, RequestId};
 use types::{Milliseconds, Monotonic, TenantId};
 
-/// A tenant may have one in this many of all pending requests.
-const TENANT_PART: usize = 4;
-/// One in this many of all pending requests is reserved for operators.
-const OPERATOR_PART: usize = 8;
-/// Maximum number of times that the time between retries doubles.
+/// Divisor of the capacity that gives the maximum number of one tenant's requests.
+const TENANT_QUOTA_DIVISOR: usize = 4;
+/// Divisor of the capacity that gives the number of requests reserved for operators.
+const OPERATOR_RESERVE_DIVISOR: usize = 8;
+/// Maximum number of times that the retry interval doubles.
 const MAX_BACKOFF_EXPONENT: u32 = 3;
 
-/// The quota to which a request counts.
+/// Quota against which a request counts.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QuotaOwner {
-    /// Quota of the one tenant whose jobs the request is about.
+    /// Quota of a tenant, for requests about jobs of this tenant alone.
     Tenant(TenantId),
     /// Quota of the operators, for requests about the cluster or several tenants.
     Operators,
@@ -27,36 +27,36 @@
 pub enum AdmissionError {
     /// The tenant has used up its quota.
     QuotaExceeded,
-    /// All places that the owner may use are taken.
+    /// The capacity that the owner may use is exhausted.
     Full,
 }
 
 /// A request as the shell received it.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// Number that the shell gave to the request.
+    /// Number that the shell assigned to the request.
     pub ticket: TicketId,
     /// Sender of the request.
     pub caller: Caller,
-    /// Operation that is requested.
+    /// Requested operation.
     pub operation: Operation,
 }
 
 /// A request that awaits the leader's answer.
 #[derive(Debug)]
 pub struct PendingRequest {
-    /// The request.
+    /// Request as the shell received it, after authorization.
     pub request: ClientRequest,
-    /// Time at which the caller gives up.
+    /// Time at which the request is rejected if it is still unanswered.
     pub deadline: Monotonic,
-    /// Socket to which it was last sent. `None` before the first attempt.
+    /// Socket to which the request was last sent. `None` before the first attempt.
     pub sent_to: Option<SocketAddr>,
-    /// Number of times that it was sent.
+    /// Number of times that the request was sent.
     pub attempts: u32,
     owner: QuotaOwner,
-    /// Number of times that the time to the next retry has doubled.
+    /// Number of times that the retry interval has doubled.
     backoff_exponent: u32,
-    /// Time of the next attempt, or of the deadline.
+    /// Time of the next attempt, or the deadline if that is earlier.
     due: Monotonic,
 }
 
@@ -96,13 +96,13 @@
         if *owner == QuotaOwner::Operators {
             return Ok(());
         }
-        let own = self.used.get(owner).copied().unwrap_or(0);
-        if own >= (self.capacity / TENANT_PART).max(1) {
+        let owner_requests = self.used.get(owner).copied().unwrap_or(0);
+        if owner_requests >= (self.capacity / TENANT_QUOTA_DIVISOR).max(1) {
             return Err(AdmissionError::QuotaExceeded);
         }
-        let operators = self.used.get(&QuotaOwner::Operators).copied().unwrap_or(0);
-        let tenants = self.requests.len() - operators;
-        if tenants >= self.capacity - self.capacity / OPERATOR_PART {
+        let operator_requests = self.used.get(&QuotaOwner::Operators).copied().unwrap_or(0);
+        let tenant_requests = self.requests.len() - operator_requests;
+        if tenant_requests >= self.capacity - self.capacity / OPERATOR_RESERVE_DIVISOR {
             return Err(AdmissionError::Full);
         }
         Ok(())
@@ -132,12 +132,12 @@
         self.requests.insert(id, pending);
     }
 
-    /// Returns a pending request.
+    /// Returns the pending request with this number, or `None` if it was removed.
     pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
-    /// Removes a pending request.
+    /// Removes a pending request, and releases its part of the quota.
     pub fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
         let pending = self.requests.remove(&id)?;
         self.tickets.remove(&pending.request.ticket);
@@ -157,9 +157,9 @@
         self.remove(id)
     }
 
-    /// Records that a request was sent to `to`, or could not be sent because no leader
-    /// is known. The time between retries doubles with each attempt, so that retries
-    /// do not overload a slow leader.
+    /// Records that a request was sent to `to`. `None` means that it could not be sent
+    /// because no leader is known. The retry interval doubles with each attempt, so
+    /// that retries do not overload a slow leader.
     pub fn record_attempt(&mut self, id: RequestId, to: Option<SocketAddr>, now: Monotonic) {
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
@@ -174,7 +174,7 @@
         self.schedule_at(id, due);
     }
 
-    /// Makes the next attempt due at once, and resets the time between retries.
+    /// Makes the next attempt due at once, and resets the retry interval.
     pub fn retry_now(&mut self, id: RequestId, now: Monotonic) {
         if let Some(pending) = self.requests.get_mut(&id) {
             pending.backoff_exponent = 0;
@@ -182,8 +182,8 @@
         }
     }
 
-    /// Returns the requests whose deadline has passed. Each is due no later than its
-    /// deadline, so that only due ones have to be checked.
+    /// Returns the numbers of the requests whose deadline has passed. A request is due
+    /// at its deadline at the latest, so only due requests are checked.
     pub fn timed_out(&self, now: Monotonic) -> Vec<RequestId> {
         let due = self.schedule.iter().take_while(|(due, _)| *due <= now);
         due.filter(|(_, id)| {
@@ -194,7 +194,8 @@
         .collect()
     }
 
-    /// Removes the next due request from the schedule, and returns it.
+    /// Removes the next due request from the schedule, and returns its number. Returns
+    /// `None` if no request is due.
     pub fn pop_due(&mut self, now: Monotonic) -> Option<RequestId> {
         let (due, _) = self.schedule.first()?;
         if *due > now {
@@ -203,7 +204,7 @@
         self.schedule.pop_first().map(|(_, id)| id)
     }
 
-    /// Returns the time at which the next request is due.
+    /// Returns the time at which the next request is due, or `None` if none is pending.
     pub fn next_due(&self) -> Option<Monotonic> {
         self.schedule.first().map(|(due, _)| *due)
     }
--- a/crates/gateway/src/core/rejection.rs
+++ b/crates/gateway/src/core/rejection.rs
@@ -1,13 +1,13 @@
-//! The rejections that a gateway makes without the leader.
+//! Rejections that a gateway creates without the leader.
 
 use transport::{Rejection, RejectionCode};
 use types::Milliseconds;
 
-/// Retry time while no leader is known or the gateway is stopping.
+/// Retry time if no leader can be reached or the gateway is stopping.
 pub const UNAVAILABLE_RETRY: Milliseconds = Milliseconds(500);
 /// Retry time after a deadline passed without an answer.
 pub const TIMED_OUT_RETRY: Milliseconds = Milliseconds(500);
-/// Minimum retry time while too many requests are pending.
+/// Minimum retry time if too many requests are pending.
 pub const OVERLOADED_RETRY: Milliseconds = Milliseconds(500);
 
 /// Rejects a request that was not sent to a leader.
@@ -15,7 +15,7 @@
     reject(RejectionCode::Unavailable, message, Some(UNAVAILABLE_RETRY))
 }
 
-/// Rejects a request whose leader was lost before it answered.
+/// Rejects a request that was sent, but whose leader was lost before the answer.
 pub fn leader_lost() -> Rejection {
     reject(
         RejectionCode::TimedOut,
@@ -24,8 +24,9 @@
     )
 }
 
-/// Converts a leader's rejection of a request that had been sent before. A temporary
-/// rejection is about the last attempt only; an earlier one may still be carried out.
+/// Converts the leader's rejection of a request that was sent more than once. A
+/// temporary rejection applies to the last attempt only, and an earlier attempt may
+/// still take effect, so the outcome is reported as unknown.
 pub fn after_resend(rejection: Rejection) -> Rejection {
     let is_temporary = matches!(
         rejection.code,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! The gateway role: a core without I/O and its tokio shell.
 //!
 //! A gateway is stateless. It checks keys against its configuration replica,
-//! admits requests within quotas by tenant, forwards them to the leader until the
-//! caller's deadline, and gives each one final answer.
+//! admits requests within the quota of each tenant, forwards them to the leader and
+//! retries until the caller's deadline. Each request gets one final answer.
 
 pub mod core;
 pub mod shell;
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -21,31 +21,32 @@
 use tokio::sync::watch;
 use types::NodeId;
 
-/// One in this many parts of the grace time is reserved for closing HTTP connections.
-const CLOSING_PART: u32 = 4;
+/// Divisor of the grace time that gives the part reserved for closing HTTP connections.
+const CLOSING_DIVISOR: u32 = 4;
 
-/// Options of the shell.
+/// Options of a gateway process.
 #[derive(Debug, Clone)]
 pub struct ShellOptions {
     /// Options of the core.
     pub core: GatewayOptions,
-    /// Options of the transport.
+    /// Options of the connections to other daemons.
     pub transport: transport::TransportOptions,
-    /// Key that all daemons of the cluster share.
+    /// Key by which the daemons of a cluster authenticate each other.
     pub cluster_key: transport::ClusterKey,
-    /// HTTP listener for callers and operators, and for livez, readyz and metrics.
+    /// Socket of the HTTP interface for callers and operators, which also serves
+    /// `/livez`, `/readyz` and `/metrics`.
     pub http_listen: SocketAddr,
-    /// Maximum time from the stop signal to the end, in milliseconds.
+    /// Maximum time from the stop signal to the end of the process, in milliseconds.
     pub grace: types::Milliseconds,
 }
 
-/// A failure of a gateway.
+/// Error that ends a gateway process.
 #[derive(Debug, Error)]
 pub enum GatewayError {
     /// The transport cannot be started.
     #[error(transparent)]
     Transport(#[from] transport::TransportError),
-    /// The HTTP listener failed.
+    /// The HTTP listener could not be bound or failed.
     #[error("cannot listen on {listen}: {source}")]
     Http {
         /// Socket of the listener.
@@ -68,16 +69,16 @@
     run_on(listener, options, stop).await
 }
 
-/// What custom routes of a gateway need.
+/// Resources that custom routes of a gateway share.
 #[derive(Debug, Clone)]
 pub struct RouteContext {
     /// Channel to the core.
     pub requests: Requests,
-    /// The configuration replica.
+    /// Configuration replica, updated when its version changes.
     pub replica: watch::Receiver<ValidReplica>,
-    /// Whether the gateway should get traffic.
+    /// Whether the gateway should receive traffic.
     pub readiness: Readiness,
-    /// Becomes true when the gateway is to stop.
+    /// Stop signal: becomes true when the shutdown begins.
     pub stop: watch::Receiver<bool>,
     /// Identity of the gateway.
     pub node: NodeId,
@@ -103,9 +104,9 @@
 
 /// Runs a gateway as [`run`] does, on an HTTP socket that is already bound.
 ///
-/// After the stop, the gateway rejects new requests and waits for pending ones. When
-/// the grace time is nearly over, it rejects those as well and closes the remaining
-/// connections.
+/// After the stop signal, the gateway rejects new requests and waits for the answers to
+/// the pending ones. Shortly before the end of the grace time, it rejects the requests
+/// that are still pending and closes the remaining connections.
 ///
 /// # Errors
 ///
@@ -129,9 +130,10 @@
     routes: impl FnOnce(RouteContext) -> Router,
 ) -> Result<(), GatewayError> {
     let listen = options.http_listen;
-    let own = options.core.address.clone();
-    let started = transport::Transport::start(options.transport, options.cluster_key, own.clone());
-    let (transport, arriving) = started.await?;
+    let address = options.core.address.clone();
+    let started =
+        transport::Transport::start(options.transport, options.cluster_key, address.clone());
+    let (transport, incoming) = started.await?;
     let readiness = Readiness::starting();
     let (requests, inbox) = requests::channel();
     let gateway = Gateway::new(options.core, transport::clock::now());
@@ -147,24 +149,24 @@
         replica,
         readiness,
         stop: stop.clone(),
-        node: own.node,
+        node: address.node,
     };
-    let (finished, mut finished_seen) = watch::channel(false);
+    let (driver_stopped, mut driver_stop) = watch::channel(false);
     let grace = Duration::from_millis(options.grace.0);
-    let closing = grace / CLOSING_PART;
+    let closing = grace / CLOSING_DIVISOR;
 
     let serving = axum::serve(LimitedListener::new(listener), routes(context))
-        .with_graceful_shutdown(async move { transport::stopped(&mut finished_seen).await })
+        .with_graceful_shutdown(async move { transport::stopped(&mut driver_stop).await })
         .into_future();
     let driving = async {
-        driver.run(inbox, arriving, stop, grace - closing).await;
-        finished.send_replace(true);
+        driver.run(inbox, incoming, stop, grace - closing).await;
+        driver_stopped.send_replace(true);
         tokio::time::sleep(closing).await;
     };
-    let ended = tokio::select! {
-        ended = serving => ended.map_err(|source| GatewayError::Http { listen, source }),
+    let result = tokio::select! {
+        result = serving => result.map_err(|source| GatewayError::Http { listen, source }),
         () = driving => Ok(()),
     };
     transport.shutdown().await;
-    ended
+    result
 }
--- a/crates/gateway/src/shell/connection.rs
+++ b/crates/gateway/src/shell/connection.rs
@@ -14,7 +14,8 @@
 /// kernel.
 const MAX_CONNECTIONS: usize = 2_048;
 
-/// A listener that accepts while fewer than [`MAX_CONNECTIONS`] are open.
+/// Listener that accepts a connection only while fewer than [`MAX_CONNECTIONS`] are
+/// open.
 #[derive(Debug)]
 pub struct LimitedListener {
     listener: TcpListener,
@@ -22,7 +23,7 @@
 }
 
 impl LimitedListener {
-    /// Wraps a bound listener.
+    /// Creates a listener without open connections from a bound socket.
     pub fn new(listener: TcpListener) -> Self {
         Self {
             listener,
@@ -54,7 +55,7 @@
     }
 }
 
-/// A connection that counts as open until it is dropped.
+/// Connection that counts against the maximum until it is dropped.
 #[derive(Debug)]
 pub struct LimitedStream {
     stream: TcpStream,
--- a/crates/gateway/src/shell/driver.rs
+++ b/crates/gateway/src/shell/driver.rs
@@ -1,4 +1,4 @@
-//! The task that owns the core, passes inputs to it and carries out its effects.
+//! The task that owns the core, passes inputs to it and executes its effects.
 
 use crate::shell::requests::{Answer, CoreRequest, Inbox};
 use crate::{Effect, Gateway, Input, TicketId};
@@ -12,8 +12,8 @@
 use transport::Transport;
 use types::ConfigurationVersion;
 
-/// Maximum sleep. Unlike the clock of the core, the clock of tokio does not count the
-/// time during which the machine is suspended.
+/// Maximum sleep between two ticks. Unlike the clock of the core, the clock of tokio
+/// does not advance while the machine is suspended, so a longer sleep would end late.
 const MAX_SLEEP: Duration = Duration::from_millis(250);
 
 /// A valid configuration replica.
@@ -21,14 +21,14 @@
 pub struct Replica {
     /// Version of the configuration.
     pub version: ConfigurationVersion,
-    /// The document.
+    /// Configuration document, shared by all routes.
     pub document: Arc<ClusterConfiguration>,
 }
 
-/// The configuration replica as routes see it. `None` while it is not valid.
+/// Configuration replica that the routes use. `None` while it is not valid.
 pub type ValidReplica = Option<Replica>;
 
-/// The core, with the resources that its effects need.
+/// The core, with the resources for executing its effects.
 pub struct Driver {
     gateway: Gateway,
     transport: Transport,
@@ -39,7 +39,7 @@
 }
 
 impl Driver {
-    /// Creates a driver of a new gateway.
+    /// Creates a driver that publishes readiness and configuration of `gateway`.
     pub fn new(
         gateway: Gateway,
         transport: Transport,
@@ -56,27 +56,27 @@
         }
     }
 
-    /// Runs until the core has stopped, at most until `grace` after `stop` became true.
-    /// Requests that are pending then are dropped, which rejects them.
+    /// Runs until the core has stopped, or until `grace` has passed after `stop` became
+    /// true. Dropping the driver then rejects the requests that are still pending.
     pub async fn run(
         mut self,
         mut inbox: Inbox,
-        mut arriving: transport::Inbox,
+        mut incoming: transport::Inbox,
         mut stop: watch::Receiver<bool>,
         grace: Duration,
     ) {
         let mut grace_end: Option<Instant> = None;
-        self.input(Input::Tick);
+        self.handle_input(Input::Tick);
         while !self.stopped && grace_end.is_none_or(|end| Instant::now() < end) {
             tokio::select! {
-                () = tokio::time::sleep(self.sleep_length(grace_end)) => self.input(Input::Tick),
-                Some(envelope) = arriving.recv() => self.input(Input::Peer(envelope)),
+                () = tokio::time::sleep(self.sleep_length(grace_end)) => self.handle_input(Input::Tick),
+                Some(envelope) = incoming.recv() => self.handle_input(Input::Peer(envelope)),
                 Some(request) = inbox.requests.recv() => self.receive_request(request),
                 Some(ticket) = inbox.abandoned.recv() => self.abandon(ticket),
                 _ = stop.wait_for(|stop| *stop), if grace_end.is_none() => {
                     tracing::info!("stopping");
                     grace_end = Some(Instant::now() + grace);
-                    self.input(Input::Stop);
+                    self.handle_input(Input::Stop);
                 }
             }
         }
@@ -102,7 +102,7 @@
         }
         self.answers.insert(request.ticket, request.answer);
         let now = transport::clock::now().monotonic;
-        self.input(Input::Request {
+        self.handle_input(Input::Request {
             ticket: request.ticket,
             caller: request.caller,
             time_left: request.deadline.since(now),
@@ -112,16 +112,16 @@
 
     fn abandon(&mut self, ticket: TicketId) {
         if self.answers.remove(&ticket).is_some() {
-            self.input(Input::Abandoned { ticket });
+            self.handle_input(Input::Abandoned { ticket });
         }
     }
 
-    fn input(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let mut effects = Vec::new();
         self.gateway
             .handle(transport::clock::now(), input, &mut effects);
         for effect in effects {
-            self.carry_out(effect);
+            self.execute(effect);
         }
         self.publish_replica();
         metrics::gauge!("cypressdrum_gateway_waiting_requests").set(self.answers.len() as f64);
@@ -144,7 +144,7 @@
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Send { to, message } => self.transport.send(to, message),
             Effect::Respond { ticket, result } => {
--- a/crates/gateway/src/shell/http.rs
+++ b/crates/gateway/src/shell/http.rs
@@ -27,7 +27,7 @@
 /// Maximum length of a request body, in bytes. A longer one is answered with 413.
 pub const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// State that all handlers share.
+/// State that all handlers share: channel to the core, identity and stop signal.
 #[derive(Debug, Clone)]
 pub struct Server {
     requests: Requests,
@@ -36,7 +36,7 @@
 }
 
 impl Server {
-    /// Creates the state of the handlers of gateway `node`.
+    /// Creates the state for the gateway with the identity `node`.
     pub fn new(requests: Requests, node: NodeId, stop: watch::Receiver<bool>) -> Self {
         Self {
             requests,
@@ -46,7 +46,7 @@
     }
 
     /// Sends an operation to the core, waits for the reply and records metrics.
-    async fn ask(
+    async fn execute(
         &self,
         requester: &Requester,
         operation: Operation,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Returns all routes of a gateway, those of the admin interface included.
+/// Returns all routes of a gateway, including those of the admin interface.
 pub fn router(server: Server, readiness: Readiness) -> Router {
     Router::new()
         .route(route::JOBS, post(jobs::submit).get(jobs::list))
--- a/crates/gateway/src/shell/http/answer.rs
+++ b/crates/gateway/src/shell/http/answer.rs
@@ -1,4 +1,4 @@
-//! HTTP responses of rejected requests.
+//! HTTP responses to rejected requests.
 
 use api::BodyError;
 use api::rejection::RejectionBody;
@@ -12,10 +12,10 @@
 /// `WWW-Authenticate` challenge in the response to a request without a known key.
 const BEARER: HeaderValue = HeaderValue::from_static("Bearer");
 
-/// Retry time of a temporary rejection that contains none.
+/// Retry time for a temporary rejection without one.
 const DEFAULT_RETRY_AFTER: Milliseconds = Milliseconds(500);
 
-/// The HTTP response of a rejected request.
+/// HTTP response to a rejected request.
 #[derive(Debug)]
 pub struct Failure {
     status: StatusCode,
@@ -23,7 +23,7 @@
 }
 
 impl Failure {
-    /// Creates a response with another status than that of the rejection's code.
+    /// Creates a response with this status instead of the one of the rejection's code.
     pub fn with_status(status: StatusCode, rejection: Rejection) -> Self {
         Self {
             status,
@@ -97,7 +97,7 @@
 }
 
 /// Creates the response for a reply of the leader that does not belong to the
-/// requested operation, which happens only between different versions.
+/// requested operation. This occurs only between daemons of different versions.
 pub fn unexpected() -> Failure {
     let message = "the leader's answer does not fit the request";
     Failure::with_status(
--- a/crates/gateway/src/shell/http/decisions.rs
+++ b/crates/gateway/src/shell/http/decisions.rs
@@ -1,4 +1,4 @@
-//! The decision log as JSON lines, read once or followed.
+//! The decision log as JSON lines, as one page or as a stream of new entries.
 //!
 //! Each leader numbers its entries from 1 and keeps the newest. To detect a change of
 //! leader, a poll also requests the last entry that was read. If that entry is missing
@@ -24,7 +24,8 @@
 /// Pause after a poll that returned nothing new.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// `GET /v1/decisions`.
+/// Handles `GET /v1/decisions`. With `follow`, the response does not end before the
+/// gateway stops or a poll is rejected permanently.
 pub async fn decisions(
     State(server): State<Server>,
     requester: Requester,
@@ -49,15 +50,15 @@
     Ok(([(header::CONTENT_TYPE, JSON_LINES)], body).into_response())
 }
 
-/// The last entry that was read.
+/// Position of the last entry that was read.
 #[derive(Debug, Clone, Copy)]
 struct Position {
     number: u64,
-    /// Term of the entry. `None` if the client did not give it.
+    /// Term of the entry. `None` if the client did not specify it.
     term: Option<u64>,
 }
 
-/// A client that reads the log.
+/// Reader of the log for one client.
 struct Tail {
     server: Server,
     requester: Requester,
@@ -66,11 +67,11 @@
 }
 
 impl Tail {
-    /// Reads the next entries as JSON lines. Returns no bytes if there are none yet.
+    /// Reads the next entries as JSON lines. Returns no bytes if there are no new ones.
     async fn poll(&mut self) -> Result<Vec<u8>, Failure> {
         let entries = match self.last.term {
-            Some(term) if self.last.number > 0 => self.poll_after_known(term).await?,
-            _ => self.ask(self.last.number, self.limit).await?,
+            Some(term) if self.last.number > 0 => self.fetch_after_known(term).await?,
+            _ => self.fetch(self.last.number, self.limit).await?,
         };
         if let Some(newest) = entries.last() {
             self.last = Position {
@@ -78,22 +79,22 @@
                 term: Some(newest.term.0),
             };
         }
-        write_lines(entries)
+        to_json_lines(entries)
     }
 
-    async fn poll_after_known(&mut self, term: u64) -> Result<Vec<DecisionEntry>, Failure> {
+    async fn fetch_after_known(&mut self, term: u64) -> Result<Vec<DecisionEntry>, Failure> {
         let number = self.last.number;
-        let mut entries = self.ask(number - 1, self.limit + 1).await?;
+        let mut entries = self.fetch(number - 1, self.limit + 1).await?;
         if entries.first().is_none_or(|entry| entry.term.0 != term) {
-            return self.ask(0, self.limit).await;
+            return self.fetch(0, self.limit).await;
         }
         entries.retain(|entry| entry.number > number);
         Ok(entries)
     }
 
-    async fn ask(&self, after: u64, limit: u32) -> Result<Vec<DecisionEntry>, Failure> {
+    async fn fetch(&self, after: u64, limit: u32) -> Result<Vec<DecisionEntry>, Failure> {
         let operation = Operation::Decisions { after, limit };
-        match self.server.ask(&self.requester, operation).await? {
+        match self.server.execute(&self.requester, operation).await? {
             OperationReply::Decisions(entries) => Ok(entries),
             _ => Err(unexpected()),
         }
@@ -136,7 +137,7 @@
     }
 }
 
-fn write_lines(entries: Vec<DecisionEntry>) -> Result<Vec<u8>, Failure> {
+fn to_json_lines(entries: Vec<DecisionEntry>) -> Result<Vec<u8>, Failure> {
     let mut bytes = Vec::new();
     for entry in entries {
         let line = DecisionLine::from(entry);
--- a/crates/gateway/src/shell/http/jobs.rs
+++ b/crates/gateway/src/shell/http/jobs.rs
@@ -1,4 +1,4 @@
-//! Handlers for jobs.
+//! Handlers for submitting, reading and cancelling jobs.
 
 use crate::shell::http::Server;
 use crate::shell::http::answer::{Failure, reject, unexpected};
@@ -18,7 +18,7 @@
 
 type JobPath = Path<(String, String)>;
 
-/// `POST /v1/jobs`.
+/// Handles `POST /v1/jobs`. The status is 201 for a new job and 200 for a known one.
 pub async fn submit(
     State(server): State<Server>,
     requester: Requester,
@@ -26,7 +26,7 @@
 ) -> Result<(StatusCode, Json<SubmittedBody>), Failure> {
     let body: JobBody = api::parse_json(&body?)?;
     let operation = Operation::Submit(JobSpec::from(body));
-    let OperationReply::Submitted { number, known } = server.ask(&requester, operation).await?
+    let OperationReply::Submitted { number, known } = server.execute(&requester, operation).await?
     else {
         return Err(unexpected());
     };
@@ -42,7 +42,7 @@
     Ok((status, Json(body)))
 }
 
-/// `GET /v1/jobs`.
+/// Handles `GET /v1/jobs`, one page at a time.
 pub async fn list(
     State(server): State<Server>,
     requester: Requester,
@@ -50,7 +50,7 @@
 ) -> Result<Json<JobsBody>, Failure> {
     let Query(query) = query.map_err(|error| BodyError::new("query", error.body_text()))?;
     let operation = Operation::ListJobs(query.into_filter()?);
-    let OperationReply::Jobs { jobs, next } = server.ask(&requester, operation).await? else {
+    let OperationReply::Jobs { jobs, next } = server.execute(&requester, operation).await? else {
         return Err(unexpected());
     };
     Ok(Json(JobsBody {
@@ -59,33 +59,34 @@
     }))
 }
 
-/// `GET /v1/tenants/{tenant}/jobs/{job}`.
+/// Handles `GET /v1/tenants/{tenant}/jobs/{job}`.
 pub async fn get(
     State(server): State<Server>,
     requester: Requester,
     path: JobPath,
 ) -> Result<Json<JobViewBody>, Failure> {
     let operation = Operation::GetJob(job_key(path)?);
-    let OperationReply::Job(view) = server.ask(&requester, operation).await? else {
+    let OperationReply::Job(view) = server.execute(&requester, operation).await? else {
         return Err(unexpected());
     };
     Ok(Json(JobViewBody::from(*view)))
 }
 
-/// `GET /v1/tenants/{tenant}/jobs/{job}/explain`.
+/// Handles `GET /v1/tenants/{tenant}/jobs/{job}/explain`.
 pub async fn explain(
     State(server): State<Server>,
     requester: Requester,
     path: JobPath,
 ) -> Result<Json<ExplainedBody>, Failure> {
     let operation = Operation::Explain(job_key(path)?);
-    let OperationReply::Explained { lines } = server.ask(&requester, operation).await? else {
+    let OperationReply::Explained { lines } = server.execute(&requester, operation).await? else {
         return Err(unexpected());
     };
     Ok(Json(ExplainedBody { lines }))
 }
 
-/// `DELETE /v1/tenants/{tenant}/jobs/{job}` and `POST .../cancel`.
+/// Handles `DELETE /v1/tenants/{tenant}/jobs/{job}` and `POST .../cancel`. The status
+/// is 404 if the job is unknown.
 pub async fn cancel(
     State(server): State<Server>,
     requester: Requester,
@@ -102,7 +103,8 @@
     )))
 }
 
-/// `POST /v1/cancels`.
+/// Handles `POST /v1/cancels`, for several jobs or all jobs of a tenant. The status is
+/// 200 even if some jobs are unknown; the body lists them.
 pub async fn cancel_many(
     State(server): State<Server>,
     requester: Requester,
@@ -123,7 +125,7 @@
         cancelled,
         finished,
         unknown,
-    } = server.ask(requester, operation).await?
+    } = server.execute(requester, operation).await?
     else {
         return Err(unexpected());
     };
--- a/crates/gateway/src/shell/http/operator.rs
+++ b/crates/gateway/src/shell/http/operator.rs
@@ -1,4 +1,4 @@
-//! Handlers for operators, who change the configuration and the state of runners.
+//! Handlers by which operators change the configuration and the state of runners.
 
 use crate::shell::http::Server;
 use crate::shell::http::answer::{Failure, unexpected};
@@ -21,7 +21,9 @@
     State(server): State<Server>,
     requester: Requester,
 ) -> Result<Json<ConfigurationViewBody>, Failure> {
-    let reply = server.ask(&requester, Operation::GetConfiguration).await?;
+    let reply = server
+        .execute(&requester, Operation::GetConfiguration)
+        .await?;
     let OperationReply::Configuration { version, document } = reply else {
         return Err(unexpected());
     };
@@ -67,7 +69,8 @@
     requester: &Requester,
     operation: Operation,
 ) -> Result<Json<ConfiguredBody>, Failure> {
-    let OperationReply::Configured { version, known } = server.ask(requester, operation).await?
+    let OperationReply::Configured { version, known } =
+        server.execute(requester, operation).await?
     else {
         return Err(unexpected());
     };
@@ -77,7 +80,7 @@
     }))
 }
 
-/// Parses a body, as TOML if the media type says so and as JSON otherwise.
+/// Parses a body as TOML if that is its media type, and as JSON otherwise.
 fn parse_body<T: DeserializeOwned>(headers: &HeaderMap, body: &[u8]) -> Result<T, BodyError> {
     let media_type = headers
         .get(header::CONTENT_TYPE)
@@ -102,7 +105,7 @@
         runner: parse_name("runner", &runner)?,
         draining: body.draining,
     };
-    let OperationReply::Accepted = server.ask(&requester, operation).await? else {
+    let OperationReply::Accepted = server.execute(&requester, operation).await? else {
         return Err(unexpected());
     };
     Ok(Json(AcceptedBody { accepted: true }))
@@ -117,7 +120,7 @@
     let operation = Operation::DeclareRunnerLost {
         runner: parse_name("runner", &runner)?,
     };
-    let OperationReply::RunsLost { runs } = server.ask(&requester, operation).await? else {
+    let OperationReply::RunsLost { runs } = server.execute(&requester, operation).await? else {
         return Err(unexpected());
     };
     let runs = runs.iter().map(ToString::to_string).collect();
--- a/crates/gateway/src/shell/http/requester.rs
+++ b/crates/gateway/src/shell/http/requester.rs
@@ -1,4 +1,4 @@
-//! Extraction of sender, deadline and names from an HTTP request.
+//! Extraction of the sender, the deadline and names from an HTTP request.
 
 use crate::Caller;
 use crate::shell::http::answer::Failure;
@@ -13,12 +13,12 @@
 
 const BEARER_SCHEME: &str = "bearer";
 
-/// The sender of an HTTP request and the time until it gives up.
+/// Sender of an HTTP request and the time until its deadline.
 #[derive(Debug, Clone)]
 pub struct Requester {
-    /// Sender of the request.
+    /// Sender, identified by the bearer token of the request.
     pub caller: Caller,
-    /// Time until the sender gives up, in milliseconds.
+    /// Time until the deadline of the request, in milliseconds.
     pub time_left: Milliseconds,
 }
 
@@ -35,8 +35,8 @@
     }
 }
 
-/// Returns the bearer token. A header in another form becomes an empty token, which no
-/// key matches.
+/// Returns the bearer token, or `None` without an `Authorization` header. A header in
+/// another form yields an empty token, which matches no key.
 fn bearer_token(headers: &HeaderMap) -> Option<String> {
     let value = headers.get(header::AUTHORIZATION)?;
     let text = value.to_str().unwrap_or_default();
@@ -55,7 +55,7 @@
     };
     let parsed = value.to_str().ok().and_then(|text| text.parse().ok());
     match parsed {
-        Some(wait) if (1..=MAX_DEADLINE_MS).contains(&wait) => Ok(Milliseconds(wait)),
+        Some(deadline) if (1..=MAX_DEADLINE_MS).contains(&deadline) => Ok(Milliseconds(deadline)),
         _ => {
             let message = format!("must be a whole number between 1 and {MAX_DEADLINE_MS}");
             Err(Failure::from(BodyError::new(DEADLINE_HEADER, message)))
@@ -63,7 +63,7 @@
     }
 }
 
-/// Parses a name or number from the path.
+/// Parses a name or number from the path. `place` names it in the error message.
 pub fn parse_name<Name: FromStr<Err: Display>>(place: &str, text: &str) -> Result<Name, Failure> {
     text.parse()
         .map_err(|message| Failure::from(BodyError::new(place, message)))
--- a/crates/gateway/src/shell/http/view.rs
+++ b/crates/gateway/src/shell/http/view.rs
@@ -1,7 +1,7 @@
 //! Routes that return a view of the cluster.
 //!
-//! Each view is the body of a response that one operation without parameters
-//! fills, so that all of them share one handler.
+//! Each view is the response body of one operation without parameters, so all views
+//! share one handler.
 
 use crate::shell::http::Server;
 use crate::shell::http::answer::{Failure, unexpected};
@@ -15,7 +15,7 @@
 use axum::extract::State;
 use transport::{Operation, OperationReply};
 
-/// The body of a response that shows a part of the cluster.
+/// Response body that shows a part of the cluster.
 pub trait View: Sized {
     /// Operation that reads the view.
     const OPERATION: Operation;
@@ -25,12 +25,12 @@
     fn from_reply(reply: OperationReply) -> Option<Self>;
 }
 
-/// Handles the `GET` of a view.
+/// Handles `GET` of the path of a view.
 pub async fn view<V: View>(
     State(server): State<Server>,
     requester: Requester,
 ) -> Result<Json<V>, Failure> {
-    let reply = server.ask(&requester, V::OPERATION).await?;
+    let reply = server.execute(&requester, V::OPERATION).await?;
     V::from_reply(reply).map(Json).ok_or_else(unexpected)
 }
 
--- a/crates/gateway/src/shell/requests.rs
+++ b/crates/gateway/src/shell/requests.rs
@@ -12,35 +12,35 @@
 /// Retry time of a request that the core did not answer.
 const RETRY_AFTER: Milliseconds = Milliseconds(500);
 
-/// The final answer to a request.
+/// Final answer to a request: the reply to the operation, or a rejection.
 pub type Answer = Result<OperationReply, Rejection>;
 
-/// A request for the core.
+/// Request that a handler sends to the core.
 #[derive(Debug)]
 pub struct CoreRequest {
     /// Number of the request.
     pub ticket: TicketId,
     /// Sender of the request.
     pub caller: Caller,
-    /// Time at which the caller gives up.
+    /// Time on the monotonic clock at which an unanswered request is rejected.
     pub deadline: Monotonic,
-    /// Operation that is requested.
+    /// Requested operation.
     pub operation: Operation,
     /// Channel for the answer. Closed if the caller has closed its connection.
     pub answer: oneshot::Sender<Answer>,
 }
 
-/// The core's end of the channel.
+/// Receiving end of the channel, which the task of the core owns.
 #[derive(Debug)]
 pub struct Inbox {
-    /// Requests of handlers.
+    /// Requests that the core has not received yet.
     pub requests: mpsc::Receiver<CoreRequest>,
     /// Requests whose callers closed their connections. Bounded by the number of
     /// requests.
     pub abandoned: mpsc::UnboundedReceiver<TicketId>,
 }
 
-/// The handlers' end of the channel.
+/// Sending end of the channel, which all handlers share.
 #[derive(Debug, Clone)]
 pub struct Requests {
     sender: mpsc::Sender<CoreRequest>,
@@ -48,7 +48,7 @@
     next_ticket: Arc<AtomicU64>,
 }
 
-/// Creates a channel, and returns both of its ends.
+/// Creates a channel between the handlers and the core, and returns both of its ends.
 pub fn channel() -> (Requests, Inbox) {
     let (sender, received_requests) = mpsc::channel(QUEUE_LENGTH);
     let (abandoned, received_abandoned) = mpsc::unbounded_channel();
@@ -106,7 +106,7 @@
     }
 }
 
-/// A request without an answer, which is abandoned when it is dropped.
+/// Request without an answer. If it is dropped, the core abandons the request.
 struct UnansweredRequest<'a> {
     ticket: TicketId,
     receiver: Option<oneshot::Receiver<Answer>>,
@@ -137,8 +137,8 @@
     }
 }
 
-/// Rejects a request that the core had received when it stopped. The request may or
-/// may not have been sent to the leader.
+/// Rejects a request that the core received but did not answer before it stopped. The
+/// request may have been sent to the leader, so its outcome is unknown.
 fn stopped_before_answer() -> Rejection {
     reject(
         RejectionCode::TimedOut,
@@ -146,6 +146,7 @@
     )
 }
 
+/// Rejects a request that the core did not receive because it had stopped.
 fn stopped() -> Rejection {
     reject(RejectionCode::Unavailable, "this gateway has stopped")
 }
