--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Checks key, role and capacity for a request. Answers the request if that takes only
+    /// Checks key, role and capacity for a request. Answers a request that needs only
     /// the configuration replica.
     fn admit(&mut self, now: Now, mut request: ClientRequest) -> Result<Admitted, Rejection> {
         if self.stopping {
--- a/crates/gateway/src/core/interface.rs
+++ b/crates/gateway/src/core/interface.rs
@@ -53,7 +53,7 @@
 /// An event that the shell passes to the core.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// Time has passed. Due at the latest when [`crate::Gateway::next_wakeup`] is reached.
+    /// Time has passed. Due by [`crate::Gateway::next_wakeup`] at the latest.
     Tick,
     /// A message of another daemon was received.
     Peer(Envelope),
@@ -68,7 +68,7 @@
         /// Requested operation.
         operation: Operation,
     },
-    /// The caller closed its connection and needs no answer any more.
+    /// The caller closed its connection, so the request needs no answer.
     Abandoned {
         /// Number of the request.
         ticket: TicketId,
--- a/crates/gateway/src/core/pending.rs
+++ b/crates/gateway/src/core/pending.rs
@@ -16,7 +16,7 @@
 /// Quota against which a request counts.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QuotaOwner {
-    /// Quota of a tenant, for requests about jobs of this tenant alone.
+    /// Quota of a tenant, for requests that concern only jobs of this tenant.
     Tenant(TenantId),
     /// Quota of the operators, for requests about the cluster or several tenants.
     Operators,
--- a/crates/gateway/src/shell/driver.rs
+++ b/crates/gateway/src/shell/driver.rs
@@ -69,7 +69,9 @@
         self.handle_input(Input::Tick);
         while !self.stopped && grace_end.is_none_or(|end| Instant::now() < end) {
             tokio::select! {
-                () = tokio::time::sleep(self.sleep_length(grace_end)) => self.handle_input(Input::Tick),
+                () = tokio::time::sleep(self.sleep_length(grace_end)) => {
+                    self.handle_input(Input::Tick);
+                }
                 Some(envelope) = incoming.recv() => self.handle_input(Input::Peer(envelope)),
                 Some(request) = inbox.requests.recv() => self.receive_request(request),
                 Some(ticket) = inbox.abandoned.recv() => self.abandon(ticket),
--- a/crates/gateway/src/shell/http/operator.rs
+++ b/crates/gateway/src/shell/http/operator.rs
@@ -34,7 +34,8 @@
     }))
 }
 
-/// Handles `PUT /v1/configuration/{version}`, in JSON or TOML.
+/// Handles `PUT /v1/configuration/{version}`. The body is a whole document in JSON or
+/// TOML.
 pub async fn put_configuration(
     State(server): State<Server>,
     requester: Requester,
@@ -49,7 +50,8 @@
     configure(&server, &requester, operation).await
 }
 
-/// Handles `PATCH /v1/configuration/{version}`, in JSON or TOML.
+/// Handles `PATCH /v1/configuration/{version}`. The body is an update of named items in
+/// JSON or TOML.
 pub async fn update_configuration(
     State(server): State<Server>,
     requester: Requester,
@@ -93,7 +95,7 @@
     api::parse_toml(text)
 }
 
-/// Handles `POST /v1/runners/{runner}/drain`.
+/// Handles `POST /v1/runners/{runner}/drain`, which starts or ends draining.
 pub async fn drain_runner(
     State(server): State<Server>,
     requester: Requester,
@@ -111,7 +113,8 @@
     Ok(Json(AcceptedBody { accepted: true }))
 }
 
-/// Handles `POST /v1/runners/{runner}/lost`.
+/// Handles `POST /v1/runners/{runner}/lost`. The body of the response lists the runs
+/// that are declared lost.
 pub async fn declare_runner_lost(
     State(server): State<Server>,
     requester: Requester,
--- a/crates/gateway/tests/core/access.rs
+++ b/crates/gateway/tests/core/access.rs
@@ -1,4 +1,4 @@
-//! Keys and roles.
+//! Authorization of requests by keys and their roles.
 
 use crate::bench::{Bench, job_key, submit};
 use state_machine::CancelSelector;
@@ -47,7 +47,9 @@
     ]
 }
 
-fn code(token: Option<&str>, operation: Operation) -> Option<RejectionCode> {
+/// Sends the operation with `token`. Returns the code of the rejection, or `None` if the
+/// gateway did not reject it. A rejected operation must not reach a coordinator.
+fn rejection_code(token: Option<&str>, operation: Operation) -> Option<RejectionCode> {
     let mut bench = Bench::with_keys();
     let ticket = bench.ask_as(token, 1_000, operation);
     let rejected = bench
@@ -59,7 +61,7 @@
 }
 
 #[test]
-fn without_an_operator_key_in_force_everyone_may_ask() {
+fn configuration_without_operator_key_admits_requests_without_key() {
     let mut bench = Bench::connected();
     let ticket = bench.ask(1_000, submit("poster", "a"));
     assert_eq!(bench.answer(ticket), None);
@@ -67,7 +69,7 @@
 }
 
 #[test]
-fn no_key_and_a_wrong_key_are_refused_at_once() {
+fn missing_or_wrong_key_is_rejected_at_once() {
     for token in [
         None,
         Some("app.wrong"),
@@ -75,63 +77,71 @@
         Some("x"),
         Some(""),
     ] {
-        let rejected = code(token, submit("poster", "a"));
+        let rejected = rejection_code(token, submit("poster", "a"));
         assert_eq!(rejected, Some(RejectionCode::Unauthenticated), "{token:?}");
     }
 }
 
 #[test]
-fn an_operator_may_do_everything() {
-    let all = operator_operations().into_iter();
-    for operation in all.chain(tenant_operations("editors")) {
-        assert_eq!(code(OPERATOR, operation.clone()), None, "{operation:?}");
+fn operator_key_allows_all_operations() {
+    let operations = operator_operations().into_iter();
+    for operation in operations.chain(tenant_operations("editors")) {
+        assert_eq!(
+            rejection_code(OPERATOR, operation.clone()),
+            None,
+            "{operation:?}"
+        );
     }
 }
 
 #[test]
-fn a_caller_may_do_what_is_its_own_tenants_and_nothing_else() {
+fn caller_key_allows_only_operations_of_its_tenant() {
     for operation in tenant_operations("poster") {
-        assert_eq!(code(CALLER, operation.clone()), None, "{operation:?}");
+        assert_eq!(
+            rejection_code(CALLER, operation.clone()),
+            None,
+            "{operation:?}"
+        );
     }
-    let others = tenant_operations("editors").into_iter();
-    for operation in others.chain(operator_operations()) {
-        let rejected = code(CALLER, operation.clone());
+    let other_tenant = tenant_operations("editors").into_iter();
+    for operation in other_tenant.chain(operator_operations()) {
+        let rejected = rejection_code(CALLER, operation.clone());
         assert_eq!(rejected, Some(RejectionCode::Forbidden), "{operation:?}");
     }
 }
 
 #[test]
-fn a_cancel_with_one_job_of_another_tenant_is_refused_whole() {
+fn cancel_with_job_of_other_tenant_is_rejected_entirely() {
     let jobs = vec![job_key("poster", "a"), job_key("editors", "b")];
-    let rejected = code(CALLER, Operation::Cancel(CancelSelector::Jobs(jobs)));
+    let rejected = rejection_code(CALLER, Operation::Cancel(CancelSelector::Jobs(jobs)));
     assert_eq!(rejected, Some(RejectionCode::Forbidden));
 }
 
 #[test]
-fn a_callers_list_is_narrowed_to_its_tenant() {
+fn job_list_of_caller_is_restricted_to_its_tenant() {
     let mut bench = Bench::with_keys();
     let filter = JobFilter {
         limit: 10,
         ..JobFilter::default()
     };
     bench.ask_as(CALLER, 1_000, Operation::ListJobs(filter));
-    let Operation::ListJobs(asked) = &bench.requests[0].2.operation else {
-        panic!("another operation");
+    let Operation::ListJobs(forwarded) = &bench.requests[0].2.operation else {
+        panic!("forwarded operation is not ListJobs");
     };
-    assert_eq!(asked.tenant, Some("poster".parse().unwrap()));
+    assert_eq!(forwarded.tenant, Some("poster".parse().unwrap()));
 }
 
 #[test]
-fn a_runners_key_opens_nothing_here() {
-    let all = operator_operations().into_iter();
-    for operation in all.chain(tenant_operations("poster")) {
-        let rejected = code(RUNNER, operation.clone());
+fn runner_key_allows_no_operation() {
+    let operations = operator_operations().into_iter();
+    for operation in operations.chain(tenant_operations("poster")) {
+        let rejected = rejection_code(RUNNER, operation.clone());
         assert_eq!(rejected, Some(RejectionCode::Forbidden), "{operation:?}");
     }
 }
 
 #[test]
-fn the_configuration_is_answered_from_the_replica() {
+fn configuration_is_answered_from_replica_without_leader() {
     let mut bench = Bench::with_keys();
     let ticket = bench.ask_as(OPERATOR, 1_000, Operation::GetConfiguration);
     let expected = OperationReply::Configuration {
@@ -142,36 +152,38 @@
     assert!(bench.requests.is_empty());
 }
 
+/// Guards against resends with a key that was revoked after the first attempt.
 #[test]
-fn a_revoked_key_is_refused_and_nothing_is_sent_again_on_its_word() {
+fn revoked_key_is_rejected_and_its_pending_request_is_not_resent() {
     let mut bench = Bench::with_keys();
-    let waiting = bench.ask_as(CALLER, 20_000, submit("poster", "a"));
+    let pending = bench.ask_as(CALLER, 20_000, submit("poster", "a"));
     bench.document.keys.retain(|key| key.id.as_str() != "app");
     bench.version = 2;
     bench.advance(300);
     let sent = bench.requests.len();
-    let fresh = bench.ask_as(CALLER, 1_000, submit("poster", "b"));
-    assert_eq!(bench.rejection(fresh).code, RejectionCode::Unauthenticated);
+    let later = bench.ask_as(CALLER, 1_000, submit("poster", "b"));
+    assert_eq!(bench.rejection(later).code, RejectionCode::Unauthenticated);
     bench.advance(1_000);
     assert_eq!(
-        bench.rejection(waiting).code,
+        bench.rejection(pending).code,
         RejectionCode::Unauthenticated
     );
     assert_eq!(bench.requests.len(), sent);
 }
 
+/// Guards against secrets in logs. A token without a dot may be a bare secret.
 #[test]
 fn a_token_never_shows_its_secret() {
     let caller = gateway::Caller {
         token: Some("app.secret".to_owned()),
     };
-    let shown = format!("{caller:?}");
+    let debug_text = format!("{caller:?}");
     assert!(
-        shown.contains("app") && !shown.contains("secret"),
-        "{shown}"
+        debug_text.contains("app") && !debug_text.contains("secret"),
+        "{debug_text}"
     );
-    let unsplit = gateway::Caller {
+    let without_id = gateway::Caller {
         token: Some("topsecret".to_owned()),
     };
-    assert!(!format!("{unsplit:?}").contains("topsecret"));
+    assert!(!format!("{without_id:?}").contains("topsecret"));
 }
--- a/crates/gateway/tests/core/bench.rs
+++ b/crates/gateway/tests/core/bench.rs
@@ -1,4 +1,4 @@
-//! One gateway before emulated coordinators, on a clock that the test moves.
+//! A gateway core with emulated coordinators and a clock that the test controls.
 
 use configuration::{ClusterConfiguration, Key, KeyHash, KeyRole};
 use gateway::{Caller, Effect, Gateway, GatewayOptions, Input, NotReady, TicketId};
@@ -12,33 +12,40 @@
     Now, Role, StepSpec, Term, Urgency, WallTime,
 };
 
-pub const PLACES: usize = 32;
-pub const RESEND_AFTER: u64 = 400;
-const STEP: u64 = 50;
+/// Maximum number of pending requests of the gateway.
+pub const MAX_WAITING_REQUESTS: usize = 32;
+/// Time to the first resend of an unanswered request, in milliseconds.
+pub const RESEND_AFTER_MS: u64 = 400;
+/// Time between two ticks, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 50;
 
-/// A coordinator that answers keep-alives as a leader, points at one, or is silent.
+/// Emulated coordinator: the leader, a follower that names the leader, or unresponsive.
 pub struct Coordinator {
     pub address: Address,
-    pub leads: bool,
-    pub silent: bool,
+    pub is_leader: bool,
+    /// Whether the coordinator drops every message.
+    pub unresponsive: bool,
 }
 
-/// An answer as the shell gets it.
+/// Answer that the core passes to the shell.
 pub type Answer = (TicketId, Result<OperationReply, Rejection>);
 
-/// The gateway under test and all it talks to.
+/// The gateway under test, its emulated coordinators and its recorded effects.
 pub struct Bench {
     pub gateway: Gateway,
+    /// Current time, in milliseconds.
     pub now: u64,
     pub coordinators: Vec<Coordinator>,
     pub term: u64,
     pub version: u64,
     pub document: ClusterConfiguration,
-    /// Requests as coordinators received them, with who did and when.
+    /// Requests that coordinators received, each with the index of the coordinator and
+    /// the time in milliseconds.
     pub requests: Vec<(usize, u64, Request)>,
     pub answers: Vec<Answer>,
     pub readiness: Vec<Result<(), NotReady>>,
-    pub goodbyes: usize,
+    /// Number of keep-alives by which the gateway left its session.
+    pub leave_messages: usize,
     pub stopped: bool,
     next_ticket: u64,
 }
@@ -53,7 +60,7 @@
 }
 
 impl Bench {
-    /// A gateway whose only leader is coordinator 0 of 2; not ready yet.
+    /// Creates a gateway without a session. Coordinator 0 of 2 is the leader.
     pub fn new() -> Self {
         Self::with_identity(9)
     }
@@ -62,8 +69,8 @@
         let coordinators: Vec<_> = (1..=2)
             .map(|node| Coordinator {
                 address: address(node, Role::Coordinator),
-                leads: node == 1,
-                silent: false,
+                is_leader: node == 1,
+                unresponsive: false,
             })
             .collect();
         let options = GatewayOptions {
@@ -71,8 +78,8 @@
             seeds: coordinators.iter().map(|c| c.address.socket).collect(),
             session_interval: Milliseconds(200),
             replica_valid: Milliseconds(2_000),
-            max_waiting_requests: PLACES,
-            resend_after: Milliseconds(RESEND_AFTER),
+            max_waiting_requests: MAX_WAITING_REQUESTS,
+            resend_after: Milliseconds(RESEND_AFTER_MS),
             seed: 5,
         };
         Self {
@@ -85,18 +92,18 @@
             requests: Vec::new(),
             answers: Vec::new(),
             readiness: Vec::new(),
-            goodbyes: 0,
+            leave_messages: 0,
             stopped: false,
             next_ticket: 0,
         }
     }
 
-    /// As [`Bench::new`], with a session.
+    /// Creates a gateway that has a session and is ready.
     pub fn connected() -> Self {
         Self::connected_as(9)
     }
 
-    /// Connected, as the process with this identity.
+    /// Creates a gateway with the identity `node` that has a session and is ready.
     pub fn connected_as(node: u64) -> Self {
         let mut bench = Self::with_identity(node);
         bench.advance(500);
@@ -104,8 +111,9 @@
         bench
     }
 
-    /// Connected, with these keys in force: `boss` (operator), `app` (caller
-    /// of tenant poster) and `box` (runner); each secret is `secret`.
+    /// Creates a gateway with a session, whose configuration contains the keys `boss`
+    /// (operator), `app` (caller of tenant poster) and `box` (runner). The secret of
+    /// each key is `secret`.
     pub fn with_keys() -> Self {
         let mut bench = Self::new();
         let key = |id: &str, role| Key {
@@ -123,39 +131,41 @@
         bench
     }
 
-    /// Moves the clock in small steps, with a tick and all answers at each.
+    /// Advances the clock in steps of [`TICK_INTERVAL_MS`]. Each step passes a tick to
+    /// the gateway and delivers the messages that follow.
     pub fn advance(&mut self, length: u64) {
         let end = self.now + length;
         while self.now < end {
-            self.now = (self.now + STEP).min(end);
+            self.now = (self.now + TICK_INTERVAL_MS).min(end);
             self.input(Input::Tick);
         }
     }
 
-    /// Moves the clock at once, as a freeze does, then gives this input.
+    /// Advances the clock in one step without ticks, as when the process is frozen, and
+    /// then passes `input` to the gateway.
     pub fn freeze(&mut self, length: u64, input: Input) {
         self.now += length;
         self.input(input);
     }
 
-    /// Gives one input and carries out all effects.
+    /// Passes one input to the gateway and executes all effects.
     pub fn input(&mut self, input: Input) {
         let mut pending = vec![input];
         while let Some(input) = pending.pop() {
             let mut effects = Vec::new();
             self.gateway.handle(at(self.now), input, &mut effects);
             for effect in effects {
-                self.carry_out(effect, &mut pending);
+                self.execute(effect, &mut pending);
             }
         }
     }
 
-    /// Asks without a key; gives the ticket.
+    /// Sends a request without a key, and returns its ticket.
     pub fn ask(&mut self, time_left: u64, operation: Operation) -> TicketId {
         self.ask_as(None, time_left, operation)
     }
 
-    /// Asks with a token; gives the ticket.
+    /// Sends a request with a token, and returns its ticket.
     pub fn ask_as(
         &mut self,
         token: Option<&str>,
@@ -175,23 +185,34 @@
         ticket
     }
 
-    /// The answer to a ticket, if it came. A second one fails the test.
+    /// Returns the answer to a request, or `None` if it is unanswered. Panics if there is
+    /// more than one answer.
     pub fn answer(&self, ticket: TicketId) -> Option<&Result<OperationReply, Rejection>> {
-        let mut answers = self.answers.iter().filter(|(given, _)| *given == ticket);
+        let mut answers = self
+            .answers
+            .iter()
+            .filter(|(answered, _)| *answered == ticket);
         let first = answers.next();
-        assert!(answers.next().is_none(), "a second answer to {ticket:?}");
+        assert!(
+            answers.next().is_none(),
+            "more than one answer to {ticket:?}"
+        );
         first.map(|(_, result)| result)
     }
 
-    /// The rejection a ticket got.
+    /// Returns the rejection of a request. Panics if the request was not rejected.
     pub fn rejection(&self, ticket: TicketId) -> &Rejection {
-        let answer = self.answer(ticket).expect("no answer yet");
-        answer.as_ref().expect_err("not a refusal")
+        let answer = self.answer(ticket).expect("request is unanswered");
+        answer.as_ref().expect_err("request was not rejected")
     }
 
-    /// Coordinator `from` answers the request it received last.
+    /// Replies from coordinator `from` to the request that was received last.
     pub fn reply(&mut self, from: usize, result: Result<OperationReply, Rejection>) {
-        let request = &self.requests.last().expect("no request").2;
+        let request = &self
+            .requests
+            .last()
+            .expect("no coordinator received a request")
+            .2;
         let body = PeerMessage::Reply(Reply {
             id: request.id,
             result,
@@ -199,16 +220,16 @@
         self.deliver(from, body);
     }
 
-    /// A message from a coordinator arrives.
+    /// Delivers a message of coordinator `from` to the gateway.
     pub fn deliver(&mut self, from: usize, body: PeerMessage) {
         self.input(Input::Peer(self.envelope(from, body)));
     }
 
-    /// Coordinator `to` leads from now on, under the next term.
+    /// Makes coordinator `to` the leader of the next term.
     pub fn elect(&mut self, to: usize) {
         self.term += 1;
         for (index, coordinator) in self.coordinators.iter_mut().enumerate() {
-            coordinator.leads = index == to;
+            coordinator.is_leader = index == to;
         }
     }
 
@@ -220,7 +241,7 @@
         }
     }
 
-    fn carry_out(&mut self, effect: Effect, pending: &mut Vec<Input>) {
+    fn execute(&mut self, effect: Effect, pending: &mut Vec<Input>) {
         match effect {
             Effect::Respond { ticket, result } => self.answers.push((ticket, result)),
             Effect::Ready(readiness) => self.readiness.push(readiness),
@@ -230,17 +251,18 @@
                     .coordinators
                     .iter()
                     .position(|c| c.address.socket == to);
-                let index = found.expect("sent to nobody");
-                if !self.coordinators[index].silent {
-                    let answers = self.arrive(index, message);
+                let index = found.expect("message to an unknown socket");
+                if !self.coordinators[index].unresponsive {
+                    let answers = self.route(index, message);
                     pending.extend(answers.into_iter().map(Input::Peer));
                 }
             }
         }
     }
 
-    /// A message reaches a coordinator, which may have to pass it on.
-    fn arrive(&mut self, index: usize, message: PeerMessage) -> Vec<Envelope> {
+    /// Delivers a message to a coordinator, or to the destination of a relayed message.
+    /// Returns the replies.
+    fn route(&mut self, index: usize, message: PeerMessage) -> Vec<Envelope> {
         let (receiver, via, body) = match message {
             PeerMessage::Relay(relay) => {
                 let to = relay.destination;
@@ -249,11 +271,15 @@
                     .iter()
                     .position(|c| c.address.socket == to);
                 let via = self.coordinators[index].address.socket;
-                (found.expect("relayed to nobody"), Some(via), *relay.body)
+                (
+                    found.expect("relayed message to an unknown socket"),
+                    Some(via),
+                    *relay.body,
+                )
             }
             body => (index, None, body),
         };
-        if self.coordinators[receiver].silent {
+        if self.coordinators[receiver].unresponsive {
             return Vec::new();
         }
         let from = self.coordinators[receiver].address.clone();
@@ -268,7 +294,7 @@
     }
 
     fn receive(&mut self, index: usize, message: PeerMessage) -> Vec<PeerMessage> {
-        let leader = self.coordinators.iter().find(|c| c.leads);
+        let leader = self.coordinators.iter().find(|c| c.is_leader);
         let leader = leader.map(|c| c.address.clone());
         match message {
             PeerMessage::Discover => vec![PeerMessage::Members(Members {
@@ -282,24 +308,26 @@
                 cluster: Some(ClusterId(3)),
             })],
             PeerMessage::KeepAlive(keep_alive) if keep_alive.leaving => {
-                self.goodbyes += 1;
+                self.leave_messages += 1;
                 Vec::new()
             }
-            PeerMessage::KeepAlive(keep_alive) if self.coordinators[index].leads => {
+            PeerMessage::KeepAlive(keep_alive) if self.coordinators[index].is_leader => {
                 self.lease(index, &keep_alive)
             }
-            PeerMessage::Request(request) if self.coordinators[index].leads => {
+            PeerMessage::Request(request) if self.coordinators[index].is_leader => {
                 self.requests.push((index, self.now, request));
                 Vec::new()
             }
             PeerMessage::KeepAlive(_) | PeerMessage::Request(_) => {
                 vec![PeerMessage::NotLeader { leader }]
             }
-            other => panic!("unexpected {other:?}"),
+            other => panic!("unexpected message: {other:?}"),
         }
     }
 
-    /// The lease, given last, is delivered first; then the document, if wanted.
+    /// Returns the lease, and the document if the gateway's version is older.
+    /// [`Bench::input`] delivers the last message first, so the gateway receives the
+    /// lease before the document.
     fn lease(&self, index: usize, keep_alive: &KeepAlive) -> Vec<PeerMessage> {
         let version = ConfigurationVersion(self.version);
         let mut answers = Vec::new();
@@ -334,7 +362,7 @@
     }
 }
 
-/// A job of a tenant.
+/// Returns the key of a job.
 pub fn job_key(tenant: &str, job: &str) -> JobKey {
     JobKey {
         tenant: tenant.parse().unwrap(),
@@ -342,7 +370,7 @@
     }
 }
 
-/// A submit of a tenant.
+/// Returns a submit of a job with one step.
 pub fn submit(tenant: &str, job: &str) -> Operation {
     let JobKey { tenant, job } = job_key(tenant, job);
     Operation::Submit(JobSpec {
@@ -367,7 +395,7 @@
     })
 }
 
-/// The answer to a submit.
+/// Returns the leader's result for a submit of a new job.
 pub fn submitted() -> Result<OperationReply, Rejection> {
     Ok(OperationReply::Submitted {
         number: types::JobNumber(1),
--- a/crates/gateway/tests/core/forwarding.rs
+++ b/crates/gateway/tests/core/forwarding.rs
@@ -1,6 +1,6 @@
-//! Forwarding, resends, changes of leader, deadlines.
+//! Forwarding, resends, deadlines and changes of leader.
 
-use crate::bench::{Bench, RESEND_AFTER, job_key, submit, submitted};
+use crate::bench::{Bench, RESEND_AFTER_MS, job_key, submit, submitted};
 use gateway::Input;
 use transport::{Operation, OperationReply, PeerMessage, RejectionCode};
 use types::Milliseconds;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_request_goes_to_the_leader_at_once_and_its_answer_comes_back_once() {
+fn request_is_sent_to_leader_at_once_and_answered_once() {
     let mut bench = Bench::connected();
     let ticket = bench.ask(2_000, submit("poster", "a"));
     let (to, at, request) = &bench.requests[0];
@@ -30,13 +30,16 @@
 }
 
 #[test]
-fn silence_is_followed_by_resends_under_the_same_number_with_growing_waits() {
+fn unanswered_request_is_resent_under_same_number_with_backoff() {
     let mut bench = Bench::connected();
     let ticket = bench.ask(5_000, submit("poster", "a"));
     let first = bench.now;
     bench.advance(4_000);
     let sent: Vec<_> = bench.requests.iter().map(|(_, at, _)| at - first).collect();
-    assert_eq!(sent, [0, RESEND_AFTER, 3 * RESEND_AFTER, 7 * RESEND_AFTER]);
+    assert_eq!(
+        sent,
+        [0, RESEND_AFTER_MS, 3 * RESEND_AFTER_MS, 7 * RESEND_AFTER_MS]
+    );
     let id = bench.requests[0].2.id;
     for (_, at, request) in &bench.requests {
         assert_eq!(request.id, id);
@@ -47,7 +50,7 @@
 }
 
 #[test]
-fn a_request_without_an_answer_times_out_at_its_deadline_and_not_before() {
+fn unanswered_request_times_out_at_its_deadline_and_not_before() {
     let mut bench = Bench::connected();
     let ticket = bench.ask(1_000, submit("poster", "a"));
     bench.advance(950);
@@ -61,14 +64,14 @@
 }
 
 #[test]
-fn the_core_asks_to_be_woken_by_the_next_deadline_or_resend() {
+fn next_wakeup_is_no_later_than_next_deadline() {
     let mut bench = Bench::connected();
     bench.ask(30, submit("poster", "a"));
     assert!(bench.gateway.next_wakeup().0 <= bench.now + 30);
 }
 
 #[test]
-fn a_refusal_of_the_leader_is_passed_on_at_once() {
+fn rejection_of_leader_is_returned_at_once() {
     let mut bench = Bench::connected();
     let ticket = bench.ask(30_000, submit("poster", "a"));
     let rejected = rejection(RejectionCode::Overloaded);
@@ -76,34 +79,36 @@
     assert_eq!(bench.rejection(ticket), &rejected);
 }
 
+/// A temporary rejection applies to the resend only: the first attempt may still take
+/// effect, so the gateway must not report that the request was rejected.
 #[test]
-fn a_momentary_refusal_of_a_resend_does_not_speak_for_the_first_sending() {
+fn temporary_rejection_of_resend_is_returned_as_unknown_outcome() {
     for code in [RejectionCode::Overloaded, RejectionCode::Unavailable] {
         let mut bench = Bench::connected();
         let ticket = bench.ask(30_000, submit("poster", "a"));
-        bench.advance(RESEND_AFTER);
+        bench.advance(RESEND_AFTER_MS);
         assert_eq!(bench.requests.len(), 2);
         bench.reply(0, Err(rejection(code)));
-        let told = bench.rejection(ticket);
-        assert_eq!(told.code, RejectionCode::TimedOut);
-        assert_eq!(told.retry_after, Some(Milliseconds(700)));
+        let rejected = bench.rejection(ticket);
+        assert_eq!(rejected.code, RejectionCode::TimedOut);
+        assert_eq!(rejected.retry_after, Some(Milliseconds(700)));
     }
 }
 
 #[test]
-fn a_lasting_refusal_of_a_resend_is_passed_on() {
+fn permanent_rejection_of_resend_is_returned() {
     let mut bench = Bench::connected();
     let ticket = bench.ask(30_000, submit("poster", "a"));
-    bench.advance(RESEND_AFTER);
+    bench.advance(RESEND_AFTER_MS);
     bench.reply(0, Err(rejection(RejectionCode::Conflict)));
     assert_eq!(bench.rejection(ticket).code, RejectionCode::Conflict);
 }
 
 #[test]
-fn a_new_leader_gets_what_waits_as_soon_as_its_session_opens() {
+fn pending_request_is_resent_when_session_with_new_leader_opens() {
     let mut bench = Bench::connected();
     let ticket = bench.ask(10_000, submit("poster", "a"));
-    bench.coordinators[0].silent = true;
+    bench.coordinators[0].unresponsive = true;
     bench.elect(1);
     bench.advance(1_500);
     let (to, _, request) = bench.requests.last().unwrap();
@@ -115,7 +120,7 @@
 }
 
 #[test]
-fn a_leader_that_steps_down_politely_costs_no_wait() {
+fn request_rejected_by_former_leader_is_sent_to_new_leader_at_once() {
     let mut bench = Bench::connected();
     bench.elect(1);
     let ticket = bench.ask(2_000, submit("poster", "a"));
@@ -125,12 +130,14 @@
     assert_eq!(bench.answer(ticket), Some(&submitted()));
 }
 
+/// Guards against an endless loop of resends between two coordinators that each name the
+/// other as leader.
 #[test]
-fn two_coordinators_that_point_at_each_other_do_not_keep_it_busy() {
+fn coordinators_that_name_each_other_as_leader_cause_no_resend_loop() {
     let mut bench = Bench::connected();
     let ticket = bench.ask(1_000, submit("poster", "a"));
     for coordinator in &mut bench.coordinators {
-        coordinator.leads = false;
+        coordinator.is_leader = false;
     }
     for from in [0, 1, 0, 1, 0, 1, 0, 1, 0, 1] {
         let leader = Some(bench.coordinators[1 - from].address.clone());
@@ -145,45 +152,48 @@
 }
 
 #[test]
-fn what_waits_is_given_up_at_once_when_the_leader_is_and_not_at_its_deadline() {
+fn pending_request_ends_when_leader_is_lost_and_not_at_its_deadline() {
     let mut bench = Bench::connected();
     let ticket = bench.ask(30_000, submit("poster", "a"));
     for coordinator in &mut bench.coordinators {
-        coordinator.silent = true;
+        coordinator.unresponsive = true;
     }
     bench.advance(2_300);
     let rejection = bench.rejection(ticket);
-    // It was sent: it may be taken yet, so it is no rejection.
+    // The request was sent and may still take effect, so its outcome is unknown.
     assert_eq!(rejection.code, RejectionCode::TimedOut);
     assert_eq!(rejection.retry_after, Some(Milliseconds(500)));
 }
 
+/// While the process is frozen, the deadline passes and a reply arrives. The timeout
+/// must be processed first, and the gateway must not use its expired session.
 #[test]
-fn a_freeze_is_noticed_before_its_input_counts() {
+fn deadline_during_freeze_is_processed_before_late_reply() {
     let mut bench = Bench::connected();
     let ticket = bench.ask(2_000, submit("poster", "a"));
     let id = bench.requests[0].2.id;
-    let late = transport::Reply {
+    let late_reply = transport::Reply {
         id,
         result: Ok(OperationReply::Accepted),
     };
     let envelope = transport::Envelope {
         from: bench.coordinators[0].address.clone(),
         via: None,
-        body: PeerMessage::Reply(late),
+        body: PeerMessage::Reply(late_reply),
     };
     for coordinator in &mut bench.coordinators {
-        coordinator.silent = true;
+        coordinator.unresponsive = true;
     }
     bench.freeze(20_000, Input::Peer(envelope));
     assert_eq!(bench.rejection(ticket).code, RejectionCode::TimedOut);
-    let fresh = bench.ask(2_000, Operation::GetJob(job_key("poster", "a")));
-    assert_eq!(bench.rejection(fresh).code, RejectionCode::Unavailable);
+    let later = bench.ask(2_000, Operation::GetJob(job_key("poster", "a")));
+    assert_eq!(bench.rejection(later).code, RejectionCode::Unavailable);
     assert!(bench.readiness.last().unwrap().is_err());
 }
 
+/// Guards against a reply to an earlier process that matches a request of its successor.
 #[test]
-fn two_processes_at_one_socket_number_their_requests_apart() {
+fn processes_with_different_identities_use_different_request_numbers() {
     let mut first = Bench::connected();
     first.ask(1_000, submit("poster", "a"));
     let mut second = Bench::connected();
--- a/crates/gateway/tests/core/main.rs
+++ b/crates/gateway/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's core before emulated coordinators.
+//! Tests of the gateway's core with emulated coordinators.
 
 mod access;
 mod bench;
--- a/crates/gateway/tests/core/overload.rs
+++ b/crates/gateway/tests/core/overload.rs
@@ -1,45 +1,54 @@
-//! Bounded places: one tenant cannot take them all, and a rejection is at once.
+//! Limits on pending requests: quotas of tenants, the reserve of operators, and
+//! immediate rejection above them.
 
-use crate::bench::{Bench, PLACES, submit};
+use crate::bench::{Bench, MAX_WAITING_REQUESTS, submit};
 use gateway::{Input, TicketId};
 use transport::{Operation, RejectionCode};
 
-const TENANT_PLACES: usize = PLACES / 4;
+const TENANT_QUOTA: usize = MAX_WAITING_REQUESTS / 4;
 
-fn flood(bench: &mut Bench, tenant: &str, count: usize) -> Vec<TicketId> {
+/// Submits `count` jobs of a tenant, and returns the tickets.
+fn submit_many(bench: &mut Bench, tenant: &str, count: usize) -> Vec<TicketId> {
     (0..count)
         .map(|number| bench.ask(30_000, submit(tenant, &format!("{tenant}-{number}"))))
         .collect()
 }
 
-fn rejected(bench: &Bench, tickets: &[TicketId]) -> usize {
+/// Returns the number of rejected requests.
+fn count_rejected(bench: &Bench, tickets: &[TicketId]) -> usize {
     let answers = tickets.iter().filter_map(|ticket| bench.answer(*ticket));
     answers.filter(|answer| answer.is_err()).count()
 }
 
 #[test]
-fn one_tenant_at_many_times_its_load_leaves_the_others_their_places() {
+fn overload_by_one_tenant_leaves_quota_of_other_tenants() {
     let mut bench = Bench::connected();
-    let loud = flood(&mut bench, "poster", 20 * PLACES);
-    assert_eq!(rejected(&bench, &loud), 20 * PLACES - TENANT_PLACES);
-    let rejection = bench.rejection(loud[TENANT_PLACES]);
+    let overloading = submit_many(&mut bench, "poster", 20 * MAX_WAITING_REQUESTS);
+    assert_eq!(
+        count_rejected(&bench, &overloading),
+        20 * MAX_WAITING_REQUESTS - TENANT_QUOTA
+    );
+    let rejection = bench.rejection(overloading[TENANT_QUOTA]);
     assert_eq!(rejection.code, RejectionCode::Overloaded);
-    let wait = rejection.retry_after.unwrap().0;
-    assert!((500..=1_000).contains(&wait), "{wait}");
-    let quiet = flood(&mut bench, "editors", TENANT_PLACES);
-    assert_eq!(rejected(&bench, &quiet), 0);
+    let retry_after = rejection.retry_after.unwrap().0;
+    assert!((500..=1_000).contains(&retry_after), "{retry_after}");
+    let other = submit_many(&mut bench, "editors", TENANT_QUOTA);
+    assert_eq!(count_rejected(&bench, &other), 0);
 }
 
 #[test]
-fn all_tenants_together_leave_places_for_operators() {
+fn overload_by_all_tenants_leaves_capacity_for_operators() {
     let mut bench = Bench::connected();
     for tenant in ["a", "b", "c", "d", "e", "f"] {
-        flood(&mut bench, tenant, PLACES);
+        submit_many(&mut bench, tenant, MAX_WAITING_REQUESTS);
     }
-    let operators: Vec<_> = (0..PLACES)
+    let operators: Vec<_> = (0..MAX_WAITING_REQUESTS)
         .map(|_| bench.ask(30_000, Operation::ListMembers))
         .collect();
-    assert_eq!(rejected(&bench, &operators), PLACES - PLACES / 8);
+    assert_eq!(
+        count_rejected(&bench, &operators),
+        MAX_WAITING_REQUESTS - MAX_WAITING_REQUESTS / 8
+    );
     assert_eq!(
         bench.rejection(*operators.last().unwrap()).code,
         RejectionCode::Overloaded
@@ -47,20 +56,20 @@
 }
 
 #[test]
-fn an_answer_or_a_caller_that_went_away_frees_the_place() {
+fn answered_or_abandoned_request_frees_capacity() {
     let mut bench = Bench::connected();
-    let tickets = flood(&mut bench, "poster", TENANT_PLACES);
+    let tickets = submit_many(&mut bench, "poster", TENANT_QUOTA);
     bench.reply(0, crate::bench::submitted());
-    assert_eq!(rejected(&bench, &tickets), 0);
-    let next = flood(&mut bench, "poster", 2);
-    assert_eq!(rejected(&bench, &next), 1);
+    assert_eq!(count_rejected(&bench, &tickets), 0);
+    let next = submit_many(&mut bench, "poster", 2);
+    assert_eq!(count_rejected(&bench, &next), 1);
     bench.input(Input::Abandoned { ticket: tickets[0] });
-    let next = flood(&mut bench, "poster", 2);
-    assert_eq!(rejected(&bench, &next), 1);
+    let next = submit_many(&mut bench, "poster", 2);
+    assert_eq!(count_rejected(&bench, &next), 1);
 }
 
 #[test]
-fn an_abandoned_request_gets_no_answer_and_no_resend() {
+fn abandoned_request_is_not_answered_or_resent() {
     let mut bench = Bench::connected();
     let ticket = bench.ask(5_000, submit("poster", "a"));
     bench.input(Input::Abandoned { ticket });
@@ -70,14 +79,14 @@
 }
 
 #[test]
-fn timed_out_requests_free_their_places() {
+fn timed_out_requests_free_capacity() {
     let mut bench = Bench::connected();
     for _ in 0..3 {
-        let tickets: Vec<_> = (0..TENANT_PLACES)
+        let tickets: Vec<_> = (0..TENANT_QUOTA)
             .map(|number| bench.ask(100, submit("poster", &format!("j-{number}"))))
             .collect();
         bench.advance(150);
-        assert_eq!(rejected(&bench, &tickets), TENANT_PLACES);
+        assert_eq!(count_rejected(&bench, &tickets), TENANT_QUOTA);
         for ticket in tickets {
             assert_eq!(bench.rejection(ticket).code, RejectionCode::TimedOut);
         }
--- a/crates/gateway/tests/core/readiness.rs
+++ b/crates/gateway/tests/core/readiness.rs
@@ -1,14 +1,14 @@
-//! Ready only with a valid replica and a leader; a polite stop.
+//! Readiness, which requires a valid replica and a session, and graceful shutdown.
 
 use crate::bench::{Bench, submit, submitted};
 use gateway::{Input, NotReady};
 use transport::RejectionCode;
 
 #[test]
-fn a_fresh_gateway_is_not_ready_and_refuses_at_once() {
+fn gateway_without_session_is_not_ready_and_rejects_at_once() {
     let mut bench = Bench::new();
     for coordinator in &mut bench.coordinators {
-        coordinator.silent = true;
+        coordinator.unresponsive = true;
     }
     bench.input(Input::Tick);
     assert!(bench.readiness.last().unwrap().is_err());
@@ -19,64 +19,68 @@
 }
 
 #[test]
-fn readiness_is_told_when_it_changes_only() {
+fn readiness_is_reported_only_on_changes() {
     let mut bench = Bench::connected();
     bench.advance(5_000);
-    let told = bench.readiness.len();
-    assert!(told <= 3, "{:?}", bench.readiness);
+    let reports = bench.readiness.len();
+    assert!(reports <= 3, "{:?}", bench.readiness);
     for coordinator in &mut bench.coordinators {
-        coordinator.silent = true;
+        coordinator.unresponsive = true;
     }
     bench.advance(5_000);
     assert!(bench.readiness.last().unwrap().is_err());
     for coordinator in &mut bench.coordinators {
-        coordinator.silent = false;
+        coordinator.unresponsive = false;
     }
     bench.advance(5_000);
     assert_eq!(bench.readiness.last(), Some(&Ok(())));
-    assert!(bench.readiness.len() <= told + 3, "{:?}", bench.readiness);
+    assert!(
+        bench.readiness.len() <= reports + 3,
+        "{:?}",
+        bench.readiness
+    );
 }
 
 #[test]
-fn a_replica_known_to_be_old_ends_service() {
+fn gateway_without_confirmation_by_leader_becomes_not_ready() {
     let mut bench = Bench::connected();
     bench.version = 1;
     bench.advance(250);
-    bench.coordinators[0].silent = true;
+    bench.coordinators[0].unresponsive = true;
     bench.advance(2_500);
     assert!(bench.readiness.last().unwrap().is_err());
 }
 
 #[test]
-fn a_stop_refuses_new_requests_and_finishes_the_waiting_ones() {
+fn stop_rejects_new_requests_and_waits_for_pending_ones() {
     let mut bench = Bench::connected();
-    let waiting = bench.ask(5_000, submit("poster", "a"));
+    let pending = bench.ask(5_000, submit("poster", "a"));
     bench.input(Input::Stop);
     assert_eq!(bench.readiness.last(), Some(&Err(NotReady::Stopping)));
-    let late = bench.ask(5_000, submit("poster", "b"));
-    let rejection = bench.rejection(late);
+    let rejected = bench.ask(5_000, submit("poster", "b"));
+    let rejection = bench.rejection(rejected);
     assert_eq!(rejection.code, RejectionCode::Unavailable);
     assert!(rejection.retry_after.is_some());
     assert!(!bench.stopped);
-    assert_eq!(bench.goodbyes, 0);
+    assert_eq!(bench.leave_messages, 0);
     bench.reply(0, submitted());
-    assert_eq!(bench.answer(waiting), Some(&submitted()));
+    assert_eq!(bench.answer(pending), Some(&submitted()));
     assert!(bench.stopped);
-    assert_eq!(bench.goodbyes, 1);
-    let later = bench.ask(5_000, submit("poster", "c"));
-    assert_eq!(bench.rejection(later).code, RejectionCode::Unavailable);
+    assert_eq!(bench.leave_messages, 1);
+    let after_stop = bench.ask(5_000, submit("poster", "c"));
+    assert_eq!(bench.rejection(after_stop).code, RejectionCode::Unavailable);
 }
 
 #[test]
-fn an_idle_gateway_stops_at_once() {
+fn gateway_without_pending_requests_stops_at_once() {
     let mut bench = Bench::connected();
     bench.input(Input::Stop);
     assert!(bench.stopped);
 }
 
-/// `/readyz` shows these texts.
+/// `/readyz` returns these texts to operators.
 #[test]
-fn reasons_have_the_texts_that_readyz_shows() {
+fn not_ready_reasons_have_texts_of_readyz() {
     assert_eq!(NotReady::Stopping.to_string(), "stopping");
     assert_eq!(
         NotReady::NoConfiguration.to_string(),
--- a/crates/gateway/tests/http/decisions.rs
+++ b/crates/gateway/tests/http/decisions.rs
@@ -1,4 +1,4 @@
-//! The decision log over HTTP, also over a change of leader.
+//! The decision log over HTTP, including changes of leader.
 
 use crate::fixture::{Fixture, rejected};
 use reqwest::Response;
@@ -22,19 +22,21 @@
     numbers.map(entry).collect()
 }
 
+/// Starts a gateway whose leader returns the entries of `log`.
 async fn start(log: Log) -> Fixture {
     Fixture::start(move |operation| {
         let Operation::Decisions { after, limit } = operation else {
             panic!("{operation:?}");
         };
         let log = log.lock().unwrap();
-        let wanted = log.iter().filter(|entry| entry.number > *after);
-        let page = wanted.take(*limit as usize).cloned().collect();
+        let newer = log.iter().filter(|entry| entry.number > *after);
+        let page = newer.take(*limit as usize).cloned().collect();
         Some(Ok(OperationReply::Decisions(page)))
     })
     .await
 }
 
+/// Returns term and number of each line.
 fn numbers(text: &str) -> Vec<(u64, u64)> {
     let lines = text.lines().map(|line| serde_json::from_str(line).unwrap());
     lines
@@ -45,17 +47,22 @@
         .collect()
 }
 
+/// Reads until the entry with term and number `last`. Returns all entries that were read.
 async fn read_until(response: &mut Response, last: (u64, u64)) -> Vec<(u64, u64)> {
     let mut text = String::new();
     while !text.ends_with('\n') || numbers(&text).last() != Some(&last) {
-        let chunk = response.chunk().await.unwrap().expect("the stream ended");
+        let chunk = response
+            .chunk()
+            .await
+            .unwrap()
+            .expect("stream ended before the expected entry");
         text.push_str(std::str::from_utf8(&chunk).unwrap());
     }
     numbers(&text)
 }
 
 #[tokio::test]
-async fn a_page_is_one_line_for_each_decision() {
+async fn page_has_one_json_line_per_decision() {
     let log = Log::new(Mutex::new(entries(1, 1..=5)));
     let fixture = start(log).await;
     let response = fixture.get("/v1/decisions?after=2&limit=2").await;
@@ -65,8 +72,10 @@
     assert!(text.contains(r#""event":"job_ended""#), "{text}");
 }
 
+/// The log of a new leader starts at 1 and may be shorter or longer than the one that
+/// was read, so the numbers do not reveal the change of leader.
 #[tokio::test]
-async fn a_follower_misses_and_repeats_nothing_over_a_change_of_leader() {
+async fn followed_log_has_each_entry_once_across_leader_changes() {
     let log = Log::new(Mutex::new(entries(1, 1..=3)));
     let fixture = start(log.clone()).await;
     let mut response = fixture.get("/v1/decisions?follow=true").await;
@@ -79,12 +88,12 @@
     *log.lock().unwrap() = entries(2, 1..=2);
     assert_eq!(read_until(&mut response, (2, 2)).await, [(2, 1), (2, 2)]);
     *log.lock().unwrap() = entries(3, 1..=4);
-    let seen = read_until(&mut response, (3, 4)).await;
-    assert_eq!(seen, [(3, 1), (3, 2), (3, 3), (3, 4)]);
+    let read = read_until(&mut response, (3, 4)).await;
+    assert_eq!(read, [(3, 1), (3, 2), (3, 3), (3, 4)]);
 }
 
 #[tokio::test]
-async fn a_reader_that_names_its_term_gets_a_new_leaders_lines_from_the_beginning() {
+async fn read_after_entry_of_earlier_term_starts_at_first_entry_of_new_leader() {
     let log = Log::new(Mutex::new(entries(2, 1..=3)));
     let fixture = start(log).await;
     let page = async |query: &str| {
@@ -97,7 +106,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_ends_when_the_gateway_stops() {
+async fn followed_log_ends_when_gateway_stops() {
     let fixture = start(Log::new(Mutex::new(entries(1, 1..=1)))).await;
     let mut response = fixture.get("/v1/decisions?follow=true").await;
     read_until(&mut response, (1, 1)).await;
@@ -107,7 +116,7 @@
 }
 
 #[tokio::test]
-async fn a_refusal_comes_before_the_stream_begins() {
+async fn rejected_follow_request_returns_error_status() {
     let fixture = Fixture::start(|_| rejected(RejectionCode::Forbidden, None)).await;
     let response = fixture.get("/v1/decisions?follow=true").await;
     assert_eq!(response.status(), 403);
--- a/crates/gateway/tests/http/fixture.rs
+++ b/crates/gateway/tests/http/fixture.rs
@@ -1,4 +1,4 @@
-//! A gateway process in a task, an emulated leader behind it, a client before.
+//! A gateway that runs in a task, with an emulated leader and an HTTP client.
 
 use configuration::ClusterConfiguration;
 use gateway::shell::{GatewayError, ShellOptions, run_on};
@@ -17,24 +17,25 @@
 use types::{Address, ClusterId, ConfigurationVersion, Milliseconds, NodeId, Role, Term};
 
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-const PAUSE: Duration = Duration::from_millis(20);
-/// So long that a busy machine changes no verdict.
-const LONG: Milliseconds = Milliseconds(30_000);
+/// Pause between two reads of `/readyz`.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout long enough that it does not expire during a test on a busy machine.
+const LONG_TIMEOUT: Milliseconds = Milliseconds(30_000);
 const TERM: Term = Term(1);
 pub const GATEWAY_NODE: u64 = u64::MAX;
 
-/// What the leader says; none is silence.
+/// Function that returns the leader's result for an operation, or `None` for no reply.
 pub type Script = dyn FnMut(&Operation) -> Option<Result<OperationReply, Rejection>> + Send;
 
-/// The emulated leader.
+/// Emulated leader that replies to session messages and forwarded requests.
 struct Leader {
     document: ClusterConfiguration,
     script: Box<Script>,
 }
 
-/// Settings that a test may change.
+/// Options of the gateway that a test may change.
 pub struct Setup {
-    pub places: usize,
+    pub max_waiting_requests: usize,
     pub document: ClusterConfiguration,
     pub grace: Milliseconds,
     pub resend_after: Milliseconds,
@@ -43,15 +44,15 @@
 impl Default for Setup {
     fn default() -> Self {
         Self {
-            places: 64,
+            max_waiting_requests: 64,
             document: ClusterConfiguration::default(),
-            grace: LONG,
-            resend_after: LONG,
+            grace: LONG_TIMEOUT,
+            resend_after: LONG_TIMEOUT,
         }
     }
 }
 
-/// All of it.
+/// Running gateway with an emulated leader and an HTTP client.
 pub struct Fixture {
     pub http: SocketAddr,
     pub stop: watch::Sender<bool>,
@@ -81,86 +82,86 @@
 }
 
 impl Fixture {
-    /// A ready gateway whose leader answers by the script.
+    /// Starts a gateway whose leader replies by `script`, and waits until it is ready.
     pub async fn start(
         script: impl FnMut(&Operation) -> Option<Result<OperationReply, Rejection>> + Send + 'static,
     ) -> Self {
         Self::start_with(Setup::default(), Box::new(script)).await
     }
 
-    /// As [`Fixture::start`], with other settings.
+    /// Starts a gateway as [`Fixture::start`] does, with the options in `setup`.
     pub async fn start_with(setup: Setup, script: Box<Script>) -> Self {
         let leader = Leader {
             document: setup.document.clone(),
             script,
         };
         let started = Transport::start(transport_options(), key(), address(1, Role::Coordinator));
-        let (transport, arriving) = started.await.unwrap();
+        let (transport, incoming) = started.await.unwrap();
         let leader_socket = transport.own().socket;
-        tokio::spawn(lead(leader, transport, arriving));
+        tokio::spawn(run_leader(leader, transport, incoming));
 
         let listener = TcpListener::bind(LOOPBACK).await.unwrap();
         let http = listener.local_addr().unwrap();
-        let (stop, stopped) = watch::channel(false);
+        let (stop, stop_receiver) = watch::channel(false);
         let options = gateway_options(http, leader_socket, &setup);
         let fixture = Self {
             http,
             stop,
-            gateway: tokio::spawn(run_on(listener, options, stopped)),
-            client: patient_client(),
+            gateway: tokio::spawn(run_on(listener, options, stop_receiver)),
+            client: client_with_long_deadline(),
         };
         fixture.wait_for_readiness(200).await;
         fixture
     }
 
-    /// Waits until `/readyz` has this status.
+    /// Waits until `/readyz` returns this status.
     pub async fn wait_for_readiness(&self, status: u16) {
         while self.get("/readyz").await.status() != status {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// A request to be completed.
+    /// Creates a request without a body, which the test completes and sends.
     pub fn request(&self, method: Method, path: &str) -> RequestBuilder {
         let url = format!("http://{}{path}", self.http);
         self.client.request(method, url)
     }
 
-    /// `GET`.
+    /// Sends a `GET` request, and returns the response.
     pub async fn get(&self, path: &str) -> Response {
         self.request(Method::GET, path).send().await.unwrap()
     }
 
-    /// `POST` with a JSON body.
+    /// Sends a `POST` request with a JSON body, and returns the response.
     pub async fn post(&self, path: &str, body: &str) -> Response {
         let request = self.request(Method::POST, path).body(body.to_owned());
         request.send().await.unwrap()
     }
 }
 
-/// Status and body of an answer.
+/// Returns the status and the JSON body of a response.
 pub async fn read(response: Response) -> (u16, Value) {
     let status = response.status().as_u16();
     (status, response.json().await.unwrap())
 }
 
-/// A rejection of the leader.
+/// Returns a rejection by the leader, with the retry time in milliseconds.
 pub fn rejected(
     code: RejectionCode,
     retry_after: Option<u64>,
 ) -> Option<Result<OperationReply, Rejection>> {
     Some(Err(Rejection {
         code,
-        message: "the leader says no".to_owned(),
+        message: "rejected by the leader".to_owned(),
         retry_after: retry_after.map(Milliseconds),
         problems: Vec::new(),
     }))
 }
 
-/// A client that waits long unless a request says otherwise.
-fn patient_client() -> reqwest::Client {
+/// Creates a client whose requests have a long deadline unless they set their own.
+fn client_with_long_deadline() -> reqwest::Client {
     let mut headers = HeaderMap::new();
-    headers.insert("deadline-ms", HeaderValue::from(LONG.0));
+    headers.insert("deadline-ms", HeaderValue::from(LONG_TIMEOUT.0));
     let builder = reqwest::Client::builder().default_headers(headers);
     builder.build().unwrap()
 }
@@ -171,8 +172,8 @@
             address: address(GATEWAY_NODE, Role::Gateway),
             seeds: vec![seed],
             session_interval: Milliseconds(50),
-            replica_valid: LONG,
-            max_waiting_requests: setup.places,
+            replica_valid: LONG_TIMEOUT,
+            max_waiting_requests: setup.max_waiting_requests,
             resend_after: setup.resend_after,
             seed: 1,
         },
@@ -183,11 +184,11 @@
     }
 }
 
-async fn lead(mut leader: Leader, transport: Transport, mut arriving: transport::Inbox) {
-    while let Some(envelope) = arriving.recv().await {
-        let answers = leader.receive(transport.own(), envelope.body);
-        for answer in answers {
-            transport.send(envelope.from.socket, answer);
+async fn run_leader(mut leader: Leader, transport: Transport, mut incoming: transport::Inbox) {
+    while let Some(envelope) = incoming.recv().await {
+        let replies = leader.receive(transport.own(), envelope.body);
+        for reply in replies {
+            transport.send(envelope.from.socket, reply);
         }
     }
 }
@@ -207,7 +208,7 @@
                     leader: own.clone(),
                     cluster: ClusterId(1),
                     sequence: keep_alive.sequence,
-                    lease: LONG,
+                    lease: LONG_TIMEOUT,
                     configuration: ConfigurationVersion(1),
                     coordinators: vec![own.clone()],
                     others: Vec::new(),
--- a/crates/gateway/tests/http/jobs.rs
+++ b/crates/gateway/tests/http/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs over HTTP: status codes, bodies, errors.
+//! Jobs over HTTP: status codes, bodies and errors.
 
 use crate::fixture::{Fixture, read, rejected};
 use reqwest::Method;
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn a_submit_is_201_when_new_and_200_when_known() {
+async fn submit_returns_201_for_new_and_200_for_known_job() {
     let mut known = false;
     let fixture = Fixture::start(move |_| {
         let reply = OperationReply::Submitted {
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn refusals_carry_their_status_and_when_to_come_back() {
+async fn rejections_have_status_and_retry_after() {
     let mut rejections = [
         (RejectionCode::Conflict, None),
         (RejectionCode::Overloaded, Some(1_200)),
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_never_comes_is_504_with_the_advice_to_send_again() {
+async fn unanswered_request_returns_504_with_retry_after() {
     let fixture = Fixture::start(|_| None).await;
     let request = fixture.request(Method::POST, "/v1/jobs").body(JOB);
     let response = request.header("Deadline-Ms", "50").send().await.unwrap();
@@ -87,10 +87,10 @@
 }
 
 #[tokio::test]
-async fn faults_of_the_request_are_named() {
-    let fixture = Fixture::start(|_| panic!("nothing of this reaches the leader")).await;
-    let wrong = JOB.replace(r#""queue":"hover""#, r#""queue":7"#);
-    let (status, body) = read(fixture.post("/v1/jobs", &wrong).await).await;
+async fn error_message_names_invalid_part_of_request() {
+    let fixture = Fixture::start(|_| panic!("an invalid request reached the leader")).await;
+    let invalid = JOB.replace(r#""queue":"hover""#, r#""queue":7"#);
+    let (status, body) = read(fixture.post("/v1/jobs", &invalid).await).await;
     let message = body["message"].as_str().unwrap();
     assert!(status == 400 && message.starts_with("queue: "), "{message}");
     for (path, place) in [
@@ -114,18 +114,21 @@
 }
 
 #[tokio::test]
-async fn wrong_paths_methods_and_sizes_are_refused_in_json() {
-    let fixture = Fixture::start(|_| panic!("nothing of this reaches the leader")).await;
+async fn unknown_path_wrong_method_and_oversized_body_return_json_errors() {
+    let fixture = Fixture::start(|_| panic!("an invalid request reached the leader")).await;
     let (status, body) = read(fixture.get("/v1/nothing").await).await;
     assert_eq!((status, body["code"].as_str()), (404, Some("not_found")));
     let patch = fixture.request(Method::PATCH, "/v1/jobs").send().await;
     assert_eq!(read(patch.unwrap()).await.0, 405);
-    let huge = " ".repeat(5 * 1024 * 1024);
-    assert_eq!(read(fixture.post("/v1/jobs", &huge).await).await.0, 413);
+    let oversized = " ".repeat(5 * 1024 * 1024);
+    assert_eq!(
+        read(fixture.post("/v1/jobs", &oversized).await).await.0,
+        413
+    );
 }
 
 #[tokio::test]
-async fn jobs_are_read_listed_and_explained() {
+async fn get_list_and_explain_return_job_views() {
     let fixture = Fixture::start(|operation| {
         Some(Ok(match operation {
             Operation::GetJob(key) => {
@@ -161,15 +164,15 @@
 }
 
 #[tokio::test]
-async fn one_job_many_jobs_or_a_tenant_are_cancelled() {
+async fn cancel_accepts_one_job_several_jobs_or_tenant() {
     let fixture = Fixture::start(|operation| {
         let Operation::Cancel(selector) = operation else {
             panic!("{operation:?}");
         };
         let unknown = match selector {
             CancelSelector::Jobs(jobs) => {
-                let gone = jobs.iter().filter(|key| key.job.as_str() == "gone");
-                gone.cloned().collect()
+                let unknown = jobs.iter().filter(|key| key.job.as_str() == "gone");
+                unknown.cloned().collect()
             }
             CancelSelector::Tenant { .. } => Vec::new(),
         };
@@ -187,15 +190,15 @@
         let response = fixture.request(method, path).send().await.unwrap();
         assert_eq!(read(response).await.1["cancelled"], 1);
     }
-    let gone = fixture.request(Method::DELETE, "/v1/tenants/poster/jobs/gone");
-    assert_eq!(read(gone.send().await.unwrap()).await.0, 404);
-    let many = r#"{"jobs":[{"tenant":"poster","job":"a"},{"tenant":"poster","job":"gone"}]}"#;
-    let (status, body) = read(fixture.post("/v1/cancels", many).await).await;
+    let unknown = fixture.request(Method::DELETE, "/v1/tenants/poster/jobs/gone");
+    assert_eq!(read(unknown.send().await.unwrap()).await.0, 404);
+    let several = r#"{"jobs":[{"tenant":"poster","job":"a"},{"tenant":"poster","job":"gone"}]}"#;
+    let (status, body) = read(fixture.post("/v1/cancels", several).await).await;
     assert_eq!(
         (status, body["unknown"][0]["job"].as_str()),
         (200, Some("gone"))
     );
-    let all = r#"{"tenant":"poster","queue":"hover"}"#;
-    assert_eq!(fixture.post("/v1/cancels", all).await.status(), 200);
+    let queue = r#"{"tenant":"poster","queue":"hover"}"#;
+    assert_eq!(fixture.post("/v1/cancels", queue).await.status(), 200);
     assert_eq!(fixture.post("/v1/cancels", "{}").await.status(), 400);
 }
--- a/crates/gateway/tests/http/lifecycle.rs
+++ b/crates/gateway/tests/http/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Readiness, metrics, callers that go away, the polite stop.
+//! Health and metrics routes, closed connections and graceful shutdown.
 
 use crate::fixture::{Fixture, Setup, read};
 use reqwest::Method;
@@ -9,50 +9,50 @@
 use types::Milliseconds;
 
 #[tokio::test]
-async fn livez_and_metrics_are_served_beside_the_interface() {
+async fn livez_and_metrics_are_served_on_http_listener() {
     let fixture = Fixture::start(|_| None).await;
     assert_eq!(fixture.get("/livez").await.status(), 200);
     assert_eq!(fixture.get("/metrics").await.status(), 200);
 }
 
 #[tokio::test]
-async fn a_caller_that_goes_away_frees_its_place() {
-    let answering = Arc::new(AtomicBool::new(false));
-    let answers = answering.clone();
-    let (seen, mut requests) = mpsc::unbounded_channel();
+async fn closed_connection_frees_capacity() {
+    let replying = Arc::new(AtomicBool::new(false));
+    let leader_replying = replying.clone();
+    let (received, mut requests) = mpsc::unbounded_channel();
     let script = Box::new(move |_: &Operation| {
-        seen.send(()).unwrap();
-        let answer = answers.load(Ordering::Relaxed);
-        answer.then(|| Ok(OperationReply::Queues(Vec::new())))
+        received.send(()).unwrap();
+        let replies = leader_replying.load(Ordering::Relaxed);
+        replies.then(|| Ok(OperationReply::Queues(Vec::new())))
     });
     let setup = Setup {
-        places: 1,
+        max_waiting_requests: 1,
         ..Setup::default()
     };
     let fixture = Fixture::start_with(setup, script).await;
     let request = fixture.request(Method::GET, "/v1/queues");
     let request = request.send();
-    let waiting = tokio::spawn(request);
+    let pending = tokio::spawn(request);
     requests.recv().await.unwrap();
     let (status, body) = read(fixture.get("/v1/queues").await).await;
     assert_eq!((status, body["code"].as_str()), (429, Some("overloaded")));
-    answering.store(true, Ordering::Relaxed);
-    waiting.abort();
-    // The one place is free again as soon as the connection's end is seen.
+    replying.store(true, Ordering::Relaxed);
+    pending.abort();
+    // The capacity is free as soon as the gateway detects the closed connection.
     while fixture.get("/v1/queues").await.status() != 200 {
         tokio::task::yield_now().await;
     }
 }
 
 #[tokio::test]
-async fn a_stop_finishes_what_waits_and_then_ends_the_process() {
-    let (seen, mut requests) = mpsc::unbounded_channel();
-    let open = Arc::new(AtomicBool::new(false));
-    let answers = open.clone();
+async fn stop_waits_for_pending_requests_and_ends_gateway() {
+    let (received, mut requests) = mpsc::unbounded_channel();
+    let replying = Arc::new(AtomicBool::new(false));
+    let leader_replying = replying.clone();
     let script = Box::new(move |_: &Operation| {
-        seen.send(()).unwrap();
-        let answer = answers.load(Ordering::Relaxed);
-        answer.then(|| Ok(OperationReply::Queues(Vec::new())))
+        received.send(()).unwrap();
+        let replies = leader_replying.load(Ordering::Relaxed);
+        replies.then(|| Ok(OperationReply::Queues(Vec::new())))
     });
     let setup = Setup {
         resend_after: Milliseconds(50),
@@ -60,7 +60,7 @@
     };
     let fixture = Fixture::start_with(setup, script).await;
     let request = fixture.request(Method::GET, "/v1/queues");
-    let waiting = tokio::spawn(request.send());
+    let pending = tokio::spawn(request.send());
     requests.recv().await.unwrap();
     fixture.stop.send_replace(true);
     fixture.wait_for_readiness(503).await;
@@ -68,16 +68,16 @@
     assert!(rejected.headers().contains_key("retry-after"));
     let (status, body) = read(rejected).await;
     assert_eq!((status, body["code"].as_str()), (503, Some("unavailable")));
-    open.store(true, Ordering::Relaxed);
-    assert_eq!(waiting.await.unwrap().unwrap().status(), 200);
+    replying.store(true, Ordering::Relaxed);
+    assert_eq!(pending.await.unwrap().unwrap().status(), 200);
     fixture.gateway.await.unwrap().unwrap();
 }
 
 #[tokio::test]
-async fn what_still_waits_when_the_grace_time_is_over_is_refused() {
-    let (seen, mut requests) = mpsc::unbounded_channel();
+async fn request_pending_at_end_of_grace_time_is_rejected() {
+    let (received, mut requests) = mpsc::unbounded_channel();
     let script = Box::new(move |_: &Operation| {
-        seen.send(()).unwrap();
+        received.send(()).unwrap();
         None
     });
     let setup = Setup {
@@ -86,11 +86,11 @@
     };
     let fixture = Fixture::start_with(setup, script).await;
     let request = fixture.request(Method::GET, "/v1/queues");
-    let waiting = tokio::spawn(request.send());
+    let pending = tokio::spawn(request.send());
     requests.recv().await.unwrap();
     fixture.stop.send_replace(true);
-    let (status, body) = read(waiting.await.unwrap().unwrap()).await;
-    // Whether the leader took it is not known here, so it is no rejection.
+    let (status, body) = read(pending.await.unwrap().unwrap()).await;
+    // The leader may have carried out the request, so its outcome is unknown.
     assert_eq!((status, body["code"].as_str()), (504, Some("timed_out")));
     fixture.gateway.await.unwrap().unwrap();
 }
--- a/crates/gateway/tests/http/main.rs
+++ b/crates/gateway/tests/http/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's shell over loopback, before an emulated leader.
+//! Tests of the gateway's HTTP interface over loopback, with an emulated leader.
 
 mod decisions;
 mod fixture;
--- a/crates/gateway/tests/http/operator.rs
+++ b/crates/gateway/tests/http/operator.rs
@@ -1,4 +1,4 @@
-//! What operators do over HTTP.
+//! Operations of operators over HTTP.
 
 use crate::fixture::{Fixture, GATEWAY_NODE, Setup, read};
 use configuration::{ClusterConfiguration, Key, KeyHash, KeyRole};
@@ -10,7 +10,7 @@
 const TOML: &str = "[timings]\nrun_lease_ms = 5000\n";
 
 #[tokio::test]
-async fn a_configuration_is_put_in_json_and_in_toml() {
+async fn put_configuration_accepts_json_and_toml() {
     let fixture = Fixture::start(|operation| {
         let Operation::PutConfiguration { version, document } = operation else {
             panic!("{operation:?}");
@@ -38,7 +38,7 @@
 }
 
 #[tokio::test]
-async fn named_items_are_changed_and_an_unknown_list_is_refused() {
+async fn update_changes_named_items_and_rejects_invalid_bodies() {
     let fixture = Fixture::start(|operation| {
         let Operation::UpdateConfiguration { version, update } = operation else {
             panic!("{operation:?}");
@@ -52,21 +52,21 @@
         }))
     })
     .await;
-    let good = r#"{"replaces":3,"upsert":{"licences":{"renderer":{"seats":2}}},"remove":{"queues":["old"]}}"#;
+    let valid = r#"{"replaces":3,"upsert":{"licences":{"renderer":{"seats":2}}},"remove":{"queues":["old"]}}"#;
     let patch = |body: &'static str| {
         let request = fixture.request(Method::PATCH, "/v1/configuration/4");
         request.body(body).send()
     };
-    let (status, body) = read(patch(good).await.unwrap()).await;
+    let (status, body) = read(patch(valid).await.unwrap()).await;
     assert_eq!((status, body["version"].as_u64()), (200, Some(4)));
-    for bad in [
+    for invalid in [
         r#"{"replaces":3,"upsert":{"hosts":{}}}"#,
         r#"{"replaces":3,"remove":{"hosts":[]}}"#,
         r#"{"upsert":{}}"#,
         r#"{"replaces":3,"upsert":{"licences":{"renderer":{}}}}"#,
     ] {
-        let (status, body) = read(patch(bad).await.unwrap()).await;
-        assert_eq!(status, 400, "{bad}");
+        let (status, body) = read(patch(invalid).await.unwrap()).await;
+        assert_eq!(status, 400, "{invalid}");
         let message = body["error"]["message"]
             .as_str()
             .or(body["message"].as_str());
@@ -75,8 +75,8 @@
 }
 
 #[tokio::test]
-async fn the_configuration_in_force_is_shown_with_the_gateway_that_holds_it() {
-    let fixture = Fixture::start(|_| panic!("the replica answers")).await;
+async fn get_configuration_returns_replica_and_gateway_identity() {
+    let fixture = Fixture::start(|_| panic!("a read of the replica reached the leader")).await;
     loop {
         let (status, body) = read(fixture.get("/v1/configuration").await).await;
         assert_eq!(status, 200);
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn the_status_tells_who_is_behind() {
+async fn configuration_status_shows_version_of_each_member() {
     let member = |node, role, configuration: Option<u64>| MemberView {
         address: Address {
             node: NodeId(node),
@@ -102,16 +102,16 @@
         since_last_contact: Milliseconds(10),
         configuration: configuration.map(ConfigurationVersion),
     };
-    // What a coordinator and an agent report, and whether that is everywhere.
+    // Versions of a coordinator and an agent, and whether every member has the newest.
     let reports = [
         (Some(4), Some(3), false),
         (Some(3), Some(4), false),
         (None, Some(4), false),
         (Some(4), Some(4), true),
     ];
-    let mut asked = reports.into_iter().cycle();
+    let mut replies = reports.into_iter().cycle();
     let script = move |_: &Operation| {
-        let (coordinator, agent, _) = asked.next().unwrap();
+        let (coordinator, agent, _) = replies.next().unwrap();
         Some(Ok(OperationReply::Members(vec![
             member(1, Role::Coordinator, Some(4)),
             member(2, Role::Coordinator, coordinator),
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test]
-async fn runners_are_drained_and_declared_lost() {
+async fn drain_and_lost_routes_change_runners() {
     let fixture = Fixture::start(|operation| {
         Some(Ok(match operation {
             Operation::DrainRunner { runner, draining } => {
@@ -166,7 +166,7 @@
 }
 
 #[tokio::test]
-async fn keys_are_asked_for_once_an_operator_has_one() {
+async fn keys_are_required_once_an_operator_key_is_configured() {
     let document = ClusterConfiguration {
         keys: vec![Key {
             id: "boss".parse().unwrap(),
@@ -188,7 +188,7 @@
         }
         async { request.send().await.unwrap() }
     };
-    // The document follows the first lease.
+    // The document arrives after the first lease. Until then, no key is required.
     while ask(None).await.status() == 200 {}
     let rejected = ask(None).await;
     assert_eq!(rejected.status(), 401);
