--- a/crates/types/src/address.rs
+++ b/crates/types/src/address.rs
@@ -1,19 +1,19 @@
-//! Where a daemon listens, and which role it has.
+//! Roles and network addresses of daemons.
 
 use crate::{NodeId, ZoneName};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The role a daemon was started in.
+/// Role of a daemon, fixed at its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Keeps the record; its leader runs the scheduler.
+    /// Holds a replica of the log; the leader among the coordinators runs the scheduler.
     Coordinator,
-    /// Serves callers and operators.
+    /// Serves the HTTP requests of callers and operators.
     Gateway,
-    /// Serves the runner on its machine.
+    /// Forwards heartbeats and orders between the leader and the runner on its machine.
     Agent,
 }
 
@@ -27,15 +27,15 @@
     }
 }
 
-/// A daemon as others know it: identity, role, zone and peer socket.
+/// Identity, role, zone and peer socket of a daemon.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Address {
-    /// Identity; a process with an empty disk always has a new one.
+    /// Identity of the daemon. A process that starts with an empty disk draws a new one.
     pub node: NodeId,
-    /// The role.
+    /// Role that the daemon was started in.
     pub role: Role,
-    /// The zone from its settings.
+    /// Zone, from the settings of the daemon.
     pub zone: ZoneName,
-    /// IP and port of the daemon's peer listener.
+    /// IP address and port at which other daemons reach its peer listener.
     pub socket: SocketAddr,
 }
--- a/crates/types/src/error.rs
+++ b/crates/types/src/error.rs
@@ -2,7 +2,8 @@
 
 use thiserror::Error;
 
-/// A name that is empty, too long, or holds a character outside the allowed set.
+/// Error for a name that is empty, too long, or contains a character outside the
+/// allowed set.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum InvalidName {
     /// The name has no characters.
@@ -11,12 +12,12 @@
     /// The name is longer than [`crate::id::MAX_NAME_BYTES`].
     #[error("a name holds at most {max} bytes, this one has {length}")]
     TooLong {
-        /// Length found, in bytes.
+        /// Length of the name, in bytes.
         length: usize,
-        /// Longest allowed length, in bytes.
+        /// Maximum length, in bytes.
         max: usize,
     },
-    /// The name holds a character other than letters, digits and `. _ : -`.
+    /// The name contains a character other than ASCII letters, digits and `. _ : -`.
     #[error("a name holds only letters, digits and . _ : - but this one has {character:?}")]
     Character {
         /// The first character that is not allowed.
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -1,12 +1,12 @@
-//! Identifiers. Names chosen by people are checked text; numbers made by the
-//! system are plain integers in their own types.
+//! Identifiers. Names chosen by people are validated text; numbers assigned by the
+//! system are integers, each kind with its own type.
 
 use crate::InvalidName;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
 fn check_name(text: &str) -> Result<(), InvalidName> {
@@ -34,18 +34,18 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks the text and makes a name of it.
+            /// Validates the text and creates a name from it.
             ///
             /// # Errors
             ///
-            /// Fails if the text is empty, too long, or holds another character than ASCII
-            /// letters, digits, `.`, `_`, `:` and `-`.
+            /// Fails if the text is empty, longer than [`MAX_NAME_BYTES`], or contains a
+            /// character other than ASCII letters, digits, `.`, `_`, `:` and `-`.
             pub fn new(text: impl AsRef<str>) -> Result<Self, InvalidName> {
                 check_name(text.as_ref())?;
                 Ok(Self(Arc::from(text.as_ref())))
             }
 
-            /// The text of the name.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -80,48 +80,48 @@
 }
 
 name_type!(
-    /// A tenant, named by its contract.
+    /// Name of a tenant, from its contract.
     TenantId
 );
 name_type!(
-    /// A job's identifier, chosen by its caller and unique within its tenant.
+    /// Identifier of a job, chosen by its caller and unique within its tenant.
     JobId
 );
 name_type!(
-    /// A queue, named by the operator.
+    /// Name of a queue, chosen by the operator.
     QueueName
 );
 name_type!(
-    /// A step of a job, unique within the job.
+    /// Name of a step, unique within its job.
     StepName
 );
 name_type!(
-    /// A pool of runners.
+    /// Name of a pool of runners.
     PoolName
 );
 name_type!(
-    /// A runner, named by its own settings and stable over restarts.
+    /// Name of a runner, from its own settings; unchanged by restarts.
     RunnerId
 );
 name_type!(
-    /// Endpoint of a runner, such as the socket it takes calls at: one incarnation of
-    /// one runner at a time.
+    /// Endpoint of a runner, such as the socket at which it accepts calls. At most one
+    /// incarnation of one runner uses an endpoint at a time.
     EndpointName
 );
 name_type!(
-    /// A licence of which so many seats may be taken at once.
+    /// Name of a licence, which limits the number of concurrent runs by its seats.
     LicenceName
 );
 name_type!(
-    /// Rack of a runner.
+    /// Name of a rack, from the settings of the runners in it.
     RackName
 );
 name_type!(
-    /// A zone of machines that fail together.
+    /// Name of a zone, a group of machines that may fail together.
     ZoneName
 );
 name_type!(
-    /// A bearer key's public name, never its secret.
+    /// Public identifier of a bearer key; contains no part of its secret.
     KeyId
 );
 
@@ -135,7 +135,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The number after this one.
+            /// Returns the number that follows this one.
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -150,49 +150,52 @@
 }
 
 number_type!(
-    /// A daemon's identity, drawn at random at its first start. A coordinator
-    /// keeps it on its disk; the other roles draw a new one at every start.
+    /// Identity of a daemon, drawn at random at its first start. A coordinator
+    /// stores it on its disk; the other roles draw a new one at every start.
     NodeId
 );
 number_type!(
-    /// The cluster, drawn once at its first start.
+    /// Identity of a cluster, drawn at random when the cluster is created.
     ClusterId
 );
 number_type!(
-    /// A Raft term; it also fences orders.
+    /// Raft term. Runners and agents reject orders of a lower term than the highest
+    /// that they have seen.
     Term
 );
 number_type!(
-    /// A place in the replicated log; the first entry has 1.
+    /// Index of an entry in the replicated log; the first entry has index 1.
     LogIndex
 );
 number_type!(
-    /// A job's number in the record, in order of submission; never used again.
+    /// Number of a job in the replicated state, assigned in order of submission and
+    /// never reused.
     JobNumber
 );
 number_type!(
-    /// The version of the cluster configuration; the first taken one is 1.
+    /// Version of the cluster configuration; the first accepted document has version 1.
     ConfigurationVersion
 );
 number_type!(
-    /// The place of an order among those of its term to one runner.
+    /// Sequence number of an order among the orders of its term to one runner.
     OrderSequence
 );
 number_type!(
-    /// The place of a heartbeat among those of one runner incarnation.
+    /// Sequence number of a heartbeat within one incarnation of a runner.
     HeartbeatSequence
 );
 number_type!(
-    /// One incarnation of a runner process; it grows with every restart.
+    /// Incarnation of a runner; increases with every restart of its process.
     RunnerIncarnation
 );
 
-/// A job as its caller names it.
+/// Identifier of a job, unique in the cluster: tenant and identifier chosen by the
+/// caller.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobKey {
-    /// The tenant it belongs to.
+    /// Tenant that the job belongs to.
     pub tenant: TenantId,
-    /// The caller's identifier.
+    /// Identifier chosen by the caller, unique within the tenant.
     pub job: JobId,
 }
 
@@ -202,10 +205,10 @@
     }
 }
 
-/// One task: job, position of its step in the job, position in the step.
+/// Reference to a task: its job, position of its step in the job, position in the step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskRef {
-    /// The job's number in the record.
+    /// Number of the job.
     pub job: JobNumber,
     /// Position of the step in the job, from 0.
     pub step: u16,
@@ -219,13 +222,13 @@
     }
 }
 
-/// One attempt at a task. The leader of `term` chose `sequence`, so no two
-/// runs ever share an identifier and each is started at most once.
+/// Identifier of a run, which is one attempt at a task. The leader of `term` assigns
+/// `sequence`, so no two runs have the same identifier and each is started at most once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RunId {
     /// Term of the leader that reserved the run.
     pub term: Term,
-    /// Place among the runs of that term.
+    /// Sequence number among the runs of that term.
     pub sequence: u64,
 }
 
--- a/crates/types/src/job.rs
+++ b/crates/types/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs, steps and tasks: what callers submit, and the states they read back.
+//! Jobs, steps and tasks as callers submit them, and the states returned to callers.
 
 use crate::{
     JobId, Labels, LicenceName, Milliseconds, QueueName, RackName, Resources, StepName, TenantId,
@@ -6,167 +6,171 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// How soon a job's caller needs it. An order within a tenant's own work:
-/// an urgent task goes before that tenant's others.
+/// Urgency of a job, set by its caller. It orders only the work of one tenant:
+/// urgent tasks start before the other tasks of that tenant.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Urgency {
-    /// Before the tenant's other work.
+    /// Starts before the tenant's other work.
     Urgent,
-    /// In order of submission.
+    /// Starts in order of submission.
     #[default]
     Normal,
 }
 
-/// A job as submitted. Equal content under the same key is the same job.
+/// Job as submitted by a caller. A second submission with equal content under the
+/// same key is the same job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The tenant that pays for it.
+    /// Tenant whose share and resource limit the job counts against.
     pub tenant: TenantId,
-    /// The caller's identifier, unique within the tenant.
+    /// Identifier chosen by the caller, unique within the tenant.
     pub job: JobId,
-    /// The queue, and so the pool of runners.
+    /// Queue of the job, which also determines its pool of runners.
     pub queue: QueueName,
-    /// Order within the tenant's work.
+    /// Urgency within the work of the tenant.
     pub urgency: Urgency,
-    /// No task starts before this time, judged by the leader's clock.
+    /// Time before which no task starts, by the leader's wall clock. `None`: no bound.
     pub start_at: Option<WallTime>,
-    /// Opaque text for the runner, for every step that has none of its own.
+    /// Opaque text for the runner, used for each step that has no payload of its own.
     pub payload: String,
-    /// Steps; dependencies among them have no cycle.
+    /// Steps in the order of submission; their dependencies contain no cycle.
     pub steps: Vec<StepSpec>,
 }
 
-/// A group of equal tasks that may run side by side.
+/// Group of equal tasks that may run at the same time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepSpec {
-    /// Name, unique within the job.
+    /// Name of the step, unique within the job.
     pub name: StepName,
     /// Steps that must be done before any task of this one starts.
     pub after: Vec<StepName>,
-    /// Number of tasks, at least 1.
+    /// Number of tasks; at least 1.
     pub tasks: u32,
-    /// What one task needs.
+    /// Resources that each run of a task reserves.
     pub resources: Resources,
-    /// Labels its runner must carry.
+    /// Labels that a runner needs to run the tasks.
     pub labels: Labels,
-    /// Copies of one task that may run at once; 1 unless asked for.
+    /// Maximum number of concurrent runs of one task; 1 if the caller gives none.
     pub max_copies: u32,
-    /// Failed runs that one task may have and still be tried again.
+    /// Number of failed runs after which a task is still retried; the next one fails
+    /// the task.
     pub allowed_failures: u32,
-    /// A run still going after this time is stopped and counts as failed.
+    /// Maximum duration of a run. A longer run is stopped and counts as failed.
     pub time_limit: Milliseconds,
-    /// Opaque text for the runner.
+    /// Opaque text for the runner; if empty, the payload of the job is used.
     pub payload: String,
-    /// When, where and with which others its tasks run.
+    /// Rules for the placement of the tasks.
     pub rules: StepRules,
 }
 
-/// When, where and with which others the tasks of a step run. The default asks
-/// for nothing.
+/// Rules for when, where and together with which other tasks the tasks of a step
+/// run. The default sets no rule.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 pub struct StepRules {
-    /// No task of the step starts before this time, judged by the leader's
-    /// clock; beside the time of the whole job.
+    /// Time before which no task of the step starts, by the leader's wall clock. The
+    /// start time of the job applies as well. `None`: no bound.
     pub start_at: Option<WallTime>,
-    /// The rack where its tasks run best; others will do when it has no free capacity.
+    /// Rack in which the tasks should run; other racks are used when it has no free
+    /// capacity.
     pub preferred_rack: Option<RackName>,
-    /// Most runs of the step that one runner holds at once; none is no limit.
+    /// Maximum number of concurrent runs of the step on one runner. `None`: no limit.
     pub max_per_runner: Option<u32>,
-    /// The tasks work only all together: they are reserved as one, and one
-    /// end of a run ends all of them.
+    /// Whether the tasks form a gang, which works only as a whole: their runs are
+    /// reserved together, and the end of one of them ends all.
     pub gang: bool,
-    /// The tasks of a gang run best within one rack.
+    /// Whether the tasks of a gang should run within one rack.
     pub same_rack: bool,
-    /// The tasks run until the job is cancelled, and start again however a run
-    /// of them ends.
+    /// Whether the tasks run until the job is cancelled: they start again after each
+    /// end of a run, whatever its outcome.
     pub endless: bool,
-    /// About how long one run takes, by its caller.
+    /// Duration of one run as estimated by the caller; `None` without an estimate.
     pub expected: Option<Milliseconds>,
-    /// Each run takes a seat of this licence, from its reservation until it is
-    /// certain that it is over.
+    /// Licence of which each run takes one seat, from its reservation until its end is
+    /// certain.
     pub licence: Option<LicenceName>,
 }
 
-/// State of a job.
+/// State of a job, derived from its tasks or set by a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
-    /// Nothing of it has a run yet.
+    /// No task has had a run yet.
     Waiting,
     /// At least one task has had a run.
     Running,
-    /// Every task ended done. Final.
+    /// Every task is done. Final.
     Done,
-    /// A task used up its allowed failures. Final.
+    /// A task failed more often than its step allows. Final.
     Failed,
-    /// Cancelled by its caller or an operator. Final.
+    /// The caller or an operator cancelled the job. Final.
     Cancelled,
 }
 
 impl JobState {
-    /// True for a state that never changes again.
+    /// Returns whether the state never changes again.
     pub fn is_final(self) -> bool {
         matches!(self, Self::Done | Self::Failed | Self::Cancelled)
     }
 }
 
-/// State of a task.
+/// State of a task, derived from its dependencies, its runs and the job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// A step before it is not done.
+    /// A step that must be done first is not done.
     Blocked,
-    /// May start when its time has come and a runner has free capacity.
+    /// The task may start once its start time has passed and a runner has free capacity.
     Ready,
-    /// Has at least one open run.
+    /// The task has at least one open run.
     Running,
-    /// Ended done. Final.
+    /// A run of the task ended successfully. Final.
     Done,
-    /// Used up its allowed failures. Final.
+    /// The task failed more often than its step allows. Final.
     Failed,
-    /// Its job was cancelled or failed. Final.
+    /// The job was cancelled or failed before the task was done. Final.
     Cancelled,
 }
 
-/// A step as shown to callers.
+/// Progress of a step as returned to callers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepView {
     /// Name of the step.
     pub name: StepName,
-    /// Tasks in it.
+    /// Number of tasks in the step.
     pub tasks: u32,
-    /// Tasks ended done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// Tasks with an open run.
+    /// Number of tasks with an open run.
     pub running: u32,
-    /// Tasks that used up their allowed failures.
+    /// Number of tasks that failed more often than the step allows.
     pub failed: u32,
-    /// Failed runs so far, over all tasks.
+    /// Number of failed runs of all tasks so far.
     pub failed_runs: u32,
 }
 
-/// A job as shown to callers.
+/// State and progress of a job as returned to callers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
-    /// Its tenant.
+    /// Tenant that the job belongs to.
     pub tenant: TenantId,
-    /// The caller's identifier.
+    /// Identifier chosen by the caller.
     pub job: JobId,
-    /// Its queue.
+    /// Queue that the job was submitted to.
     pub queue: QueueName,
-    /// Its state.
+    /// State when the job was read.
     pub state: JobState,
-    /// Why it failed, for people.
+    /// Reason of the failure, as text for people; `None` unless the job
+    /// failed and its last run gave one.
     pub reason: Option<String>,
-    /// When the record took it.
+    /// Time of submission, by the wall clock of the leader that proposed the job.
     pub submitted_at: WallTime,
-    /// When its first run was reserved.
+    /// Time of the reservation of the first run; `None` before it.
     pub first_reserved_at: Option<WallTime>,
-    /// When it reached a final state.
+    /// Time at which the job reached a final state; `None` before it.
     pub ended_at: Option<WallTime>,
-    /// Its steps in order.
+    /// Steps in the order of submission.
     pub steps: Vec<StepView>,
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,7 @@
 //! Typed identifiers, resources, jobs, runs and times shared by every crate.
 //!
-//! Nothing here does I/O, and nothing here knows the JSON of the outer
-//! interface: that is the `api` crate's alone.
+//! The crate does no I/O. The JSON format of the public API is defined in the `api`
+//! crate only.
 
 pub mod address;
 pub mod error;
--- a/crates/types/src/resources.rs
+++ b/crates/types/src/resources.rs
@@ -1,27 +1,28 @@
-//! Resource amounts and labels.
+//! Amounts of resources, and labels of runners.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Labels of a runner, or the labels a step asks for.
+/// Labels of a runner, or labels that a step requires.
 pub type Labels = BTreeMap<String, String>;
 
-/// Amounts of what a runner has, a task needs, or a tenant may hold.
+/// Amounts of resources: the capacity of a runner, the needs of a task, or the
+/// resource limit of a tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Resources {
-    /// Places for tasks on a runner.
+    /// Number of slots. A runner offers them and each run takes some.
     pub slots: u32,
     /// Processor time in thousandths of a core.
     pub cpu_milli: u32,
     /// Memory in MiB.
     pub memory_mib: u32,
-    /// Whole accelerators.
+    /// Number of whole accelerators.
     pub gpus: u32,
 }
 
 impl Resources {
-    /// Nothing of anything.
+    /// No amount of any resource.
     pub const ZERO: Self = Self {
         slots: 0,
         cpu_milli: 0,
@@ -29,7 +30,7 @@
         gpus: 0,
     };
 
-    /// More of everything than any machine has; a tenant without a resource limit.
+    /// More of each resource than any machine has; resource limit of an unlimited tenant.
     pub const UNLIMITED: Self = Self {
         slots: u32::MAX,
         cpu_milli: u32::MAX,
@@ -37,15 +38,15 @@
         gpus: u32::MAX,
     };
 
-    /// Returns whether this amount is at most `room` in every kind of resource.
-    pub fn fits_in(&self, room: &Self) -> bool {
-        self.slots <= room.slots
-            && self.cpu_milli <= room.cpu_milli
-            && self.memory_mib <= room.memory_mib
-            && self.gpus <= room.gpus
+    /// Returns whether `available` covers this amount in each kind of resource.
+    pub fn fits_in(&self, available: &Self) -> bool {
+        self.slots <= available.slots
+            && self.cpu_milli <= available.cpu_milli
+            && self.memory_mib <= available.memory_mib
+            && self.gpus <= available.gpus
     }
 
-    /// Sum by kind, held at the largest value.
+    /// Adds the amounts of each kind, saturating at the maximum.
     pub fn plus(&self, other: &Self) -> Self {
         Self {
             slots: self.slots.saturating_add(other.slots),
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Difference by kind, held at zero.
+    /// Subtracts the amounts of each kind, saturating at zero.
     pub fn minus(&self, other: &Self) -> Self {
         Self {
             slots: self.slots.saturating_sub(other.slots),
@@ -65,7 +66,7 @@
         }
     }
 
-    /// So many times as much of each kind, held at the largest value.
+    /// Multiplies the amount of each kind by `count`, saturating at the maximum.
     pub fn times(&self, count: u32) -> Self {
         Self {
             slots: self.slots.saturating_mul(count),
@@ -75,11 +76,12 @@
         }
     }
 
-    /// This part of it, in percent; slots and accelerators are not divided.
+    /// Returns `percent` (at most 100) percent of the processor time and the memory.
+    /// Slots and accelerators are indivisible and are zero in the result.
     pub fn part(&self, percent: u32) -> Self {
         let part = |amount: u32| {
-            let share = u64::from(amount) * u64::from(percent.min(100)) / 100;
-            u32::try_from(share).unwrap_or(u32::MAX)
+            let scaled = u64::from(amount) * u64::from(percent.min(100)) / 100;
+            u32::try_from(scaled).unwrap_or(u32::MAX)
         };
         Self {
             slots: 0,
@@ -89,17 +91,19 @@
         }
     }
 
-    /// How often this amount fits into `room`.
-    pub fn count_in(&self, room: &Self) -> usize {
-        let fits = |need: u32, room: u32| room.checked_div(need).unwrap_or(u32::MAX);
-        let least = fits(self.slots, room.slots)
-            .min(fits(self.cpu_milli, room.cpu_milli))
-            .min(fits(self.memory_mib, room.memory_mib))
-            .min(fits(self.gpus, room.gpus));
-        least as usize
+    /// Returns how many times this amount fits into `available`; `u32::MAX` if the
+    /// amount is zero.
+    pub fn count_in(&self, available: &Self) -> usize {
+        let quotient =
+            |needed: u32, available: u32| available.checked_div(needed).unwrap_or(u32::MAX);
+        let count = quotient(self.slots, available.slots)
+            .min(quotient(self.cpu_milli, available.cpu_milli))
+            .min(quotient(self.memory_mib, available.memory_mib))
+            .min(quotient(self.gpus, available.gpus));
+        count as usize
     }
 
-    /// The larger amount of each kind.
+    /// Returns the larger amount of each kind.
     pub fn component_max(&self, other: &Self) -> Self {
         Self {
             slots: self.slots.max(other.slots),
@@ -109,7 +113,7 @@
         }
     }
 
-    /// The smaller amount of each kind.
+    /// Returns the smaller amount of each kind.
     pub fn component_min(&self, other: &Self) -> Self {
         Self {
             slots: self.slots.min(other.slots),
--- a/crates/types/src/run.rs
+++ b/crates/types/src/run.rs
@@ -1,60 +1,62 @@
-//! Runs: single attempts at a task on one runner.
+//! Runs, each of which is one attempt at a task on one runner.
 
 use crate::{JobId, JobKey, Milliseconds, Resources, RunId, StepName};
 use serde::{Deserialize, Serialize};
 
-/// All that a runner needs to start a run.
+/// Specification of a run, as sent to the runner that starts it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunSpec {
-    /// The run, started at most once ever.
+    /// Identifier of the run, which is started at most once.
     pub run: RunId,
-    /// The job it belongs to.
+    /// Job that the run belongs to.
     pub job: JobKey,
-    /// Its step.
+    /// Step that the task belongs to.
     pub step: StepName,
-    /// Position in the step, from 0.
+    /// Position of the task in the step, from 0.
     pub task: u32,
-    /// Number of this run among those of its task, from 1; the members of a
-    /// gang share it.
+    /// Number of the run among the runs of its task, from 1. All members of a gang
+    /// have the same number.
     pub attempt: u32,
-    /// What an earlier run of the task saved, to go on from.
+    /// Checkpoint saved by an earlier run of the task, to resume from; `None` without
+    /// one.
     pub checkpoint: Option<String>,
-    /// What it may use.
+    /// Resources that the run may use.
     pub resources: Resources,
-    /// The runner stops it after this time.
+    /// Duration after which the runner stops the run.
     pub time_limit: Milliseconds,
-    /// The step's text.
+    /// Payload of the step, or of the job if the step has none; opaque to the cluster.
     pub payload: String,
 }
 
-/// How a run ended on its runner.
+/// Outcome of a run on its runner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The task did its work.
+    /// The task completed successfully.
     Done,
-    /// The task failed; the reason is for people.
+    /// The task failed, for the given reason (text for people).
     Failed(String),
-    /// Stopped by an order, or by the runner itself at the end of its lease.
-    /// Not a failure of the task.
+    /// The run was stopped by an order, or by the runner itself at the end of the run
+    /// lease. Does not count as a failure of the task.
     Stopped,
 }
 
-/// A run that a runner holds now.
+/// Run that is active on its runner, as reported in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActiveRun {
-    /// The run.
+    /// Identifier of the run.
     pub run: RunId,
-    /// How long it has been going.
+    /// Time since the run started, by the clock of the runner.
     pub age: Milliseconds,
-    /// How far it has come, in percent, where its runner can tell.
+    /// Progress in percent; `None` if the runner reports none.
     pub progress: Option<u8>,
-    /// What it saved last, to go on from.
+    /// Last checkpoint saved by the run, from which a later run resumes; `None` without
+    /// one.
     pub checkpoint: Option<String>,
 }
 
 impl ActiveRun {
-    /// A run of which the runner reports nothing but its age.
+    /// Creates a report without progress and checkpoint.
     pub fn new(run: RunId, age: Milliseconds) -> Self {
         Self {
             run,
@@ -65,19 +67,21 @@
     }
 }
 
-/// A run that ended, kept by its runner until the record has it.
+/// Run that has ended. Its runner keeps it until the leader confirms that the end
+/// is committed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedRun {
-    /// The run.
+    /// Identifier of the run.
     pub run: RunId,
-    /// How it ended.
+    /// Outcome reported by the runner.
     pub outcome: Outcome,
-    /// What it saved last, to go on from.
+    /// Last checkpoint saved by the run, from which a later run resumes; `None` without
+    /// one.
     pub checkpoint: Option<String>,
 }
 
 impl EndedRun {
-    /// A run that saved nothing.
+    /// Creates a report without a checkpoint.
     pub fn new(run: RunId, outcome: Outcome) -> Self {
         Self {
             run,
@@ -87,54 +91,58 @@
     }
 }
 
-/// A run as callers and runners name it, where its identifier is not known: an
-/// agent that was started anew knows no other name of what its runner holds.
+/// Name of a run as callers and runners use it. It identifies the run to a restarted
+/// agent, which no longer has the identifiers of the runs on its runner.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RunName {
-    /// The caller's identifier of the job.
+    /// Identifier of the job, chosen by the caller.
     pub job: JobId,
-    /// The step.
+    /// Step that the task belongs to.
     pub step: StepName,
-    /// Position in the step, from 0.
+    /// Position of the task in the step, from 0.
     pub task: u32,
-    /// Number of the run among those of its task.
+    /// Number of the run among the runs of its task, from 1.
     pub attempt: u32,
 }
 
-/// A run that an agent's runner holds or has ended, under no identifier that
-/// the agent knows.
+/// Run that is active or has ended on the runner of an agent, which has no
+/// identifier for it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnnamedRun {
-    /// Its name.
+    /// Name of the run, as the runner reports it.
     pub name: RunName,
-    /// How it ended; none while it is held.
+    /// Outcome of the run; `None` while it is active.
     pub outcome: Option<Outcome>,
-    /// How far it has come, in percent, where its runner can tell.
+    /// Progress in percent; `None` if the runner reports none.
     pub progress: Option<u8>,
-    /// What it saved last, to go on from.
+    /// Last checkpoint saved by the run, from which a later run resumes; `None` without
+    /// one.
     pub checkpoint: Option<String>,
 }
 
-/// Why the record closed a run. A closed run is never opened again.
+/// Reason for which the replicated state machine closed a run. A closed run is never
+/// reopened.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunClose {
-    /// The runner reported this outcome.
+    /// The runner reported the end with this outcome.
     Ended(Outcome),
-    /// The runner confirmed that it never started and never will.
+    /// The runner confirmed that it has not started the run and never will.
     #[serde(rename = "voided")]
     Revoked,
-    /// Its run lease and margin expired without a report; not a failure of the task.
+    /// The run is over without a report: its lease and margin expired, its runner
+    /// restarted or was replaced, or an operator declared the runner lost. Does not
+    /// count as a failure of the task.
     Lost,
-    /// The runner rejected it; not a failure of the task.
+    /// The runner rejected the start. Does not count as a failure of the task.
     #[serde(rename = "refused")]
     Rejected,
-    /// It ran past its time limit and was fenced; counts as a failure.
+    /// The run exceeded its time limit and was fenced. Counts as a failure of the task.
     TimedOut,
 }
 
 impl RunClose {
-    /// Returns whether this close uses up one of the task's allowed failures.
+    /// Returns whether this close counts as a failure of the task.
     pub fn is_failure(&self) -> bool {
         matches!(self, Self::Ended(Outcome::Failed(_)) | Self::TimedOut)
     }
--- a/crates/types/src/runner.rs
+++ b/crates/types/src/runner.rs
@@ -1,10 +1,10 @@
-//! What a runner reports and which orders it takes.
+//! Heartbeats of runners, orders to runners, and the answers to orders.
 //!
-//! Fencing at the runner. It rejects an order whose term is below the highest
-//! it has seen, whose incarnation is not its own, or (for a start) whose
-//! `based_on` heartbeat it sent longer ago than the run lease. Since the leader
-//! waits lease plus margin after the last heartbeat it received, no start can
-//! land after the leader has given the run up.
+//! Orders are fenced at the runner. It rejects an order whose term is below the
+//! highest that it has seen, whose incarnation is not its own, or (for a start) whose
+//! `based_on` heartbeat it sent longer ago than the run lease. Since the leader waits
+//! for the lease plus margin after the last heartbeat that it received, no start is
+//! accepted after the leader has closed the run as lost.
 
 use crate::{
     ActiveRun, EndedRun, EndpointName, HeartbeatSequence, Labels, Milliseconds, OrderSequence,
@@ -13,85 +13,86 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// One heartbeat of a runner.
+/// Heartbeat of a runner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerReport {
-    /// The runner.
+    /// Name of the runner that sent the heartbeat.
     pub runner: RunnerId,
-    /// Its current incarnation.
+    /// Current incarnation of the runner.
     pub incarnation: RunnerIncarnation,
-    /// Place among the heartbeats of this incarnation.
+    /// Sequence number among the heartbeats of this incarnation.
     pub sequence: HeartbeatSequence,
-    /// Its endpoint, if that is known: when another runner answers there,
-    /// this one's incarnation is over and nothing of it goes on.
+    /// Endpoint of the runner; `None` if unknown. Once another runner reports the same
+    /// endpoint, this incarnation has ended, and all its runs with it.
     pub endpoint: Option<EndpointName>,
-    /// Pool it serves.
+    /// Pool that the runner belongs to.
     pub pool: PoolName,
-    /// Its rack.
+    /// Rack of the machine that the runner is on.
     pub rack: RackName,
-    /// Its labels.
+    /// Labels that steps can require.
     pub labels: Labels,
-    /// All it has.
+    /// Total resources of the runner.
     pub capacity: Resources,
-    /// What is free now.
+    /// Resources that no run holds at the time of the heartbeat.
     pub free: Resources,
-    /// Whether it is about to leave: nothing new may start on it.
+    /// Whether the runner is draining by its own report: no new run may start on it.
     pub draining: bool,
-    /// Whether it stops its own runs at lease end.
+    /// Whether the runner stops its runs by itself at the end of the run lease.
     pub self_stop: bool,
-    /// Every run it holds.
+    /// All active runs with an identifier.
     pub active: Vec<ActiveRun>,
-    /// Ended runs the record has not confirmed yet.
+    /// Ended runs that the leader has not yet confirmed as committed.
     pub ended: Vec<EndedRun>,
-    /// Runs held or ended whose identifiers the agent does not know.
+    /// Active and ended runs for which the agent has no identifier.
     pub unnamed: Vec<UnnamedRun>,
 }
 
-/// An order to one runner.
+/// Order of a leader to one runner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerOrder {
-    /// Term of the leader that gave it.
+    /// Term of the leader that sent the order.
     pub term: Term,
-    /// Place among that term's orders.
+    /// Sequence number among the orders of that term to the runner.
     pub sequence: OrderSequence,
-    /// The runner it is for.
+    /// Runner that the order is for.
     pub runner: RunnerId,
-    /// The incarnation of the runner it is for.
+    /// Incarnation of the runner that the order is for.
     pub incarnation: RunnerIncarnation,
-    /// The run as callers and runners name it: an agent that was started anew
-    /// does not know its identifier.
+    /// Name of the run, for a restarted agent, which no longer has the identifier.
+    /// `None` if the leader has no name for the run.
     pub name: Option<RunName>,
-    /// What to do.
+    /// Action that the runner takes.
     pub kind: OrderKind,
 }
 
-/// What an order asks for.
+/// Action of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderKind {
-    /// Start this run, unless it is known, revoked or the basis is too old.
+    /// Starts the run, unless it was started or revoked before or `based_on` is too old.
     Start {
-        /// The run.
+        /// Specification of the run to start.
         run: RunSpec,
-        /// The heartbeat whose free resources led to this order.
+        /// Heartbeat with the free resources that the placement is based on.
         based_on: HeartbeatSequence,
-        /// Run lease: the start is rejected, and the run stopped, this long
-        /// after the runner sent the heartbeat that was last confirmed.
+        /// Length of the run lease. It begins when the runner sends a heartbeat that is
+        /// then confirmed. After its end the runner rejects the start, or stops the run.
         lease: Milliseconds,
     },
-    /// Stop this run if it is held.
+    /// Stops the run if it is active.
     Stop {
-        /// The run.
+        /// Identifier of the run to stop.
         run: RunId,
     },
-    /// Never start this run from now on; answer with its state.
+    /// Revokes the run: the runner never starts it after this order, and answers with
+    /// its state.
     Revoke {
-        /// The run.
+        /// Identifier of the run to revoke.
         run: RunId,
     },
 }
 
 impl OrderKind {
-    /// The run this order is about.
+    /// Returns the run that the order refers to.
     pub fn run(&self) -> RunId {
         match self {
             Self::Start { run, .. } => run.run,
@@ -100,45 +101,46 @@
     }
 }
 
-/// Why a runner, or the agent before it, rejected an order.
+/// Reason for which a runner, or the agent in front of it, rejected an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RejectionReason {
-    /// A higher term has been seen.
+    /// The receiver has seen a higher term.
     StaleTerm,
     /// The order is for another incarnation of the runner.
     OtherIncarnation,
-    /// The basis heartbeat is too old or unknown.
+    /// The heartbeat in `based_on` is too old or unknown.
     #[serde(rename = "stale_basis")]
     StaleHeartbeat,
-    /// The run was revoked before, or has already been started or ended.
+    /// The run was started or revoked before.
     KnownRun,
-    /// The runner has not enough free capacity.
+    /// The runner does not have enough free capacity.
     #[serde(rename = "no_room")]
     NoCapacity,
     /// The runner is draining.
     Draining,
-    /// The runner says that it is not well; it has done nothing.
+    /// The runner reports itself as unhealthy and has not executed the order.
     Unhealthy,
 }
 
-/// What became of an order.
+/// Result of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderAnswer {
-    /// The run is going.
+    /// The run has started.
     Started,
-    /// The run is stopping, its end will be reported.
+    /// The run is stopping; a heartbeat will report its end.
     Stopping,
-    /// The run was never started here and never will be (answer to a revocation, or
+    /// The runner has not started the run and never will (answer to a revocation, or
     /// to a stop of an unknown run).
     Revoked,
-    /// Answer to a revocation or stop: the run is held, and goes on until stopped.
+    /// The run is active and continues until it is stopped (answer to a revocation or a
+    /// stop).
     Active,
-    /// The run has ended; its entry is in the ended list.
+    /// The run has ended; heartbeats report it in `ended`.
     Ended,
-    /// Nothing was done, for this reason.
+    /// The order was rejected without any effect.
     Rejected(RejectionReason),
-    /// No answer came: the run may or may not have started. Never from the
-    /// runner itself; the agent says it, and the leader must revoke the run.
+    /// The agent received no answer from the runner, so the run may or may not have
+    /// started and the leader must revoke it. Only agents give this answer.
     Unknown,
 }
--- a/crates/types/src/task.rs
+++ b/crates/types/src/task.rs
@@ -1,4 +1,4 @@
-//! What the scheduler knows of tasks and runs, as the state machine reports it.
+//! Tasks and runs as the state machine publishes them to the scheduler.
 
 use crate::{
     EndpointName, JobNumber, Labels, LicenceName, Milliseconds, QueueName, Resources, RunId,
@@ -6,88 +6,91 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// The minimal metadata published for a task that may start (source: the
-/// `jobs:<id>` entry of the Job Pump, here one for each task).
+/// Minimal metadata published for a task that may start. Corresponds to the
+/// `jobs:<id>` entry of the Job Pump, but with one entry for each task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskMeta {
-    /// The task.
+    /// Reference to the task.
     pub task: TaskRef,
-    /// Whose it is.
+    /// Tenant of the job.
     pub tenant: TenantId,
-    /// Its queue.
+    /// Queue of the job.
     pub queue: QueueName,
-    /// Urgent tasks go before the tenant's others.
+    /// Urgency of the job; urgent tasks start before the tenant's other tasks.
     pub urgency: Urgency,
-    /// What one run holds.
+    /// Resources that each run of the task reserves.
     pub resources: Resources,
-    /// Labels its runner must carry.
+    /// Labels that a runner needs to run the task.
     pub labels: Labels,
-    /// Copies that may run at once.
+    /// Maximum number of concurrent runs of the task.
     pub max_copies: u32,
-    /// Not before this time: the job's start time or a retry's backoff.
+    /// Time before which the task does not start: a start time or the end of a retry
+    /// backoff. `None`: no bound.
     pub not_before: Option<WallTime>,
-    /// The rules of its step.
+    /// Placement rules of the step.
     pub rules: StepRules,
-    /// Tasks of its step: the members, where it is a gang.
+    /// Number of tasks in the step, which is the number of members if it is a gang.
     pub step_tasks: u32,
 }
 
-/// A run that is reserved and not closed.
+/// Run that is reserved and not closed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenRun {
-    /// The run.
+    /// Identifier of the run.
     pub run: RunId,
-    /// Its task.
+    /// Task that the run is an attempt at.
     pub task: TaskRef,
-    /// Number of the run among those of its task, from 1.
+    /// Number of the run among the runs of its task, from 1.
     pub attempt: u32,
-    /// Whose resource limit it counts against.
+    /// Tenant whose resource limit the run counts against.
     pub tenant: TenantId,
-    /// Its queue.
+    /// Queue of the job.
     pub queue: QueueName,
-    /// The runner it is bound to.
+    /// Runner that the run is reserved on.
     pub runner: RunnerId,
-    /// The incarnation of the runner it is bound to.
+    /// Incarnation of the runner that the run is reserved on.
     pub incarnation: RunnerIncarnation,
-    /// Endpoint of that runner, if that is known.
+    /// Endpoint of that runner; `None` if unknown.
     pub endpoint: Option<EndpointName>,
-    /// What it holds.
+    /// Resources that the run holds.
     pub resources: Resources,
-    /// Its time limit.
+    /// Maximum duration of the run.
     pub time_limit: Milliseconds,
-    /// About how long it takes, by its caller.
+    /// Duration as estimated by the caller; `None` without an estimate.
     pub expected: Option<Milliseconds>,
-    /// The licence of which it takes a seat.
+    /// Licence of which the run takes a seat; `None` if it needs none.
     pub licence: Option<LicenceName>,
-    /// When the record took the reservation.
+    /// Time of the reservation, by the wall clock of the leader that proposed it.
     pub reserved_at: WallTime,
-    /// Whether its runner stops it at the end of the run lease, as it said
-    /// when it was chosen. If not, the run stays bound however long the runner is unresponsive.
+    /// Whether the runner stops the run at the end of the run lease, as reported before
+    /// the reservation. If not, the run stays open however long the runner is
+    /// unresponsive.
     pub self_stop: bool,
 }
 
-/// A choice of the scheduler, to be committed before its order may leave.
+/// Placement of a run by the scheduler. It is committed before the order to start the
+/// run is sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reservation {
-    /// The new run.
+    /// Identifier of the new run.
     pub run: RunId,
-    /// The task chosen.
+    /// Task to run.
     pub task: TaskRef,
-    /// The runner chosen.
+    /// Runner to run the task on.
     pub runner: RunnerId,
-    /// The incarnation of the runner that reported the free resources.
+    /// Incarnation of the runner that reported the free resources.
     pub incarnation: RunnerIncarnation,
-    /// Endpoint of that runner, if that is known.
+    /// Endpoint of that runner; `None` if unknown.
     pub endpoint: Option<EndpointName>,
     /// Whether that runner stops its own runs at the end of the run lease.
     pub self_stop: bool,
 }
 
-/// A job's number with the caller's names, for messages to people.
+/// Number of a job with its tenant and identifier, for messages to people.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NumberedJob {
-    /// Number in the record.
+    /// Number of the job.
     pub number: JobNumber,
-    /// The caller's names.
+    /// Tenant and identifier chosen by the caller.
     pub key: crate::JobKey,
 }
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,14 +1,15 @@
-//! Times as values: nothing below the daemons' shells reads a clock.
+//! Points in time and durations. Only the shells of the daemons read a clock; all
+//! other code receives the time as a value.
 //!
-//! Leases and time-outs are measured on [`Monotonic`], which must count through
-//! a freeze of the machine (`CLOCK_BOOTTIME` in the daemons). [`WallTime`] is
-//! used only for a job's own start time and for what people read.
+//! Leases and timeouts are measured on [`Monotonic`], which must advance while the
+//! machine is suspended (`CLOCK_BOOTTIME` in the daemons). [`WallTime`] is used only
+//! for the start times of jobs and for times that people read.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::{Add, Sub};
 
-/// A length of time in milliseconds.
+/// Duration in milliseconds.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -16,7 +17,7 @@
 pub struct Milliseconds(pub u64);
 
 impl Milliseconds {
-    /// A length of whole seconds.
+    /// Creates a duration of whole seconds.
     pub const fn from_seconds(seconds: u64) -> Self {
         Self(seconds * 1_000)
     }
@@ -35,8 +36,8 @@
     }
 }
 
-/// A point on one process's monotonic clock, in milliseconds; it counts
-/// through a freeze and means nothing to another machine.
+/// Time on the monotonic clock of one process, in milliseconds. The clock advances
+/// while the machine is suspended; times of different machines are not comparable.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -44,7 +45,7 @@
 pub struct Monotonic(pub u64);
 
 impl Monotonic {
-    /// Time since `earlier`; zero if `earlier` lies ahead.
+    /// Returns the time since `earlier`; zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Milliseconds {
         Milliseconds(self.0.saturating_sub(earlier.0))
     }
@@ -52,19 +53,19 @@
 
 impl Add<Milliseconds> for Monotonic {
     type Output = Self;
-    fn add(self, length: Milliseconds) -> Self {
-        Self(self.0.saturating_add(length.0))
+    fn add(self, duration: Milliseconds) -> Self {
+        Self(self.0.saturating_add(duration.0))
     }
 }
 
 impl Sub<Milliseconds> for Monotonic {
     type Output = Self;
-    fn sub(self, length: Milliseconds) -> Self {
-        Self(self.0.saturating_sub(length.0))
+    fn sub(self, duration: Milliseconds) -> Self {
+        Self(self.0.saturating_sub(duration.0))
     }
 }
 
-/// Wall-clock time in milliseconds since the Unix epoch; it may step.
+/// Wall-clock time in milliseconds since the Unix epoch. The clock may jump.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -73,16 +74,16 @@
 
 impl Add<Milliseconds> for WallTime {
     type Output = Self;
-    fn add(self, length: Milliseconds) -> Self {
-        Self(self.0.saturating_add(length.0))
+    fn add(self, duration: Milliseconds) -> Self {
+        Self(self.0.saturating_add(duration.0))
     }
 }
 
-/// Both clocks, read once by the shell before it calls a core.
+/// Times of both clocks, which the shell of a daemon reads before each call of its core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Now {
-    /// For leases, deadlines and time-outs.
+    /// Time for leases, deadlines and timeouts.
     pub monotonic: Monotonic,
-    /// For start times of jobs and for people.
+    /// Time for the start times of jobs and for display.
     pub wall: WallTime,
 }
