--- a/crates/configuration/src/authenticate.rs
+++ b/crates/configuration/src/authenticate.rs
@@ -1,10 +1,11 @@
-//! Finding the key that a bearer token belongs to.
+//! Authentication of bearer tokens.
 
 use crate::{ClusterConfiguration, Key, KeyRole};
 
-/// True once an operator key exists. Before that, at the first start, every
-/// request is allowed, or nobody could ever put the first keys in.
-/// [`crate::validate()`] rejects a document whose keys include no operator key.
+/// Returns whether requests need a bearer key, which holds once an operator key exists.
+/// Before that, as at the first start, every request is allowed, since otherwise the
+/// first keys could not be added. [`crate::validate()`] rejects a document that has
+/// keys but no operator key.
 pub fn requires_keys(document: &ClusterConfiguration) -> bool {
     document
         .keys
@@ -12,9 +13,11 @@
         .any(|key| key.role == KeyRole::Operator)
 }
 
-/// The key a token `<id>.<secret>` belongs to, or none. The identifier is
-/// public and found by plain comparison; the secret is compared in constant
-/// time. An identifier may hold dots, a secret may not.
+/// Returns the key that a token `<id>.<secret>` belongs to; `None` if the token is
+/// malformed, its identifier is unknown or its secret is wrong.
+///
+/// The identifier is public and found by plain comparison; the secret is compared in
+/// constant time. An identifier may contain dots, a secret may not.
 pub fn authenticate<'a>(document: &'a ClusterConfiguration, token: &str) -> Option<&'a Key> {
     let (id, secret) = token.rsplit_once('.')?;
     if secret.is_empty() {
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -1,4 +1,4 @@
-//! The configuration document.
+//! Cluster configuration document.
 
 use crate::Key;
 use serde::{Deserialize, Serialize};
@@ -7,128 +7,138 @@
     ConfigurationVersion, LicenceName, Milliseconds, PoolName, QueueName, Resources, TenantId,
 };
 
-/// The whole cluster configuration under one version.
+/// Complete cluster configuration of one version.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ClusterConfiguration {
-    /// Pools of runners. A runner names its pool in its heartbeat.
+    /// Pools of runners. Each runner reports its pool in its heartbeats.
     pub pools: BTreeMap<PoolName, PoolSettings>,
     /// Queues, each bound to a pool.
     pub queues: BTreeMap<QueueName, QueueSettings>,
-    /// Tenant contracts.
+    /// Contracts of the tenants.
     pub tenants: BTreeMap<TenantId, TenantSettings>,
-    /// Licences, each with a number of seats in the whole cluster.
+    /// Licences, each with a number of seats for the whole cluster.
     pub licences: BTreeMap<LicenceName, LicenceSettings>,
-    /// Bearer keys of callers, operators and runners, as hashes.
+    /// Bearer keys of callers, operators and runners; secrets are stored as hashes.
     pub keys: Vec<Key>,
-    /// Leases and waits that hold in the whole cluster.
+    /// Leases and timings of the whole cluster.
     pub timings: Timings,
-    /// The version that this document was made from; none for the one before
-    /// its own. Versions may skip numbers, so it must be said then.
+    /// Version that this document was made from. `None` means the version one below its
+    /// own; since versions may skip numbers, the field must be set where they do.
     pub replaces: Option<ConfigurationVersion>,
-    /// What becomes of a queue that this document leaves out.
+    /// Handling of queues and tenants that this document leaves out.
     pub left_out: LeftOutQueues,
-    /// The text this document was translated from, opaque here, for tools that
-    /// keep their own format.
+    /// Text that this document was translated from, opaque to the cluster, for tools
+    /// with a format of their own. `None` if no such text was sent.
     pub source: Option<String>,
 }
 
-/// What becomes of queues and tenants that a new document leaves out while
-/// they hold unfinished jobs.
+/// Handling of queues and tenants that a new document leaves out while they have
+/// unfinished jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeftOutQueues {
-    /// The document is rejected: the operator drains or cancels first.
+    /// The document is rejected; the operator must first drain the queues or cancel the
+    /// jobs.
     #[default]
     Refuse,
-    /// They stay under their last settings, and the queues drain, until a
-    /// later document finds them empty.
+    /// The queues and tenants keep their last settings, and the queues drain, until a
+    /// later document is applied when they have no unfinished jobs.
     Drain,
 }
 
-/// A licence: so many runs that need it may go at once, over all pools.
+/// Settings of a licence, which limits the number of concurrent runs that need it, over
+/// all pools.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LicenceSettings {
-    /// Seats; with none, work that needs one waits.
+    /// Number of seats. With 0, tasks that need the licence do not start.
     pub seats: u32,
 }
 
-/// A pool of runners.
+/// Settings of a pool of runners.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolSettings {
-    /// The largest runner the pool is built from. A task that needs more is
-    /// rejected at submit, even while no runner is up.
+    /// Resources of the largest runner in the pool. A job with a task that needs more is
+    /// rejected at submission, even while no runner is up.
     pub largest_runner: Resources,
 }
 
-/// How far a queue has been moved in.
+/// Mode of a queue: whether it accepts submissions and whether its tasks start. The modes
+/// allow a stepwise migration of a queue to the cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum QueueMode {
-    /// Decide and log, start nothing.
+    /// Submissions are accepted; placements are decided and logged, but no task starts.
     Shadow,
-    /// Decide and start.
+    /// Submissions are accepted and tasks start.
     #[default]
     Active,
-    /// Take submits, start nothing.
+    /// Submissions are accepted, but no task starts.
     Paused,
-    /// Refuse submits, finish what is there.
+    /// Submissions are rejected; the jobs in the queue are finished.
     Draining,
 }
 
-/// A queue.
+/// Pool, mode, limit and priority of a queue.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueSettings {
-    /// The pool its tasks run on.
+    /// Pool on whose runners the tasks run.
     pub pool: PoolName,
-    /// How far it has been moved in.
+    /// Whether the queue accepts submissions and starts tasks.
     pub mode: QueueMode,
-    /// Unfinished jobs it may hold; more are rejected with a time to come back.
+    /// Maximum number of unfinished jobs in the queue. Further submissions are rejected
+    /// with a time after which to retry.
     pub max_unfinished_jobs: u64,
-    /// Place among the queues of its pool: work of a lower number goes first.
+    /// Priority among the queues of the pool; work of a queue with a lower number starts
+    /// first.
     pub priority: u8,
 }
 
-/// A tenant contract.
+/// Contract of a tenant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantSettings {
-    /// Fair share of each pool, in percent. A tenant above it is passed over
-    /// while another tenant below its own share has a task that could start.
+    /// Fair share of each pool, in percent, 1 to 100. A tenant above its share is skipped
+    /// while a tenant below its own share has a task that could start.
     pub share_percent: u32,
-    /// Resource resource limit: what its runs may hold over all runners.
+    /// Maximum resources that the runs of the tenant hold together, over all runners.
     pub resource_limit: Resources,
-    /// What lateness and failure the contract allows.
+    /// Late and failed jobs that the contract allows.
     pub error_budget: ErrorBudget,
-    /// Submits taken a second, averaged; more are rejected at once.
+    /// Average number of submissions accepted per second; excess ones are rejected
+    /// immediately.
     pub submits_per_second: u32,
-    /// Submits taken at once above the average.
+    /// Number of submissions accepted at once, after a time without any (capacity of the
+    /// token bucket).
     pub submit_burst: u32,
-    /// Unfinished jobs it may have; more are rejected at once.
+    /// Maximum number of unfinished jobs of the tenant; further submissions are rejected
+    /// immediately.
     pub max_unfinished_jobs: u64,
 }
 
-/// What lateness and failure a contract allows.
+/// Late and failed jobs that a contract allows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBudget {
-    /// A job that waits longer than this for its first run is late.
+    /// Time from submission to first run above which a job is late.
     pub late_after: Milliseconds,
-    /// Late jobs allowed in a thousand.
+    /// Allowed number of late jobs per thousand.
     pub late_per_thousand: u32,
-    /// Failed jobs allowed in a thousand.
+    /// Allowed number of failed jobs per thousand.
     pub failed_per_thousand: u32,
 }
 
-/// Leases and waits that hold in the whole cluster.
+/// Leases, backoffs and retention of the whole cluster.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Timings {
-    /// How long a runner keeps its runs after the heartbeat last confirmed.
+    /// Length of the run lease: a runner stops its runs this long after it sent the last
+    /// heartbeat that was confirmed.
     pub run_lease: Milliseconds,
-    /// What the leader waits beyond the lease, for clocks that run apart.
+    /// Additional time that the leader waits after the run lease, since clocks run at
+    /// different rates.
     pub run_lease_margin: Milliseconds,
-    /// First wait before a failed task is tried again; doubled each time.
+    /// Delay before the first retry of a failed task; doubled for each further one.
     pub retry_backoff: Milliseconds,
-    /// Longest wait before a failed task is tried again.
+    /// Maximum delay before a retry of a failed task.
     pub max_retry_backoff: Milliseconds,
-    /// How long a finished job's identifier stays known.
+    /// Time for which a finished job is kept, so that a resent submission is recognized.
     pub retention: Milliseconds,
 }
 
--- a/crates/configuration/src/key.rs
+++ b/crates/configuration/src/key.rs
@@ -1,34 +1,34 @@
-//! Bearer keys: only salted hashes ever enter the document.
+//! Bearer keys. The document contains only salted hashes of their secrets.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 use types::{KeyId, TenantId};
 
-/// What the bearer of a key may do.
+/// Role of a key, which determines the requests that its bearer may send.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyRole {
-    /// Submit, ask for and cancel this tenant's jobs.
+    /// May submit, read and cancel jobs of this tenant.
     Caller(TenantId),
-    /// Everything.
+    /// May send all requests.
     Operator,
-    /// Heartbeats to an agent.
+    /// May send heartbeats to an agent.
     Runner,
 }
 
-/// A salted SHA-256 of a key's secret. Secrets are drawn at random with full
-/// strength, so a slow hash would add nothing.
+/// Salted SHA-256 hash of the secret of a key. Secrets are random with full entropy, so
+/// a slow hash would add no protection.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyHash {
-    /// Drawn at random for each key.
+    /// Salt, drawn at random for each key.
     pub salt: [u8; 16],
-    /// SHA-256 over salt and secret.
+    /// SHA-256 digest of the salt followed by the secret.
     pub digest: [u8; 32],
 }
 
 impl KeyHash {
-    /// Hashes a secret.
+    /// Hashes a secret with the salt.
     pub fn new(salt: [u8; 16], secret: &[u8]) -> Self {
         Self {
             salt,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Compares in constant time.
+    /// Returns whether the secret is the hashed one, compared in constant time.
     pub fn matches(&self, secret: &[u8]) -> bool {
         digest(&self.salt, secret).ct_eq(&self.digest).into()
     }
@@ -49,14 +49,15 @@
     hasher.finalize().into()
 }
 
-/// A bearer key. A token reads `<id>.<secret>`; rotation is two live keys of
-/// the same role under different ids; revocation is leaving one out.
+/// Bearer key. Its token has the form `<id>.<secret>`. A key is rotated by adding a
+/// second one of the same role under another identifier, and revoked by removing it
+/// from the document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Key {
-    /// Public name.
+    /// Public identifier of the key.
     pub id: KeyId,
-    /// What its bearer may do.
+    /// Role of the bearer.
     pub role: KeyRole,
-    /// Hash of its secret.
+    /// Hash of the secret.
     pub hash: KeyHash,
 }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,9 +1,9 @@
-//! The versioned cluster configuration document and its validation.
+//! Versioned cluster configuration document, its updates and its validation.
 //!
-//! One document describes all queues, tenant contracts and keys. It is taken
-//! whole, or changed item by item, by compare-and-set on its version, and checked
-//! here before it may enter the log. The outer JSON names (`most` for the resource limit) are the `api`
-//! crate's; this crate speaks only the domain's terms.
+//! One document describes all queues, tenant contracts and keys. It is replaced as a
+//! whole, or changed item by item, by compare-and-set on its version, and is validated
+//! by this crate before it takes effect. The names in the public JSON format (`most` for
+//! the resource limit) are defined in the `api` crate.
 
 pub mod authenticate;
 pub mod document;
--- a/crates/configuration/src/update.rs
+++ b/crates/configuration/src/update.rs
@@ -1,9 +1,9 @@
-//! Changes to named items of a document, applied to the version they name.
+//! Updates, which change named items of the document of a given version.
 //!
-//! An operator who changes one queue of a large cluster should not have to
-//! send, and so to have read, every other one. An update names what it builds
-//! on, what it puts in place and what it takes away. It is applied as a whole
-//! or not at all, and what it leads to is checked like any other document.
+//! With an update, an operator who changes one queue of a large cluster need not read
+//! and send all other items. An update contains the version that it replaces, items to
+//! add or replace, and names of items to remove. It is applied as a whole or not at all,
+//! and the resulting document is validated like any other.
 
 use crate::{
     ClusterConfiguration, ConfigurationError, Key, LicenceSettings, PoolSettings, QueueSettings,
@@ -14,73 +14,73 @@
 use std::fmt::Display;
 use types::{ConfigurationVersion, KeyId, LicenceName, PoolName, QueueName, TenantId};
 
-/// Changes to named items of the document under one version.
+/// Changes to named items of the document of one version.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ConfigurationUpdate {
-    /// The version in force that this was made from.
+    /// Version that the update was made from; rejected if another one is in force.
     pub replaces: ConfigurationVersion,
-    /// Items to add, or to put in place of those of the same name.
+    /// Items to add, or to replace if an item of the same name exists.
     pub upsert: UpsertedItems,
-    /// Names of items to take away. One that is not there changes nothing:
-    /// what was asked for already holds.
+    /// Names of items to remove. The name of an absent item is ignored, since the
+    /// requested state already holds.
     pub remove: RemovedItems,
-    /// What the document's `source` becomes, for tools that keep their own
-    /// format; without it the source goes, since it would no longer be true.
+    /// New `source` of the document, for tools with a format of their own. With `None`
+    /// the source is removed, since the old one no longer matches the document.
     pub source: Option<String>,
-    /// The order as it was sent, opaque here, by which it is known again; its
-    /// items otherwise.
+    /// Update as the operator sent it, opaque to this crate, by which a resent update is
+    /// recognized. With `None` it is recognized by its items.
     pub sent: Option<String>,
 }
 
-/// Items to add or replace.
+/// Items that an update adds or replaces.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct UpsertedItems {
-    /// Pools.
+    /// Settings by name of the pool.
     pub pools: BTreeMap<PoolName, PoolSettings>,
-    /// Queues.
+    /// Settings by name of the queue.
     pub queues: BTreeMap<QueueName, QueueSettings>,
-    /// Tenant contracts.
+    /// Contracts by tenant.
     pub tenants: BTreeMap<TenantId, TenantSettings>,
-    /// Licences.
+    /// Settings by name of the licence.
     pub licences: BTreeMap<LicenceName, LicenceSettings>,
-    /// Bearer keys; each takes the place of the one with its identifier.
+    /// Bearer keys; each replaces an existing key with the same identifier.
     pub keys: Vec<Key>,
 }
 
-/// Names of items to take away.
+/// Names of items that an update removes.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct RemovedItems {
-    /// Pools.
+    /// Names of pools; queues that use one must be removed or changed as well.
     pub pools: BTreeSet<PoolName>,
-    /// Queues.
+    /// Names of queues, subject to [`crate::LeftOutQueues`].
     pub queues: BTreeSet<QueueName>,
-    /// Tenants.
+    /// Identifiers of tenants, subject to [`crate::LeftOutQueues`].
     pub tenants: BTreeSet<TenantId>,
-    /// Licences.
+    /// Names of licences.
     pub licences: BTreeSet<LicenceName>,
-    /// Bearer keys.
+    /// Identifiers of bearer keys.
     pub keys: BTreeSet<KeyId>,
 }
 
 impl ConfigurationUpdate {
-    /// What leads from one document to another, item by item.
+    /// Returns the update that changes the document `base` into `wanted`.
     pub fn between(
         replaces: ConfigurationVersion,
         base: &ClusterConfiguration,
         wanted: &ClusterConfiguration,
     ) -> Self {
         let upsert = UpsertedItems {
-            pools: changed(&base.pools, &wanted.pools),
-            queues: changed(&base.queues, &wanted.queues),
-            tenants: changed(&base.tenants, &wanted.tenants),
-            licences: changed(&base.licences, &wanted.licences),
+            pools: changed_items(&base.pools, &wanted.pools),
+            queues: changed_items(&base.queues, &wanted.queues),
+            tenants: changed_items(&base.tenants, &wanted.tenants),
+            licences: changed_items(&base.licences, &wanted.licences),
             keys: changed_keys(&base.keys, &wanted.keys),
         };
         let remove = RemovedItems {
-            pools: removed(&base.pools, &wanted.pools),
-            queues: removed(&base.queues, &wanted.queues),
-            tenants: removed(&base.tenants, &wanted.tenants),
-            licences: removed(&base.licences, &wanted.licences),
+            pools: removed_names(&base.pools, &wanted.pools),
+            queues: removed_names(&base.queues, &wanted.queues),
+            tenants: removed_names(&base.tenants, &wanted.tenants),
+            licences: removed_names(&base.licences, &wanted.licences),
             keys: removed_keys(&base.keys, &wanted.keys),
         };
         Self {
@@ -92,60 +92,61 @@
         }
     }
 
-    /// What is wrong with the update by itself, whatever it is applied to.
+    /// Returns the problems of the update that do not depend on the document it is applied
+    /// to.
     pub fn problems(&self) -> Vec<ConfigurationError> {
         let mut problems = Vec::new();
         let (upsert, remove) = (&self.upsert, &self.remove);
-        find_both("pools", upsert.pools.keys(), &remove.pools, &mut problems);
-        find_both(
+        report_conflicts("pools", upsert.pools.keys(), &remove.pools, &mut problems);
+        report_conflicts(
             "queues",
             upsert.queues.keys(),
             &remove.queues,
             &mut problems,
         );
         let tenants = upsert.tenants.keys();
-        find_both("tenants", tenants, &remove.tenants, &mut problems);
+        report_conflicts("tenants", tenants, &remove.tenants, &mut problems);
         let licences = upsert.licences.keys();
-        find_both("licences", licences, &remove.licences, &mut problems);
+        report_conflicts("licences", licences, &remove.licences, &mut problems);
         let keys = || upsert.keys.iter().map(|key| &key.id);
-        find_both("keys", keys(), &remove.keys, &mut problems);
+        report_conflicts("keys", keys(), &remove.keys, &mut problems);
         let mut seen = BTreeSet::new();
         for key in keys() {
             if !seen.insert(key) {
-                problems.push(error("keys", key, "stands twice in `upsert`"));
+                problems.push(error("keys", key, "occurs twice in `upsert`"));
             }
         }
         problems
     }
 
-    /// The document that the update makes of `base`. Whether that makes sense
-    /// is [`crate::validate()`]'s to say.
+    /// Returns the document that results from the update of `base`, without validation
+    /// (see [`crate::validate()`]).
     pub fn applied_to(&self, base: &ClusterConfiguration) -> ClusterConfiguration {
         let mut document = base.clone();
         let (upsert, remove) = (&self.upsert, &self.remove);
-        change(&mut document.pools, &upsert.pools, &remove.pools);
-        change(&mut document.queues, &upsert.queues, &remove.queues);
-        change(&mut document.tenants, &upsert.tenants, &remove.tenants);
-        change(&mut document.licences, &upsert.licences, &remove.licences);
-        change_keys(&mut document.keys, &upsert.keys, &remove.keys);
+        apply(&mut document.pools, &upsert.pools, &remove.pools);
+        apply(&mut document.queues, &upsert.queues, &remove.queues);
+        apply(&mut document.tenants, &upsert.tenants, &remove.tenants);
+        apply(&mut document.licences, &upsert.licences, &remove.licences);
+        apply_keys(&mut document.keys, &upsert.keys, &remove.keys);
         document.replaces = Some(self.replaces);
         document.source = self.source.clone();
         document
     }
 }
 
-fn changed<Name: Ord + Clone, Item: PartialEq + Clone>(
+fn changed_items<Name: Ord + Clone, Item: PartialEq + Clone>(
     base: &BTreeMap<Name, Item>,
     wanted: &BTreeMap<Name, Item>,
 ) -> BTreeMap<Name, Item> {
-    let differing = wanted.iter();
-    differing
+    let changed = wanted.iter();
+    changed
         .filter(|(name, item)| base.get(name) != Some(item))
         .map(|(name, item)| (name.clone(), item.clone()))
         .collect()
 }
 
-fn removed<Name: Ord + Clone, Item>(
+fn removed_names<Name: Ord + Clone, Item>(
     base: &BTreeMap<Name, Item>,
     wanted: &BTreeMap<Name, Item>,
 ) -> BTreeSet<Name> {
@@ -154,17 +155,17 @@
 }
 
 fn changed_keys(base: &[Key], wanted: &[Key]) -> Vec<Key> {
-    let differing = wanted.iter().filter(|key| !base.contains(key));
-    differing.cloned().collect()
+    let changed = wanted.iter().filter(|key| !base.contains(key));
+    changed.cloned().collect()
 }
 
 fn removed_keys(base: &[Key], wanted: &[Key]) -> BTreeSet<KeyId> {
-    let retained: BTreeSet<&KeyId> = wanted.iter().map(|key| &key.id).collect();
+    let remaining: BTreeSet<&KeyId> = wanted.iter().map(|key| &key.id).collect();
     let ids = base.iter().map(|key| &key.id);
-    ids.filter(|id| !retained.contains(id)).cloned().collect()
+    ids.filter(|id| !remaining.contains(id)).cloned().collect()
 }
 
-fn change<Name: Ord + Clone, Item: Clone>(
+fn apply<Name: Ord + Clone, Item: Clone>(
     items: &mut BTreeMap<Name, Item>,
     upsert: &BTreeMap<Name, Item>,
     remove: &BTreeSet<Name>,
@@ -175,7 +176,7 @@
     }
 }
 
-fn change_keys(keys: &mut Vec<Key>, upsert: &[Key], remove: &BTreeSet<KeyId>) {
+fn apply_keys(keys: &mut Vec<Key>, upsert: &[Key], remove: &BTreeSet<KeyId>) {
     keys.retain(|key| !remove.contains(&key.id));
     for new in upsert {
         match keys.iter_mut().find(|key| key.id == new.id) {
@@ -185,14 +186,14 @@
     }
 }
 
-fn find_both<'a, Name: Ord + Display + 'a>(
+fn report_conflicts<'a, Name: Ord + Display + 'a>(
     list: &str,
     upserted: impl Iterator<Item = &'a Name>,
     removed: &BTreeSet<Name>,
     problems: &mut Vec<ConfigurationError>,
 ) {
-    let both = upserted.filter(|name| removed.contains(name));
-    problems.extend(both.map(|name| error(list, name, "stands in `upsert` and in `remove`")));
+    let conflicts = upserted.filter(|name| removed.contains(name));
+    problems.extend(conflicts.map(|name| error(list, name, "occurs in `upsert` and in `remove`")));
 }
 
 fn error(list: &str, name: &impl Display, message: &str) -> ConfigurationError {
--- a/crates/configuration/src/validate.rs
+++ b/crates/configuration/src/validate.rs
@@ -1,4 +1,4 @@
-//! Checks that a document makes sense as a whole.
+//! Validation of a document as a whole.
 
 use crate::{ClusterConfiguration, KeyRole, TenantSettings};
 use serde::{Deserialize, Serialize};
@@ -6,24 +6,24 @@
 use thiserror::Error;
 use types::{Milliseconds, Resources};
 
-/// Shares are percents of a pool.
+/// Maximum share of a tenant, in percent of a pool.
 pub const MAX_SHARE_PERCENT: u32 = 100;
-/// Error budgets count jobs in a thousand.
+/// Maximum of the allowed late and failed jobs in an error budget, per thousand jobs.
 pub const MAX_PER_THOUSAND: u32 = 1_000;
-/// Shortest retention: a caller that lost an answer must be able to resend.
+/// Minimum retention. A caller that lost an answer must be able to resend its request.
 pub const MIN_RETENTION: Milliseconds = Milliseconds::from_seconds(60);
 
-/// One thing wrong with a document, with its place.
+/// Problem of a document, with its path.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[error("{path}: {message}")]
 pub struct ConfigurationError {
     /// Path in the document, such as `queues.hover.pool`.
     pub path: String,
-    /// What is wrong, in one sentence.
+    /// Description of the problem in one sentence.
     pub message: String,
 }
 
-/// Finds every problem at once; an empty list means the document may be taken.
+/// Returns all problems of the document; the list is empty if the document is valid.
 pub fn validate(document: &ClusterConfiguration) -> Vec<ConfigurationError> {
     let mut problems = Problems::default();
     check_pools(document, &mut problems);
@@ -40,8 +40,8 @@
 }
 
 impl Problems {
-    fn check(&mut self, good: bool, path: String, message: impl Into<String>) {
-        if !good {
+    fn check(&mut self, valid: bool, path: String, message: impl Into<String>) {
+        if !valid {
             self.found.push(ConfigurationError {
                 path,
                 message: message.into(),
@@ -53,7 +53,8 @@
         self.check(value > 0, path, "must be at least 1");
     }
 
-    /// A task always needs a slot, so capacity without slots runs nothing.
+    /// Checks that the capacity has slots. Every task needs a slot, so no task could run
+    /// without them.
     fn check_slots(&mut self, capacity: &Resources, path: &str) {
         self.check_positive(u64::from(capacity.slots), format!("{path}.slots"));
     }
@@ -82,8 +83,8 @@
     }
 }
 
-// The shares of all tenants may add up to more than 100: a share counts in each
-// pool apart, and tenants whose queues use different pools do not compete.
+// The shares of all tenants may add up to more than 100 percent: a share applies to
+// each pool separately, and tenants whose queues use different pools do not compete.
 fn check_tenants(document: &ClusterConfiguration, problems: &mut Problems) {
     for (name, tenant) in &document.tenants {
         check_tenant(&format!("tenants.{name}"), tenant, problems);
@@ -139,8 +140,8 @@
             );
         }
     }
-    // Keys are asked for once an operator key exists, so other keys alone
-    // would look like protection and give none.
+    // Requests need a key only once an operator key exists. Without one, the other keys
+    // would give no protection although the document seems to require them.
     problems.check(
         document.keys.is_empty() || crate::requires_keys(document),
         "keys".to_owned(),
--- a/crates/configuration/tests/update.rs
+++ b/crates/configuration/tests/update.rs
@@ -1,4 +1,4 @@
-//! Changes to named items.
+//! Tests of configuration updates.
 
 use configuration::{
     ClusterConfiguration, ConfigurationUpdate, Key, KeyHash, KeyRole, LicenceSettings,
@@ -35,7 +35,7 @@
     }
 }
 
-fn base() -> ClusterConfiguration {
+fn base_document() -> ClusterConfiguration {
     let mut document = ClusterConfiguration::default();
     let largest_runner = Resources::UNLIMITED;
     document
@@ -47,7 +47,7 @@
         .licences
         .insert(licence("renderer"), LicenceSettings { seats: 3 });
     document.keys = vec![key("a", b"first"), key("b", b"second")];
-    document.source = Some("as it was".to_owned());
+    document.source = Some("old source".to_owned());
     document
 }
 
@@ -56,42 +56,45 @@
         replaces: ConfigurationVersion(4),
         upsert,
         remove,
-        source: Some("as it is".to_owned()),
+        source: Some("new source".to_owned()),
         sent: None,
     }
 }
 
 #[test]
-fn items_are_added_replaced_and_removed_and_the_rest_stays() {
+fn update_adds_replaces_and_removes_items_and_keeps_the_others() {
     let upsert = UpsertedItems {
         queues: [(queue("two"), settings(7)), (queue("three"), settings(3))].into(),
         keys: vec![key("b", b"third"), key("c", b"fourth")],
         ..UpsertedItems::default()
     };
     let remove = RemovedItems {
-        queues: [queue("one"), queue("never-there")].into(),
+        queues: [queue("one"), queue("absent")].into(),
         licences: [licence("renderer")].into(),
         keys: [KeyId::new("a").unwrap()].into(),
         ..RemovedItems::default()
     };
     let update = update(upsert, remove);
-    assert!(update.problems().is_empty(), "absent names are no problem");
-    let made = update.applied_to(&base());
-    let queues: Vec<(&str, u8)> = made
+    assert!(
+        update.problems().is_empty(),
+        "absent names are not a problem"
+    );
+    let updated = update.applied_to(&base_document());
+    let queues: Vec<(&str, u8)> = updated
         .queues
         .iter()
         .map(|(name, queue)| (name.as_str(), queue.priority))
         .collect();
     assert_eq!(queues, [("three", 3), ("two", 7)]);
-    assert_eq!(made.pools, base().pools);
-    assert!(made.licences.is_empty());
-    assert_eq!(made.keys, [key("b", b"third"), key("c", b"fourth")]);
-    assert_eq!(made.replaces, Some(ConfigurationVersion(4)));
-    assert_eq!(made.source.as_deref(), Some("as it is"));
+    assert_eq!(updated.pools, base_document().pools);
+    assert!(updated.licences.is_empty());
+    assert_eq!(updated.keys, [key("b", b"third"), key("c", b"fourth")]);
+    assert_eq!(updated.replaces, Some(ConfigurationVersion(4)));
+    assert_eq!(updated.source.as_deref(), Some("new source"));
 }
 
 #[test]
-fn a_name_in_both_and_a_key_named_twice_are_problems_with_their_place() {
+fn conflicting_name_and_duplicate_key_are_reported_with_their_paths() {
     let upsert = UpsertedItems {
         queues: [(queue("one"), settings(1))].into(),
         keys: vec![key("c", b"1"), key("c", b"2")],
@@ -102,13 +105,16 @@
         ..RemovedItems::default()
     };
     let problems = update(upsert, remove).problems();
-    let places: Vec<&str> = problems.iter().map(|one| one.path.as_str()).collect();
-    assert_eq!(places, ["queues.one", "keys.c"]);
+    let paths: Vec<&str> = problems
+        .iter()
+        .map(|problem| problem.path.as_str())
+        .collect();
+    assert_eq!(paths, ["queues.one", "keys.c"]);
 }
 
 #[test]
-fn what_lies_between_two_documents_leads_from_one_to_the_other() {
-    let mut wanted = base();
+fn update_between_two_documents_changes_the_first_into_the_second() {
+    let mut wanted = base_document();
     wanted.queues.remove(&queue("one"));
     wanted.queues.insert(queue("four"), settings(4));
     wanted.queues.insert(queue("two"), settings(9));
@@ -116,9 +122,9 @@
     wanted.licences.clear();
     wanted.source = None;
     wanted.replaces = Some(ConfigurationVersion(4));
-    let update = ConfigurationUpdate::between(ConfigurationVersion(4), &base(), &wanted);
+    let update = ConfigurationUpdate::between(ConfigurationVersion(4), &base_document(), &wanted);
     assert_eq!(update.upsert.queues.len(), 2);
     assert_eq!(update.upsert.keys.len(), 1);
     assert!(update.upsert.pools.is_empty());
-    assert_eq!(update.applied_to(&base()), wanted);
+    assert_eq!(update.applied_to(&base_document()), wanted);
 }
--- a/crates/configuration/tests/validate.rs
+++ b/crates/configuration/tests/validate.rs
@@ -1,4 +1,4 @@
-//! Every rule of the document, each broken on its own.
+//! Tests that each rule of the document is checked, and of authentication by its keys.
 
 use configuration::{
     ClusterConfiguration, ErrorBudget, Key, KeyHash, KeyRole, PoolSettings, QueueMode,
@@ -6,7 +6,7 @@
 };
 use types::{KeyId, Milliseconds, PoolName, QueueName, Resources, TenantId};
 
-const ROOM: Resources = Resources {
+const CAPACITY: Resources = Resources {
     slots: 4,
     cpu_milli: 4_000,
     memory_mib: 1_024,
@@ -16,7 +16,7 @@
 fn tenant(share_percent: u32) -> TenantSettings {
     TenantSettings {
         share_percent,
-        resource_limit: ROOM,
+        resource_limit: CAPACITY,
         error_budget: ErrorBudget {
             late_after: Milliseconds(1_000),
             late_per_thousand: 10,
@@ -36,11 +36,11 @@
     }
 }
 
-fn document() -> ClusterConfiguration {
+fn valid_document() -> ClusterConfiguration {
     let mut document = ClusterConfiguration::default();
     let pool = PoolName::new("large").unwrap();
     let settings = PoolSettings {
-        largest_runner: ROOM,
+        largest_runner: CAPACITY,
     };
     document.pools.insert(pool.clone(), settings);
     let queue = QueueSettings {
@@ -59,65 +59,65 @@
     document
 }
 
-fn places(document: &ClusterConfiguration) -> Vec<String> {
-    let found = validate(document);
-    found.into_iter().map(|message| message.path).collect()
+fn problem_paths(document: &ClusterConfiguration) -> Vec<String> {
+    let problems = validate(document);
+    problems.into_iter().map(|problem| problem.path).collect()
 }
 
 #[test]
-fn good_documents_have_no_problems() {
-    assert!(places(&document()).is_empty());
-    assert!(places(&ClusterConfiguration::default()).is_empty());
+fn valid_documents_have_no_problems() {
+    assert!(problem_paths(&valid_document()).is_empty());
+    assert!(problem_paths(&ClusterConfiguration::default()).is_empty());
 }
 
-type Break = fn(&mut ClusterConfiguration);
+type Mutation = fn(&mut ClusterConfiguration);
 
-fn the_tenant(document: &mut ClusterConfiguration) -> &mut TenantSettings {
+fn tenant_of(document: &mut ClusterConfiguration) -> &mut TenantSettings {
     document.tenants.values_mut().next().unwrap()
 }
 
-fn the_queue(document: &mut ClusterConfiguration) -> &mut QueueSettings {
+fn queue_of(document: &mut ClusterConfiguration) -> &mut QueueSettings {
     document.queues.values_mut().next().unwrap()
 }
 
 #[test]
-fn each_broken_rule_is_found_at_its_place() {
-    let rules: Vec<(&str, Break)> = vec![
+fn each_violated_rule_is_reported_at_its_path() {
+    let mutations: Vec<(&str, Mutation)> = vec![
         ("pools.large.largest_runner.slots", |d| {
             d.pools.values_mut().next().unwrap().largest_runner.slots = 0;
         }),
         ("queues.q.pool", |d| {
-            the_queue(d).pool = PoolName::new("none").unwrap();
+            queue_of(d).pool = PoolName::new("none").unwrap();
         }),
         ("queues.q.max_unfinished_jobs", |d| {
-            the_queue(d).max_unfinished_jobs = 0;
+            queue_of(d).max_unfinished_jobs = 0;
         }),
         ("tenants.t.share_percent", |d| {
-            the_tenant(d).share_percent = 0;
+            tenant_of(d).share_percent = 0;
         }),
         ("tenants.t.ceiling.slots", |d| {
-            the_tenant(d).resource_limit.slots = 0;
+            tenant_of(d).resource_limit.slots = 0;
         }),
         ("tenants.t.submits_per_second", |d| {
-            the_tenant(d).submits_per_second = 0;
+            tenant_of(d).submits_per_second = 0;
         }),
-        ("tenants.t.submit_burst", |d| the_tenant(d).submit_burst = 0),
+        ("tenants.t.submit_burst", |d| tenant_of(d).submit_burst = 0),
         ("tenants.t.max_unfinished_jobs", |d| {
-            the_tenant(d).max_unfinished_jobs = 0;
+            tenant_of(d).max_unfinished_jobs = 0;
         }),
         ("tenants.t.error_budget.late_after", |d| {
-            the_tenant(d).error_budget.late_after = Milliseconds(0);
+            tenant_of(d).error_budget.late_after = Milliseconds(0);
         }),
         ("tenants.t.error_budget.late_per_thousand", |d| {
-            the_tenant(d).error_budget.late_per_thousand = 1_001;
+            tenant_of(d).error_budget.late_per_thousand = 1_001;
         }),
         ("tenants.t.error_budget.failed_per_thousand", |d| {
-            the_tenant(d).error_budget.failed_per_thousand = 1_001;
+            tenant_of(d).error_budget.failed_per_thousand = 1_001;
         }),
         ("keys.2.id", |d| d.keys.push(key("ops.1", KeyRole::Runner))),
         ("keys.2.role", |d| {
-            let nobody = TenantId::new("nobody").unwrap();
-            d.keys.push(key("n", KeyRole::Caller(nobody)));
+            let unknown = TenantId::new("unknown").unwrap();
+            d.keys.push(key("n", KeyRole::Caller(unknown)));
         }),
         ("keys", |d| d.keys = vec![key("r", KeyRole::Runner)]),
         ("timings.run_lease", |d| {
@@ -136,32 +136,35 @@
             d.timings.retention = Milliseconds(59_999);
         }),
     ];
-    let mut all = document();
-    for (path, rule) in &rules {
-        let mut broken = document();
-        rule(&mut broken);
-        assert_eq!(places(&broken), [*path]);
-        rule(&mut all);
+    let mut all_invalid = valid_document();
+    for (path, mutate) in &mutations {
+        let mut invalid = valid_document();
+        mutate(&mut invalid);
+        assert_eq!(problem_paths(&invalid), [*path]);
+        mutate(&mut all_invalid);
     }
-    assert!(places(&all).len() > 12, "all problems are told at once");
+    assert!(
+        problem_paths(&all_invalid).len() > 12,
+        "all problems are reported at once"
+    );
 }
 
 #[test]
-fn a_share_ends_at_one_hundred_percent_for_each_tenant_alone() {
-    let mut two_pools = document();
-    the_tenant(&mut two_pools).share_percent = 100;
+fn share_limit_of_100_percent_applies_to_each_tenant_separately() {
+    let mut two_pools = valid_document();
+    tenant_of(&mut two_pools).share_percent = 100;
     two_pools
         .tenants
         .insert(TenantId::new("u").unwrap(), tenant(100));
-    assert!(places(&two_pools).is_empty());
-    let mut over = document();
-    the_tenant(&mut over).share_percent = 101;
-    assert_eq!(places(&over), ["tenants.t.share_percent"]);
+    assert!(problem_paths(&two_pools).is_empty());
+    let mut over = valid_document();
+    tenant_of(&mut over).share_percent = 101;
+    assert_eq!(problem_paths(&over), ["tenants.t.share_percent"]);
 }
 
 #[test]
-fn a_token_finds_its_key_only_with_the_right_secret() {
-    let document = document();
+fn token_authenticates_only_with_the_secret_of_its_key() {
+    let document = valid_document();
     let found = |token| authenticate(&document, token).map(|key| key.id.as_str());
     assert_eq!(found("ops.1.secret"), Some("ops.1"));
     assert_eq!(found("t-1.secret"), Some("t-1"));
@@ -179,7 +182,7 @@
 }
 
 #[test]
-fn keys_are_asked_for_once_an_operator_key_exists() {
-    assert!(requires_keys(&document()));
+fn keys_are_required_once_an_operator_key_exists() {
+    assert!(requires_keys(&valid_document()));
     assert!(!requires_keys(&ClusterConfiguration::default()));
 }
