--- a/crates/configuration/src/validate.rs
+++ b/crates/configuration/src/validate.rs
@@ -151,13 +151,13 @@
 
 fn check_timings(document: &ClusterConfiguration, problems: &mut Problems) {
     let timings = &document.timings;
-    let lengths = [
+    let durations = [
         ("run_lease", timings.run_lease),
         ("run_lease_margin", timings.run_lease_margin),
         ("retry_backoff", timings.retry_backoff),
     ];
-    for (field, length) in lengths {
-        problems.check_positive(length.0, format!("timings.{field}"));
+    for (field, duration) in durations {
+        problems.check_positive(duration.0, format!("timings.{field}"));
     }
     problems.check(
         timings.retry_backoff <= timings.max_retry_backoff,
--- a/crates/settings/src/agent.rs
+++ b/crates/settings/src/agent.rs
@@ -1,4 +1,4 @@
-//! Settings of an agent.
+//! Settings of the agent role.
 
 use crate::node::read_listener;
 use crate::reader::Reader;
@@ -6,7 +6,7 @@
 use crate::{LogLevel, NodeSettings, RoleSettings};
 use std::net::SocketAddr;
 
-/// Settings of an agent.
+/// Settings of an agent, read from its file and flags.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AgentSettings {
     /// Settings that all roles share.
--- a/crates/settings/src/coordinator.rs
+++ b/crates/settings/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! Settings of a coordinator.
+//! Settings of the coordinator role.
 
 use crate::node::read_listener;
 use crate::reader::Reader;
@@ -6,23 +6,23 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Settings of a coordinator.
+/// Settings of a coordinator, read from its file and flags.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CoordinatorSettings {
-    /// What all roles have.
+    /// Settings that all roles share.
     pub node: NodeSettings,
-    /// Key `admin_listen`: socket for livez, readyz and metrics.
+    /// Key `admin_listen`: listener for livez, readyz and metrics.
     pub admin_listen: SocketAddr,
-    /// Key `data`: the one folder it keeps files in.
+    /// Key `data`: folder for all files of the coordinator.
     pub data: PathBuf,
-    /// Key `initial_coordinators`: coordinators that must meet, all empty, to
-    /// start a new cluster. Odd, at least 3. Default 3.
+    /// Key `initial_coordinators`: number of coordinators with empty disks that must
+    /// find each other to create a new cluster. Odd, 3 to 9. Default 3.
     pub initial_coordinators: u32,
     /// Table `timings`.
     pub timings: CoordinatorTimings,
     /// Table `limits`.
     pub limits: CoordinatorLimits,
-    /// Table `scheduler`.
+    /// Table `dispatcher`.
     pub scheduler: SchedulerSettings,
     /// Table `policy`.
     pub policy: PolicySettings,
@@ -64,7 +64,7 @@
     let key = "initial_coordinators";
     let count = reader.ranged(key, 3_u32, 3..=9);
     if count.is_multiple_of(2) {
-        reader.message(
+        reader.add_problem(
             key,
             format!("{count} is even; a majority needs an odd number"),
         );
@@ -75,20 +75,21 @@
 /// Table `timings` of a coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CoordinatorTimings {
-    /// Minimum time without a leader's message before an election; drawn between this and twice it.
-    /// Default 1000.
+    /// Minimum election timeout, in milliseconds. The actual timeout without a message
+    /// of the leader is drawn between this and twice this. Default 1000.
     pub election_timeout_ms: u64,
-    /// Time between the leader's heartbeats. Default 150.
+    /// Interval between heartbeats of the leader, in milliseconds. Default 150.
     pub heartbeat_interval_ms: u64,
-    /// How long a leader acts after the start of the last round that a quorum
-    /// answered; below `election_timeout_ms`. Default 800.
+    /// Length of the leader lease, in milliseconds, from the start of the last heartbeat
+    /// round that a quorum answered. Less than `election_timeout_ms`. Default 800.
     pub leader_lease_ms: u64,
-    /// Length of the sessions of gateways and agents. Default 2000.
+    /// Lease of the sessions of gateways and agents, in milliseconds. Default 2000.
     pub session_lease_ms: u64,
-    /// A voter that has been unresponsive for this long is replaced by a learner that is ready.
-    /// Default 1500.
+    /// Time for which a voter must be unresponsive before a ready learner replaces it,
+    /// in milliseconds. Default 1500.
     pub replace_voter_after_ms: u64,
-    /// Longest wait of a fresh leader for the runners' lists. Default 2000.
+    /// Maximum time, in milliseconds, for which a new leader waits for heartbeats of the
+    /// runners with open runs before it places tasks. Default 2000.
     pub runner_wait_ms: u64,
 }
 
@@ -112,13 +113,13 @@
 
     fn check(&self, reader: &mut Reader) {
         if self.leader_lease_ms >= self.election_timeout_ms {
-            reader.message(
+            reader.add_problem(
                 "timings.leader_lease_ms",
                 "must be less than timings.election_timeout_ms, or two leaders could act at once",
             );
         }
         if self.heartbeat_interval_ms.saturating_mul(2) > self.leader_lease_ms {
-            reader.message(
+            reader.add_problem(
                 "timings.heartbeat_interval_ms",
                 "must be at most half of timings.leader_lease_ms, or one lost heartbeat ends it",
             );
@@ -129,11 +130,12 @@
 /// Table `limits` of a coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CoordinatorLimits {
-    /// Log entries between two snapshots. Default 10000.
+    /// Number of log entries between two snapshots. Default 10000.
     pub snapshot_every_entries: u64,
-    /// Requests that may wait for the log at once. Default 4096.
+    /// Maximum number of requests that wait for the log. Default 4096.
     pub max_waiting_requests: usize,
-    /// Lines of the decision log kept in memory. Default 50000.
+    /// Key `decisions_kept`: maximum number of entries of the decision log in memory.
+    /// Default 50000.
     pub decision_log_capacity: usize,
 }
 
@@ -155,92 +157,99 @@
     }
 }
 
-/// Table `policy`: which mechanisms decide. All are on by default.
+/// Table `policy`: switches of the placement policies. All are on by default.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PolicySettings {
-    /// How a tenant is chosen: `uniform` (default) or `oldest`.
+    /// Selection of the next tenant: `uniform` (default) or `oldest`.
     pub draw: DrawSetting,
-    /// A tenant above its share waits while one below could start.
+    /// A tenant above its share waits while one below its share could start a task.
     pub shares: bool,
-    /// Work of more urgent queues goes first and keeps its part free.
+    /// Work of queues with a lower priority number starts first, and other work leaves
+    /// it `urgent_reserve_percent` of each runner.
     pub priorities: bool,
-    /// Less urgent work leaves a part of its tenant's resource limit to more urgent work.
+    /// Key `ceiling_reserve`: less urgent work leaves headroom below its tenant's resource
+    /// limit to the tenant's more urgent queues.
     pub urgent_headroom: bool,
-    /// A runner is kept free for a task or a gang that starves.
+    /// Key `holds`: a runner is reserved for a task or a gang that starves.
     pub backfill_reservations: bool,
-    /// Further copies of running tasks, where a step allows them.
+    /// Running tasks get further copies, where their step allows them.
     pub copies: bool,
-    /// Runners on which much failed lately come last.
+    /// Runners on which many recent runs failed get work after the others.
     pub suspects_last: bool,
-    /// Runners on which many jobs failed in a row get nothing for a while.
+    /// Runners on which many jobs failed in a row get no work for `probation_ms`.
     pub probation: bool,
-    /// A task waits for the rack where it runs best.
+    /// Key `rack_patience`: a task waits for its preferred rack.
     pub rack_locality: bool,
-    /// A task waits for another runner than those it failed on.
+    /// A task waits for a runner on which it has not failed.
     pub avoid_failed: bool,
-    /// Runs on a slow runner are moved (needs `scheduler.stalled_after_ms`).
+    /// Runs on a slow runner are moved to another (needs `dispatcher.stalled_after_ms`).
     pub move_slow: bool,
-    /// A leader that is degraded transfers leadership to a voter that is not.
+    /// Key `gives_way`: a degraded leader transfers leadership to a healthy voter.
     pub transfer_when_degraded: bool,
 }
 
-/// How a tenant is chosen.
+/// Selection of the tenant that starts the next task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrawSetting {
     /// Uniformly at random.
     #[default]
     Uniform,
-    /// The one whose first task is the oldest.
+    /// The tenant whose first task is the oldest.
     Oldest,
 }
 
 impl PolicySettings {
     fn read(reader: &mut Reader) -> Self {
-        let mut on = |key: &str| reader.defaulted(&format!("policy.{key}"), true);
+        let mut switch = |key: &str| reader.defaulted(&format!("policy.{key}"), true);
         Self {
-            shares: on("shares"),
-            priorities: on("priorities"),
-            urgent_headroom: on("ceiling_reserve"),
-            backfill_reservations: on("holds"),
-            copies: on("copies"),
-            suspects_last: on("suspects_last"),
-            probation: on("probation"),
-            rack_locality: on("rack_patience"),
-            avoid_failed: on("avoid_failed"),
-            move_slow: on("move_slow"),
-            transfer_when_degraded: on("gives_way"),
+            shares: switch("shares"),
+            priorities: switch("priorities"),
+            urgent_headroom: switch("ceiling_reserve"),
+            backfill_reservations: switch("holds"),
+            copies: switch("copies"),
+            suspects_last: switch("suspects_last"),
+            probation: switch("probation"),
+            rack_locality: switch("rack_patience"),
+            avoid_failed: switch("avoid_failed"),
+            move_slow: switch("move_slow"),
+            transfer_when_degraded: switch("gives_way"),
             draw: reader.defaulted("policy.draw", DrawSetting::Uniform),
         }
     }
 }
 
-/// Table `scheduler`.
+/// Table `dispatcher`: options of the scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SchedulerSettings {
-    /// Tasks of one tenant that are examined past one that does not fit. Default 16.
+    /// Key `look_ahead_tasks`: number of tasks that a scan of a tenant's list examines
+    /// after the first one. Default 16.
     pub scan_depth: usize,
-    /// A task that has waited this long without fitting gets a runner kept
-    /// free. Default 5000.
+    /// Key `hold_after_ms`: waiting time, in milliseconds, after which a runner is
+    /// reserved for a task that does not fit. Default 5000.
     pub reserve_after_ms: u64,
-    /// Failed runs of different jobs in a row that put a runner on probation.
-    /// Default 8.
+    /// Number of different jobs with a failed run on a runner, without a success in
+    /// between, that puts the runner on probation. Default 8.
     pub probation_failures: u32,
-    /// Length of probation. Default 10000.
+    /// Length of a probation, in milliseconds. Default 10000.
     pub probation_ms: u64,
-    /// A runner that has been unresponsive for this long gets no new runs. Default 1500.
+    /// Key `silent_after_ms`: time without a heartbeat after which a runner gets no new
+    /// runs, in milliseconds. Default 1500.
     pub unresponsive_after_ms: u64,
-    /// A task waits this long for its rack, or for another runner than the one
-    /// it failed on. Default 300.
+    /// Key `patience_ms`: time, in milliseconds, for which a task waits for its preferred
+    /// rack, and three times as long for a runner on which it has not failed.
+    /// Default 300.
     pub locality_wait_ms: u64,
-    /// Part of each runner, in percent, that work leaves free for more urgent
-    /// queues of its pool. Default 0.
+    /// Percentage of each runner that work leaves free for more urgent queues of its
+    /// pool, 0 to 90. Default 0.
     pub urgent_reserve_percent: u32,
-    /// Most of a tenant's resource limit, in percent, that its less urgent work leaves to
-    /// its more urgent queues. Default 25.
+    /// Key `urgent_ceiling_percent`: maximum headroom that less urgent work leaves to its
+    /// tenant's more urgent queues, in percent of the resource limit, 0 to 50.
+    /// Default 25.
     pub urgent_headroom_percent: u32,
-    /// A run whose progress stands still for this long is stopped and placed
-    /// again. Without the key, and by default, it is left alone.
+    /// Maximum time without progress, in milliseconds, after which a run is stopped and
+    /// placed again. `None` (key absent or 0, the default): runs are not stopped for
+    /// lack of progress.
     pub stalled_after_ms: Option<u64>,
 }
 
@@ -257,7 +266,7 @@
             locality_wait_ms: reader.ranged("dispatcher.patience_ms", 300, 0..=60_000),
             stalled_after_ms: match reader.ranged("dispatcher.stalled_after_ms", 0, 0..=3_600_000) {
                 0 => None,
-                length => Some(length),
+                timeout => Some(timeout),
             },
         }
     }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,27 +1,27 @@
-//! Problems of settings, with their places.
+//! Errors of settings, with their locations.
 
 use std::fmt;
 use thiserror::Error;
 
-/// One thing wrong with the settings.
+/// Problem of one setting.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{location}: {message}")]
 pub struct InvalidSetting {
-    /// The file or flag it comes from, and the key, if it has one.
+    /// File or flag that the setting comes from, followed by the key, if it has one.
     pub location: String,
-    /// What is wrong, in one sentence.
+    /// Description of the problem in one sentence.
     pub message: String,
 }
 
-/// Everything wrong with the settings.
+/// All problems of the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The problems in the order the keys were read; never empty.
+    /// Problems in the order in which the keys were read; never empty.
     pub problems: Vec<InvalidSetting>,
 }
 
 impl SettingsError {
-    /// An error with a single problem.
+    /// Creates an error with a single problem.
     pub fn single(location: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
             problems: vec![InvalidSetting {
@@ -39,8 +39,8 @@
             "{} problem(s) in the settings",
             self.problems.len()
         )?;
-        for message in &self.problems {
-            write!(formatter, "\n  {message}")?;
+        for problem in &self.problems {
+            write!(formatter, "\n  {problem}")?;
         }
         Ok(())
     }
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway.
+//! Settings of the gateway role.
 
 use crate::node::read_listener;
 use crate::reader::Reader;
@@ -6,7 +6,7 @@
 use crate::{LogLevel, NodeSettings, RoleSettings};
 use std::net::SocketAddr;
 
-/// Settings of a gateway.
+/// Settings of a gateway, read from its file and flags.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GatewaySettings {
     /// Settings that all roles share.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,10 @@
-//! Local settings of one daemon: file, flags, checked values.
+//! Local settings of a daemon.
 //!
-//! A daemon learns its place from a TOML file, from flags, or from both; flags
-//! win. Reading gives either settings whose every value is checked, or all
-//! problems at once, each with its place. Unknown keys are rejected. Settings
-//! know nothing of the roles' crates: the binary converts them.
+//! A daemon reads its settings from a TOML file, from flags, or from both; flags
+//! override the file. Reading returns either settings whose values are all validated,
+//! or all problems at once, each with its location. Unknown keys are rejected. This crate
+//! does not depend on the crates of the roles; the binary converts the settings for
+//! them.
 
 pub mod agent;
 pub mod coordinator;
@@ -32,14 +33,14 @@
 
 /// Settings of one role, read key by key.
 pub trait RoleSettings: Sized + Clone + PartialEq {
-    /// Reads and checks every key. None when a value without a default is
-    /// missing or wrong; the reader then holds at least one problem.
+    /// Reads and validates every key. Returns `None` if a value without a default is
+    /// missing or invalid; the reader then holds at least one problem.
     fn read(reader: &mut Reader) -> Option<Self>;
 
-    /// What all roles have.
+    /// Returns the settings that all roles share.
     fn node(&self) -> &NodeSettings;
 
-    /// The same settings with another log level: the part that may change
+    /// Returns the settings with another log level, the only setting that may change
     /// while the daemon runs.
     fn with_log_level(self, level: LogLevel) -> Self;
 }
--- a/crates/settings/src/log.rs
+++ b/crates/settings/src/log.rs
@@ -1,34 +1,34 @@
-//! How a daemon logs.
+//! Settings of the log of a daemon.
 
 use crate::reader::Reader;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Shape of a log line.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[default]
     Json,
-    /// Text for people.
+    /// Plain text for people.
     Plain,
 }
 
-/// The least severe lines that are written.
+/// Minimum severity of the log lines that are written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Faults that need somebody.
+    /// Faults that need an operator.
     Error,
-    /// Also what is odd.
+    /// Also unexpected conditions.
     Warn,
-    /// Also what changes.
+    /// Also changes of state.
     #[default]
     Info,
-    /// Also each decision.
+    /// Also single decisions.
     Debug,
-    /// Everything.
+    /// All lines.
     Trace,
 }
 
@@ -44,12 +44,12 @@
     }
 }
 
-/// Table `log`.
+/// Table `log`: format and minimum severity of the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LogSettings {
-    /// Shape of the lines. Default `json`.
+    /// Format of the lines. Default `json`.
     pub format: LogFormat,
-    /// Least severe lines written; may change at runtime. Default `info`.
+    /// Minimum severity of the lines written; may change at runtime. Default `info`.
     pub level: LogLevel,
 }
 
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -1,27 +1,28 @@
-//! What the settings of every role have.
+//! Settings that all roles share.
 
 use crate::reader::Reader;
 use crate::{ClusterSecret, LogSettings};
 use std::net::SocketAddr;
 use types::ZoneName;
 
-/// Seeds a daemon is given; some may be dead, or the daemon itself.
-pub const SEEDS: usize = 3;
+/// Number of seeds in the settings. Some may be down, and one may be the daemon itself.
+pub const SEED_COUNT: usize = 3;
 
-/// Place of one daemon among the others.
+/// Settings of any daemon: its place in the cluster, transport and log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeSettings {
-    /// Key `zone`: machines that fail together share one.
+    /// Key `zone`: zone of the machine. Machines that may fail together have the same.
     pub zone: ZoneName,
-    /// Key `listen`: socket for other daemons.
+    /// Key `listen`: peer listener, for connections of other daemons.
     pub listen: SocketAddr,
-    /// Key `advertise`: where other daemons reach `listen`. Default: `listen`.
+    /// Key `advertise`: address at which other daemons reach `listen`. Default: `listen`.
     pub advertise: SocketAddr,
-    /// Key `seeds`: peer sockets of three processes of any role.
+    /// Key `seeds`: peer addresses of three different daemons of any role.
     pub seeds: Vec<SocketAddr>,
-    /// Key `cluster_key_file`: file with the secret all daemons share.
+    /// Key `cluster_key_file`: file with the secret that all daemons share.
     pub cluster_key: ClusterSecret,
-    /// Key `grace_ms`: longest time to end after a polite stop. Default 10000.
+    /// Key `grace_ms`: maximum time for a graceful shutdown, in milliseconds.
+    /// Default 10000.
     pub grace_ms: u64,
     /// Table `transport`.
     pub transport: TransportSettings,
@@ -53,34 +54,34 @@
 }
 
 fn read_advertise(reader: &mut Reader, listen: Option<SocketAddr>) -> Option<SocketAddr> {
-    let given: Option<SocketAddr> = reader.optional("advertise");
-    let advertise = given.or(listen)?;
+    let configured: Option<SocketAddr> = reader.optional("advertise");
+    let advertise = configured.or(listen)?;
     if advertise.ip().is_unspecified() {
-        reader.message(
+        reader.add_problem(
             "advertise",
-            format!("others cannot reach {advertise}; give the address they dial"),
+            format!("other daemons cannot reach {advertise}; set an address that they can reach"),
         );
     }
     if advertise.port() == 0 {
-        reader.message("advertise", "port 0 cannot be dialled");
+        reader.add_problem("advertise", "other daemons cannot connect to port 0");
     }
     Some(advertise)
 }
 
 fn read_seeds(reader: &mut Reader) -> Option<Vec<SocketAddr>> {
     let seeds: Vec<SocketAddr> = reader.required("seeds")?;
-    if seeds.len() != SEEDS {
+    if seeds.len() != SEED_COUNT {
         let found = seeds.len();
-        reader.message("seeds", format!("needs {SEEDS} sockets, has {found}"));
+        reader.add_problem("seeds", format!("needs {SEED_COUNT} sockets, has {found}"));
     }
     let distinct: std::collections::BTreeSet<_> = seeds.iter().collect();
     if distinct.len() != seeds.len() {
-        reader.message("seeds", "names a socket twice");
+        reader.add_problem("seeds", "contains a socket twice");
     }
     Some(seeds)
 }
 
-/// Reads a second listener, which must not be the peer listener.
+/// Reads a further listener, which must differ from the peer listener.
 pub(crate) fn read_listener(
     reader: &mut Reader,
     key: &str,
@@ -88,18 +89,18 @@
 ) -> Option<SocketAddr> {
     let listener: SocketAddr = reader.required(key)?;
     if node.is_some_and(|node| node.listen == listener) {
-        reader.message(key, "is the same socket as listen");
+        reader.add_problem(key, "is the same socket as listen");
     }
     Some(listener)
 }
 
-/// Table `transport`: bounds of the connections between daemons.
+/// Table `transport`: limits of the connections between daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TransportSettings {
-    /// Messages held for one destination; the oldest go first when it is
-    /// full. Default 4096.
+    /// Maximum number of queued messages to one destination; a full queue drops its
+    /// oldest messages. Default 4096.
     pub queue_length_messages: usize,
-    /// Longest frame. Default 8 MiB.
+    /// Maximum length of a frame, in bytes. Default 8 MiB.
     pub max_frame_bytes: usize,
 }
 
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads settings key by key, so that one problem does not hide the next.
+//! Reader of settings, key by key, so that all problems are reported at once.
 
 use crate::InvalidSetting;
 use figment::Figment;
@@ -8,7 +8,7 @@
 use std::fmt::Display;
 use std::ops::RangeInclusive;
 
-/// Reads keys and collects every problem with its place.
+/// Reads keys and collects all problems with their locations.
 pub struct Reader {
     figment: Figment,
     source: String,
@@ -17,7 +17,8 @@
 }
 
 impl Reader {
-    /// A reader of these values; `source` is the place of what is absent.
+    /// Creates a reader of the values in `figment`. `source` is the location of problems
+    /// with absent keys.
     pub fn new(figment: Figment, source: String) -> Self {
         Self {
             figment,
@@ -27,17 +28,19 @@
         }
     }
 
-    /// A value that must be there.
+    /// Reads a required value. Returns `None`, and adds a problem, if it is absent or
+    /// invalid.
     pub fn required<T: DeserializeOwned>(&mut self, key: &str) -> Option<T> {
         self.known.insert(key.to_owned());
         if self.is_absent(key) {
-            self.message(key, "is missing");
+            self.add_problem(key, "is missing");
             return None;
         }
         self.extract(key)
     }
 
-    /// A value that may be left out.
+    /// Reads an optional value. Returns `None` if it is absent, or, with a problem added,
+    /// if it is invalid.
     pub fn optional<T: DeserializeOwned>(&mut self, key: &str) -> Option<T> {
         self.known.insert(key.to_owned());
         if self.is_absent(key) {
@@ -46,26 +49,27 @@
         self.extract(key)
     }
 
-    /// A value with a default; a wrong one is a problem and reads as the default.
+    /// Reads a value with a default, which is returned if the value is absent or, with a
+    /// problem added, if it is invalid.
     pub fn defaulted<T: DeserializeOwned>(&mut self, key: &str, default: T) -> T {
         self.optional(key).unwrap_or(default)
     }
 
-    /// A number with a default that must lie in a range.
+    /// Reads a number with a default. Adds a problem if it is out of range.
     pub fn ranged<T>(&mut self, key: &str, default: T, range: RangeInclusive<T>) -> T
     where
         T: DeserializeOwned + PartialOrd + Display,
     {
         let value = self.defaulted(key, default);
         if !range.contains(&value) {
-            let (least, most) = range.into_inner();
-            self.message(key, format!("{value} is not between {least} and {most}"));
+            let (min, max) = range.into_inner();
+            self.add_problem(key, format!("{value} is not between {min} and {max}"));
         }
         value
     }
 
-    /// Adds a problem with a key's value, placed where the value came from.
-    pub fn message(&mut self, key: &str, message: impl Into<String>) {
+    /// Adds a problem of a key, located at the file or flag that its value comes from.
+    pub fn add_problem(&mut self, key: &str, message: impl Into<String>) {
         let location = format!("{}: {key}", self.origin(key));
         self.problems.push(InvalidSetting {
             location,
@@ -73,14 +77,14 @@
         });
     }
 
-    /// All problems, with one for each key that nobody asked for.
+    /// Returns all problems, including one for each key that no caller has read.
     pub fn finish(mut self) -> Vec<InvalidSetting> {
         let values: Dict = self.figment.extract().unwrap_or_default();
         let mut present = Vec::new();
         collect_keys("", &values, &self.known, &mut present);
         for key in present {
             if !self.known.contains(&key) {
-                self.message(&key, "is not a known key");
+                self.add_problem(&key, "is not a known key");
             }
         }
         self.problems
@@ -94,7 +98,7 @@
         match self.figment.extract_inner(key) {
             Ok(value) => Some(value),
             Err(error) => {
-                self.message(key, error.kind.to_string());
+                self.add_problem(key, error.kind.to_string());
                 None
             }
         }
@@ -108,8 +112,8 @@
     }
 }
 
-/// Lists the keys that hold a value, without looking into values that are
-/// known as a whole.
+/// Lists the keys that have a value. Tables that are themselves known keys are not
+/// descended into.
 fn collect_keys(prefix: &str, values: &Dict, known: &BTreeSet<String>, found: &mut Vec<String>) {
     for (name, value) in values {
         let key = match prefix {
@@ -126,7 +130,7 @@
     }
 }
 
-/// Returns whether known keys stand under this one.
+/// Returns whether the key is a table that contains known keys.
 fn is_table(key: &str, known: &BTreeSet<String>) -> bool {
     let prefix = format!("{key}.");
     known.iter().any(|name| name.starts_with(&prefix))
--- a/crates/settings/src/secret.rs
+++ b/crates/settings/src/secret.rs
@@ -1,31 +1,31 @@
-//! The cluster key's secret, read from a file and never printed.
+//! Secret of the cluster key, read from a file and never printed.
 
 use crate::reader::Reader;
 use std::fmt;
 use std::path::PathBuf;
 
-/// Shortest secret taken, in bytes.
+/// Minimum length of the secret, in bytes.
 pub const MIN_SECRET_BYTES: usize = 32;
 
-/// The secret all daemons of a cluster share.
+/// Secret that all daemons of a cluster share.
 #[derive(Clone, PartialEq, Eq)]
 pub struct ClusterSecret(Vec<u8>);
 
 impl ClusterSecret {
-    /// The bytes, for the transport alone.
+    /// Returns the bytes of the secret. Only the transport may use them.
     pub fn bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// Reads the file named by the key. Line ends behind the secret do not
-    /// belong to it.
+    /// Reads the file whose path is the value of the key. Trailing line breaks are not
+    /// part of the secret.
     pub(crate) fn read(reader: &mut Reader, key: &str) -> Option<Self> {
         let path: PathBuf = reader.required(key)?;
         let mut bytes = match std::fs::read(&path) {
             Ok(bytes) => bytes,
             Err(error) => {
                 let shown = path.display();
-                reader.message(key, format!("{shown} cannot be read: {error}"));
+                reader.add_problem(key, format!("{shown} cannot be read: {error}"));
                 return None;
             }
         };
@@ -35,9 +35,9 @@
         if bytes.len() < MIN_SECRET_BYTES {
             let found = bytes.len();
             let shown = path.display();
-            reader.message(
+            reader.add_problem(
                 key,
-                format!("{shown} holds {found} bytes, at least {MIN_SECRET_BYTES} are needed"),
+                format!("{shown} has {found} bytes, at least {MIN_SECRET_BYTES} are required"),
             );
             return None;
         }
--- a/crates/settings/src/session.rs
+++ b/crates/settings/src/session.rs
@@ -1,14 +1,15 @@
-//! Settings of the session with the leader, which gateways and agents share.
+//! Settings of the sessions of gateways and agents with the leader.
 
 use crate::reader::Reader;
 
-/// Those keys of table `timings` that gateways and agents share.
+/// Keys of table `timings` that gateways and agents share.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SessionTimings {
-    /// Key `timings.session_interval_ms`: interval between keep-alives.
+    /// Key `timings.session_interval_ms`: interval between keep-alives to the
+    /// leader, in milliseconds.
     pub interval_ms: u64,
     /// Key `timings.replica_valid_ms`: time for which the configuration replica
-    /// stays valid after the leader confirmed it.
+    /// stays valid after the leader confirmed it, in milliseconds.
     pub replica_valid_ms: u64,
 }
 
@@ -19,9 +20,9 @@
         let interval_ms = reader.ranged("timings.session_interval_ms", 400_u64, 20..=10_000);
         let replica_valid_ms = reader.ranged("timings.replica_valid_ms", 1_800, 100..=60_000);
         if interval_ms.saturating_mul(2) > replica_valid_ms {
-            reader.message(
+            reader.add_problem(
                 "timings.session_interval_ms",
-                "must be at most half of timings.replica_valid_ms, or one lost hello ends service",
+                "must be at most half of timings.replica_valid_ms, or one lost keep-alive ends it",
             );
         }
         Self {
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -1,4 +1,4 @@
-//! Where settings come from: a file, and flags that win over it.
+//! Sources of settings: a file, and flags that override it.
 
 use crate::reader::Reader;
 use crate::{RoleSettings, SettingsError};
@@ -8,17 +8,17 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A value given by a flag.
+/// Value of a key given by a flag.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Override {
-    /// The flag as its user wrote it, for messages.
+    /// Flag as the user wrote it, for error messages.
     flag: String,
-    /// The key, with dots between tables.
+    /// Key, with dots between the names of tables.
     key: String,
     value: Value,
 }
 
-/// A flag of the form `KEY=VALUE` that has no `=` or no key.
+/// Error for a flag of the form `KEY=VALUE` without `=` or key.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{text:?} does not have the form KEY=VALUE")]
 pub struct OverrideError {
@@ -26,22 +26,22 @@
 }
 
 impl Override {
-    /// A text value for one key, given by this flag.
+    /// Creates an override of a key with a text.
     pub fn text(flag: &str, key: &str, value: impl Into<String>) -> Self {
         Self::value(flag, key, Value::from(value.into()))
     }
 
-    /// A list of texts for one key, given by this flag.
+    /// Creates an override of a key with a list of texts.
     pub fn list(flag: &str, key: &str, values: Vec<String>) -> Self {
         Self::value(flag, key, Value::from(values))
     }
 
-    /// Takes `KEY=VALUE`; the value is TOML where it parses as such (numbers,
-    /// lists, quoted text), and plain text otherwise.
+    /// Parses `KEY=VALUE`. A value that is valid TOML (number, list, quoted text) is
+    /// read as TOML, any other as plain text.
     ///
     /// # Errors
     ///
-    /// Fails if the text is not `KEY=VALUE`.
+    /// Fails if the text does not have the form `KEY=VALUE`.
     pub fn parse(flag: &str, text: &str) -> Result<Self, OverrideError> {
         let malformed = || OverrideError {
             text: text.to_owned(),
@@ -51,7 +51,7 @@
         if key.is_empty() {
             return Err(malformed());
         }
-        Ok(Self::value(flag, key, toml_or_text(value.trim())))
+        Ok(Self::value(flag, key, parse_value(value.trim())))
     }
 
     fn value(flag: &str, key: &str, value: Value) -> Self {
@@ -63,7 +63,7 @@
     }
 }
 
-fn toml_or_text(text: &str) -> Value {
+fn parse_value(text: &str) -> Value {
     let document = format!("value = {text}");
     let parsed = Figment::from(Toml::string(&document)).extract_inner::<Value>("value");
     parsed.unwrap_or_else(|_| Value::from(text))
@@ -81,13 +81,13 @@
     }
 }
 
-/// A settings file that has been read.
-struct File {
+/// Content of a settings file.
+struct SettingsFile {
     path: PathBuf,
     text: String,
 }
 
-impl Provider for File {
+impl Provider for SettingsFile {
     fn metadata(&self) -> Metadata {
         Metadata::named(self.path.display().to_string())
     }
@@ -97,18 +97,18 @@
     }
 }
 
-/// A settings file, flags, or both.
+/// Source of settings: a file, flags, or both.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Source {
-    /// The file.
+    /// Path of the settings file; `None` if all settings come from flags.
     pub file: Option<PathBuf>,
-    /// Flags in order; a later one wins, and all win over the file.
+    /// Flags in order. Later flags override earlier ones, and all override the file.
     pub overrides: Vec<Override>,
 }
 
 impl Source {
-    /// What a problem with an absent key names as its place.
-    fn name(&self) -> String {
+    /// Returns the location reported for problems with absent keys.
+    fn location(&self) -> String {
         match &self.file {
             Some(path) => path.display().to_string(),
             None => "flags".to_owned(),
@@ -127,11 +127,11 @@
     }
 }
 
-fn read_file(path: &Path) -> Result<File, SettingsError> {
+fn read_file(path: &Path) -> Result<SettingsFile, SettingsError> {
     let location = path.display().to_string();
     let text = std::fs::read_to_string(path)
         .map_err(|error| SettingsError::single(&location, format!("cannot be read: {error}")))?;
-    let file = File {
+    let file = SettingsFile {
         path: path.to_owned(),
         text,
     };
@@ -144,13 +144,14 @@
     }
 }
 
-/// Reads and checks the settings of one role.
+/// Reads and validates the settings of one role.
 ///
 /// # Errors
 ///
-/// Lists every key whose value is missing, unknown or wrong.
+/// Fails if the file cannot be read or is not TOML, or with a problem for each key that
+/// is missing, unknown or invalid.
 pub fn load<S: RoleSettings>(source: &Source) -> Result<S, SettingsError> {
-    let mut reader = Reader::new(source.figment()?, source.name());
+    let mut reader = Reader::new(source.figment()?, source.location());
     let settings = S::read(&mut reader);
     let problems = reader.finish();
     match settings {
--- a/crates/settings/tests/golden_keys/keyed.rs
+++ b/crates/settings/tests/golden_keys/keyed.rs
@@ -1,4 +1,4 @@
-//! Settings taken apart into the keys that they were read from.
+//! Conversion of settings back to the keys that they were read from.
 
 use serde::Serialize;
 use settings::{
@@ -9,14 +9,14 @@
 use std::collections::BTreeMap;
 use toml::Value;
 
-/// The key whose value names a file; what counts is what the file holds.
+/// Key whose value is a path; settings hold the content of the file.
 pub const SECRET_KEY: &str = "cluster_key_file";
 
-/// Values by key, with dots between tables.
+/// Values by key, with dots between the names of tables.
 pub type Values = BTreeMap<String, Value>;
 
-/// The settings of a role as the keys they were read from. The structs are taken
-/// apart without `..`, so that a new field must be added here.
+/// Conversion of the settings of a role to values by key. The structs are destructured
+/// without `..`, so that a new field must be added here.
 pub trait Keyed: RoleSettings {
     const ROLE: &str;
 
@@ -125,7 +125,7 @@
     insert("stalled_after_ms", stalled_after_ms.unwrap_or(0));
 }
 
-pub fn draw_word(draw: DrawSetting) -> &'static str {
+pub fn draw_name(draw: DrawSetting) -> &'static str {
     match draw {
         DrawSetting::Uniform => "uniform",
         DrawSetting::Oldest => "oldest",
@@ -147,7 +147,7 @@
         move_slow,
         transfer_when_degraded,
     } = policy;
-    insert(values, "policy.draw", draw_word(draw));
+    insert(values, "policy.draw", draw_name(draw));
     let mut insert = |key: &str, on: bool| insert(values, &format!("policy.{key}"), on);
     insert("shares", shares);
     insert("priorities", priorities);
--- a/crates/settings/tests/golden_keys/main.rs
+++ b/crates/settings/tests/golden_keys/main.rs
@@ -1,12 +1,13 @@
-//! Every key of every role with its default, beside recorded text: a field that
-//! gets another name in Rust keeps its key in the settings file.
+//! Comparison of all settings keys and their defaults with recorded text. Guards
+//! against a key in the settings file that changes when its Rust field is renamed.
 //!
 //! `golden/<role>.txt` lists the keys with their defaults, `<role>_minimal.toml`
-//! holds what must be there, and `<role>.toml` gives every key another value.
+//! contains the required keys, and `<role>.toml` sets each key to a value other than
+//! its default.
 
 mod keyed;
 
-use keyed::{Keyed, SECRET_KEY, Values, draw_word};
+use keyed::{Keyed, SECRET_KEY, Values, draw_name};
 use settings::{
     AgentSettings, CoordinatorSettings, DrawSetting, GatewaySettings, LogFormat, LogLevel,
     Override, Source, load,
@@ -16,7 +17,7 @@
 use std::path::{Path, PathBuf};
 use toml::Value;
 
-/// What the list says in place of a default.
+/// Text in the list of keys in place of a default.
 const REQUIRED: &str = "(required)";
 
 fn path(name: &str) -> PathBuf {
@@ -29,7 +30,8 @@
     fs::read_to_string(path(name)).unwrap()
 }
 
-/// Fails with the first line that differs, and with the whole text.
+/// Panics if the text differs from the recorded one, with the first line that differs
+/// and the whole text.
 fn assert_text(name: &str, actual: &str) {
     let recorded = text(name);
     if recorded == actual {
@@ -39,7 +41,7 @@
     let same = pairs.take_while(|(old, new)| old == new).count();
     let line = |text: &str| text.lines().nth(same).unwrap_or("(no line)").to_owned();
     panic!(
-        "{name} differs from line {} on\nrecorded: {}\nactual:   {}\nthe whole text:\n{actual}",
+        "{name} differs from line {} on\nrecorded: {}\nactual:   {}\nwhole text:\n{actual}",
         same + 1,
         line(&recorded),
         line(actual),
@@ -61,43 +63,43 @@
     }
 }
 
-fn loaded<S: Keyed>(file: &str, overrides: Vec<Override>) -> Values {
+fn load_values<S: Keyed>(file: &str, overrides: Vec<Override>) -> Values {
     let settings: S = load(&source(file, overrides)).unwrap_or_else(|error| panic!("{error}"));
     settings.values()
 }
 
-/// A value as a flag or a file gives it, by key.
-fn given(file: &str) -> Values {
-    let mut given = Values::new();
+/// Returns the values in a file by key, as written there.
+fn file_values(file: &str) -> Values {
+    let mut values = Values::new();
     let table: toml::Table = toml::from_str(&text(file)).unwrap();
     for (key, value) in table {
         match value {
             Value::Table(inner) => {
                 let inner = inner.into_iter();
-                given.extend(inner.map(|(name, value)| (format!("{key}.{name}"), value)));
+                values.extend(inner.map(|(name, value)| (format!("{key}.{name}"), value)));
             }
             value => {
-                given.insert(key, value);
+                values.insert(key, value);
             }
         }
     }
-    given
+    values
 }
 
-/// The same with the secret in place of its file, as settings hold it.
-fn expected(mut given: Values) -> Values {
-    if let Some(file) = given.get_mut(SECRET_KEY) {
+/// Replaces the path of the secret file by its content, as settings hold it.
+fn with_secret(mut values: Values) -> Values {
+    if let Some(file) = values.get_mut(SECRET_KEY) {
         let name = Path::new(file.as_str().unwrap()).file_name().unwrap();
         let secret = text(name.to_str().unwrap());
         *file = Value::from(secret.trim_end());
     }
-    given
+    values
 }
 
-/// Keys with their defaults, a line each.
-fn listed<S: Keyed>() -> String {
-    let required = given(&minimal_file::<S>());
-    let values = loaded::<S>(&minimal_file::<S>(), Vec::new());
+/// Lists the keys with their defaults, one per line.
+fn list_defaults<S: Keyed>() -> String {
+    let required = file_values(&minimal_file::<S>());
+    let values = load_values::<S>(&minimal_file::<S>(), Vec::new());
     let lines = values.iter().map(|(key, value)| match required.get(key) {
         Some(_) => format!("{key} = {REQUIRED}\n"),
         None => format!("{key} = {value}\n"),
@@ -106,34 +108,34 @@
 }
 
 fn check_defaults<S: Keyed>() {
-    assert_text(&format!("{}.txt", S::ROLE), &listed::<S>());
+    assert_text(&format!("{}.txt", S::ROLE), &list_defaults::<S>());
 }
 
 #[test]
-fn the_keys_of_every_role_have_the_recorded_defaults() {
+fn keys_of_each_role_have_the_recorded_defaults() {
     check_defaults::<CoordinatorSettings>();
     check_defaults::<GatewaySettings>();
     check_defaults::<AgentSettings>();
 }
 
 fn check_full_file<S: Keyed>() {
-    let full = expected(given(&full_file::<S>()));
-    assert_eq!(loaded::<S>(&full_file::<S>(), Vec::new()), full);
-    let defaults = loaded::<S>(&minimal_file::<S>(), Vec::new());
+    let full = with_secret(file_values(&full_file::<S>()));
+    assert_eq!(load_values::<S>(&full_file::<S>(), Vec::new()), full);
+    let defaults = load_values::<S>(&minimal_file::<S>(), Vec::new());
     for (key, value) in &full {
         assert_ne!(defaults.get(key), Some(value), "{key} has its default");
     }
 }
 
 #[test]
-fn every_key_of_a_full_file_is_read_as_itself() {
+fn each_key_of_a_full_file_is_read_with_its_value() {
     check_full_file::<CoordinatorSettings>();
     check_full_file::<GatewaySettings>();
     check_full_file::<AgentSettings>();
 }
 
-/// The keys whose values change with this one.
-fn changed_with(key: &str) -> BTreeSet<&str> {
+/// Returns the keys whose values change with the given key.
+fn affected_keys(key: &str) -> BTreeSet<&str> {
     match key {
         "listen" => BTreeSet::from(["listen", "advertise"]),
         key => BTreeSet::from([key]),
@@ -141,20 +143,20 @@
 }
 
 fn check_each_key<S: Keyed>() {
-    let defaults = loaded::<S>(&minimal_file::<S>(), Vec::new());
-    for (key, value) in given(&full_file::<S>()) {
+    let defaults = load_values::<S>(&minimal_file::<S>(), Vec::new());
+    for (key, value) in file_values(&full_file::<S>()) {
         let flag = Override::parse("--set", &format!("{key}={value}")).unwrap();
-        let values = loaded::<S>(&minimal_file::<S>(), vec![flag]);
+        let values = load_values::<S>(&minimal_file::<S>(), vec![flag]);
         let changed = values
             .iter()
             .filter(|(key, value)| defaults.get(*key) != Some(value))
             .map(|(key, _)| key.as_str());
-        assert_eq!(changed.collect::<BTreeSet<_>>(), changed_with(&key));
+        assert_eq!(changed.collect::<BTreeSet<_>>(), affected_keys(&key));
     }
 }
 
 #[test]
-fn each_key_sets_its_own_value_alone() {
+fn each_key_changes_only_its_own_value() {
     check_each_key::<CoordinatorSettings>();
     check_each_key::<GatewaySettings>();
     check_each_key::<AgentSettings>();
@@ -162,14 +164,14 @@
 
 fn problems<S: Keyed>(source: &Source) -> Vec<String> {
     let Err(error) = load::<S>(source) else {
-        panic!("{source:?} is taken");
+        panic!("{source:?} is accepted");
     };
     error.problems.iter().map(ToString::to_string).collect()
 }
 
 fn check_required<S: Keyed>(folder: &Path) {
     let file = folder.join(format!("{}.toml", S::ROLE));
-    for key in given(&minimal_file::<S>()).keys() {
+    for key in file_values(&minimal_file::<S>()).keys() {
         let minimal = text(&minimal_file::<S>());
         let without = minimal
             .lines()
@@ -186,7 +188,7 @@
 }
 
 #[test]
-fn a_required_key_is_missed() {
+fn absent_required_key_is_reported() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden-keys");
     fs::create_dir_all(&folder).unwrap();
     check_required::<CoordinatorSettings>(&folder);
@@ -194,18 +196,19 @@
     check_required::<AgentSettings>(&folder);
 }
 
-/// The table that a key stands in; nothing for a key at the top.
+/// Returns the table that contains a key; empty for a top-level key.
 fn section(key: &str) -> &str {
     key.rsplit_once('.').map_or("", |(section, _)| section)
 }
 
-/// A key of each section that nearly is one.
-fn check_near_misses<S: Keyed>(near_misses: &[&str]) {
-    let keys = given(&full_file::<S>());
+/// Checks that an unknown key in each section is rejected. The keys resemble a known
+/// key or belong to another role.
+fn check_unknown_keys<S: Keyed>(unknown_keys: &[&str]) {
+    let keys = file_values(&full_file::<S>());
     let sections: BTreeSet<&str> = keys.keys().map(|key| section(key)).collect();
-    let tried: BTreeSet<&str> = near_misses.iter().map(|key| section(key)).collect();
-    assert_eq!(tried, sections, "one in each section");
-    for key in near_misses {
+    let tested: BTreeSet<&str> = unknown_keys.iter().map(|key| section(key)).collect();
+    assert_eq!(tested, sections, "one key for each section");
+    for key in unknown_keys {
         let flag = Override::text("--set", key, "any");
         let source = source(&minimal_file::<S>(), vec![flag]);
         let expected = format!("--set: {key}: is not a known key");
@@ -214,8 +217,8 @@
 }
 
 #[test]
-fn a_key_that_nearly_is_one_is_refused() {
-    check_near_misses::<CoordinatorSettings>(&[
+fn unknown_key_is_rejected_in_each_section() {
+    check_unknown_keys::<CoordinatorSettings>(&[
         "initial_coordinator",
         "timings.election_timeout",
         "limits.decision_kept",
@@ -224,14 +227,14 @@
         "transport.queue_length",
         "log.levels",
     ]);
-    check_near_misses::<GatewaySettings>(&[
+    check_unknown_keys::<GatewaySettings>(&[
         "admin_listen",
         "timings.order_timeout_ms",
         "limits.max_waiting",
         "transport.max_frame",
         "log.formats",
     ]);
-    check_near_misses::<AgentSettings>(&[
+    check_unknown_keys::<AgentSettings>(&[
         "data",
         "timings.resend_after_ms",
         "transport.queue_messages",
@@ -239,24 +242,24 @@
     ]);
 }
 
-/// Each word must be read as the value it stands for.
-fn check_words<Word: Copy>(key: &str, all: &[Word], word: impl Fn(Word) -> &'static str) {
+/// Checks that each value of an enum is read from its recorded name.
+fn check_names<Choice: Copy>(key: &str, all: &[Choice], name_of: impl Fn(Choice) -> &'static str) {
     for value in all {
-        let word = word(*value);
-        let flag = Override::text("--set", key, word);
-        let values = loaded::<CoordinatorSettings>("coordinator_minimal.toml", vec![flag]);
-        assert_eq!(values[key], Value::from(word), "{key}");
+        let name = name_of(*value);
+        let flag = Override::text("--set", key, name);
+        let values = load_values::<CoordinatorSettings>("coordinator_minimal.toml", vec![flag]);
+        assert_eq!(values[key], Value::from(name), "{key}");
     }
 }
 
-fn format_word(format: LogFormat) -> &'static str {
+fn format_name(format: LogFormat) -> &'static str {
     match format {
         LogFormat::Json => "json",
         LogFormat::Plain => "plain",
     }
 }
 
-fn level_word(level: LogLevel) -> &'static str {
+fn level_name(level: LogLevel) -> &'static str {
     match level {
         LogLevel::Error => "error",
         LogLevel::Warn => "warn",
@@ -267,11 +270,11 @@
 }
 
 #[test]
-fn every_choice_has_its_recorded_word() {
-    check_words(
+fn each_enum_value_has_its_recorded_name() {
+    check_names(
         "log.format",
         &[LogFormat::Json, LogFormat::Plain],
-        format_word,
+        format_name,
     );
     let levels = [
         LogLevel::Error,
@@ -280,7 +283,7 @@
         LogLevel::Debug,
         LogLevel::Trace,
     ];
-    check_words("log.level", &levels, level_word);
+    check_names("log.level", &levels, level_name);
     let draws = [DrawSetting::Uniform, DrawSetting::Oldest];
-    check_words("policy.draw", &draws, draw_word);
+    check_names("policy.draw", &draws, draw_name);
 }
--- a/crates/settings/tests/loading.rs
+++ b/crates/settings/tests/loading.rs
@@ -1,4 +1,4 @@
-//! Files and flags together, and every problem at once.
+//! Loading of settings from files and flags, and the problems reported.
 
 use settings::{
     AgentSettings, CoordinatorSettings, GatewaySettings, LogLevel, Override, RoleSettings,
@@ -9,7 +9,7 @@
 
 const SECRET: &str = "0123456789abcdef0123456789abcdef";
 
-/// A fresh folder for one test.
+/// Creates the folder of one test.
 fn folder(test: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
     std::fs::create_dir_all(&folder).unwrap();
@@ -21,11 +21,11 @@
     path.to_owned()
 }
 
-/// A coordinator's file with `rest` behind the keys that must be there.
+/// Writes a settings file of a coordinator: the required keys, followed by `rest`.
 fn coordinator_file(test: &str, rest: &str) -> Source {
     let folder = folder(test);
     let key = write(&folder.join("cluster.key"), &format!("{SECRET}\n"));
-    let basics = format!(
+    let text = format!(
         r#"
         zone = "a"
         listen = "127.0.1.1:7101"
@@ -37,7 +37,7 @@
         "#
     );
     Source {
-        file: Some(write(&folder.join("coordinator.toml"), &basics)),
+        file: Some(write(&folder.join("coordinator.toml"), &text)),
         overrides: Vec::new(),
     }
 }
@@ -50,12 +50,12 @@
 fn assert_mentions(problems: &[String], parts: &[&str]) {
     let found = problems
         .iter()
-        .any(|message| parts.iter().all(|part| message.contains(part)));
+        .any(|problem| parts.iter().all(|part| problem.contains(part)));
     assert!(found, "no problem mentions {parts:?} in {problems:#?}");
 }
 
 #[test]
-fn defaults_are_the_documented_ones() {
+fn absent_keys_have_the_documented_defaults() {
     let settings: CoordinatorSettings = load(&coordinator_file("defaults", "")).unwrap();
     assert_eq!(settings.initial_coordinators, 3);
     assert_eq!(settings.node.advertise, settings.node.listen);
@@ -66,14 +66,14 @@
 }
 
 #[test]
-fn the_line_end_behind_the_secret_is_no_part_of_it() {
+fn secret_excludes_trailing_line_break_and_is_not_printed() {
     let settings: CoordinatorSettings = load(&coordinator_file("secret", "")).unwrap();
     assert_eq!(settings.node.cluster_key.bytes(), SECRET.as_bytes());
     assert!(!format!("{settings:?}").contains(SECRET));
 }
 
 #[test]
-fn flags_win_over_the_file() {
+fn flags_override_the_file() {
     let mut source = coordinator_file("flags", "[log]\nlevel = \"warn\"");
     source.overrides = vec![
         Override::text("--zone", "zone", "b"),
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn every_problem_is_told_at_once_with_its_place() {
+fn all_problems_are_reported_at_once_with_their_locations() {
     let mut source = coordinator_file(
         "problems",
         r#"
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn an_empty_file_lists_all_that_is_missing() {
+fn empty_file_reports_all_required_keys() {
     let file = write(&folder("empty").join("empty.toml"), "");
     let source = Source {
         file: Some(file),
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_short_secret_is_refused_and_not_shown() {
+fn short_secret_is_rejected_and_not_printed() {
     let folder = folder("short");
     let mut source = coordinator_file("short", "");
     let key = write(&folder.join("short.key"), "hunter2\n");
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn the_secret_itself_is_no_known_key() {
+fn secret_in_the_settings_is_an_unknown_key() {
     let mut source = coordinator_file("inline", "");
     source.overrides = vec![Override::parse("--set", "cluster_key=abc").unwrap()];
     assert_mentions(
@@ -168,8 +168,8 @@
 }
 
 #[test]
-fn an_address_nobody_can_dial_is_refused() {
-    let mut source = coordinator_file("dial", "");
+fn unspecified_listen_address_needs_an_advertised_one() {
+    let mut source = coordinator_file("advertise", "");
     source.overrides = vec![Override::text("--listen", "listen", "0.0.0.0:7101")];
     assert_mentions(&problems(load(&source)), &["advertise", "cannot reach"]);
     let advertised = Override::text("--advertise", "advertise", "127.0.1.1:7101");
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn broken_and_absent_files_are_named() {
+fn malformed_and_absent_files_are_reported_by_path() {
     let broken = write(&folder("broken").join("broken.toml"), "zone = = 1");
     for (file, part) in [
         (broken, "is not TOML"),
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_flag_without_an_equals_sign_is_refused() {
+fn override_without_equals_sign_or_key_is_rejected() {
     assert!(Override::parse("--set", "zone").is_err());
     assert!(Override::parse("--set", "=a").is_err());
 }
@@ -211,7 +211,7 @@
 
 fn example<S: RoleSettings>(name: &str) -> S {
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/settings");
-    // Tests that run at once load the same example: each has its own key file.
+    // Concurrent tests load the same example; each call writes its own key file.
     let call = EXAMPLES_LOADED.fetch_add(1, Ordering::Relaxed);
     let key = write(
         &folder("examples").join(format!("{name}-{call}.key")),
@@ -230,14 +230,14 @@
 }
 
 #[test]
-fn the_examples_load_as_they_stand() {
+fn example_files_load_unchanged() {
     example::<CoordinatorSettings>("coordinator");
     example::<GatewaySettings>("gateway");
     example::<AgentSettings>("agent");
 }
 
-/// Takes the comment mark off every commented key.
-fn uncommented(text: &str) -> String {
+/// Uncomments all commented keys.
+fn uncomment_keys(text: &str) -> String {
     let is_key = |line: &str| line.starts_with("# ") && line.contains(" = ");
     let lines = text
         .lines()
@@ -246,14 +246,14 @@
 }
 
 #[test]
-fn the_commented_keys_of_the_examples_are_known_and_show_the_defaults() {
+fn commented_keys_of_the_examples_are_known_and_show_the_defaults() {
     fn check<S: RoleSettings + std::fmt::Debug>(name: &str) {
         let path = format!("../../examples/settings/{name}.toml");
         let text = std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join(path));
         let folder = folder("uncommented");
         let full = write(
             &folder.join(format!("{name}.toml")),
-            &uncommented(&text.unwrap()),
+            &uncomment_keys(&text.unwrap()),
         );
         let key = write(&folder.join(format!("{name}.key")), SECRET);
         let flag = Override::text(
