--- a/crates/configuration/src/update.rs
+++ b/crates/configuration/src/update.rs
@@ -124,10 +124,10 @@
     pub fn applied_to(&self, base: &ClusterConfiguration) -> ClusterConfiguration {
         let mut document = base.clone();
         let (upsert, remove) = (&self.upsert, &self.remove);
-        apply(&mut document.pools, &upsert.pools, &remove.pools);
-        apply(&mut document.queues, &upsert.queues, &remove.queues);
-        apply(&mut document.tenants, &upsert.tenants, &remove.tenants);
-        apply(&mut document.licences, &upsert.licences, &remove.licences);
+        apply_items(&mut document.pools, &upsert.pools, &remove.pools);
+        apply_items(&mut document.queues, &upsert.queues, &remove.queues);
+        apply_items(&mut document.tenants, &upsert.tenants, &remove.tenants);
+        apply_items(&mut document.licences, &upsert.licences, &remove.licences);
         apply_keys(&mut document.keys, &upsert.keys, &remove.keys);
         document.replaces = Some(self.replaces);
         document.source = self.source.clone();
@@ -165,7 +165,7 @@
     ids.filter(|id| !remaining.contains(id)).cloned().collect()
 }
 
-fn apply<Name: Ord + Clone, Item: Clone>(
+fn apply_items<Name: Ord + Clone, Item: Clone>(
     items: &mut BTreeMap<Name, Item>,
     upsert: &BTreeMap<Name, Item>,
     remove: &BTreeSet<Name>,
--- a/crates/types/src/job.rs
+++ b/crates/types/src/job.rs
@@ -162,8 +162,7 @@
     pub queue: QueueName,
     /// State when the job was read.
     pub state: JobState,
-    /// Reason of the failure, as text for people; `None` unless the job
-    /// failed and its last run gave one.
+    /// Reason of the failure, as text for people; `None` unless the job failed.
     pub reason: Option<String>,
     /// Time of submission, by the wall clock of the leader that proposed the job.
     pub submitted_at: WallTime,
