--- a/crates/api/src/body.rs
+++ b/crates/api/src/body.rs
@@ -1,21 +1,22 @@
-//! Reading of bodies: every error names the field it is about.
+//! Parsing of bodies, with errors that name the field concerned.
 
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 use transport::{Rejection, RejectionCode};
 
-/// A body that cannot be taken, with the place of the fault.
+/// Error of a body that cannot be parsed or converted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{path}: {message}")]
 pub struct BodyError {
-    /// Path of the field, such as `steps[0].tasks`; `body` for the whole.
+    /// Path of the invalid field, such as `steps[0].tasks`, or `body` for the
+    /// whole body.
     pub path: String,
-    /// What is wrong, in one sentence.
+    /// Description of the error, without the path.
     pub message: String,
 }
 
 impl BodyError {
-    /// A fault at a place.
+    /// Creates an error for the field at `path`.
     pub fn new(path: impl Into<String>, message: impl ToString) -> Self {
         Self {
             path: path.into(),
@@ -44,11 +45,12 @@
     }
 }
 
-/// Reads a JSON body; nothing may follow it.
+/// Parses a JSON body.
 ///
 /// # Errors
 ///
-/// Names the field that is missing, unknown or of the wrong type.
+/// Fails if a field is missing, unknown or of the wrong type, or if other
+/// characters than whitespace follow the body.
 pub fn parse_json<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, BodyError> {
     let mut deserializer = serde_json::Deserializer::from_slice(bytes);
     let value =
@@ -59,11 +61,11 @@
     Ok(value)
 }
 
-/// Reads a TOML document into the same bodies.
+/// Parses a TOML document into a body.
 ///
 /// # Errors
 ///
-/// Names the field that is missing, unknown or of the wrong type.
+/// Fails if a field is missing, unknown or of the wrong type.
 pub fn parse_toml<T: DeserializeOwned>(text: &str) -> Result<T, BodyError> {
     let deserializer =
         toml::Deserializer::parse(text).map_err(|error| BodyError::new("body", error))?;
--- a/crates/api/src/cancel.rs
+++ b/crates/api/src/cancel.rs
@@ -1,17 +1,17 @@
-//! JSON bodies: cancels of one job, many, or all of a tenant.
+//! JSON bodies of cancels: one job, several jobs, or all jobs of a tenant.
 
 use crate::BodyError;
 use serde::{Deserialize, Serialize};
 use state_machine::CancelSelector;
 use types::{JobId, JobKey, QueueName, TenantId};
 
-/// A job as its caller names it.
+/// Key by which callers refer to a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobKeyBody {
-    /// The tenant.
+    /// Tenant that submitted the job.
     pub tenant: TenantId,
-    /// The caller's identifier.
+    /// Identifier given by the caller, unique within the tenant.
     pub job: JobId,
 }
 
@@ -33,27 +33,30 @@
     }
 }
 
-/// `POST /v1/cancels`: either named jobs, or all of a tenant.
+/// Body of `POST /v1/cancels`: either `jobs`, or `tenant` with an optional
+/// `queue`.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CancelBody {
-    /// These jobs.
+    /// Jobs to cancel. Absent if `tenant` is given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub jobs: Option<Vec<JobKeyBody>>,
-    /// All unfinished jobs of this tenant.
+    /// Tenant whose unfinished jobs are all cancelled. Absent if `jobs` is given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<TenantId>,
-    /// With `tenant`: of this queue only.
+    /// Queue to which the cancel of a tenant's jobs is limited. Absent for all
+    /// queues.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub queue: Option<QueueName>,
 }
 
 impl CancelBody {
-    /// The selector, when exactly one of the two ways is used.
+    /// Converts the body to a selector.
     ///
     /// # Errors
     ///
-    /// Fails if the body names jobs beside a tenant or queue, or neither jobs nor a tenant.
+    /// Fails if the body has `jobs` together with `tenant` or `queue`, or
+    /// neither `jobs` nor `tenant`.
     pub fn into_selector(self) -> Result<CancelSelector, BodyError> {
         match (self.jobs, self.tenant, self.queue) {
             (Some(jobs), None, None) => Ok(CancelSelector::Jobs(
@@ -82,13 +85,13 @@
     }
 }
 
-/// Answer to a cancel.
+/// Response to a cancel.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelledBody {
-    /// Cancelled by this request.
+    /// Number of jobs that this request cancelled.
     pub cancelled: u64,
-    /// Already in a final state.
+    /// Number of jobs that were already in a final state.
     pub finished: u64,
-    /// Keys that name no job.
+    /// Keys for which no job exists.
     pub unknown: Vec<JobKeyBody>,
 }
--- a/crates/api/src/configuration.rs
+++ b/crates/api/src/configuration.rs
@@ -1,4 +1,4 @@
-//! JSON bodies: the configuration document.
+//! JSON bodies of the configuration document.
 
 mod licence;
 mod queue;
@@ -21,49 +21,52 @@
 use std::collections::BTreeMap;
 use types::{ConfigurationVersion, LicenceName, PoolName, QueueName, TenantId};
 
-/// The whole document, in JSON or TOML.
+/// Configuration document, in JSON or TOML.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigurationBody {
-    /// The version this document was made from; without it the one before its
-    /// own. Versions may skip numbers then.
+    /// Version that this document is based on; it must be the one in force. If
+    /// absent, the version before the document's own. With it, versions may
+    /// skip numbers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub replaces: Option<u64>,
-    /// What becomes of queues and tenants left out while they hold unfinished
-    /// jobs.
+    /// Treatment of queues and tenants that the document omits although they
+    /// have unfinished jobs.
     #[serde(default)]
     pub left_out: LeftOut,
-    /// The text this document was translated from, opaque here.
+    /// Text that this document was translated from, stored unread for tools
+    /// that have a format of their own. Absent if there is none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub source: Option<String>,
-    /// Leases and waits.
+    /// Leases, backoffs and the retention, for the whole cluster.
     #[serde(default)]
     pub timings: TimingsBody,
-    /// Pools of runners.
+    /// Pools of runners, by name.
     #[serde(default)]
     pub pools: BTreeMap<PoolName, PoolBody>,
-    /// Queues.
+    /// Queues by name, each bound to a pool.
     #[serde(default)]
     pub queues: BTreeMap<QueueName, QueueBody>,
-    /// Tenant contracts.
+    /// Tenant contracts, by tenant.
     #[serde(default)]
     pub tenants: BTreeMap<TenantId, TenantBody>,
-    /// Licences with a number of seats.
+    /// Licences and their numbers of seats, by name.
     #[serde(default)]
     pub licences: BTreeMap<LicenceName, LicenceBody>,
-    /// Bearer keys; with none, every request is let in.
+    /// Bearer keys. Without any, every request is allowed.
     #[serde(default)]
     pub keys: Vec<KeyBody>,
 }
 
-/// What becomes of queues and tenants left out while they hold unfinished jobs.
+/// Treatment of queues and tenants that a document omits although they have
+/// unfinished jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeftOut {
     /// The document is rejected.
     #[default]
     Refuse,
-    /// They stay under their last settings, and the queues drain.
+    /// The queues and tenants keep their last settings, and the queues drain.
     Drain,
 }
 
@@ -86,22 +89,22 @@
 }
 
 impl ConfigurationBody {
-    /// The document, once its keys are found whole. Whether it makes sense is
-    /// [`configuration::validate()`]'s to say.
+    /// Converts the body to a document, which [`configuration::validate()`] has
+    /// yet to check.
     ///
     /// # Errors
     ///
-    /// Names the first key that is incomplete.
+    /// Fails if a key is incomplete. The error names the first such key.
     pub fn into_document(self) -> Result<ClusterConfiguration, BodyError> {
-        let numbered = self.keys.into_iter().enumerate();
-        let keys = numbered
-            .map(|(position, key)| key.into_key(&format!("keys[{position}]")))
+        let indexed = self.keys.into_iter().enumerate();
+        let keys = indexed
+            .map(|(index, key)| key.into_key(&format!("keys[{index}]")))
             .collect::<Result<Vec<_>, _>>()?;
         Ok(ClusterConfiguration {
-            pools: convert(self.pools),
-            queues: convert(self.queues),
-            tenants: convert(self.tenants),
-            licences: convert(self.licences),
+            pools: convert_values(self.pools),
+            queues: convert_values(self.queues),
+            tenants: convert_values(self.tenants),
+            licences: convert_values(self.licences),
             keys,
             timings: self.timings.into(),
             replaces: self.replaces.map(ConfigurationVersion),
@@ -115,10 +118,10 @@
     fn from(document: ClusterConfiguration) -> Self {
         Self {
             timings: document.timings.into(),
-            pools: convert(document.pools),
-            queues: convert(document.queues),
-            tenants: convert(document.tenants),
-            licences: convert(document.licences),
+            pools: convert_values(document.pools),
+            queues: convert_values(document.queues),
+            tenants: convert_values(document.tenants),
+            licences: convert_values(document.licences),
             keys: document.keys.into_iter().map(KeyBody::from).collect(),
             replaces: document.replaces.map(|version| version.0),
             left_out: document.left_out.into(),
@@ -127,7 +130,7 @@
     }
 }
 
-fn convert<Name: Ord, Source, Target: From<Source>>(
+fn convert_values<Name: Ord, Source, Target: From<Source>>(
     map: BTreeMap<Name, Source>,
 ) -> BTreeMap<Name, Target> {
     map.into_iter()
--- a/crates/api/src/configuration/licence.rs
+++ b/crates/api/src/configuration/licence.rs
@@ -1,13 +1,14 @@
-//! Licences with seats.
+//! JSON bodies of licences.
 
 use configuration::LicenceSettings;
 use serde::{Deserialize, Serialize};
 
-/// A licence.
+/// A licence that limits the number of runs that use it at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LicenceBody {
-    /// Runs that may take a seat of it at once, over all pools.
+    /// Number of seats over all pools. Each run that needs the licence takes
+    /// one; with 0 seats, work that needs one waits.
     pub seats: u32,
 }
 
--- a/crates/api/src/configuration/queue.rs
+++ b/crates/api/src/configuration/queue.rs
@@ -1,21 +1,21 @@
-//! Queues.
+//! JSON bodies of queues.
 
 use configuration::QueueSettings;
 use serde::{Deserialize, Serialize};
 use types::PoolName;
 
-/// How far a queue has been moved in.
+/// Whether a queue accepts jobs and starts tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum QueueMode {
-    /// Decide and log, start nothing.
+    /// Accepts submits; decisions are made and logged, but nothing starts.
     Shadow,
-    /// Decide and start.
+    /// Accepts submits and starts tasks.
     #[default]
     Active,
-    /// Take submits, start nothing.
+    /// Accepts submits and starts nothing.
     Paused,
-    /// Refuse submits, finish what is there.
+    /// Rejects submits and finishes the jobs that it has.
     Draining,
 }
 
@@ -41,19 +41,21 @@
     }
 }
 
-/// A queue.
+/// Settings of a queue.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QueueBody {
-    /// The pool its tasks run on.
+    /// Pool whose runners run the queue's tasks.
     pub pool: PoolName,
-    /// How far it has been moved in.
+    /// Whether the queue accepts jobs and starts tasks. Default `active`.
     #[serde(default)]
     pub mode: QueueMode,
-    /// Unfinished jobs it may hold.
+    /// Maximum number of unfinished jobs, default 100 000. Further submits are
+    /// rejected.
     #[serde(default = "default_queue_jobs")]
     pub max_unfinished_jobs: u64,
-    /// Place among the queues of its pool: work of a lower number goes first.
+    /// Rank among the queues of the pool, default 0. Work of a lower number
+    /// starts first.
     #[serde(default)]
     pub priority: u8,
 }
--- a/crates/api/src/configuration/resources.rs
+++ b/crates/api/src/configuration/resources.rs
@@ -1,4 +1,4 @@
-//! Pools of runners, and what runners and tenants have of each resource.
+//! JSON bodies of pools, capacities and resource limits.
 
 use configuration::PoolSettings;
 use serde::{Deserialize, Serialize};
@@ -8,21 +8,22 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolBody {
-    /// The largest runner the pool is built from.
+    /// Capacity of the largest runner of the pool. A task that needs more is
+    /// rejected at submit, even while no runner is up.
     pub largest_runner: CapacityBody,
 }
 
-/// All a runner has.
+/// Amount of each kind of resource, such as the capacity of a runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CapacityBody {
-    /// Places for tasks.
+    /// Number of task slots.
     pub slots: u32,
-    /// Processor time in thousandths of a core.
+    /// Processor time, in thousandths of a core.
     pub cpu_milli: u32,
-    /// Memory in MiB.
+    /// Memory, in MiB.
     pub memory_mib: u32,
-    /// Whole accelerators.
+    /// Number of whole accelerators. Default 0.
     #[serde(default)]
     pub gpus: u32,
 }
@@ -49,20 +50,21 @@
     }
 }
 
-/// What a tenant may hold over all runners; an absent kind has no resource limit.
+/// Limit on the resources that a tenant's runs use over all runners. A kind that
+/// is absent is not limited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ResourceLimitBody {
-    /// Places for tasks.
+    /// Number of task slots. Absent for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub slots: Option<u32>,
-    /// Processor time in thousandths of a core.
+    /// Processor time, in thousandths of a core. Absent for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cpu_milli: Option<u32>,
-    /// Memory in MiB.
+    /// Memory, in MiB. Absent for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub memory_mib: Option<u32>,
-    /// Whole accelerators.
+    /// Number of whole accelerators. Absent for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub gpus: Option<u32>,
 }
--- a/crates/api/src/configuration/tenant.rs
+++ b/crates/api/src/configuration/tenant.rs
@@ -1,30 +1,34 @@
-//! Tenant contracts.
+//! JSON bodies of tenant contracts.
 
 use super::ResourceLimitBody;
 use configuration::{ErrorBudget, TenantSettings};
 use serde::{Deserialize, Serialize};
 use types::Milliseconds;
 
-/// A tenant contract.
+/// Contract of a tenant: share, resource limit, error budget and submit limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantBody {
-    /// Fair share of each pool, in percent.
+    /// Fair share of each pool, in percent (1 to 100). A tenant above it is
+    /// skipped while another tenant below its share has a task that could start.
     pub share_percent: u32,
-    /// Resource resource limit over all runners.
+    /// Limit on the resources of the tenant's runs over all runners. No limit
+    /// if absent.
     #[serde(default)]
     #[serde(rename = "most")]
     pub resource_limit: ResourceLimitBody,
-    /// What lateness and failure the contract allows.
+    /// Shares of late and of failed jobs that the contract allows.
     #[serde(default)]
     pub error_budget: ErrorBudgetBody,
-    /// Submits taken a second, averaged.
+    /// Submits accepted per second on average, default 100. Further submits
+    /// are rejected at once.
     #[serde(default = "default_submits")]
     pub submits_per_second: u32,
-    /// Submits taken at once above the average.
+    /// Submits accepted at once after a pause, default 200.
     #[serde(default = "default_burst")]
     pub submit_burst: u32,
-    /// Unfinished jobs it may have.
+    /// Maximum number of unfinished jobs, default 10 000. Further submits are
+    /// rejected at once.
     #[serde(default = "default_tenant_jobs")]
     pub max_unfinished_jobs: u64,
 }
@@ -41,15 +45,16 @@
     10_000
 }
 
-/// What lateness and failure a contract allows.
+/// Error budget: the shares of late and of failed jobs that a contract allows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ErrorBudgetBody {
-    /// A job that waits longer than this for its first run is late.
+    /// Longest wait from submit to the reservation of the first run for which a
+    /// job is not late, in milliseconds.
     pub late_after_ms: u64,
-    /// Late jobs allowed in a thousand.
+    /// Late jobs allowed per thousand ended jobs.
     pub late_per_thousand: u32,
-    /// Failed jobs allowed in a thousand.
+    /// Failed jobs allowed per thousand ended jobs.
     pub failed_per_thousand: u32,
 }
 
--- a/crates/api/src/configuration/timings.rs
+++ b/crates/api/src/configuration/timings.rs
@@ -1,22 +1,26 @@
-//! Leases and waits.
+//! JSON body of leases, backoffs and the retention.
 
 use configuration::Timings;
 use serde::{Deserialize, Serialize};
 use types::Milliseconds;
 
-/// Leases and waits that hold in the whole cluster.
+/// Leases, backoffs and the retention, for the whole cluster.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TimingsBody {
-    /// How long a runner keeps its runs after the heartbeat last confirmed.
+    /// Run lease, in milliseconds: the time for which a runner keeps its runs
+    /// after it sent the heartbeat that was last confirmed.
     pub run_lease_ms: u64,
-    /// What the leader waits beyond the lease.
+    /// Time that the leader waits after a run lease expires, in milliseconds. It
+    /// covers differences between clocks.
     pub run_lease_margin_ms: u64,
-    /// First wait before a failed task is tried again.
+    /// Backoff before the first retry of a failed task, in milliseconds. It
+    /// doubles with each further failure.
     pub retry_backoff_ms: u64,
-    /// Longest wait before a failed task is tried again.
+    /// Longest backoff before a retry, in milliseconds.
     pub max_retry_backoff_ms: u64,
-    /// How long a finished job's identifier stays known.
+    /// Time for which a finished job and its identifier are kept, in
+    /// milliseconds.
     pub retention_ms: u64,
 }
 
--- a/crates/api/src/configuration/update.rs
+++ b/crates/api/src/configuration/update.rs
@@ -1,6 +1,6 @@
-//! Changes to named items of the configuration.
+//! JSON bodies of configuration updates, which change named items.
 
-use super::{LicenceBody, PoolBody, QueueBody, TenantBody, convert};
+use super::{LicenceBody, PoolBody, QueueBody, TenantBody, convert_values};
 use crate::BodyError;
 use crate::key::KeyBody;
 use configuration::{ConfigurationUpdate, RemovedItems, UpsertedItems};
@@ -8,19 +8,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use types::{ConfigurationVersion, KeyId, LicenceName, PoolName, QueueName, TenantId};
 
-/// `PATCH /v1/configuration/{version}`, in JSON or TOML.
+/// Body of `PATCH /v1/configuration/{version}`, in JSON or TOML.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigurationUpdateBody {
-    /// The version in force that this was made from.
+    /// Version that the update is based on; it must be the one in force.
     pub replaces: u64,
-    /// Items to add, or to put in place of those of the same name.
+    /// Items to add, or to replace where the name exists.
     #[serde(default)]
     pub upsert: UpsertBody,
-    /// Names of items to take away.
+    /// Names of items to remove. A name that does not exist changes nothing.
     #[serde(default)]
     pub remove: RemoveBody,
-    /// What the document's `source` becomes.
+    /// New `source` of the document. If absent, the document loses its
+    /// `source`, which would no longer match it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub source: Option<String>,
 }
@@ -29,53 +30,53 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct UpsertBody {
-    /// Pools of runners.
+    /// Pools of runners, by name.
     pub pools: BTreeMap<PoolName, PoolBody>,
-    /// Queues.
+    /// Queues, by name.
     pub queues: BTreeMap<QueueName, QueueBody>,
-    /// Tenant contracts.
+    /// Tenant contracts, by tenant.
     pub tenants: BTreeMap<TenantId, TenantBody>,
-    /// Licences.
+    /// Licences and their numbers of seats, by name.
     pub licences: BTreeMap<LicenceName, LicenceBody>,
-    /// Bearer keys, by `id`.
+    /// Bearer keys. Each replaces the key with the same `id`.
     pub keys: Vec<KeyBody>,
 }
 
-/// Names of items to take away.
+/// Names of items to remove.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RemoveBody {
-    /// Pools of runners.
+    /// Names of pools.
     pub pools: BTreeSet<PoolName>,
-    /// Queues.
+    /// Names of queues.
     pub queues: BTreeSet<QueueName>,
-    /// Tenants.
+    /// Identifiers of tenants.
     pub tenants: BTreeSet<TenantId>,
-    /// Licences.
+    /// Names of licences.
     pub licences: BTreeSet<LicenceName>,
     /// Identifiers of bearer keys.
     pub keys: BTreeSet<KeyId>,
 }
 
 impl ConfigurationUpdateBody {
-    /// The update, once its keys are found whole. Whether it makes sense is
-    /// the update's own to say.
+    /// Converts the body to an update, which [`ConfigurationUpdate::problems`]
+    /// has yet to check.
     ///
     /// # Errors
     ///
-    /// Names the first item that cannot be converted.
+    /// Fails if a key is incomplete. The error names the first such key.
     pub fn into_update(self) -> Result<ConfigurationUpdate, BodyError> {
-        let numbered = self.upsert.keys.into_iter().enumerate();
-        let keys = numbered
-            .map(|(position, key)| key.into_key(&format!("upsert.keys[{position}]")))
+        let indexed = self.upsert.keys.into_iter().enumerate();
+        let keys = indexed
+            .map(|(index, key)| key.into_key(&format!("upsert.keys[{index}]")))
             .collect::<Result<Vec<_>, _>>()?;
         Ok(ConfigurationUpdate {
             replaces: ConfigurationVersion(self.replaces),
             upsert: UpsertedItems {
-                pools: convert(self.upsert.pools),
-                queues: convert(self.upsert.queues),
-                tenants: convert(self.upsert.tenants),
-                licences: convert(self.upsert.licences),
+                pools: convert_values(self.upsert.pools),
+                queues: convert_values(self.upsert.queues),
+                tenants: convert_values(self.upsert.tenants),
+                licences: convert_values(self.upsert.licences),
                 keys,
             },
             remove: RemovedItems {
--- a/crates/api/src/decision.rs
+++ b/crates/api/src/decision.rs
@@ -1,4 +1,4 @@
-//! JSON bodies: the decision log, a line each.
+//! JSON bodies of the decision log, one line per event.
 
 use crate::BodyError;
 use crate::cancel::JobKeyBody;
@@ -8,32 +8,36 @@
 use transport::{DecisionEntry, DecisionEvent};
 use types::{Outcome, QueueName, RunClose, RunnerId, TenantId, WallTime};
 
-/// Most lines asked of the leader at once.
+/// Maximum number of lines that one request to the leader returns.
 pub const MAX_DECISIONS: u32 = 1_000;
 
 /// Query of `GET /v1/decisions`.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DecisionsQuery {
-    /// Number of the last line seen; 0 for the oldest kept.
+    /// Number of the last line that the client has read. 0, the default, starts
+    /// at the oldest line kept.
     #[serde(default)]
     pub after: u64,
-    /// Term of that line. With it, a reader that comes back after a change of
-    /// leader gets the new leader's lines from the beginning.
+    /// Term of line `after`. With it, a client that resumes after a change of
+    /// leader gets the new leader's lines from the first one. Absent if the
+    /// client does not resume.
     pub term: Option<u64>,
-    /// Whether to go on with new lines as they come.
+    /// Whether the response continues with new lines as they are logged.
+    /// Default `false`.
     #[serde(default)]
     pub follow: bool,
-    /// Lines in a reply that does not follow, or in one poll of one that does.
+    /// Maximum number of lines in the response, or in one poll of a response
+    /// that follows. From 1 to [`MAX_DECISIONS`], which is the default.
     pub limit: Option<u32>,
 }
 
 impl DecisionsQuery {
-    /// The limit, once it is found fair.
+    /// Returns the limit, or the default if there is none.
     ///
     /// # Errors
     ///
-    /// Fails if the limit lies outside its bounds.
+    /// Fails if the limit is 0 or above [`MAX_DECISIONS`].
     pub fn checked_limit(&self) -> Result<u32, BodyError> {
         let limit = self.limit.unwrap_or(MAX_DECISIONS);
         if limit == 0 || limit > MAX_DECISIONS {
@@ -44,125 +48,128 @@
     }
 }
 
-/// One line.
+/// One line of the decision log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecisionLine {
-    /// Its number; rises by one within a leader's term.
+    /// Number of the line. Rises by one within the term of one leader.
     pub number: u64,
-    /// Term of the leader that decided.
+    /// Term of the leader that logged the line.
     pub term: u64,
-    /// Leader's wall time, in milliseconds since the epoch.
+    /// Wall time of the leader, in milliseconds since the epoch.
     pub at_ms: u64,
-    /// The job, when it is known.
+    /// Key of the job. Absent if the leader does not know the job.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub job: Option<JobKeyBody>,
-    /// What happened.
+    /// Event, with its fields at the top level of the line.
     #[serde(flatten)]
     pub event: EventBody,
 }
 
-/// What happened. Tasks read `<job number>.<step>.<task>`, runs
-/// `<term>-<sequence>`.
+/// Event of the decision log. Tasks are written as `<job number>.<step>.<task>`,
+/// runs as `<term>-<sequence>`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum EventBody {
-    /// A task was given to a runner.
+    /// A task was placed on a runner.
     Placed {
-        /// The queue.
+        /// Queue of the task.
         queue: QueueName,
-        /// The tenant.
+        /// Tenant of the task.
         tenant: TenantId,
-        /// The task.
+        /// Task that was placed.
         task: String,
-        /// The run.
+        /// Run that was reserved for the task.
         run: String,
-        /// The runner.
+        /// Runner that the task was placed on.
         runner: RunnerId,
-        /// Tenants that were runnable when one was drawn.
+        /// Number of tenants that were runnable when one was drawn.
         runnable_tenants: u32,
-        /// True in a shadow queue: nothing will be started.
+        /// Whether the queue is in mode `shadow`, so that nothing starts.
         shadow: bool,
     },
-    /// A task stays where it is.
+    /// The first task of a tenant was not placed. Logged when the reason changes,
+    /// not for every attempt.
     NotPlaced {
-        /// The queue.
+        /// Queue of the task.
         queue: QueueName,
-        /// The tenant.
+        /// Tenant of the task.
         tenant: TenantId,
-        /// The task.
+        /// Task that was not placed.
         task: String,
-        /// Why, in short.
+        /// Reason, for programs.
         reason: Reason,
-        /// Why, for people.
+        /// Reason, as text for people.
         message: String,
     },
-    /// The record took the reservation; its order leaves.
+    /// A reservation was committed, and the order to start its run is sent.
     Ordered {
-        /// The run.
+        /// Run that was reserved.
         run: String,
-        /// The task.
+        /// Task of the run.
         task: String,
-        /// The runner.
+        /// Runner that the order is sent to.
         runner: RunnerId,
     },
-    /// The record closed a run.
+    /// The close of a run was committed.
     Closed {
-        /// The run.
+        /// Run that was closed.
         run: String,
-        /// The task.
+        /// Task of the run.
         task: String,
-        /// The runner.
+        /// Runner that the run was bound to.
         runner: RunnerId,
-        /// How it ended.
+        /// Outcome of the run.
         outcome: Close,
-        /// What the runner said about a failure.
+        /// Reason of a failure as reported by the runner. Absent unless
+        /// `outcome` is `failed`.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         message: Option<String>,
     },
     /// A job reached a final state.
     JobEnded {
-        /// The state.
+        /// Final state of the job.
         state: JobState,
     },
 }
 
-/// Why a task stays where it is.
+/// Reason why a task was not placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The tenant's runs hold its resource limit.
+    /// The task would exceed the tenant's resource limit.
     #[serde(rename = "tenant_at_ceiling")]
     TenantAtLimit,
-    /// What is left below its resource limit is reserved for its more urgent queues.
+    /// The rest of the tenant's resource limit is reserved for its more urgent
+    /// queues.
     #[serde(rename = "ceiling_kept_for_urgent")]
     LimitReservedForUrgent,
-    /// No seat of its licence is free.
+    /// No seat of the licence is free, or more urgent work waits for it.
     NoSeat,
-    /// The tenant is above its share.
+    /// The tenant is above its share while one below its share waits.
     TenantAboveShare,
-    /// The runners that could take it are draining or unresponsive.
+    /// The runners that could take the task are draining or unresponsive.
     RunnersAway,
-    /// No runner has enough free capacity.
+    /// No runner of the pool has enough free capacity.
     #[serde(rename = "no_room")]
     NoCapacity,
-    /// No runner with enough free capacity carries the labels.
+    /// No runner with enough free capacity has the labels of the step.
     NoRunnerWithLabels,
-    /// The only free capacity is on a runner on probation.
+    /// Only a runner on probation has enough free capacity.
     RunnerOnProbation,
-    /// A runner is kept free for a larger task.
+    /// The runner with enough free capacity is reserved for a larger task.
     #[serde(rename = "held_for_larger_task")]
     ReservedForLargerTask,
-    /// Its start time or backoff has not come.
+    /// The start time of the task, or the end of its backoff, is in the future.
     BeforeItsTime,
-    /// A step before it is not done.
+    /// A step that the task's step depends on is not done.
     WaitingForStep,
     /// The queue is paused.
     QueuePaused,
-    /// The queue only decides and logs.
+    /// The queue is in shadow mode: decisions are logged and nothing starts.
     QueueShadow,
-    /// No runner has reported yet.
+    /// No runner of the pool has reported to this leader yet.
     NoRunnerKnown,
-    /// It has all the runs it may have.
+    /// The task has as many open runs as it may have.
     AlreadyRunning,
 }
 
@@ -188,25 +195,25 @@
     }
 }
 
-/// How a run ended.
+/// Outcome with which a run was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Close {
-    /// The task did its work.
+    /// The task succeeded.
     Done,
     /// The task failed.
     Failed,
-    /// Stopped; no failure.
+    /// The run was stopped. Not a failure of the task.
     Stopped,
-    /// It never started and never will.
+    /// The run never started and never will.
     #[serde(rename = "voided")]
     Revoked,
-    /// Its run lease expired without a report; no failure.
+    /// The run lease expired without a report. Not a failure of the task.
     Lost,
-    /// The runner rejected it; no failure.
+    /// The runner rejected the order to start. Not a failure of the task.
     #[serde(rename = "refused")]
     Rejected,
-    /// It ran past its time limit; a failure.
+    /// The run exceeded its time limit. A failure of the task.
     TimedOut,
 }
 
@@ -226,7 +233,7 @@
 
 impl From<DecisionEntry> for DecisionLine {
     fn from(entry: DecisionEntry) -> Self {
-        let (WallTime(at_ms), event) = timed(entry.event);
+        let (WallTime(at_ms), event) = time_and_body(entry.event);
         Self {
             number: entry.number,
             term: entry.term.0,
@@ -237,10 +244,10 @@
     }
 }
 
-/// When it happened, and what.
-fn timed(event: DecisionEvent) -> (WallTime, EventBody) {
+/// Returns the time and the body of an event.
+fn time_and_body(event: DecisionEvent) -> (WallTime, EventBody) {
     match event {
-        DecisionEvent::Dispatch(decision) => (decision.at, dispatched(decision)),
+        DecisionEvent::Dispatch(decision) => (decision.at, decision_body(decision)),
         DecisionEvent::Ordered {
             run,
             task,
@@ -277,7 +284,7 @@
     }
 }
 
-fn dispatched(decision: Decision) -> EventBody {
+fn decision_body(decision: Decision) -> EventBody {
     let Decision {
         queue,
         tenant,
--- a/crates/api/src/job.rs
+++ b/crates/api/src/job.rs
@@ -1,4 +1,4 @@
-//! JSON bodies: jobs as their callers submit them.
+//! JSON bodies of jobs, as callers submit them.
 
 use serde::{Deserialize, Serialize};
 use types::{
@@ -6,16 +6,16 @@
     StepRules, StepSpec, TenantId, WallTime,
 };
 
-/// Time limit of a run when the step names none, in milliseconds.
+/// Time limit of a run whose step gives none, in milliseconds.
 pub const DEFAULT_TIME_LIMIT_MS: u64 = 60_000;
 
-/// Order within a tenant's own work.
+/// Urgency of a job: an order within the work of one tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Urgency {
-    /// Before the tenant's other work.
+    /// Starts before the tenant's other work.
     Urgent,
-    /// In order of submission.
+    /// Starts in order of submission.
     #[default]
     Normal,
 }
@@ -42,11 +42,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
-    /// Nothing of it has a run yet.
+    /// No task has had a run yet.
     Waiting,
     /// At least one task has had a run.
     Running,
-    /// Every task ended done.
+    /// Every task succeeded.
     Done,
     /// A task used up its allowed failures.
     Failed,
@@ -78,17 +78,17 @@
     }
 }
 
-/// What one task needs.
+/// Resources that one task needs. An absent kind gets its default.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct NeedsBody {
-    /// Places on a runner; 1 unless asked for.
+    /// Number of task slots. Default 1.
     pub slots: u32,
-    /// Processor time in thousandths of a core.
+    /// Processor time, in thousandths of a core. Default 0.
     pub cpu_milli: u32,
-    /// Memory in MiB.
+    /// Memory, in MiB. Default 0.
     pub memory_mib: u32,
-    /// Whole accelerators.
+    /// Number of whole accelerators. Default 0.
     pub gpus: u32,
 }
 
@@ -125,82 +125,92 @@
     }
 }
 
-/// `POST /v1/jobs`.
+/// Body of `POST /v1/jobs`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobBody {
-    /// The tenant that pays for it.
+    /// Tenant that submits the job; its runs count against the tenant's contract.
     pub tenant: TenantId,
-    /// The caller's identifier, unique within the tenant.
+    /// Identifier given by the caller, unique within the tenant.
     pub job: JobId,
-    /// The queue.
+    /// Queue that the job enters, and so the pool whose runners run its tasks.
     pub queue: QueueName,
-    /// Order within the tenant's work.
+    /// Order of the job within the tenant's work. Default `normal`.
     #[serde(default)]
     pub urgency: Urgency,
-    /// No task starts before this time, in milliseconds since the epoch.
+    /// Earliest start of any task by the leader's clock, in milliseconds since
+    /// the epoch. Absent for no lower bound.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub start_at_ms: Option<u64>,
-    /// Opaque text for the runner, for every step that has none of its own.
+    /// Opaque text for the runner, used for every step whose own payload is
+    /// empty. Default empty.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub payload: String,
-    /// The steps.
+    /// Steps of the job. Dependencies among them must not form a cycle.
     pub steps: Vec<StepBody>,
 }
 
-/// A group of equal tasks.
+/// A group of equal tasks that may run in parallel.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StepBody {
-    /// Name, unique within the job.
+    /// Name of the step, unique within the job.
     pub name: StepName,
-    /// Steps that must be done first.
+    /// Steps that must be done before any task of this one starts. Default none.
     #[serde(default)]
     pub after: Vec<StepName>,
-    /// Number of tasks.
+    /// Number of tasks, at least 1. Default 1.
     #[serde(default = "one")]
     pub tasks: u32,
-    /// What one task needs.
+    /// Resources that one task needs. Default one slot.
     #[serde(default)]
     pub resources: NeedsBody,
-    /// Labels its runner must carry.
+    /// Labels that a runner must have to run the tasks. Default none.
     #[serde(default)]
     pub labels: Labels,
-    /// Copies of one task that may run at once.
+    /// Maximum number of copies of one task that run at once. Default 1.
     #[serde(default = "one")]
     pub twice: u32,
-    /// Failed runs one task may have and still be tried again.
+    /// Number of failed runs after which one task is still retried. Default 0.
     #[serde(default)]
     pub allowed_failures: u32,
-    /// A run still going after this many milliseconds is stopped as failed.
+    /// Time limit of a run, in milliseconds. A run that exceeds it is stopped
+    /// and counts as failed. Default [`DEFAULT_TIME_LIMIT_MS`].
     #[serde(default = "default_time_limit")]
     pub time_limit_ms: u64,
-    /// Opaque text for the runner.
+    /// Opaque text for the runner. If empty, the payload of the job is used.
     #[serde(default)]
     pub payload: String,
-    /// No task of the step starts before this time, in milliseconds since the
-    /// epoch.
+    /// Earliest start of any task of the step by the leader's clock, in
+    /// milliseconds since the epoch. Applies in addition to that of the job.
+    /// Absent for no lower bound.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub start_at_ms: Option<u64>,
-    /// The rack where its tasks run best.
+    /// Rack where the tasks run best. Other racks are used if it has no free
+    /// capacity. Absent for no preference.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub preferred_rack: Option<RackName>,
-    /// Most runs of the step on one runner at once.
+    /// Maximum number of runs of the step on one runner at once. Absent for no
+    /// limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_per_runner: Option<u32>,
-    /// The tasks work only all together.
+    /// Whether the tasks form a gang: they are reserved together, and the end
+    /// of one run ends all of them. Default `false`.
     #[serde(default, skip_serializing_if = "is_false")]
     pub gang: bool,
-    /// The tasks of a gang run best within one rack.
+    /// Whether the tasks of a gang run best within one rack. Default `false`.
     #[serde(default, skip_serializing_if = "is_false")]
     pub same_rack: bool,
-    /// The tasks run until the job is cancelled.
+    /// Whether the tasks run until the job is cancelled and start again however
+    /// a run ends. Default `false`.
     #[serde(default, skip_serializing_if = "is_false")]
     pub endless: bool,
-    /// About how long one run takes, in milliseconds.
+    /// Duration of one run as estimated by the caller, in milliseconds. Absent
+    /// if unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub expected_ms: Option<u64>,
-    /// Each run takes a seat of this licence.
+    /// Licence of which each run takes a seat, from its reservation until it is
+    /// certain to have ended. Absent if no licence is needed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub licence: Option<LicenceName>,
 }
@@ -289,7 +299,7 @@
             gang: spec.rules.gang,
             same_rack: spec.rules.same_rack,
             endless: spec.rules.endless,
-            expected_ms: spec.rules.expected.map(|length| length.0),
+            expected_ms: spec.rules.expected.map(|duration| duration.0),
             licence: spec.rules.licence,
         }
     }
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,8 +1,8 @@
-//! JSON bodies and routes of the outer HTTP interface, and nothing else.
+//! JSON bodies and routes of the HTTP interface.
 //!
-//! The users' names for fields (`hold`, `ended`, `twice`, `most`) live here
-//! alone; everything behind speaks the domain's terms. A change of the outer
-//! interface touches this crate only.
+//! The field names of the interface (`hold`, `ended`, `twice`, `most`) are used
+//! in this crate only; the other crates use the terms of the domain. A change
+//! of the interface therefore affects only this crate.
 
 pub mod body;
 pub mod cancel;
--- a/crates/api/src/operator.rs
+++ b/crates/api/src/operator.rs
@@ -1,4 +1,4 @@
-//! JSON bodies: runners, queues, tenants and members, as operators see them.
+//! JSON bodies for operators: runners, queues, tenants, licences and members.
 
 use crate::configuration::{CapacityBody, QueueMode, ResourceLimitBody};
 use scheduler::RunnerView;
@@ -6,59 +6,60 @@
 use transport::{LicenceView, MemberView, QueueView, TenantView};
 use types::{Labels, LicenceName, PoolName, QueueName, RackName, RunnerId, TenantId};
 
-/// `POST /v1/runners/{runner}/drain`.
+/// Body of `POST /v1/runners/{runner}/drain`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainBody {
-    /// Whether it drains from now on.
+    /// Whether the runner is to drain from now on; `false` lifts the drain.
     pub draining: bool,
 }
 
-/// Answer to an order that has nothing to tell.
+/// Response to an operation that is carried out and returns no data.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedBody {
-    /// Always true.
+    /// Always `true`.
     pub accepted: bool,
 }
 
-/// Answer to `POST /v1/runners/{runner}/lost`.
+/// Response to `POST /v1/runners/{runner}/lost`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunsLostBody {
-    /// Runs closed as lost, as `<term>-<sequence>`.
+    /// Runs that were closed as lost, each written as `<term>-<sequence>`.
     pub runs: Vec<String>,
 }
 
-/// Answer to `GET /v1/runners`.
+/// Response to `GET /v1/runners`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnersBody {
-    /// The runners known to the leader.
+    /// Runners that have reported to the leader.
     pub runners: Vec<RunnerViewBody>,
 }
 
-/// A runner as the leader sees it.
+/// State of a runner as the leader has it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunnerViewBody {
-    /// The runner.
+    /// Name of the runner.
     pub runner: RunnerId,
-    /// Its current incarnation.
+    /// Incarnation of the runner's last heartbeat.
     pub incarnation: u64,
-    /// Its pool.
+    /// Pool that the runner belongs to.
     pub pool: PoolName,
-    /// Its rack.
+    /// Rack that the runner is in.
     pub rack: RackName,
-    /// Its labels.
+    /// Labels from the runner's last heartbeat.
     pub labels: Labels,
-    /// All it has.
+    /// All resources of the runner, used or free.
     pub capacity: CapacityBody,
-    /// What is free, less orders on their way.
+    /// Resources reported free, less those of runs not reported yet.
     pub room: CapacityBody,
-    /// Open runs bound to it.
+    /// Number of open runs bound to the runner.
     pub open_runs: u32,
-    /// Whether it or an operator says so.
+    /// Whether the runner is draining, by its own report or by an operator's
+    /// order.
     pub draining: bool,
-    /// Whether it is on probation.
+    /// Whether the runner is on probation.
     pub on_probation: bool,
-    /// Time since its last heartbeat.
+    /// Time since the runner's last heartbeat, in milliseconds.
     #[serde(rename = "silence_ms")]
     pub since_last_contact_ms: u64,
 }
@@ -81,27 +82,27 @@
     }
 }
 
-/// Answer to `GET /v1/queues`.
+/// Response to `GET /v1/queues`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueuesBody {
-    /// The queues.
+    /// All queues of the configuration.
     pub queues: Vec<QueueViewBody>,
 }
 
 /// A queue with its counts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueViewBody {
-    /// The queue.
+    /// Name of the queue.
     pub queue: QueueName,
-    /// Its pool.
+    /// Pool whose runners run the queue's tasks.
     pub pool: PoolName,
-    /// Its mode.
+    /// Whether the queue accepts jobs and starts tasks.
     pub mode: QueueMode,
-    /// Unfinished jobs.
+    /// Number of unfinished jobs.
     pub unfinished_jobs: u64,
-    /// Tasks that may start.
+    /// Number of tasks that may start.
     pub ready_tasks: u64,
-    /// Open runs.
+    /// Number of open runs.
     pub open_runs: u64,
 }
 
@@ -118,35 +119,36 @@
     }
 }
 
-/// Answer to `GET /v1/tenants`.
+/// Response to `GET /v1/tenants`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantsBody {
-    /// The tenants.
+    /// All tenants of the configuration.
     pub tenants: Vec<TenantViewBody>,
 }
 
 /// A tenant with its counts and the state of its error budget.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantViewBody {
-    /// The tenant.
+    /// Identifier of the tenant.
     pub tenant: TenantId,
-    /// Unfinished jobs.
+    /// Number of unfinished jobs.
     pub unfinished_jobs: u64,
-    /// Tasks that may start.
+    /// Number of tasks that may start.
     pub ready_tasks: u64,
-    /// What its open runs hold.
+    /// Sum of the resources of the tenant's open runs.
     #[serde(rename = "holds")]
     pub usage: CapacityBody,
-    /// Its resource limit.
+    /// Limit on `usage`, from the tenant's contract.
     #[serde(rename = "most")]
     pub resource_limit: ResourceLimitBody,
-    /// Jobs ended since the leader's election.
+    /// Number of jobs that ended since the election of the leader.
     pub ended_jobs: u64,
-    /// Of those, late by the contract.
+    /// Number of ended jobs whose first run was reserved later than
+    /// `late_after_ms` of the error budget.
     pub late_jobs: u64,
-    /// Of those, failed.
+    /// Number of ended jobs that failed.
     pub failed_jobs: u64,
-    /// Whether a budget is used up.
+    /// Whether late or failed jobs exceed the error budget.
     pub budget_exceeded: bool,
 }
 
@@ -166,24 +168,24 @@
     }
 }
 
-/// Answer to `GET /v1/licences`.
+/// Response to `GET /v1/licences`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LicencesBody {
-    /// The licences.
+    /// All licences of the configuration.
     pub licences: Vec<LicenceViewBody>,
 }
 
-/// A licence and its seats.
+/// A licence with its seats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LicenceViewBody {
-    /// The licence.
+    /// Name of the licence.
     pub licence: LicenceName,
-    /// Seats in the whole cluster.
+    /// Number of seats in the whole cluster.
     pub seats: u32,
-    /// Of those, taken by open runs.
+    /// Number of seats taken by open runs.
     #[serde(rename = "taken")]
     pub used: u32,
-    /// Tasks that wait for capacity or a seat.
+    /// Number of tasks that wait for capacity or a seat.
     pub waiting: u64,
 }
 
@@ -198,49 +200,53 @@
     }
 }
 
-/// Answer to `GET /v1/members`.
+/// Response to `GET /v1/members`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembersBody {
-    /// The members.
+    /// Coordinators, and daemons that have a session with the leader.
     pub members: Vec<MemberViewBody>,
 }
 
-/// A member.
+/// State of a daemon of the cluster as the leader has it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberViewBody {
-    /// Identity, in decimal; text, since it uses all 64 bits.
+    /// Identity of the member, in decimal. A string, since it uses all 64 bits.
     pub node: String,
-    /// `coordinator`, `gateway` or `agent`.
+    /// Role of the member: `coordinator`, `gateway` or `agent`.
     pub role: String,
-    /// Its zone.
+    /// Zone that the member runs in. `unknown` for a coordinator before its first
+    /// message.
     pub zone: String,
-    /// Its peer socket.
+    /// Socket on which the member accepts connections of other members.
     pub socket: String,
-    /// `leader`, `voter`, `learner` or `session`.
+    /// Status of the member: `leader`, `voter` or `learner` for a coordinator,
+    /// `session` for a daemon of another role.
     #[serde(rename = "standing")]
     pub status: String,
-    /// Time since the leader last received anything from it.
+    /// Time since the leader last received a message from the member, in
+    /// milliseconds.
     #[serde(rename = "silence_ms")]
     pub since_last_contact_ms: u64,
-    /// Configuration version it last reported to the leader; `null` while it
-    /// has not.
+    /// Configuration version that the member last reported to this leader.
+    /// `null` before its first report.
     pub configuration: Option<u64>,
-    /// Voters: the health of their links to others, as they measured it last.
+    /// Health of the links to the other voters, as the member last measured it.
+    /// Absent for a member that has reported none, such as one with a session.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub links: Option<LinkHealthBody>,
 }
 
-/// How others answer a voter: a leader by its heartbeats, a follower by probes to
-/// the other followers.
+/// Health of a voter's links to other voters. A leader measures it by its
+/// heartbeats, a follower by probes to the other followers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkHealthBody {
-    /// Links whose answers come in time.
+    /// Number of links whose replies arrive in time.
     pub good: u8,
-    /// Links whose answers come late.
+    /// Number of links whose replies arrive late.
     pub bad: u8,
-    /// Its disk is slow, or was a moment ago.
+    /// Whether the voter's disk is slow, or was a short time ago.
     pub slow_disk: bool,
-    /// It transferred leadership a while ago.
+    /// Whether the voter transferred leadership a short time ago.
     #[serde(rename = "gave_way")]
     pub recently_transferred: bool,
 }
--- a/crates/api/src/rejection.rs
+++ b/crates/api/src/rejection.rs
@@ -1,34 +1,36 @@
-//! JSON bodies: rejections, with their HTTP status and time to come back.
+//! JSON bodies of rejections, with HTTP status and `Retry-After`.
 
 use configuration::ConfigurationError;
 use serde::{Deserialize, Serialize};
 use transport::{Rejection, RejectionCode};
 use types::Milliseconds;
 
-/// Kinds of rejection.
+/// Kind of a rejection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
-    /// The request makes no sense.
+    /// The request is not valid.
     Invalid,
-    /// No key, or one that is not known or revoked.
+    /// The request has no key, or one that is unknown or revoked.
     Unauthenticated,
-    /// The key's role may not do this.
+    /// The role of the key does not allow the operation.
     Forbidden,
-    /// No such job, runner or queue.
+    /// The job, runner or queue does not exist.
     NotFound,
-    /// Same key or version with other content.
+    /// The job key or configuration version exists with other content.
     Conflict,
-    /// A limit of the tenant, the queue or the gateway.
+    /// A limit of the tenant, the queue or the gateway is reached. The same
+    /// request may succeed later.
     Overloaded,
-    /// No leader can be reached.
+    /// No leader can be reached. The operation was not carried out.
     Unavailable,
-    /// The time ran out; it may or may not be taken.
+    /// The deadline passed without a result. The operation may or may not have
+    /// been carried out.
     TimedOut,
 }
 
 impl Code {
-    /// The HTTP status of an answer with this code.
+    /// Returns the HTTP status of a response with this code.
     pub fn status(self) -> u16 {
         match self {
             Self::Invalid => 400,
@@ -73,34 +75,36 @@
     }
 }
 
-/// The body of every answer that is not a success.
+/// Body of every response that is not a success.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RejectionBody {
-    /// What kind.
+    /// Kind of the rejection.
     pub code: Code,
-    /// One sentence for people.
+    /// Description of the rejection, for people.
     pub message: String,
-    /// When to come back, where that can help.
+    /// Time after which to retry, in milliseconds. Absent where a retry cannot
+    /// help.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// Every problem of a rejected configuration.
+    /// All problems of a rejected configuration. Absent for other requests.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub problems: Vec<DocumentErrorBody>,
 }
 
-/// One thing wrong with a document.
+/// Problem of a configuration document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentErrorBody {
-    /// Path in the document.
+    /// Path in the document, such as `queues.hover.pool`.
     #[serde(rename = "place")]
     pub path: String,
-    /// What is wrong.
+    /// Description of the problem.
     #[serde(rename = "problem")]
     pub message: String,
 }
 
 impl RejectionBody {
-    /// Value of the `Retry-After` header: whole seconds, rounded up.
+    /// Returns the value of the `Retry-After` header: the time in seconds,
+    /// rounded up. `None` if the response has no such header.
     pub fn retry_after_seconds(&self) -> Option<u64> {
         self.retry_after_ms.map(|wait| wait.div_ceil(1_000))
     }
@@ -114,9 +118,9 @@
             message: rejection.message,
             retry_after_ms: rejection.retry_after.map(|wait| wait.0),
             problems: problems
-                .map(|found| DocumentErrorBody {
-                    path: found.path,
-                    message: found.message,
+                .map(|problem| DocumentErrorBody {
+                    path: problem.path,
+                    message: problem.message,
                 })
                 .collect(),
         }
@@ -131,9 +135,9 @@
             message: body.message,
             retry_after: body.retry_after_ms.map(Milliseconds),
             problems: problems
-                .map(|found| ConfigurationError {
-                    path: found.path,
-                    message: found.message,
+                .map(|problem| ConfigurationError {
+                    path: problem.path,
+                    message: problem.message,
                 })
                 .collect(),
         }
--- a/crates/api/src/route.rs
+++ b/crates/api/src/route.rs
@@ -1,46 +1,47 @@
-//! Paths, headers and media types of the outer interface.
+//! Paths, headers and media types of the HTTP interface.
 
-/// `POST` takes a job, `GET` lists jobs.
+/// Path of jobs: `POST` submits a job, `GET` lists jobs.
 pub const JOBS: &str = "/v1/jobs";
-/// `GET` gives a job, `DELETE` cancels it.
+/// Path of one job: `GET` returns the job, `DELETE` cancels it.
 pub const JOB: &str = "/v1/tenants/{tenant}/jobs/{job}";
-/// `POST` cancels a job.
+/// Path that cancels one job by `POST`.
 pub const JOB_CANCEL: &str = "/v1/tenants/{tenant}/jobs/{job}/cancel";
-/// `GET` answers why a job is not running.
+/// Path that explains by `GET` why a job is not running.
 pub const JOB_EXPLAIN: &str = "/v1/tenants/{tenant}/jobs/{job}/explain";
-/// `POST` cancels many jobs.
+/// Path that cancels several jobs by `POST`.
 pub const CANCELS: &str = "/v1/cancels";
-/// `GET` gives version and document in force.
+/// Path that returns the version and document in force by `GET`.
 pub const CONFIGURATION: &str = "/v1/configuration";
-/// `PUT` takes a version, `PATCH` changes named items.
+/// Path of a new version: `PUT` replaces the document, `PATCH` changes named
+/// items.
 pub const CONFIGURATION_VERSION: &str = "/v1/configuration/{version}";
-/// `GET` gives the version each member reports.
+/// Path that returns by `GET` the version that each member reports.
 pub const CONFIGURATION_STATUS: &str = "/v1/configuration/status";
-/// `GET` lists runners.
+/// Path that lists runners by `GET`.
 pub const RUNNERS: &str = "/v1/runners";
-/// `POST` marks a runner as draining, or takes it back.
+/// Path that sets or lifts the drain of a runner by `POST`.
 pub const RUNNER_DRAIN: &str = "/v1/runners/{runner}/drain";
-/// `POST` declares a runner lost.
+/// Path that declares a runner lost by `POST`.
 pub const RUNNER_LOST: &str = "/v1/runners/{runner}/lost";
-/// `GET` lists queues.
+/// Path that lists queues by `GET`.
 pub const QUEUES: &str = "/v1/queues";
-/// `GET` lists licences.
+/// Path that lists licences by `GET`.
 pub const LICENCES: &str = "/v1/licences";
-/// `GET` lists tenants.
+/// Path that lists tenants by `GET`.
 pub const TENANTS: &str = "/v1/tenants";
-/// `GET` lists members.
+/// Path that lists members by `GET`.
 pub const MEMBERS: &str = "/v1/members";
-/// `GET` gives decisions as JSON lines.
+/// Path that returns the decision log as JSON lines by `GET`.
 pub const DECISIONS: &str = "/v1/decisions";
 
-/// Request header: how long the caller waits, in milliseconds.
+/// Request header with the time for which the caller waits, in milliseconds.
 pub const DEADLINE_HEADER: &str = "deadline-ms";
-/// Wait of a request without the header, in milliseconds.
+/// Deadline of a request without [`DEADLINE_HEADER`], in milliseconds.
 pub const DEFAULT_DEADLINE_MS: u64 = 2_000;
-/// Longest wait a request may ask for, in milliseconds.
+/// Longest deadline that a request may have, in milliseconds.
 pub const MAX_DEADLINE_MS: u64 = 30_000;
 
-/// Media type of the decision stream.
+/// Media type of the decision log.
 pub const JSON_LINES: &str = "application/x-ndjson";
-/// Media type of a configuration in TOML.
+/// Media type of a configuration document or update in TOML.
 pub const TOML: &str = "application/toml";
--- a/crates/api/src/runner.rs
+++ b/crates/api/src/runner.rs
@@ -1,10 +1,9 @@
-//! JSON between runners and their agent: heartbeats and orders.
+//! JSON bodies between runners and their agent: heartbeats and orders.
 //!
-//! A runner posts [`HeartbeatBody`] to [`HEARTBEAT_ROUTE`] and is answered
-//! with [`HeartbeatAnswerBody`]. The agent posts [`OrderBody`] to the
-//! `orders_url` of the runner's last heartbeat and is answered with
-//! [`OrderAnswerBody`]. Unknown fields are rejected, so that a misspelt one is
-//! noticed at once.
+//! A runner posts [`HeartbeatBody`] to [`HEARTBEAT_ROUTE`]; the response is
+//! [`HeartbeatAnswerBody`]. The agent posts [`OrderBody`] to the `orders_url` of
+//! the runner's last heartbeat; the response is [`OrderAnswerBody`]. Unknown
+//! fields are rejected, so that a misspelt one is detected at once.
 
 mod heartbeat;
 mod order;
@@ -20,54 +19,56 @@
 use thiserror::Error;
 use types::InvalidName;
 
-/// Where runners post heartbeats; `runner` is the runner's name.
+/// Path to which runners post heartbeats; `runner` is the runner's name.
 pub const HEARTBEAT_ROUTE: &str = "/v1/runners/{runner}/heartbeat";
 
-/// Why a body is rejected.
+/// Error of a body that is rejected.
 #[derive(Debug, Error)]
 pub enum RunnerBodyError {
-    /// It is no JSON, or not of the shape asked for.
+    /// The body is not JSON, or does not have the fields expected.
     #[error("the body does not have the expected form: {0}")]
     Form(#[from] serde_json::Error),
-    /// A name breaks the rules for names.
+    /// A name is not valid.
     #[error("{field}: {message}")]
     Name {
         /// Name of the field.
         field: &'static str,
-        /// What is wrong.
+        /// Rule that the name breaks.
         message: InvalidName,
     },
-    /// The URL for orders cannot be used.
+    /// The URL for orders is not valid.
     #[error("orders_url: {0}")]
     OrdersUrl(#[from] OrdersUrlError),
-    /// A number or list is outside its bounds.
+    /// A number or list exceeds its bounds.
     #[error("{field}: {message}")]
     Bounds {
         /// Name of the field.
         field: &'static str,
-        /// What is wrong.
+        /// Bound that the value exceeds.
         message: &'static str,
     },
-    /// A field is missing that the rest of the body asks for, or the reverse.
+    /// A field is absent although the rest of the body requires it, or present
+    /// although the rest excludes it.
     #[error("{field} must {must}")]
     Contradiction {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What it must be.
+        /// Requirement on the field, continuing "must".
         must: &'static str,
     },
 }
 
-/// Reads a body.
+/// Parses a body.
 ///
 /// # Errors
 ///
-/// Fails if the body is not the JSON expected.
+/// Fails if the body is not JSON, or if a field is missing, unknown or of the
+/// wrong type.
 pub fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, RunnerBodyError> {
     Ok(serde_json::from_slice(body)?)
 }
 
-/// Names the field in the error of a name.
-fn in_field<T>(field: &'static str, name: Result<T, InvalidName>) -> Result<T, RunnerBodyError> {
+/// Adds the name of the field to the error of an invalid name.
+fn with_field<T>(field: &'static str, name: Result<T, InvalidName>) -> Result<T, RunnerBodyError> {
     name.map_err(|message| RunnerBodyError::Name { field, message })
 }
--- a/crates/api/src/runner/heartbeat.rs
+++ b/crates/api/src/runner/heartbeat.rs
@@ -1,121 +1,131 @@
-//! Heartbeats of runners and the agent's answers.
+//! JSON bodies of runners' heartbeats and of the agent's responses.
 
-use super::{OrdersUrl, RunText, RunnerBodyError, in_field};
+use super::{OrdersUrl, RunText, RunnerBodyError, with_field};
 use serde::{Deserialize, Serialize};
 use types::{
     ActiveRun, EndedRun, EndpointName, HeartbeatSequence, Labels, Milliseconds, Outcome, PoolName,
     RackName, Resources, RunnerId, RunnerIncarnation, RunnerReport,
 };
 
-/// Labels of one runner at most.
+/// Maximum number of labels of one runner.
 const MAX_LABELS: usize = 64;
-/// Characters kept of a failed run's reason; the rest is cut off.
+/// Maximum length of a failed run's reason, in characters. A longer one is
+/// truncated.
 const MAX_REASON_CHARACTERS: usize = 1_024;
 
-/// A runner's heartbeat.
+/// Heartbeat of a runner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HeartbeatBody {
-    /// This incarnation of the runner; larger than that of any earlier incarnation.
+    /// Incarnation of the runner. Larger than that of any earlier incarnation.
     pub incarnation: u64,
-    /// Place among the heartbeats of this incarnation; rises with each.
+    /// Sequence number of the heartbeat. Rises with each heartbeat of the
+    /// incarnation.
     pub sequence: u64,
-    /// Pool it serves.
+    /// Pool that the runner belongs to.
     pub pool: String,
-    /// Its rack.
+    /// Rack that the runner is in.
     pub rack: String,
-    /// Its endpoint, such as the socket it takes orders at. When another
-    /// runner reports the same endpoint, this one's runs count as over.
+    /// Endpoint of the runner, such as the socket on which it accepts orders.
+    /// When another runner reports the same endpoint, the runs of this one are
+    /// closed as lost. Absent if the runner reports none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "place")]
     pub endpoint: Option<EndpointName>,
-    /// Its labels.
+    /// Labels of the runner, at most 64. Default none.
     #[serde(default)]
     pub labels: Labels,
-    /// All it has.
+    /// All resources of the runner, used or free.
     pub capacity: Resources,
-    /// What is free now.
+    /// Resources that are free now. At most `capacity` in every kind.
     pub free: Resources,
-    /// Whether it is about to leave.
+    /// Whether the runner is about to leave, so that no new run may start on it.
+    /// Default `false`.
     #[serde(default)]
     pub draining: bool,
-    /// Whether it stops its own runs at the end of their lease.
+    /// Whether the runner itself stops its runs when their lease expires.
+    /// Default `false`.
     #[serde(default)]
     pub self_stop: bool,
-    /// Where it takes orders: `http://<ip>:<port>/<path>`.
+    /// URL to which the agent posts orders: `http://<ip>:<port>/<path>`.
     pub orders_url: String,
-    /// Every run it holds.
+    /// Every active run of the runner. Required: a missing list is not read as
+    /// an empty one.
     #[serde(rename = "hold")]
     pub active: Vec<ActiveRunBody>,
-    /// Every ended run that was not named in `recorded` yet.
+    /// Every ended run that no answer has listed in `recorded` yet.
     pub ended: Vec<EndedBody>,
 }
 
-/// A run that is going.
+/// A run that is active on the runner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ActiveRunBody {
-    /// The run.
+    /// Identifier of the run.
     pub run: RunText,
-    /// How long it has been going, in milliseconds.
+    /// Time since the start of the run, in milliseconds.
     pub age_ms: u64,
-    /// How far it has come, in percent, where the runner can tell.
+    /// Progress of the run, in percent. Absent if the runner does not report it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub progress: Option<u8>,
-    /// What it saved last; the next run of its task is given it.
+    /// Last checkpoint of the run, passed on to the next run of its task. Absent
+    /// if there is none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub checkpoint: Option<String>,
 }
 
-/// A run that ended.
+/// A run that ended on the runner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndedBody {
-    /// The run.
+    /// Identifier of the run.
     pub run: RunText,
-    /// How.
+    /// Outcome of the run.
     pub outcome: OutcomeName,
-    /// Why it failed, for people.
+    /// Reason of a failure, as text for people. Ignored for other outcomes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
-    /// What it saved last; the next run of its task is given it.
+    /// Last checkpoint of the run, passed on to the next run of its task. Absent
+    /// if there is none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub checkpoint: Option<String>,
 }
 
-/// How a run ended.
+/// Outcome of a run on its runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OutcomeName {
-    /// The task did its work.
+    /// The task succeeded.
     Done,
     /// The task failed.
     Failed,
-    /// It was stopped; no failure of the task.
+    /// The run was stopped. Not a failure of the task.
     Stopped,
 }
 
-/// The agent's answer to a heartbeat.
+/// Response of the agent to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HeartbeatAnswerBody {
-    /// Highest term the agent has seen: reject orders of lower ones.
+    /// Highest term that the agent has seen. The runner rejects orders of lower
+    /// terms.
     pub term: u64,
-    /// Newest heartbeat of the incarnation `incarnation` that reached the leader.
+    /// Sequence number of the newest heartbeat of `incarnation` that the leader
+    /// confirmed. `null` if it has confirmed none.
     pub confirmed: Option<u64>,
-    /// The incarnation the confirmation is for.
+    /// Incarnation that `confirmed` belongs to.
     pub incarnation: u64,
-    /// Active runs may go on for this long after heartbeat `confirmed` was sent,
-    /// in milliseconds.
+    /// Run lease, in milliseconds: the time for which active runs may continue
+    /// after the runner sent heartbeat `confirmed`.
     pub lease_ms: u64,
-    /// Ended runs that need not be named any more.
+    /// Ended runs whose end is committed. The runner need not report them again.
     pub recorded: Vec<RunText>,
-    /// Active runs to stop.
+    /// Active runs that the runner must stop.
     pub stop: Vec<RunText>,
 }
 
 impl HeartbeatBody {
-    /// The body of a report.
+    /// Creates the body of a report.
     pub fn from_report(report: &RunnerReport, orders_url: &OrdersUrl) -> Self {
         Self {
             incarnation: report.incarnation.0,
@@ -134,11 +144,12 @@
         }
     }
 
-    /// The report of `runner`, and where it takes orders.
+    /// Converts the body to a report of `runner` and the URL for its orders.
     ///
     /// # Errors
     ///
-    /// Names the field that is out of bounds or holds no valid name.
+    /// Fails if a field exceeds its bounds or is not a valid name or URL. The
+    /// error names the field.
     pub fn into_report(
         self,
         runner: RunnerId,
@@ -151,8 +162,8 @@
             runner,
             incarnation: RunnerIncarnation(self.incarnation),
             sequence: HeartbeatSequence(self.sequence),
-            pool: in_field("pool", PoolName::new(self.pool))?,
-            rack: in_field("rack", RackName::new(self.rack))?,
+            pool: with_field("pool", PoolName::new(self.pool))?,
+            rack: with_field("rack", RackName::new(self.rack))?,
             labels: self.labels,
             capacity: self.capacity,
             free: self.free,
@@ -219,8 +230,8 @@
     }
 }
 
-/// A reason that is missing or too long is no ground to reject an ended run:
-/// the runner would name it for ever.
+/// Accepts a missing reason and truncates a long one. If such a run were
+/// rejected, the runner would report it in every heartbeat, without end.
 impl From<EndedBody> for EndedRun {
     fn from(body: EndedBody) -> Self {
         let reason = body.reason.unwrap_or_default();
--- a/crates/api/src/runner/order.rs
+++ b/crates/api/src/runner/order.rs
@@ -1,6 +1,6 @@
-//! Orders to runners and their answers.
+//! JSON bodies of orders to runners and of the runners' answers.
 
-use super::{RunText, RunnerBodyError, in_field};
+use super::{RunText, RunnerBodyError, with_field};
 use serde::{Deserialize, Serialize};
 use types::{
     HeartbeatSequence, JobId, JobKey, Milliseconds, OrderAnswer, OrderKind, OrderSequence,
@@ -12,119 +12,122 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrderBody {
-    /// Term of the leader that gave it.
+    /// Term of the leader that gave the order.
     pub term: u64,
-    /// Place among that term's orders.
+    /// Sequence number of the order within its term.
     pub sequence: u64,
-    /// The runner it is for.
+    /// Name of the runner that the order is for.
     pub runner: String,
-    /// The incarnation of the runner it is for.
+    /// Incarnation of the runner that the order is for.
     pub incarnation: u64,
-    /// What to do.
+    /// Action that the runner is to take.
     pub order: OrderName,
-    /// The run it is about.
+    /// Run that the order concerns.
     pub run: RunText,
-    /// What to start; there for a start alone.
+    /// Description of the run to start. Absent unless `order` is `start`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub start: Option<StartBody>,
 }
 
-/// What an order asks for.
+/// Action that an order requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderName {
-    /// Start the run, unless it is known, revoked, or the basis is too old.
+    /// Start the run, unless it is already known or revoked, or the heartbeat in
+    /// `basis` is too old.
     Start,
-    /// Stop the run if it is held.
+    /// Stop the run if it is active.
     Stop,
-    /// Never start the run from now on; answer with its state.
+    /// Never start the run from now on, and answer with its state.
     #[serde(rename = "void")]
     Revoke,
 }
 
-/// What to start.
+/// Description of a run to start.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StartBody {
-    /// Tenant of the job.
+    /// Tenant that submitted the job.
     pub tenant: String,
-    /// The caller's identifier of the job.
+    /// Identifier of the job, given by the caller.
     pub job: String,
-    /// The step.
+    /// Name of the step within the job.
     pub step: String,
-    /// Position in the step, from 0.
+    /// Index of the task in the step, from 0.
     pub task: u32,
-    /// Number of the run among those of its task, from 1.
+    /// Number of the run among the runs of its task, from 1. Default 1.
     #[serde(default = "first_attempt")]
     pub attempt: u32,
-    /// What an earlier run of the task saved, to go on from.
+    /// Checkpoint of an earlier run of the task, from which to continue. Absent
+    /// if there is none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub checkpoint: Option<String>,
-    /// What it may use.
+    /// Resources that the run may use.
     pub resources: Resources,
-    /// The runner stops it after this time, in milliseconds.
+    /// Time after which the runner stops the run, in milliseconds.
     pub time_limit_ms: u64,
-    /// The step's text.
+    /// Payload of the step, or of the job if the step has none.
     pub payload: String,
-    /// The heartbeat whose free resources led to this order.
+    /// Sequence number of the heartbeat on whose free resources the order is
+    /// based.
     #[serde(rename = "basis")]
     pub based_on: u64,
-    /// Refuse the start this long after heartbeat `based_on` was sent, in
-    /// milliseconds.
+    /// Run lease, in milliseconds. The runner rejects the start if it sent
+    /// heartbeat `basis` longer ago than this.
     pub lease_ms: u64,
 }
 
-/// A runner's answer to an order.
+/// Answer of a runner to an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrderAnswerBody {
-    /// What became of it.
+    /// Result of the order.
     pub answer: AnswerName,
-    /// Why it was rejected; there for a rejection alone.
+    /// Reason of a rejection. Absent unless `answer` is `refused`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<ReasonName>,
 }
 
-/// What became of an order.
+/// Result of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AnswerName {
-    /// The run is going.
+    /// The run has started.
     Started,
-    /// The run is stopping; its end will be in a heartbeat.
+    /// The run is stopping. A later heartbeat reports its end.
     Stopping,
-    /// The run never started here and never will.
+    /// The run never started on this runner and never will.
     #[serde(rename = "voided")]
     Revoked,
-    /// The run is held and goes on.
+    /// The run is active and continues.
     #[serde(rename = "held")]
     Active,
-    /// The run has ended; heartbeats list it.
+    /// The run has ended. Heartbeats list it in `ended`.
     Ended,
-    /// Nothing was done.
+    /// The order was rejected and nothing was done.
     #[serde(rename = "refused")]
     Rejected,
 }
 
-/// Why an order was rejected.
+/// Reason why a runner rejected an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReasonName {
-    /// A higher term has been seen.
+    /// The runner has seen a higher term.
     StaleTerm,
     /// The order is for another incarnation of the runner.
     OtherIncarnation,
-    /// The basis heartbeat is too old or unknown.
+    /// The heartbeat in `basis` is too old or unknown.
     #[serde(rename = "stale_basis")]
     StaleHeartbeat,
-    /// The run was revoked, started or ended before.
+    /// The run has already been started, ended or revoked.
     KnownRun,
-    /// There is not enough free capacity.
+    /// The runner does not have enough free capacity.
     #[serde(rename = "no_room")]
     NoCapacity,
     /// The runner is draining.
     Draining,
-    /// The runner is not well.
+    /// The runner reports itself unhealthy and has done nothing.
     Unhealthy,
 }
 
@@ -161,15 +164,15 @@
         let run = body.run.0;
         let kind = match (body.order, body.start) {
             (OrderName::Start, Some(start)) => start.into_kind(run)?,
-            (OrderName::Start, None) => return Err(start_must("be there for a start")),
-            (_, Some(_)) => return Err(start_must("be left out unless the order is a start")),
+            (OrderName::Start, None) => return Err(start_error("be there for a start")),
+            (_, Some(_)) => return Err(start_error("be left out unless the order is a start")),
             (OrderName::Stop, None) => OrderKind::Stop { run },
             (OrderName::Revoke, None) => OrderKind::Revoke { run },
         };
         Ok(Self {
             term: Term(body.term),
             sequence: OrderSequence(body.sequence),
-            runner: in_field("runner", RunnerId::new(body.runner))?,
+            runner: with_field("runner", RunnerId::new(body.runner))?,
             incarnation: RunnerIncarnation(body.incarnation),
             name: None,
             kind,
@@ -181,7 +184,7 @@
     1
 }
 
-fn start_must(must: &'static str) -> RunnerBodyError {
+fn start_error(must: &'static str) -> RunnerBodyError {
     RunnerBodyError::Contradiction {
         field: "start",
         must,
@@ -207,15 +210,15 @@
 
     fn into_kind(self, run: RunId) -> Result<OrderKind, RunnerBodyError> {
         let job = JobKey {
-            tenant: in_field("start.tenant", TenantId::new(self.tenant))?,
-            job: in_field("start.job", JobId::new(self.job))?,
+            tenant: with_field("start.tenant", TenantId::new(self.tenant))?,
+            job: with_field("start.job", JobId::new(self.job))?,
         };
         let run = RunSpec {
             attempt: self.attempt,
             checkpoint: self.checkpoint,
             run,
             job,
-            step: in_field("start.step", StepName::new(self.step))?,
+            step: with_field("start.step", StepName::new(self.step))?,
             task: self.task,
             resources: self.resources,
             time_limit: Milliseconds(self.time_limit_ms),
@@ -230,8 +233,8 @@
 }
 
 impl OrderAnswerBody {
-    /// The body of a runner's answer; none for [`OrderAnswer::Unknown`], which
-    /// no runner gives.
+    /// Creates the body of a runner's answer. Returns `None` for
+    /// [`OrderAnswer::Unknown`], which runners do not send.
     pub fn from_answer(answer: &OrderAnswer) -> Option<Self> {
         let (answer, reason) = match answer {
             OrderAnswer::Started => (AnswerName::Started, None),
@@ -252,8 +255,8 @@
     fn try_from(body: OrderAnswerBody) -> Result<Self, RunnerBodyError> {
         match (body.answer, body.reason) {
             (AnswerName::Rejected, Some(reason)) => Ok(Self::Rejected(reason.into())),
-            (AnswerName::Rejected, None) => Err(reason_must("be there for a refusal")),
-            (_, Some(_)) => Err(reason_must("be left out unless the answer is a refusal")),
+            (AnswerName::Rejected, None) => Err(reason_error("be there for a refusal")),
+            (_, Some(_)) => Err(reason_error("be left out unless the answer is a refusal")),
             (AnswerName::Started, None) => Ok(Self::Started),
             (AnswerName::Stopping, None) => Ok(Self::Stopping),
             (AnswerName::Revoked, None) => Ok(Self::Revoked),
@@ -263,7 +266,7 @@
     }
 }
 
-fn reason_must(must: &'static str) -> RunnerBodyError {
+fn reason_error(must: &'static str) -> RunnerBodyError {
     RunnerBodyError::Contradiction {
         field: "reason",
         must,
--- a/crates/api/src/runner/orders_url.rs
+++ b/crates/api/src/runner/orders_url.rs
@@ -1,53 +1,55 @@
-//! The URL at which a runner takes orders.
+//! URL to which the agent posts a runner's orders.
 
 use std::fmt;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Longest URL, in bytes.
+/// Maximum length of a URL, in bytes.
 const MAX_URL_BYTES: usize = 256;
 const SCHEME: &str = "http://";
 
-/// A URL of the form `http://<ip>:<port>/<path>`. Names are not resolved.
+/// URL of the form `http://<ip>:<port>/<path>`. The host must be an IP address,
+/// since names are not resolved.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrdersUrl {
     socket: SocketAddr,
     path: String,
 }
 
-/// Why a URL for orders is rejected.
+/// Error of a URL that is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum OrdersUrlError {
-    /// Another scheme, or none.
+    /// The scheme is missing or is not `http`.
     #[error("must begin with http://")]
     Scheme,
-    /// The host is no IP and port.
+    /// The host is not an IP address with a port.
     #[error("must name an IP and a port, such as http://127.0.0.1:7500/orders")]
     Host,
-    /// The IP cannot be that of a runner.
+    /// The IP address is unspecified or multicast, or the port is 0.
     #[error("the IP must be that of one machine")]
     Unusable,
-    /// The path holds characters that no path has.
+    /// The path contains characters that are not allowed in a path.
     #[error("the path must be printable ASCII without spaces and #")]
     Path,
-    /// The URL is too long.
+    /// The URL is longer than 256 bytes.
     #[error("must have at most 256 bytes")]
     TooLong,
 }
 
 impl OrdersUrl {
-    /// Checks a URL.
+    /// Parses a URL.
     ///
     /// # Errors
     ///
-    /// Says which part of the URL cannot be used.
+    /// Fails if the URL is too long or does not have the form
+    /// `http://<ip>:<port>/<path>`.
     pub fn new(text: &str) -> Result<Self, OrdersUrlError> {
         if text.len() > MAX_URL_BYTES {
             return Err(OrdersUrlError::TooLong);
         }
         let rest = text.strip_prefix(SCHEME).ok_or(OrdersUrlError::Scheme)?;
         let (host, path) = match rest.find('/') {
-            Some(place) => rest.split_at(place),
+            Some(index) => rest.split_at(index),
             None => (rest, "/"),
         };
         let socket: SocketAddr = host.parse().map_err(|_| OrdersUrlError::Host)?;
@@ -63,7 +65,7 @@
         })
     }
 
-    /// IP and port.
+    /// Returns the IP address and port of the runner.
     pub fn socket(&self) -> SocketAddr {
         self.socket
     }
--- a/crates/api/src/runner/run_text.rs
+++ b/crates/api/src/runner/run_text.rs
@@ -1,31 +1,31 @@
-//! Run identifiers as text: `<term>-<sequence>`.
+//! Text form of run identifiers: `<term>-<sequence>`.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use types::{RunId, Term};
 
-/// A run identifier in JSON.
+/// Run identifier, written in JSON as `<term>-<sequence>`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct RunText(pub RunId);
 
-/// Text that names no run.
+/// Error of a text that is not a run identifier.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("a run reads <term>-<sequence>, two whole numbers, not {text:?}")]
+#[error("a run is written as <term>-<sequence>, two whole numbers, not {text:?}")]
 pub struct RunTextError {
-    /// The text, cut short.
+    /// First `MAX_SHOWN_CHARACTERS` characters of the text.
     text: String,
 }
 
-/// Characters of a wrong text shown in its error.
-const SHOWN_CHARACTERS: usize = 48;
+/// Maximum number of characters of the text that its error shows.
+const MAX_SHOWN_CHARACTERS: usize = 48;
 
 impl TryFrom<String> for RunText {
     type Error = RunTextError;
 
     fn try_from(text: String) -> Result<Self, RunTextError> {
         parse(&text).map(Self).ok_or_else(|| RunTextError {
-            text: text.chars().take(SHOWN_CHARACTERS).collect(),
+            text: text.chars().take(MAX_SHOWN_CHARACTERS).collect(),
         })
     }
 }
@@ -36,7 +36,8 @@
     }
 }
 
-/// Only the one way of writing each run is taken: no signs, no leading zeros.
+/// Parses a run identifier. Accepts only the canonical text of each identifier:
+/// signs and leading zeros are rejected.
 fn parse(text: &str) -> Option<RunId> {
     let (term, sequence) = text.split_once('-')?;
     let run = RunId {
--- a/crates/api/src/version.rs
+++ b/crates/api/src/version.rs
@@ -1,50 +1,52 @@
-//! JSON bodies: configuration versions, and where each is in force.
+//! JSON bodies of configuration versions and of the members that use them.
 
 use crate::configuration::ConfigurationBody;
 use serde::{Deserialize, Serialize};
 
-/// Answer to `PUT` and `PATCH /v1/configuration/{version}`.
+/// Response to `PUT` and `PATCH /v1/configuration/{version}`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfiguredBody {
-    /// The version in force.
+    /// Version that the request put into force.
     pub version: u64,
-    /// True for a resent order.
+    /// Whether the same request had been applied before.
     pub known: bool,
 }
 
-/// Answer to `GET /v1/configuration`, from the replica of one gateway.
+/// Response to `GET /v1/configuration`, from the replica of one gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationViewBody {
-    /// The version in force there.
+    /// Version in force on the gateway.
     pub version: u64,
-    /// Identity of the gateway, in decimal.
+    /// Identity of the gateway, in decimal. A string, since it uses all 64 bits.
     pub node: String,
-    /// The document.
+    /// Configuration document of that version.
     pub configuration: ConfigurationBody,
 }
 
-/// Answer to `GET /v1/configuration/status`.
+/// Response to `GET /v1/configuration/status`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationStatusBody {
-    /// Newest version any member reports.
+    /// Newest version that any member reports, or 0 if none has reported.
     pub newest: u64,
-    /// Whether every member reports it; one that has reported nothing to
-    /// this leader does not. A dead coordinator counts until it is replaced.
+    /// Whether every member reports `newest`. `false` while a member has
+    /// reported no version to this leader. A dead coordinator counts as a member
+    /// until it is replaced.
     pub everywhere: bool,
-    /// Version by member.
+    /// Reported version of each member.
     pub members: Vec<MemberVersionBody>,
 }
 
-/// The version one member reports.
+/// Configuration version that one member reports.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberVersionBody {
-    /// Identity, in decimal.
+    /// Identity of the member, in decimal. A string, since it uses all 64 bits.
     pub node: String,
-    /// `coordinator`, `gateway` or `agent`.
+    /// Role of the member: `coordinator`, `gateway` or `agent`.
     pub role: String,
-    /// Zone.
+    /// Zone that the member runs in. `unknown` for a coordinator before its first
+    /// message.
     pub zone: String,
-    /// Version last reported to the leader; `null` while it has not reported.
+    /// Version last reported to the leader. `null` before the first report.
     pub version: Option<u64>,
 }
 
--- a/crates/api/src/view.rs
+++ b/crates/api/src/view.rs
@@ -1,4 +1,4 @@
-//! JSON bodies: jobs as their callers see them, alone and in lists.
+//! JSON bodies of job views: one job, lists of jobs and explanations.
 
 use crate::BodyError;
 use crate::job::JobState;
@@ -6,60 +6,62 @@
 use transport::JobFilter;
 use types::{JobId, JobNumber, JobView, QueueName, StepName, StepView, TenantId};
 
-/// Jobs on a list page when the query names no limit.
+/// Number of jobs on a page when the query has no limit.
 pub const DEFAULT_PAGE: u32 = 100;
-/// Most jobs on a list page.
+/// Maximum number of jobs on a page.
 pub const MAX_PAGE: u32 = 1_000;
 
-/// Answer to a submit: 201 for a new job, 200 for a known one.
+/// Response to a submit, with status 201 for a new job and 200 for a known one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubmittedBody {
-    /// Its number in the record.
+    /// Number of the job, assigned when the submit was committed.
     pub number: u64,
-    /// True for a resent submit.
+    /// Whether the same job had been submitted before.
     pub known: bool,
 }
 
-/// A job as its caller sees it.
+/// State of a job, as shown to callers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobViewBody {
-    /// Its tenant.
+    /// Tenant that submitted the job.
     pub tenant: TenantId,
-    /// The caller's identifier.
+    /// Identifier given by the caller, unique within the tenant.
     pub job: JobId,
-    /// Its queue.
+    /// Queue that the job was submitted to.
     pub queue: QueueName,
-    /// Its state.
+    /// Current state of the job.
     pub state: JobState,
-    /// Why it failed.
+    /// Reason of a failure, as text for people. Absent if the job has not failed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
-    /// When it was taken, in milliseconds since the epoch.
+    /// Time of the submit, in milliseconds since the epoch.
     pub submitted_at_ms: u64,
-    /// When its first run was reserved.
+    /// Time at which the first run was reserved, in milliseconds since the epoch.
+    /// Absent before that.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub first_reserved_at_ms: Option<u64>,
-    /// When it reached a final state.
+    /// Time at which the job reached a final state, in milliseconds since the
+    /// epoch. Absent before that.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended_at_ms: Option<u64>,
-    /// Its steps in order.
+    /// Steps of the job, in the order in which they were submitted.
     pub steps: Vec<StepViewBody>,
 }
 
-/// A step as its caller sees it.
+/// State of a step, as shown to callers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepViewBody {
     /// Name of the step.
     pub name: StepName,
-    /// Tasks in it.
+    /// Number of tasks in the step.
     pub tasks: u32,
-    /// Tasks ended done.
+    /// Number of tasks that succeeded.
     pub done: u32,
-    /// Tasks with an open run.
+    /// Number of tasks with an open run.
     pub running: u32,
-    /// Tasks that used up their allowed failures.
+    /// Number of tasks that used up their allowed failures.
     pub failed: u32,
-    /// Failed runs so far, over all tasks.
+    /// Number of failed runs so far, over all tasks.
     pub failed_runs: u32,
 }
 
@@ -96,22 +98,24 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListQuery {
-    /// Of this tenant only.
+    /// Tenant whose jobs are listed. Absent for all tenants.
     pub tenant: Option<TenantId>,
-    /// In this state only.
+    /// State of the jobs that are listed. Absent for all states.
     pub state: Option<JobState>,
-    /// After this number: `next` of the page before.
+    /// Number of the job after which the page starts: `next` of the previous
+    /// page. Absent for the first page.
     pub after: Option<u64>,
-    /// At most this many.
+    /// Maximum number of jobs on the page, from 1 to [`MAX_PAGE`]. Default
+    /// [`DEFAULT_PAGE`].
     pub limit: Option<u32>,
 }
 
 impl ListQuery {
-    /// The filter, once the limit is found fair.
+    /// Converts the query to a filter.
     ///
     /// # Errors
     ///
-    /// Fails if the limit lies outside its bounds.
+    /// Fails if the limit is 0 or above [`MAX_PAGE`].
     pub fn into_filter(self) -> Result<JobFilter, BodyError> {
         let limit = self.limit.unwrap_or(DEFAULT_PAGE);
         if limit == 0 || limit > MAX_PAGE {
@@ -127,19 +131,19 @@
     }
 }
 
-/// A page of `GET /v1/jobs`.
+/// Response to `GET /v1/jobs`: one page of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobsBody {
-    /// The jobs in order of submission.
+    /// Jobs of the page, in order of submission.
     pub jobs: Vec<JobViewBody>,
-    /// `after` of the next page; absent on the last.
+    /// Value of `after` for the next page. Absent on the last page.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub next: Option<u64>,
 }
 
-/// Why a job's tasks are where they are.
+/// Explanation of why a job's tasks are not running.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExplainedBody {
-    /// A line each.
+    /// Lines of the explanation, as text for people.
     pub lines: Vec<String>,
 }
