--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,6 +1,7 @@
-//! The admin listener of every daemon: `/livez`, `/readyz`, `/metrics`.
+//! Admin listener of every daemon: `/livez`, `/readyz` and `/metrics`.
 //!
-//! A shell sets [`Readiness`]; the platform and the operators read it here.
+//! The shell of a daemon sets [`Readiness`]; the platform and operators read it
+//! at `/readyz`.
 
 pub mod readiness;
 pub mod recorder;
--- a/crates/admin/src/recorder.rs
+++ b/crates/admin/src/recorder.rs
@@ -1,30 +1,31 @@
-//! The process-wide metrics recorder.
+//! Metrics recorder of the process.
 
 use metrics_exporter_prometheus::{BuildError, Matcher, PrometheusBuilder, PrometheusHandle};
 use std::sync::{Mutex, OnceLock, PoisonError};
 use thiserror::Error;
 
-/// Upper bounds of histogram buckets for names that end in `_seconds`.
+/// Upper bounds of the histogram buckets of metrics whose names end in
+/// `_seconds`, in seconds.
 const SECONDS_BUCKETS: [f64; 13] = [
     0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0,
 ];
 
 static RECORDER: OnceLock<PrometheusHandle> = OnceLock::new();
-static INSTALLATION: Mutex<()> = Mutex::new(());
+static INSTALL_LOCK: Mutex<()> = Mutex::new(());
 
-/// Why the recorder cannot be installed.
+/// Error of a recorder that cannot be installed.
 #[derive(Debug, Error)]
 #[error("cannot install the metrics recorder: {0}")]
 pub struct MetricsError(#[from] BuildError);
 
-/// Installs the recorder once in this process; later calls change nothing.
-/// Values recorded before the first call are lost.
+/// Installs the recorder of the process. Later calls change nothing. Values
+/// recorded before the first call are lost.
 ///
 /// # Errors
 ///
-/// Fails if another recorder is installed or the buckets are not accepted.
+/// Fails if another recorder is installed or the buckets are not valid.
 pub fn install_metrics() -> Result<(), MetricsError> {
-    let _only_one = INSTALLATION.lock().unwrap_or_else(PoisonError::into_inner);
+    let _guard = INSTALL_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     if RECORDER.get().is_some() {
         return Ok(());
     }
@@ -35,7 +36,8 @@
     Ok(())
 }
 
-/// All values as Prometheus text; empty when no recorder is installed.
+/// Returns all values as Prometheus text. The text is empty if no recorder is
+/// installed.
 pub(crate) fn render() -> String {
     match RECORDER.get() {
         Some(handle) => {
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP side: routes and a listener that stops politely.
+//! HTTP server: routes, and a listener with graceful shutdown.
 
 use crate::readiness::Readiness;
 use crate::recorder::render;
@@ -14,41 +14,42 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Path that answers as long as the process runs.
+/// Path that returns 200 as long as the process runs.
 pub const LIVEZ: &str = "/livez";
-/// Path that answers whether the process should get traffic.
+/// Path that returns 200 while the daemon is ready, and 503 with the reason
+/// while it is not.
 pub const READYZ: &str = "/readyz";
-/// Path of the metrics.
+/// Path that returns the metrics as Prometheus text.
 pub const METRICS: &str = "/metrics";
 
 /// Content type of the Prometheus text format.
 const PROMETHEUS_TEXT: &str = "text/plain; version=0.0.4; charset=utf-8";
-/// Open connections get this long to end after the stop.
+/// Time for which open connections may continue after the stop.
 const CONNECTION_GRACE: Duration = Duration::from_secs(2);
 
-/// Why a listener ended.
+/// Error of a listener.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The socket cannot be listened on.
+    /// The socket cannot be bound.
     #[error("cannot listen on {listen}: {source}")]
     Listen {
-        /// The socket.
+        /// Socket address of the listener.
         listen: SocketAddr,
-        /// Why.
+        /// Error of the bind.
         source: std::io::Error,
     },
-    /// The listener failed later.
+    /// The listener failed while it was serving.
     #[error("the listener on {listen} failed: {source}")]
     Serve {
-        /// The socket.
+        /// Socket address of the listener.
         listen: SocketAddr,
-        /// Why.
+        /// Error of the server.
         source: std::io::Error,
     },
 }
 
-/// Routes of the admin listener, to be merged into a daemon's own router or
-/// served alone.
+/// Returns the routes of the admin listener, which are merged into a daemon's own
+/// router or served on a socket of their own.
 pub fn routes(readiness: Readiness) -> Router {
     Router::new()
         .route(LIVEZ, get(live))
@@ -57,8 +58,8 @@
         .with_state(readiness)
 }
 
-/// Listens and serves until `stop` turns true or its sender is gone; open
-/// connections then get two seconds to end.
+/// Binds the socket and serves `router` until `stop` becomes true or its sender
+/// is dropped. Open connections are closed two seconds later.
 ///
 /// # Errors
 ///
@@ -72,18 +73,18 @@
     serve_on(listener, router, stop).await
 }
 
-/// Binds the socket, with an error that names it.
+/// Binds the socket.
 ///
 /// # Errors
 ///
-/// Fails if the socket cannot be bound.
+/// Fails if the socket cannot be bound. The error names the socket.
 pub async fn bind(listen: SocketAddr) -> Result<TcpListener, ServeError> {
     TcpListener::bind(listen)
         .await
         .map_err(|source| ServeError::Listen { listen, source })
 }
 
-/// As [`serve`], on a socket that is bound already.
+/// Serves like [`serve`], on a socket that is already bound.
 ///
 /// # Errors
 ///
@@ -96,25 +97,26 @@
     let listen = listener
         .local_addr()
         .unwrap_or_else(|_| SocketAddr::from(([0, 0, 0, 0], 0)));
-    let serving = axum::serve(listener, router)
-        .with_graceful_shutdown(stopped(stop.clone()))
+    let server = axum::serve(listener, router)
+        .with_graceful_shutdown(wait_for_stop(stop.clone()))
         .into_future();
     tokio::select! {
-        ended = serving => ended.map_err(|source| ServeError::Serve { listen, source }),
-        () = stopped_and_grace_over(stop) => {
+        result = server => result.map_err(|source| ServeError::Serve { listen, source }),
+        () = wait_for_grace_period(stop) => {
             tracing::info!(%listen, "closed connections that outlived the grace period");
             Ok(())
         }
     }
 }
 
-async fn stopped(mut stop: watch::Receiver<bool>) {
-    // An error means that the sender is gone, which is a stop as well.
+async fn wait_for_stop(mut stop: watch::Receiver<bool>) {
+    // An error means that the sender was dropped, which also stops the listener.
     let _ = stop.wait_for(|stopping| *stopping).await;
 }
 
-async fn stopped_and_grace_over(stop: watch::Receiver<bool>) {
-    stopped(stop).await;
+/// Waits for the stop, and then until open connections must be closed.
+async fn wait_for_grace_period(stop: watch::Receiver<bool>) {
+    wait_for_stop(stop).await;
     tokio::time::sleep(CONNECTION_GRACE).await;
 }
 
