--- a/crates/admin/tests/listener.rs
+++ b/crates/admin/tests/listener.rs
@@ -1,28 +1,31 @@
-//! The admin routes over a real socket.
+//! Routes of the admin listener, over a TCP socket.
 
 use admin::{Readiness, bind, install_metrics, routes, serve, serve_on};
 use std::net::SocketAddr;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
+/// A listener that serves in a task of its own.
 struct Listener {
     socket: SocketAddr,
     stop: watch::Sender<bool>,
-    serving: JoinHandle<Result<(), admin::ServeError>>,
+    server: JoinHandle<Result<(), admin::ServeError>>,
 }
 
+/// Serves the admin routes on a free port.
 async fn listen(readiness: Readiness) -> Listener {
     let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).await.unwrap();
     let socket = listener.local_addr().unwrap();
-    let (stop, stopping) = watch::channel(false);
-    let serving = tokio::spawn(serve_on(listener, routes(readiness), stopping));
+    let (stop, stop_receiver) = watch::channel(false);
+    let server = tokio::spawn(serve_on(listener, routes(readiness), stop_receiver));
     Listener {
         socket,
         stop,
-        serving,
+        server,
     }
 }
 
+/// Returns the status and the text of the response to a `GET`.
 async fn get(listener: &Listener, path: &str) -> (u16, String) {
     let url = format!("http://{}{path}", listener.socket);
     let response = reqwest::get(url).await.unwrap();
@@ -31,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn readyz_follows_the_readiness_and_names_the_reason() {
+async fn readyz_returns_reason_while_not_ready() {
     let readiness = Readiness::starting();
     let listener = listen(readiness.clone()).await;
     assert_eq!(get(&listener, "/livez").await.0, 200);
@@ -50,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn metrics_are_prometheus_text_and_installing_twice_is_fine() {
+async fn recorder_installed_twice_serves_prometheus_text() {
     install_metrics().unwrap();
     install_metrics().unwrap();
     metrics::counter!("admin_test_total").increment(3);
@@ -66,17 +69,22 @@
 }
 
 #[tokio::test]
-async fn a_stop_ends_the_listener() {
+async fn stop_ends_listener() {
     let listener = listen(Readiness::starting()).await;
     listener.stop.send(true).unwrap();
-    listener.serving.await.unwrap().unwrap();
+    listener.server.await.unwrap().unwrap();
 }
 
 #[tokio::test]
-async fn a_taken_socket_is_an_error_that_names_it() {
+async fn bind_of_used_socket_fails_with_its_address() {
     let listener = listen(Readiness::starting()).await;
-    let (_stop, stopping) = watch::channel(false);
-    let rejected = serve(listener.socket, routes(Readiness::starting()), stopping).await;
-    let text = rejected.unwrap_err().to_string();
+    let (_stop, stop_receiver) = watch::channel(false);
+    let result = serve(
+        listener.socket,
+        routes(Readiness::starting()),
+        stop_receiver,
+    )
+    .await;
+    let text = result.unwrap_err().to_string();
     assert!(text.contains(&listener.socket.to_string()), "{text}");
 }
--- a/crates/api/tests/bodies.rs
+++ b/crates/api/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies: defaults, errors that name the field, and status codes.
+//! Defaults of bodies, errors that name the field, and `Retry-After`.
 
 use api::cancel::CancelBody;
 use api::configuration::ConfigurationBody;
@@ -12,12 +12,12 @@
 const SALT: &str = "000102030405060708090a0b0c0d0e0f";
 const DIGEST: &str = "00ff00ff00ff00ff00ff00ff00ff00ff00ff00ff00ff00ff00ff00ff00ff00ff";
 
-fn error_of<T: serde::de::DeserializeOwned + std::fmt::Debug>(text: &str) -> String {
+fn parse_error<T: serde::de::DeserializeOwned + std::fmt::Debug>(text: &str) -> String {
     parse_json::<T>(text.as_bytes()).unwrap_err().to_string()
 }
 
 #[test]
-fn a_short_job_gets_the_defaults() {
+fn minimal_job_gets_defaults() {
     let body: JobBody = parse_json(
         br#"{"tenant":"poster","job":"a-1","queue":"hover","steps":[{"name":"frame"}]}"#,
     )
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn twice_is_the_number_of_copies() {
+fn field_twice_sets_number_of_copies() {
     let body: JobBody =
         parse_json(br#"{"tenant":"p","job":"a","queue":"q","steps":[{"name":"s","twice":2}]}"#)
             .unwrap();
@@ -47,25 +47,25 @@
 }
 
 #[test]
-fn an_error_names_the_field() {
+fn json_error_names_invalid_field() {
     let wrong_type = r#"{"tenant":"p","job":"a","queue":"q","steps":[{"name":"s","tasks":"x"}]}"#;
-    assert!(error_of::<JobBody>(wrong_type).starts_with("steps[0].tasks: invalid type"));
+    assert!(parse_error::<JobBody>(wrong_type).starts_with("steps[0].tasks: invalid type"));
     let wrong_name = r#"{"tenant":"p q","job":"a","queue":"q","steps":[]}"#;
-    assert!(error_of::<JobBody>(wrong_name).starts_with("tenant: a name holds only"));
+    assert!(parse_error::<JobBody>(wrong_name).starts_with("tenant: a name holds only"));
     let unknown = r#"{"tenant":"p","job":"a","queue":"q","steps":[],"copies":1}"#;
-    assert!(error_of::<JobBody>(unknown).contains("unknown field `copies`"));
+    assert!(parse_error::<JobBody>(unknown).contains("unknown field `copies`"));
     let missing = r#"{"tenant":"p","queue":"q","steps":[]}"#;
-    assert!(error_of::<JobBody>(missing).contains("missing field `job`"));
+    assert!(parse_error::<JobBody>(missing).contains("missing field `job`"));
 }
 
 #[test]
-fn nothing_may_follow_a_body() {
+fn body_with_trailing_characters_is_rejected() {
     let text = r#"{"tenant":"p","job":"a","queue":"q","steps":[]} {}"#;
-    assert!(error_of::<JobBody>(text).starts_with("body: trailing characters"));
+    assert!(parse_error::<JobBody>(text).starts_with("body: trailing characters"));
 }
 
 #[test]
-fn a_cancel_names_jobs_or_a_tenant() {
+fn cancel_requires_either_jobs_or_tenant() {
     let parse = |text: &str| {
         parse_json::<CancelBody>(text.as_bytes())
             .unwrap()
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_list_limit_outside_its_bounds_is_refused() {
+fn list_limit_out_of_range_is_rejected() {
     for limit in [0, MAX_PAGE + 1] {
         let query = ListQuery {
             limit: Some(limit),
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_ceiling_holds_only_the_kinds_it_names() {
+fn absent_kinds_of_resource_limit_are_unlimited() {
     let text = r#"{"tenants":{"p":{"share_percent":50,"most":{"slots":4}}}}"#;
     let body: ConfigurationBody = parse_json(text.as_bytes()).unwrap();
     let document = body.into_document().unwrap();
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn json_and_toml_give_the_same_document() {
+fn json_and_toml_parse_to_same_document() {
     let json = r#"{"pools":{"s":{"largest_runner":{"slots":8,"cpu_milli":1,"memory_mib":2}}},
         "queues":{"q":{"pool":"s","mode":"shadow"}},"timings":{"run_lease_ms":5000}}"#;
     let toml = "[timings]\nrun_lease_ms = 5000\n[pools.s.largest_runner]\nslots = 8\n\
@@ -115,38 +115,38 @@
 }
 
 #[test]
-fn a_toml_error_names_the_field() {
+fn toml_error_names_invalid_field() {
     let error = parse_toml::<ConfigurationBody>("[queues.q]\npool = 3\n").unwrap_err();
     assert_eq!(error.path, "queues.q.pool");
 }
 
-fn key_document(role: &str, extra: &str, salt: &str) -> String {
+fn document_with_key(role: &str, tenant_field: &str, salt: &str) -> String {
     format!(
-        r#"{{"keys":[{{"id":"k","role":"{role}",{extra}"salt_hex":"{salt}","digest_hex":"{DIGEST}"}}]}}"#
+        r#"{{"keys":[{{"id":"k","role":"{role}",{tenant_field}"salt_hex":"{salt}","digest_hex":"{DIGEST}"}}]}}"#
     )
 }
 
 #[test]
-fn a_key_has_a_tenant_when_it_is_a_callers() {
-    let read = |text: String| {
+fn key_has_tenant_exactly_if_role_is_caller() {
+    let convert = |text: String| {
         let body: ConfigurationBody = parse_json(text.as_bytes()).unwrap();
         body.into_document()
     };
     let tenant = r#""tenant":"p","#;
-    let document = read(key_document("caller", tenant, SALT)).unwrap();
+    let document = convert(document_with_key("caller", tenant, SALT)).unwrap();
     assert!(matches!(document.keys[0].role, KeyRole::Caller(_)));
     assert_eq!(document.keys[0].hash.salt[15], 15);
     assert_eq!(document.keys[0].hash.digest[1], 0xff);
-    let error = read(key_document("caller", "", SALT)).unwrap_err();
+    let error = convert(document_with_key("caller", "", SALT)).unwrap_err();
     assert_eq!(error.path, "keys[0].tenant");
-    let error = read(key_document("operator", tenant, SALT)).unwrap_err();
+    let error = convert(document_with_key("operator", tenant, SALT)).unwrap_err();
     assert_eq!(error.path, "keys[0].tenant");
 }
 
 #[test]
-fn a_salt_must_be_whole_hex() {
+fn salt_that_is_not_32_hex_digits_is_rejected() {
     for salt in ["", "00", "zz0102030405060708090a0b0c0d0e0f", "é"] {
-        let text = key_document("operator", "", salt);
+        let text = document_with_key("operator", "", salt);
         let body: ConfigurationBody = parse_json(text.as_bytes()).unwrap();
         let error = body.into_document().unwrap_err();
         assert_eq!(error.to_string(), "keys[0].salt_hex: must be 32 hex digits");
@@ -155,14 +155,14 @@
 
 #[test]
 fn retry_after_is_rounded_up_to_whole_seconds() {
-    let body = |wait| RejectionBody {
+    let rejection = |retry_after_ms| RejectionBody {
         code: Code::Overloaded,
         message: String::new(),
-        retry_after_ms: wait,
+        retry_after_ms,
         problems: Vec::new(),
     };
-    assert_eq!(body(Some(1)).retry_after_seconds(), Some(1));
-    assert_eq!(body(Some(1_000)).retry_after_seconds(), Some(1));
-    assert_eq!(body(Some(1_001)).retry_after_seconds(), Some(2));
-    assert_eq!(body(None).retry_after_seconds(), None);
+    assert_eq!(rejection(Some(1)).retry_after_seconds(), Some(1));
+    assert_eq!(rejection(Some(1_000)).retry_after_seconds(), Some(1));
+    assert_eq!(rejection(Some(1_001)).retry_after_seconds(), Some(2));
+    assert_eq!(rejection(None).retry_after_seconds(), None);
 }
--- a/crates/api/tests/decisions.rs
+++ b/crates/api/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Lines of the decision log as tools read them.
+//! Conversion of decision log entries to JSON lines.
 
 use api::decision::{Close, DecisionLine, EventBody, Reason};
 use scheduler::{Decision, DecisionKind, NotPlacedReason};
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_line_is_flat_and_comes_back_unchanged() {
+fn decision_line_is_flat_and_round_trips_through_json() {
     let line = DecisionLine::from(entry(DecisionEvent::Dispatch(Decision {
         at: WallTime(99),
         queue: "gpu".parse().unwrap(),
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_failed_run_keeps_its_message() {
+fn closed_line_of_failed_run_has_reported_message() {
     let line = DecisionLine::from(entry(DecisionEvent::Closed {
         run: RunId {
             term: Term(4),
@@ -69,7 +69,7 @@
         ..
     } = line.event
     else {
-        panic!("another event");
+        panic!("the event is not `Closed`");
     };
     assert_eq!(run, "4-9");
     assert_eq!(outcome, Close::Failed);
--- a/crates/api/tests/documentation.rs
+++ b/crates/api/tests/documentation.rs
@@ -1,4 +1,4 @@
-//! The page on the interface names every path and every kind of rejection.
+//! Checks that `docs/API.md` documents every path and every rejection code.
 
 use api::rejection::Code;
 use api::route;
@@ -32,24 +32,25 @@
     Code::TimedOut,
 ];
 
+/// Returns the text of `docs/API.md`.
 fn page() -> String {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
     std::fs::read_to_string(folder.join("../../docs/API.md")).unwrap()
 }
 
 #[test]
-fn every_path_is_described() {
+fn every_path_is_documented() {
     let page = page();
     for path in PATHS {
-        let described = ["GET", "POST", "PUT", "DELETE"]
+        let is_documented = ["GET", "POST", "PUT", "DELETE"]
             .iter()
             .any(|method| page.contains(&format!("`{method} {path}`")));
-        assert!(described, "{path}");
+        assert!(is_documented, "{path}");
     }
 }
 
 #[test]
-fn every_refusal_is_described_with_its_status() {
+fn every_rejection_code_is_documented_with_its_status() {
     let page = page();
     for code in CODES {
         let name = serde_json::to_string(&code).unwrap();
--- a/crates/api/tests/golden_bodies/configuration.rs
+++ b/crates/api/tests/golden_bodies/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration document, its updates, keys and versions.
+//! Bodies of the configuration document, its updates, keys and versions.
 
 use crate::recorded::{assert_body, assert_text, read, read_back, text};
 use crate::values::{address, name, resources};
@@ -20,7 +20,7 @@
     BTreeMap::from([(name("stills"), pool)])
 }
 
-/// One queue of every mode.
+/// Returns one queue of each mode.
 fn queues() -> BTreeMap<QueueName, QueueSettings> {
     let modes = every!(QueueMode: Shadow, Active, Paused, Draining);
     let names = ["first", "second", "third", "fourth"].map(name);
@@ -53,12 +53,12 @@
     BTreeMap::from([(name("renderer"), LicenceSettings { seats: 51 })])
 }
 
-/// One key of every role.
+/// Returns one key of each role.
 fn keys() -> Vec<Key> {
     let roles = every!(KeyRole: Caller { 0: name("poster") }, Operator, Runner);
     let ids = ["key-1", "key-2", "key-3"];
-    let named = ids.into_iter().zip(roles);
-    named
+    let pairs = ids.into_iter().zip(roles);
+    pairs
         .map(|(id, role)| Key {
             id: name(id),
             role,
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_full_document_reads_and_writes_as_recorded() {
+fn full_document_round_trips_through_golden_json() {
     assert_body(
         "configuration_full.json",
         &ConfigurationBody::from(full_document()),
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_full_document_in_toml_reads_and_writes_as_recorded() {
+fn full_document_round_trips_through_golden_toml() {
     let body = ConfigurationBody::from(full_document());
     let written = toml::to_string_pretty(&body).unwrap();
     assert_text("configuration_full.toml", &written);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn an_empty_document_gets_the_recorded_defaults() {
+fn empty_document_gets_golden_defaults() {
     let body: ConfigurationBody = read("empty.json");
     assert_body("configuration_empty_filled.json", &body);
     let document = body.into_document().unwrap();
@@ -118,15 +118,15 @@
 }
 
 #[test]
-fn minimal_items_get_the_recorded_defaults() {
+fn minimal_items_get_golden_defaults() {
     let body: ConfigurationBody = read("configuration_minimal.json");
     assert_body("configuration_minimal_filled.json", &body);
-    let again = ConfigurationBody::from(body.into_document().unwrap());
-    assert_body("configuration_minimal_filled.json", &again);
+    let converted = ConfigurationBody::from(body.into_document().unwrap());
+    assert_body("configuration_minimal_filled.json", &converted);
 }
 
 #[test]
-fn a_full_update_reads_and_writes_as_recorded() {
+fn full_update_round_trips_through_golden_file() {
     let body: ConfigurationUpdateBody = read_back("update_full.json");
     let expected = ConfigurationUpdate {
         replaces: ConfigurationVersion(71),
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_minimal_update_changes_nothing_but_the_version() {
+fn minimal_update_has_no_items() {
     let body: ConfigurationUpdateBody = read("update_minimal.json");
     assert_body("update_minimal_filled.json", &body);
     let expected = ConfigurationUpdate {
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_version_is_acknowledged_as_recorded() {
+fn response_to_new_version_matches_golden_file() {
     let body = ConfiguredBody {
         version: 72,
         known: true,
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn the_document_in_force_is_shown_as_recorded() {
+fn view_of_document_in_force_matches_golden_file() {
     let body = ConfigurationViewBody {
         version: 72,
         node: "1234".to_owned(),
@@ -182,29 +182,28 @@
     read_back::<ConfigurationViewBody>("configuration_view.json");
 }
 
-/// A member of every role; the last one has reported no version.
+/// Returns a member of each role. The last one has reported no version.
 fn members() -> Vec<MemberView> {
     let roles = every!(Role: Coordinator, Gateway, Agent);
     let versions = [Some(72), Some(71), None];
-    let reported = roles.into_iter().zip(versions).zip(1_u64..);
-    reported
-        .map(|((role, version), node)| MemberView {
-            address: address(node, role),
-            status: "session".to_owned(),
-            since_last_contact: Milliseconds(5),
-            configuration: version.map(ConfigurationVersion),
-            links: None,
-        })
-        .collect()
+    let rows = roles.into_iter().zip(versions).zip(1_u64..);
+    rows.map(|((role, version), node)| MemberView {
+        address: address(node, role),
+        status: "session".to_owned(),
+        since_last_contact: Milliseconds(5),
+        configuration: version.map(ConfigurationVersion),
+        links: None,
+    })
+    .collect()
 }
 
 #[test]
-fn the_versions_of_members_are_shown_as_recorded() {
+fn status_of_members_matches_golden_files() {
     let body = ConfigurationStatusBody::from(members());
     assert_body("configuration_status.json", &body);
     read_back::<ConfigurationStatusBody>("configuration_status.json");
-    let mut everywhere = members();
-    everywhere.truncate(1);
-    let body = ConfigurationStatusBody::from(everywhere);
+    let mut up_to_date = members();
+    up_to_date.truncate(1);
+    let body = ConfigurationStatusBody::from(up_to_date);
     assert_body("configuration_status_everywhere.json", &body);
 }
--- a/crates/api/tests/golden_bodies/decisions.rs
+++ b/crates/api/tests/golden_bodies/decisions.rs
@@ -1,4 +1,4 @@
-//! The decision log, a line each.
+//! Lines of the decision log, and the query for them.
 
 use crate::recorded::{assert_text, read, read_back, text};
 use crate::values::{RUN, TASK, job, name};
@@ -20,6 +20,7 @@
     }
 }
 
+/// Returns each reason why a task is not placed.
 fn reasons() -> Vec<NotPlacedReason> {
     every!(NotPlacedReason:
         TenantAtLimit,
@@ -41,7 +42,7 @@
     .to_vec()
 }
 
-/// One decision of every kind, and then one for every reason.
+/// Returns one decision of each kind, then one for each reason.
 fn decisions() -> Vec<DecisionEvent> {
     let kinds = every!(DecisionKind:
         Placed { reservation: reservation(), runnable_tenants: 9, shadow: true },
@@ -63,6 +64,7 @@
         .collect()
 }
 
+/// Returns the close of a run for each outcome, then for each kind of close.
 fn closes() -> Vec<DecisionEvent> {
     let outcomes = every!(Outcome: Done, Failed { 0: "out of ink".to_owned() }, Stopped);
     let closes = every!(RunClose:
@@ -85,13 +87,14 @@
         .collect()
 }
 
+/// Returns the end of a job in each state.
 fn job_ends() -> Vec<DecisionEvent> {
     let states = every!(JobState: Waiting, Running, Done, Failed, Cancelled);
     let ended = |state| DecisionEvent::JobEnded { state, at: AT };
     states.into_iter().map(ended).collect()
 }
 
-/// One event of every kind, and then those of every kind of decision and end.
+/// Returns one event of each kind, then all decisions, closes and ends of jobs.
 fn events() -> Vec<DecisionEvent> {
     let kinds = every!(DecisionEvent:
         Dispatch {
@@ -116,12 +119,12 @@
     kinds.into_iter().chain(rest).collect()
 }
 
-/// The last line has no job.
+/// Returns an entry for each event, then one without a job.
 fn entries() -> Vec<DecisionEntry> {
     let with_job = events().into_iter().map(|event| (Some(job()), event));
-    let without = (None, events().swap_remove(0));
+    let without_job = (None, events().swap_remove(0));
     with_job
-        .chain([without])
+        .chain([without_job])
         .zip(1..)
         .map(|((job, event), number)| DecisionEntry {
             number,
@@ -133,25 +136,25 @@
 }
 
 #[test]
-fn lines_of_every_kind_are_written_as_recorded() {
+fn lines_of_every_kind_match_golden_file() {
     let lines = entries().into_iter().map(DecisionLine::from);
     let lines = lines.map(|line| serde_json::to_string(&line).unwrap() + "\n");
     assert_text("decisions.jsonl", &lines.collect::<String>());
 }
 
 #[test]
-fn recorded_lines_are_read_as_they_were_written() {
+fn golden_lines_parse_to_lines_of_every_kind() {
     let recorded = text("decisions.jsonl");
     let lines: Vec<DecisionLine> = recorded
         .lines()
         .map(|line| serde_json::from_str(line).unwrap())
         .collect();
-    let written: Vec<DecisionLine> = entries().into_iter().map(DecisionLine::from).collect();
-    assert_eq!(lines, written);
+    let expected: Vec<DecisionLine> = entries().into_iter().map(DecisionLine::from).collect();
+    assert_eq!(lines, expected);
 }
 
 #[test]
-fn the_query_for_decisions_is_read_as_recorded() {
+fn decisions_query_matches_golden_files() {
     let query: DecisionsQuery = read_back("decisions_query_full.json");
     let expected = DecisionsQuery {
         after: 7,
--- a/crates/api/tests/golden_bodies/every.rs
+++ b/crates/api/tests/golden_bodies/every.rs
@@ -1,16 +1,16 @@
-//! All values of an enum.
+//! Macro that lists one value of each variant of an enum.
 
-/// One value of each variant. The list is a match without a wildcard as well,
-/// so that a new variant must be added before the tests compile again. A part
-/// of a variant without field names goes by its number: `Failed { 0: text }`.
+/// Returns an array with one value of each variant. The variants are also matched
+/// without a wildcard, so that the tests do not compile until a new variant is
+/// added. A field of a tuple variant is given by its index: `Failed { 0: text }`.
 macro_rules! every {
     ($kind:ident: $($variant:ident $({ $($field:tt: $value:expr),+ $(,)? })?),+ $(,)?) => {{
-        let all = [$($kind::$variant { $($($field: $value),+)? }),+];
-        for one in &all {
-            match one {
+        let values = [$($kind::$variant { $($($field: $value),+)? }),+];
+        for value in &values {
+            match value {
                 $($kind::$variant { .. } => {})+
             }
         }
-        all
+        values
     }};
 }
--- a/crates/api/tests/golden_bodies/jobs.rs
+++ b/crates/api/tests/golden_bodies/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as callers submit, see, list and cancel them.
+//! Bodies with which callers submit, view, list and cancel jobs.
 
 use crate::recorded::{assert_body, read, read_back};
 use crate::values::{job, labels, name, resources};
@@ -36,7 +36,7 @@
     }
 }
 
-/// A step that asks for nothing but these rules.
+/// Returns a step like [`full_step`], with these rules and no dependencies.
 fn step(step_name: &str, rules: StepRules) -> StepSpec {
     StepSpec {
         name: name(step_name),
@@ -46,20 +46,21 @@
     }
 }
 
-/// Its last three steps have one mark each, so that no two are mixed up.
+/// Returns a job whose last three steps each set one of `gang`, `same_rack` and
+/// `endless`, which detects a conversion that exchanges two of them.
 fn full_job() -> JobSpec {
-    let none = StepRules::default;
+    let default = StepRules::default;
     let gang = StepRules {
         gang: true,
-        ..none()
+        ..default()
     };
     let same_rack = StepRules {
         same_rack: true,
-        ..none()
+        ..default()
     };
     let endless = StepRules {
         endless: true,
-        ..none()
+        ..default()
     };
     JobSpec {
         tenant: name("poster"),
@@ -78,22 +79,22 @@
 }
 
 #[test]
-fn a_full_job_reads_and_writes_as_recorded() {
+fn full_job_round_trips_through_golden_file() {
     assert_body("job_full.json", &JobBody::from(full_job()));
     let body: JobBody = read_back("job_full.json");
     assert_eq!(JobSpec::from(body), full_job());
 }
 
 #[test]
-fn a_minimal_job_gets_the_recorded_defaults() {
+fn minimal_job_gets_golden_defaults() {
     let body: JobBody = read("job_minimal.json");
     assert_body("job_minimal_filled.json", &body);
-    let again = JobBody::from(JobSpec::from(body));
-    assert_body("job_minimal_filled.json", &again);
+    let converted = JobBody::from(JobSpec::from(body));
+    assert_body("job_minimal_filled.json", &converted);
 }
 
 #[test]
-fn a_submit_is_acknowledged_as_recorded() {
+fn response_to_submit_matches_golden_file() {
     let body = SubmittedBody {
         number: 42,
         known: true,
@@ -139,13 +140,13 @@
 }
 
 #[test]
-fn a_job_is_shown_as_recorded() {
+fn job_view_matches_golden_file() {
     assert_body("job_view_full.json", &JobViewBody::from(full_view()));
     read_back::<JobViewBody>("job_view_full.json");
 }
 
 #[test]
-fn jobs_of_every_state_are_listed_as_recorded() {
+fn list_of_jobs_of_every_state_matches_golden_files() {
     let states = every!(JobState: Waiting, Running, Done, Failed, Cancelled);
     let views = states.map(minimal_view).map(JobViewBody::from);
     let page = JobsBody {
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn the_query_of_a_list_is_read_as_recorded() {
+fn list_query_matches_golden_files() {
     let query: ListQuery = read_back("list_query_full.json");
     let expected = JobFilter {
         tenant: Some(name("poster")),
@@ -183,7 +184,7 @@
 }
 
 #[test]
-fn an_explanation_is_shown_as_recorded() {
+fn explanation_matches_golden_file() {
     let body = ExplainedBody {
         lines: vec!["the first line".to_owned(), "the second line".to_owned()],
     };
@@ -192,7 +193,7 @@
 }
 
 #[test]
-fn cancels_of_every_kind_read_and_write_as_recorded() {
+fn cancels_of_every_kind_round_trip_through_golden_files() {
     let selectors = every!(CancelSelector:
         Jobs { 0: vec![job()] },
         Tenant { tenant: name("poster"), queue: Some(name("batch")) },
@@ -212,7 +213,7 @@
 }
 
 #[test]
-fn a_cancel_is_answered_as_recorded() {
+fn response_to_cancel_matches_golden_file() {
     let body = CancelledBody {
         cancelled: 1,
         finished: 2,
--- a/crates/api/tests/golden_bodies/main.rs
+++ b/crates/api/tests/golden_bodies/main.rs
@@ -1,9 +1,8 @@
-//! The bodies and paths of the outer interface, beside recorded text: a field
-//! or variant that gets another name in Rust keeps its name on the wire.
+//! Compares the bodies and paths of the HTTP interface with the golden files in
+//! `tests/golden/`. A renamed field or variant in Rust must keep its name in JSON.
 //!
-//! The recorded text stands in `tests/golden/`. Full bodies give every field a
-//! value of its own that is no default; they are built without `..`, so that a
-//! new field must be added here.
+//! Full bodies give every field a distinct value that is not the default. They
+//! are built without `..`, so that a new field must be added here.
 
 #[macro_use]
 mod every;
--- a/crates/api/tests/golden_bodies/operators.rs
+++ b/crates/api/tests/golden_bodies/operators.rs
@@ -1,4 +1,4 @@
-//! What operators list, and orders about runners.
+//! Bodies of operators' lists and of operations on runners.
 
 use crate::recorded::{assert_body, read_back};
 use crate::values::{RUN, address, labels, name, resources};
@@ -14,13 +14,13 @@
 use types::{ConfigurationVersion, Milliseconds, Resources, Role, RunnerIncarnation};
 
 #[test]
-fn a_drain_is_read_as_recorded() {
+fn drain_round_trips_through_golden_file() {
     let body: DrainBody = read_back("drain.json");
     assert!(body.draining);
 }
 
 #[test]
-fn orders_are_answered_as_recorded() {
+fn responses_to_runner_operations_match_golden_files() {
     assert_body("accepted.json", &AcceptedBody { accepted: true });
     read_back::<AcceptedBody>("accepted.json");
     let body = RunsLostBody {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn runners_are_listed_as_recorded() {
+fn list_of_runners_matches_golden_file() {
     let draining = RunnerView {
         on_probation: false,
         ..runner()
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn queues_of_every_mode_are_listed_as_recorded() {
+fn list_of_queues_of_every_mode_matches_golden_file() {
     let modes = every!(QueueMode: Shadow, Active, Paused, Draining);
     let views = modes.map(|mode| QueueView {
         queue: name("batch"),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn tenants_are_listed_as_recorded() {
+fn list_of_tenants_matches_golden_file() {
     let full = TenantView {
         tenant: name("poster"),
         unfinished_jobs: 1,
@@ -91,12 +91,12 @@
         failed_jobs: 5,
         budget_exceeded: true,
     };
-    let without_ceiling = TenantView {
+    let unlimited = TenantView {
         resource_limit: Resources::UNLIMITED,
         budget_exceeded: false,
         ..full.clone()
     };
-    let views = [full, without_ceiling].map(TenantViewBody::from);
+    let views = [full, unlimited].map(TenantViewBody::from);
     let body = TenantsBody {
         tenants: views.to_vec(),
     };
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn licences_are_listed_as_recorded() {
+fn list_of_licences_matches_golden_file() {
     let view = LicenceView {
         licence: name("renderer"),
         seats: 12,
@@ -138,20 +138,20 @@
 }
 
 #[test]
-fn members_of_every_role_are_listed_as_recorded() {
+fn list_of_members_of_every_role_matches_golden_file() {
     let full = LinkHealth {
         good_links: 3,
         bad_links: 1,
         slow_disk: true,
         recently_transferred: true,
     };
-    let slow = LinkHealth {
+    let without_transfer = LinkHealth {
         recently_transferred: false,
         ..full
     };
-    let sessions = every!(Role: Coordinator, Gateway, Agent);
-    let sessions = sessions.map(|role| member(u64::MAX, role, "session"));
-    let voters = [voter(1, full), voter(2, slow)];
+    let roles = every!(Role: Coordinator, Gateway, Agent);
+    let sessions = roles.map(|role| member(u64::MAX, role, "session"));
+    let voters = [voter(1, full), voter(2, without_transfer)];
     let members = voters.into_iter().chain(sessions);
     let body = MembersBody {
         members: members.map(MemberViewBody::from).collect(),
--- a/crates/api/tests/golden_bodies/recorded.rs
+++ b/crates/api/tests/golden_bodies/recorded.rs
@@ -1,4 +1,4 @@
-//! Recorded text, and what is compared with it.
+//! Reading of golden files and comparison with them.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -10,45 +10,54 @@
     folder.join("tests/golden").join(name)
 }
 
-/// The recorded text; empty before there is a file.
+/// Returns the text of a golden file. The text is empty if the file does not
+/// exist.
 pub fn text(name: &str) -> String {
     fs::read_to_string(path(name)).unwrap_or_default()
 }
 
-/// Fails with the first line that differs, and with the whole text.
+/// Compares a text with a golden file. Panics with the first line that differs
+/// and with the whole text.
 pub fn assert_text(name: &str, actual: &str) {
     let recorded = text(name);
     if recorded == actual {
         return;
     }
     let pairs = recorded.lines().zip(actual.lines());
-    let same = pairs.take_while(|(old, new)| old == new).count();
-    let line = |text: &str| text.lines().nth(same).unwrap_or("(no line)").to_owned();
+    let equal_lines = pairs.take_while(|(old, new)| old == new).count();
+    let line = |text: &str| {
+        text.lines()
+            .nth(equal_lines)
+            .unwrap_or("(no line)")
+            .to_owned()
+    };
     panic!(
         "{name} differs from line {} on\nrecorded: {}\nactual:   {}\nthe whole text:\n{actual}",
-        same + 1,
+        equal_lines + 1,
         line(&recorded),
         line(actual),
     );
 }
 
-/// Compares a body, in many lines so that a difference is easily found.
+/// Compares a body with a golden file of indented JSON, so that a difference is
+/// reported by line.
 pub fn assert_body<Body: Serialize>(name: &str, body: &Body) {
     assert_text(name, &pretty(body));
 }
 
-/// Reads a recorded body; it must come out again as it went in.
+/// Parses a golden file and checks that the body is written as the same text.
 pub fn read_back<Body: Serialize + DeserializeOwned>(name: &str) -> Body {
     let body = read(name);
     assert_body(name, &body);
     body
 }
 
-/// Reads a recorded body.
+/// Parses a golden file.
 pub fn read<Body: DeserializeOwned>(name: &str) -> Body {
     api::parse_json(text(name).as_bytes()).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
+/// Returns a body as indented JSON.
 fn pretty<Body: Serialize>(body: &Body) -> String {
     let text = serde_json::to_string_pretty(body).unwrap();
     format!("{text}\n")
--- a/crates/api/tests/golden_bodies/rejections.rs
+++ b/crates/api/tests/golden_bodies/rejections.rs
@@ -1,4 +1,4 @@
-//! Rejections of every kind, with their HTTP status.
+//! Bodies of rejections of every kind, with HTTP status and `Retry-After`.
 
 use crate::recorded::{assert_body, read_back};
 use api::rejection::RejectionBody;
@@ -7,18 +7,18 @@
 use transport::{Rejection, RejectionCode};
 use types::Milliseconds;
 
-/// A rejection as a client gets it.
+/// Parts of a response that a rejection sets.
 #[derive(Serialize)]
-struct Answer {
+struct RejectionResponse {
     status: u16,
     retry_after: Option<u64>,
     body: RejectionBody,
 }
 
-fn full_refusal() -> Rejection {
-    let problem = |place: &str, problem: &str| ConfigurationError {
-        path: place.to_owned(),
-        message: problem.to_owned(),
+fn full_rejection() -> Rejection {
+    let problem = |path: &str, message: &str| ConfigurationError {
+        path: path.to_owned(),
+        message: message.to_owned(),
     };
     Rejection {
         code: RejectionCode::Overloaded,
@@ -31,7 +31,7 @@
     }
 }
 
-fn minimal_refusal(code: RejectionCode) -> Rejection {
+fn minimal_rejection(code: RejectionCode) -> Rejection {
     Rejection {
         code,
         message: "one sentence".to_owned(),
@@ -40,9 +40,9 @@
     }
 }
 
-fn answer(rejection: Rejection) -> Answer {
+fn response(rejection: Rejection) -> RejectionResponse {
     let body = RejectionBody::from(rejection);
-    Answer {
+    RejectionResponse {
         status: body.code.status(),
         retry_after: body.retry_after_seconds(),
         body,
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn refusals_of_every_kind_are_written_as_recorded() {
+fn rejection_of_every_code_matches_golden_file() {
     let codes = every!(RejectionCode:
         Invalid,
         Unauthenticated,
@@ -61,13 +61,13 @@
         Unavailable,
         TimedOut,
     );
-    assert_body("refusals.json", &codes.map(minimal_refusal).map(answer));
+    assert_body("refusals.json", &codes.map(minimal_rejection).map(response));
 }
 
 #[test]
-fn a_full_refusal_reads_and_writes_as_recorded() {
-    assert_body("refusal_full.json", &RejectionBody::from(full_refusal()));
+fn full_rejection_round_trips_through_golden_file() {
+    assert_body("refusal_full.json", &RejectionBody::from(full_rejection()));
     let body: RejectionBody = read_back("refusal_full.json");
     assert_eq!(body.retry_after_seconds(), Some(2));
-    assert_eq!(Rejection::from(body), full_refusal());
+    assert_eq!(Rejection::from(body), full_rejection());
 }
--- a/crates/api/tests/golden_bodies/routes.rs
+++ b/crates/api/tests/golden_bodies/routes.rs
@@ -1,4 +1,4 @@
-//! Paths, headers, media types and bounds of the interface.
+//! Paths, headers, media types and limits of the interface.
 
 use crate::recorded::assert_text;
 use api::{decision, job, route, runner, view};
@@ -6,7 +6,7 @@
 use std::fs;
 use std::path::Path;
 
-/// Start of every path of the interface, as it stands in the sources.
+/// Beginning of a string literal with a path of the interface.
 const PATH_LITERAL: &str = "\"/v1/";
 
 const PATHS: [&str; 17] = [
@@ -30,13 +30,13 @@
 ];
 
 #[test]
-fn the_paths_are_the_recorded_ones() {
+fn paths_match_golden_file() {
     assert_text("paths.txt", &(PATHS.join("\n") + "\n"));
 }
 
-/// Adds every path that stands in the sources below a folder.
-fn collect_paths(folder: &Path, found: &mut BTreeSet<String>) {
-    for entry in fs::read_dir(folder).unwrap() {
+/// Adds every path of the interface in the source files below a directory.
+fn collect_paths(directory: &Path, found: &mut BTreeSet<String>) {
+    for entry in fs::read_dir(directory).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
             collect_paths(&path, found);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn no_path_of_the_sources_is_missing_here() {
+fn every_path_of_sources_is_listed() {
     let mut found = BTreeSet::new();
     collect_paths(
         &Path::new(env!("CARGO_MANIFEST_DIR")).join("src"),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn headers_media_types_and_bounds_are_the_recorded_ones() {
+fn headers_media_types_and_limits_match_golden_file() {
     let lines = [
         format!("header of the deadline: {}", route::DEADLINE_HEADER),
         format!("deadline without it: {}", route::DEFAULT_DEADLINE_MS),
--- a/crates/api/tests/golden_bodies/runners.rs
+++ b/crates/api/tests/golden_bodies/runners.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of runners, orders to them, and their answers.
+//! Bodies of heartbeats and orders, and of the responses to both.
 
 use crate::recorded::{assert_body, read_back, text};
 use crate::values::{RUN, job, labels, name, resources};
@@ -24,7 +24,7 @@
     }
 }
 
-/// An ended run of every outcome, with and without something saved.
+/// Returns an ended run of each outcome, then one with a checkpoint.
 fn ended_runs() -> Vec<EndedRun> {
     let outcomes = every!(Outcome: Done, Failed { 0: "out of ink".to_owned() }, Stopped);
     let numbered = outcomes.into_iter().zip(20..);
@@ -64,7 +64,7 @@
     }
 }
 
-/// What a runner says that leaves out all it may.
+/// Returns the report of a heartbeat without any optional field.
 fn minimal_report() -> RunnerReport {
     RunnerReport {
         endpoint: None,
@@ -77,11 +77,11 @@
     }
 }
 
-fn body_of(report: &RunnerReport) -> HeartbeatBody {
+fn heartbeat_body(report: &RunnerReport) -> HeartbeatBody {
     HeartbeatBody::from_report(report, &OrdersUrl::new(ORDERS_URL).unwrap())
 }
 
-fn report_in(file: &str) -> RunnerReport {
+fn report_from_file(file: &str) -> RunnerReport {
     let body: HeartbeatBody = read(text(file).as_bytes()).unwrap();
     let (report, url) = body.into_report(runner()).unwrap();
     assert_eq!(url.to_string(), ORDERS_URL);
@@ -89,29 +89,34 @@
 }
 
 #[test]
-fn a_full_heartbeat_reads_and_writes_as_recorded() {
-    assert_body("heartbeat_full.json", &body_of(&full_report()));
-    assert_eq!(report_in("heartbeat_full.json"), full_report());
+fn full_heartbeat_round_trips_through_golden_file() {
+    assert_body("heartbeat_full.json", &heartbeat_body(&full_report()));
+    assert_eq!(report_from_file("heartbeat_full.json"), full_report());
 }
 
+/// Guards against a conversion that exchanges `draining` and `self_stop`, which the
+/// full and the minimal heartbeat would not detect.
 #[test]
-fn leaving_and_stopping_by_itself_are_not_mixed_up() {
+fn draining_without_self_stop_round_trips_through_golden_file() {
     let draining = RunnerReport {
         draining: true,
         ..minimal_report()
     };
-    assert_body("heartbeat_draining.json", &body_of(&draining));
-    assert_eq!(report_in("heartbeat_draining.json"), draining);
+    assert_body("heartbeat_draining.json", &heartbeat_body(&draining));
+    assert_eq!(report_from_file("heartbeat_draining.json"), draining);
 }
 
 #[test]
-fn a_minimal_heartbeat_gets_the_recorded_defaults() {
-    assert_eq!(report_in("heartbeat_minimal.json"), minimal_report());
-    assert_body("heartbeat_minimal_filled.json", &body_of(&minimal_report()));
+fn minimal_heartbeat_gets_golden_defaults() {
+    assert_eq!(report_from_file("heartbeat_minimal.json"), minimal_report());
+    assert_body(
+        "heartbeat_minimal_filled.json",
+        &heartbeat_body(&minimal_report()),
+    );
 }
 
 #[test]
-fn heartbeats_are_answered_as_recorded() {
+fn responses_to_heartbeats_match_golden_files() {
     let full = HeartbeatAnswerBody {
         term: 5,
         confirmed: Some(16),
@@ -141,7 +146,7 @@
     }
 }
 
-/// What the first run of a task is started with.
+/// Returns the first run of a task, which has no checkpoint to continue from.
 fn first_run() -> RunSpec {
     RunSpec {
         attempt: 1,
@@ -169,13 +174,13 @@
     }
 }
 
-fn order_in(file: &str) -> RunnerOrder {
+fn order_from_file(file: &str) -> RunnerOrder {
     let body: OrderBody = read(text(file).as_bytes()).unwrap();
     RunnerOrder::try_from(body).unwrap()
 }
 
 #[test]
-fn orders_of_every_kind_read_and_write_as_recorded() {
+fn orders_of_every_kind_round_trip_through_golden_files() {
     let kinds = every!(OrderKind:
         Start {
             run: full_run(),
@@ -188,19 +193,19 @@
     let files = ["order_start.json", "order_stop.json", "order_void.json"];
     for (order, file) in kinds.map(order).iter().zip(files) {
         assert_body(file, &OrderBody::from(order));
-        assert_eq!(order_in(file), *order, "{file}");
+        assert_eq!(order_from_file(file), *order, "{file}");
     }
 }
 
 #[test]
-fn a_minimal_start_is_the_first_run() {
+fn minimal_start_order_gets_golden_defaults() {
     let first = order(start(first_run()));
-    assert_eq!(order_in("order_start_minimal.json"), first);
+    assert_eq!(order_from_file("order_start_minimal.json"), first);
     assert_body("order_start_minimal_filled.json", &OrderBody::from(&first));
 }
 
 #[test]
-fn answers_of_every_kind_read_and_write_as_recorded() {
+fn answers_of_every_kind_round_trip_through_golden_file() {
     let answers = every!(OrderAnswer:
         Started,
         Stopping,
@@ -221,18 +226,18 @@
     );
     let rejected = rejections.into_iter().map(OrderAnswer::Rejected);
     let all: Vec<OrderAnswer> = answers.into_iter().chain(rejected).collect();
-    // No runner says that an answer is unknown: it has no body.
+    // Runners do not send `OrderAnswer::Unknown`, so it has no body.
     let bodies: Vec<OrderAnswerBody> = all
         .iter()
         .filter_map(OrderAnswerBody::from_answer)
         .collect();
     assert_body("order_answers.json", &bodies);
-    let back = read_back::<Vec<OrderAnswerBody>>("order_answers.json");
-    let back = back
+    let parsed = read_back::<Vec<OrderAnswerBody>>("order_answers.json");
+    let converted = parsed
         .into_iter()
         .map(|body| OrderAnswer::try_from(body).unwrap());
-    let said = all
+    let expected = all
         .into_iter()
         .filter(|answer| *answer != OrderAnswer::Unknown);
-    assert!(back.eq(said));
+    assert!(converted.eq(expected));
 }
--- a/crates/api/tests/golden_bodies/values.rs
+++ b/crates/api/tests/golden_bodies/values.rs
@@ -1,23 +1,27 @@
-//! Values that several bodies share.
+//! Values used in several bodies.
 
 use std::fmt::Debug;
 use std::str::FromStr;
 use types::{Address, JobKey, JobNumber, Labels, NodeId, Resources, Role, RunId, TaskRef, Term};
 
+/// Run with a term and a sequence that differ.
 pub const RUN: RunId = RunId {
     term: Term(4),
     sequence: 17,
 };
+/// Task whose three numbers differ.
 pub const TASK: TaskRef = TaskRef {
     job: JobNumber(42),
     step: 1,
     task: 5,
 };
 
+/// Parses a valid name or identifier.
 pub fn name<Name: FromStr<Err: Debug>>(text: &str) -> Name {
     text.parse().unwrap()
 }
 
+/// Returns the key of the job that most bodies refer to.
 pub fn job() -> JobKey {
     JobKey {
         tenant: name("poster"),
@@ -25,6 +29,7 @@
     }
 }
 
+/// Returns two labels.
 pub fn labels() -> Labels {
     let pairs = [("disk", "fast"), ("glass", "low")];
     pairs
@@ -32,7 +37,7 @@
         .into()
 }
 
-/// Four amounts, each another: `first` and the three numbers after it.
+/// Returns four different amounts: `first` and the next three numbers.
 pub fn resources(first: u32) -> Resources {
     Resources {
         slots: first,
@@ -42,6 +47,7 @@
     }
 }
 
+/// Returns the address of a member.
 pub fn address(node: u64, role: Role) -> Address {
     Address {
         node: NodeId(node),
--- a/crates/api/tests/golden_bodies/words.rs
+++ b/crates/api/tests/golden_bodies/words.rs
@@ -1,4 +1,4 @@
-//! The words that stand for the variants of enums.
+//! Serialized names of the variants of enums.
 
 use crate::recorded::assert_body;
 use api::configuration::{LeftOut, QueueMode};
@@ -13,39 +13,49 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-/// The word of each value; each must be read as the value again.
-fn words<Word, const COUNT: usize>(all: [Word; COUNT]) -> Vec<Value>
+/// Returns the serialized name of each variant. Panics if a name does not parse
+/// as the variant again.
+fn serialized_names<Variant, const COUNT: usize>(variants: [Variant; COUNT]) -> Vec<Value>
 where
-    Word: Serialize + DeserializeOwned + PartialEq + Debug,
+    Variant: Serialize + DeserializeOwned + PartialEq + Debug,
 {
-    let word = |value: Word| {
-        let word = serde_json::to_value(&value).unwrap();
-        assert_eq!(serde_json::from_value::<Word>(word.clone()).unwrap(), value);
-        word
+    let serialized = |variant: Variant| {
+        let name = serde_json::to_value(&variant).unwrap();
+        assert_eq!(
+            serde_json::from_value::<Variant>(name.clone()).unwrap(),
+            variant
+        );
+        name
     };
-    all.map(word).to_vec()
+    variants.map(serialized).to_vec()
 }
 
-/// Words of what callers and operators send and read.
-fn outer_words() -> BTreeMap<&'static str, Vec<Value>> {
+/// Returns the names in the bodies of callers and operators.
+fn api_names() -> BTreeMap<&'static str, Vec<Value>> {
     BTreeMap::from([
-        ("urgency of a job", words(every!(Urgency: Urgent, Normal))),
+        (
+            "urgency of a job",
+            serialized_names(every!(Urgency: Urgent, Normal)),
+        ),
         (
             "state of a job",
-            words(every!(JobState: Waiting, Running, Done, Failed, Cancelled)),
+            serialized_names(every!(JobState: Waiting, Running, Done, Failed, Cancelled)),
         ),
         (
             "mode of a queue",
-            words(every!(QueueMode: Shadow, Active, Paused, Draining)),
+            serialized_names(every!(QueueMode: Shadow, Active, Paused, Draining)),
+        ),
+        (
+            "queues left out",
+            serialized_names(every!(LeftOut: Refuse, Drain)),
         ),
-        ("queues left out", words(every!(LeftOut: Refuse, Drain))),
         (
             "role of a key",
-            words(every!(RoleBody: Caller, Operator, Runner)),
+            serialized_names(every!(RoleBody: Caller, Operator, Runner)),
         ),
         (
             "code of a refusal",
-            words(every!(Code:
+            serialized_names(every!(Code:
                 Invalid,
                 Unauthenticated,
                 Forbidden,
@@ -59,12 +69,12 @@
     ])
 }
 
-/// Words of the decision log.
-fn decision_words() -> BTreeMap<&'static str, Vec<Value>> {
+/// Returns the names in the decision log.
+fn decision_names() -> BTreeMap<&'static str, Vec<Value>> {
     BTreeMap::from([
         (
             "reason of a decision",
-            words(every!(Reason:
+            serialized_names(every!(Reason:
                 TenantAtLimit,
                 LimitReservedForUrgent,
                 NoSeat,
@@ -84,26 +94,33 @@
         ),
         (
             "close of a run",
-            words(every!(Close: Done, Failed, Stopped, Revoked, Lost, Rejected, TimedOut)),
+            serialized_names(
+                every!(Close: Done, Failed, Stopped, Revoked, Lost, Rejected, TimedOut),
+            ),
         ),
     ])
 }
 
-/// Words between runners and their agent.
-fn runner_words() -> BTreeMap<&'static str, Vec<Value>> {
+/// Returns the names in the bodies between runners and their agent.
+fn runner_names() -> BTreeMap<&'static str, Vec<Value>> {
     BTreeMap::from([
         (
             "outcome at a runner",
-            words(every!(OutcomeName: Done, Failed, Stopped)),
+            serialized_names(every!(OutcomeName: Done, Failed, Stopped)),
+        ),
+        (
+            "order",
+            serialized_names(every!(OrderName: Start, Stop, Revoke)),
         ),
-        ("order", words(every!(OrderName: Start, Stop, Revoke))),
         (
             "answer to an order",
-            words(every!(AnswerName: Started, Stopping, Revoked, Active, Ended, Rejected)),
+            serialized_names(
+                every!(AnswerName: Started, Stopping, Revoked, Active, Ended, Rejected),
+            ),
         ),
         (
             "reason of a refused order",
-            words(every!(ReasonName:
+            serialized_names(every!(ReasonName:
                 StaleTerm,
                 OtherIncarnation,
                 StaleHeartbeat,
@@ -117,8 +134,8 @@
 }
 
 #[test]
-fn every_variant_has_its_recorded_word() {
-    assert_body("words_outer.json", &outer_words());
-    assert_body("words_decisions.json", &decision_words());
-    assert_body("words_runners.json", &runner_words());
+fn every_enum_variant_has_golden_name() {
+    assert_body("words_outer.json", &api_names());
+    assert_body("words_decisions.json", &decision_names());
+    assert_body("words_runners.json", &runner_names());
 }
--- a/crates/api/tests/properties.rs
+++ b/crates/api/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Whatever bytes come in, reading them never panics; and what goes out comes
-//! back in unchanged.
+//! Property tests: parsing never panics, whatever the bytes, and a value that is
+//! written and parsed again is unchanged.
 
 use api::cancel::CancelBody;
 use api::configuration::ConfigurationBody;
@@ -45,18 +45,23 @@
             ".{0,20}",
         ),
     )
-        .prop_map(|((name, after, tasks, resources), rest)| StepSpec {
-            rules: Default::default(),
-            name,
-            after,
-            tasks,
-            resources,
-            labels: rest.0,
-            max_copies: rest.1,
-            allowed_failures: rest.2,
-            time_limit: Milliseconds(rest.3),
-            payload: rest.4,
-        })
+        .prop_map(
+            |(
+                (name, after, tasks, resources),
+                (labels, max_copies, allowed_failures, time_limit, payload),
+            )| StepSpec {
+                rules: Default::default(),
+                name,
+                after,
+                tasks,
+                resources,
+                labels,
+                max_copies,
+                allowed_failures,
+                time_limit: Milliseconds(time_limit),
+                payload,
+            },
+        )
 }
 
 fn job() -> impl Strategy<Value = JobSpec> {
@@ -94,17 +99,27 @@
 
 fn tenant() -> impl Strategy<Value = TenantSettings> {
     (resources(), any::<[u32; 5]>(), any::<[u32; 2]>()).prop_map(
-        |(resource_limit, small, large)| TenantSettings {
-            share_percent: small[0],
+        |(
+            resource_limit,
+            [
+                share_percent,
+                late_per_thousand,
+                failed_per_thousand,
+                submits_per_second,
+                submit_burst,
+            ],
+            [late_after, max_unfinished_jobs],
+        )| TenantSettings {
+            share_percent,
             resource_limit,
             error_budget: ErrorBudget {
-                late_after: Milliseconds(large[0].into()),
-                late_per_thousand: small[1],
-                failed_per_thousand: small[2],
+                late_after: Milliseconds(late_after.into()),
+                late_per_thousand,
+                failed_per_thousand,
             },
-            submits_per_second: small[3],
-            submit_burst: small[4],
-            max_unfinished_jobs: large[1].into(),
+            submits_per_second,
+            submit_burst,
+            max_unfinished_jobs: max_unfinished_jobs.into(),
         },
     )
 }
@@ -121,11 +136,11 @@
         proptest::sample::select(modes.to_vec()),
         any::<u32>(),
     )
-        .prop_map(|(pool, mode, jobs)| QueueSettings {
+        .prop_map(|(pool, mode, max_unfinished_jobs)| QueueSettings {
             priority: 0,
             pool,
             mode,
-            max_unfinished_jobs: jobs.into(),
+            max_unfinished_jobs: max_unfinished_jobs.into(),
         })
 }
 
@@ -152,7 +167,7 @@
         any::<[u32; 5]>(),
     )
         .prop_map(|(pools, queues, tenants, keys, timings)| {
-            let wait = |position: usize| Milliseconds(timings[position].into());
+            let timing = |index: usize| Milliseconds(timings[index].into());
             ClusterConfiguration {
                 replaces: None,
                 left_out: Default::default(),
@@ -163,17 +178,18 @@
                 tenants,
                 keys,
                 timings: Timings {
-                    run_lease: wait(0),
-                    run_lease_margin: wait(1),
-                    retry_backoff: wait(2),
-                    max_retry_backoff: wait(3),
-                    retention: wait(4),
+                    run_lease: timing(0),
+                    run_lease_margin: timing(1),
+                    retry_backoff: timing(2),
+                    max_retry_backoff: timing(3),
+                    retention: timing(4),
                 },
             }
         })
 }
 
-fn read_everything(bytes: &[u8]) {
+/// Parses the bytes as every kind of body and ignores the results.
+fn parse_as_every_body(bytes: &[u8]) {
     let _ = parse_json::<JobBody>(bytes).map(JobSpec::from);
     let _ = parse_json::<CancelBody>(bytes).map(CancelBody::into_selector);
     let _ = parse_json::<ConfigurationBody>(bytes).map(ConfigurationBody::into_document);
@@ -196,44 +212,44 @@
 
     #[test]
     fn arbitrary_bytes_never_panic(bytes in vec(any::<u8>(), 0..200)) {
-        read_everything(&bytes);
+        parse_as_every_body(&bytes);
     }
 
     #[test]
-    fn damaged_bodies_never_panic(
+    fn corrupted_job_body_never_panics(
         spec in job(),
-        at in any::<prop::sample::Index>(),
+        index in any::<prop::sample::Index>(),
         byte in any::<u8>(),
     ) {
         let mut bytes = serde_json::to_vec(&JobBody::from(spec)).unwrap();
-        let position = at.index(bytes.len());
+        let position = index.index(bytes.len());
         bytes[position] = byte;
-        read_everything(&bytes);
+        parse_as_every_body(&bytes);
         bytes.truncate(position);
-        read_everything(&bytes);
+        parse_as_every_body(&bytes);
     }
 
     #[test]
-    fn jobs_come_back_unchanged(spec in job()) {
+    fn job_round_trips_through_json(spec in job()) {
         let bytes = serde_json::to_vec(&JobBody::from(spec.clone())).unwrap();
         let body: JobBody = parse_json(&bytes).unwrap();
         prop_assert_eq!(JobSpec::from(body), spec);
     }
 
     #[test]
-    fn cancels_come_back_unchanged(selector in selector()) {
+    fn cancel_round_trips_through_json(selector in selector()) {
         let bytes = serde_json::to_vec(&CancelBody::from(selector.clone())).unwrap();
         let body: CancelBody = parse_json(&bytes).unwrap();
         prop_assert_eq!(body.into_selector().unwrap(), selector);
     }
 
     #[test]
-    fn configurations_come_back_unchanged_from_json_and_toml(document in document()) {
+    fn configuration_round_trips_through_json_and_toml(document in document()) {
         let body = ConfigurationBody::from(document.clone());
         let json = serde_json::to_vec(&body).unwrap();
-        let again: ConfigurationBody = parse_json(&json).unwrap();
-        prop_assert_eq!(again.into_document().unwrap(), document.clone());
-        let again: ConfigurationBody = parse_toml(&toml::to_string(&body).unwrap()).unwrap();
-        prop_assert_eq!(again.into_document().unwrap(), document);
+        let parsed: ConfigurationBody = parse_json(&json).unwrap();
+        prop_assert_eq!(parsed.into_document().unwrap(), document.clone());
+        let parsed: ConfigurationBody = parse_toml(&toml::to_string(&body).unwrap()).unwrap();
+        prop_assert_eq!(parsed.into_document().unwrap(), document);
     }
 }
--- a/crates/api/tests/runner.rs
+++ b/crates/api/tests/runner.rs
@@ -1,4 +1,4 @@
-//! Bodies between runners and their agent.
+//! Bodies between runners and their agent: conversions, errors and round trips.
 
 use api::runner::{
     HeartbeatAnswerBody, HeartbeatBody, OrderAnswerBody, OrderBody, OrdersUrl, OrdersUrlError,
@@ -16,6 +16,7 @@
     RunnerId::new("runner-1").unwrap()
 }
 
+/// Returns a valid heartbeat with every field except `place`.
 fn heartbeat() -> Value {
     json!({
         "incarnation": 4, "sequence": 17, "pool": "stills", "rack": "rack-2",
@@ -31,7 +32,8 @@
     })
 }
 
-fn take(body: &Value) -> Result<(RunnerReport, OrdersUrl), String> {
+/// Parses a heartbeat and converts it to a report.
+fn parse_heartbeat(body: &Value) -> Result<(RunnerReport, OrdersUrl), String> {
     let bytes = serde_json::to_vec(body).unwrap();
     let body: HeartbeatBody = read(&bytes).map_err(|error| error.to_string())?;
     body.into_report(runner())
@@ -46,8 +48,8 @@
 }
 
 #[test]
-fn a_heartbeat_becomes_a_report_and_back() {
-    let (report, url) = take(&heartbeat()).unwrap();
+fn heartbeat_converts_to_report_and_back() {
+    let (report, url) = parse_heartbeat(&heartbeat()).unwrap();
     assert_eq!(report.sequence, HeartbeatSequence(17));
     assert_eq!(report.active[0].run, run(3, 12));
     assert_eq!(
@@ -59,7 +61,7 @@
 }
 
 #[test]
-fn wrong_heartbeats_are_refused_with_the_place() {
+fn invalid_heartbeat_is_rejected_with_name_of_field() {
     let cases = [
         ("holds", json!([]), "holds"),
         ("pool", json!("a b"), "pool: a name holds only"),
@@ -82,22 +84,22 @@
     for (field, value, expected) in cases {
         let mut body = heartbeat();
         body[field] = value;
-        let error = take(&body).expect_err(field);
+        let error = parse_heartbeat(&body).expect_err(field);
         assert!(error.contains(expected), "{field}: {error}");
     }
 }
 
 #[test]
-fn a_missing_hold_is_not_an_empty_one() {
+fn heartbeat_without_hold_is_rejected() {
     let mut body = heartbeat();
     body.as_object_mut().unwrap().remove("hold");
-    assert!(take(&body).expect_err("hold").contains("hold"));
+    assert!(parse_heartbeat(&body).expect_err("hold").contains("hold"));
 }
 
 #[test]
-fn orders_urls_name_one_machine_by_ip() {
-    for good in ["http://127.0.0.1:80", "http://[::1]:9/x?y=1"] {
-        assert!(OrdersUrl::new(good).is_ok(), "{good}");
+fn orders_url_without_ip_of_one_machine_is_rejected() {
+    for valid in ["http://127.0.0.1:80", "http://[::1]:9/x?y=1"] {
+        assert!(OrdersUrl::new(valid).is_ok(), "{valid}");
     }
     let cases = [
         ("ftp://127.0.0.1:1/", OrdersUrlError::Scheme),
@@ -108,22 +110,22 @@
         ("http://127.0.0.1:0/", OrdersUrlError::Unusable),
         ("http://127.0.0.1:1/a b", OrdersUrlError::Path),
     ];
-    for (bad, problem) in cases {
-        assert_eq!(OrdersUrl::new(bad), Err(problem), "{bad}");
+    for (invalid, error) in cases {
+        assert_eq!(OrdersUrl::new(invalid), Err(error), "{invalid}");
     }
 }
 
 #[test]
-fn a_run_is_written_in_one_way_only() {
-    let read_run = |text: &str| RunText::try_from(text.to_owned());
-    assert_eq!(read_run("3-12"), Ok(RunText(run(3, 12))));
-    for wrong in ["", "3", "-", "03-12", "+3-12", "3-12-1", "3-12 ", "-3-12"] {
-        assert!(read_run(wrong).is_err(), "{wrong:?}");
+fn run_text_that_is_not_canonical_is_rejected() {
+    let parse_run = |text: &str| RunText::try_from(text.to_owned());
+    assert_eq!(parse_run("3-12"), Ok(RunText(run(3, 12))));
+    for invalid in ["", "3", "-", "03-12", "+3-12", "3-12-1", "3-12 ", "-3-12"] {
+        assert!(parse_run(invalid).is_err(), "{invalid:?}");
     }
 }
 
 #[test]
-fn an_answer_keeps_its_field_names() {
+fn heartbeat_answer_has_expected_field_names() {
     let answer = HeartbeatAnswerBody {
         term: 5,
         confirmed: Some(16),
@@ -140,7 +142,7 @@
 }
 
 #[test]
-fn an_order_must_not_contradict_itself() {
+fn contradictory_order_or_answer_is_rejected() {
     let revoke = json!({
         "term": 3, "sequence": 1, "runner": "runner-1", "incarnation": 4,
         "order": "void", "run": "3-12",
@@ -267,19 +269,19 @@
     ]
 }
 
-/// Bytes of a good body with one stretch replaced.
-fn damaged(good: Value) -> impl Strategy<Value = Vec<u8>> {
-    let bytes = serde_json::to_vec(&good).unwrap();
+/// Returns the bytes of a valid body of which one range is replaced.
+fn corrupted(valid: Value) -> impl Strategy<Value = Vec<u8>> {
+    let bytes = serde_json::to_vec(&valid).unwrap();
     let length = bytes.len();
-    (0..length, 0..8_usize, any::<Vec<u8>>()).prop_map(move |(at, cut, new)| {
+    (0..length, 0..8_usize, any::<Vec<u8>>()).prop_map(move |(start, removed, inserted)| {
         let mut bytes = bytes.clone();
-        let end = (at + cut).min(length);
-        bytes.splice(at..end, new);
+        let end = (start + removed).min(length);
+        bytes.splice(start..end, inserted);
         bytes
     })
 }
 
-/// The same cases in every run.
+/// Returns a configuration that generates the same cases in every run.
 fn fixed_seed() -> ProptestConfig {
     ProptestConfig {
         cases: 256,
@@ -293,45 +295,45 @@
     #![proptest_config(fixed_seed())]
 
     #[test]
-    fn reports_survive_json(report in any_report()) {
+    fn report_round_trips_through_json(report in any_report()) {
         let url = OrdersUrl::new("http://127.0.0.1:7500/orders").unwrap();
         let body = HeartbeatBody::from_report(&report, &url);
         let bytes = serde_json::to_vec(&body).unwrap();
-        let back: HeartbeatBody = read(&bytes).unwrap();
-        prop_assert_eq!(back.into_report(runner()).unwrap(), (report, url));
+        let parsed: HeartbeatBody = read(&bytes).unwrap();
+        prop_assert_eq!(parsed.into_report(runner()).unwrap(), (report, url));
     }
 
     #[test]
-    fn orders_survive_json(order in any_order()) {
+    fn order_round_trips_through_json(order in any_order()) {
         let bytes = serde_json::to_vec(&OrderBody::from(&order)).unwrap();
-        let back: OrderBody = read(&bytes).unwrap();
-        prop_assert_eq!(RunnerOrder::try_from(back).unwrap(), order);
+        let parsed: OrderBody = read(&bytes).unwrap();
+        prop_assert_eq!(RunnerOrder::try_from(parsed).unwrap(), order);
     }
 
     #[test]
-    fn answers_survive_json(answer in any_answer()) {
+    fn answer_round_trips_through_json(answer in any_answer()) {
         let body = OrderAnswerBody::from_answer(&answer).unwrap();
         let bytes = serde_json::to_vec(&body).unwrap();
-        let back: OrderAnswerBody = read(&bytes).unwrap();
-        prop_assert_eq!(OrderAnswer::try_from(back).unwrap(), answer);
+        let parsed: OrderAnswerBody = read(&bytes).unwrap();
+        prop_assert_eq!(OrderAnswer::try_from(parsed).unwrap(), answer);
     }
 
     #[test]
-    fn no_body_makes_it_panic(bytes: Vec<u8>) {
+    fn arbitrary_bytes_never_panic(bytes: Vec<u8>) {
         let _ = read::<HeartbeatBody>(&bytes);
         let _ = read::<OrderBody>(&bytes);
         let _ = read::<OrderAnswerBody>(&bytes);
     }
 
     #[test]
-    fn no_damaged_heartbeat_makes_it_panic(bytes in damaged(heartbeat())) {
+    fn corrupted_heartbeat_never_panics(bytes in corrupted(heartbeat())) {
         if let Ok(body) = read::<HeartbeatBody>(&bytes) {
             let _ = body.into_report(runner());
         }
     }
 
     #[test]
-    fn no_url_makes_it_panic(text: String) {
+    fn arbitrary_orders_url_never_panics(text: String) {
         let _ = OrdersUrl::new(&text);
         let _ = OrdersUrl::new(&format!("http://{text}"));
     }
