--- a/crates/api/src/configuration/tenant.rs
+++ b/crates/api/src/configuration/tenant.rs
@@ -50,11 +50,11 @@
 #[serde(default, deny_unknown_fields)]
 pub struct ErrorBudgetBody {
     /// Longest wait from submit to the reservation of the first run for which a
-    /// job is not late, in milliseconds.
+    /// job is not late, in milliseconds. Default 60 000.
     pub late_after_ms: u64,
-    /// Late jobs allowed per thousand ended jobs.
+    /// Late jobs allowed per thousand ended jobs (0 to 1000). Default 10.
     pub late_per_thousand: u32,
-    /// Failed jobs allowed per thousand ended jobs.
+    /// Failed jobs allowed per thousand ended jobs (0 to 1000). Default 10.
     pub failed_per_thousand: u32,
 }
 
