--- a/crates/cypressdrum/src/check.rs
+++ b/crates/cypressdrum/src/check.rs
@@ -1,4 +1,5 @@
-//! `check`: a history against every promise.
+//! The `check` command: checks a history against every guarantee of the
+//! scheduler.
 
 use crate::Exit;
 use checker::{HistoryError, Limits, Observation, Report};
@@ -7,23 +8,23 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a history cannot be checked.
+/// Error of reading a history.
 #[derive(Debug, Error)]
 pub enum CheckError {
     /// The file cannot be opened.
     #[error("{path}: {source}", path = path.display())]
     Open {
-        /// The file.
+        /// Path as given on the command line.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is no history.
+    /// The file is not a valid history.
     #[error("{path}: {source}", path = path.display())]
     History {
-        /// The file.
+        /// Path as given on the command line.
         path: PathBuf,
-        /// Why.
+        /// First invalid line.
         source: HistoryError,
     },
 }
@@ -32,7 +33,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the file cannot be opened, or names its first bad line.
+/// Fails if the file cannot be opened or read, or at its first invalid line.
 pub fn read_file(path: &Path) -> Result<Vec<Observation>, CheckError> {
     let file = File::open(path).map_err(|source| CheckError::Open {
         path: path.to_owned(),
@@ -44,7 +45,7 @@
     })
 }
 
-/// Checks the history and prints what was found.
+/// Checks the history in a file and prints a summary and every violation.
 pub fn run(path: &Path) -> Exit {
     let history = match read_file(path) {
         Ok(history) => history,
@@ -62,7 +63,7 @@
     }
 }
 
-/// The report for people.
+/// Returns the report as text: a summary line, then one line per violation.
 pub fn describe(report: &Report) -> String {
     let mut text = format!(
         "{} jobs acknowledged, {} done, {} failed, {} cancelled, {} runs started\n",
--- a/crates/cypressdrum/src/cli.rs
+++ b/crates/cypressdrum/src/cli.rs
@@ -1,4 +1,4 @@
-//! Subcommands and flags.
+//! Top-level subcommands, and their dispatch.
 
 use crate::client::{self, ClientArguments};
 use crate::daemon::{self, AgentFlags, CoordinatorFlags, GatewayFlags};
@@ -48,7 +48,7 @@
     },
 }
 
-/// Runs one command to its end.
+/// Runs one command and returns its exit code.
 pub fn run(arguments: Arguments) -> Exit {
     match arguments.command {
         Command::Coordinator(flags) => daemon::run(&flags),
--- a/crates/cypressdrum/src/client/arguments.rs
+++ b/crates/cypressdrum/src/client/arguments.rs
@@ -1,4 +1,4 @@
-//! Subcommands that ask a gateway, and how to reach one.
+//! Subcommands that send requests to a gateway, and their connection options.
 
 use crate::output::OutputFormat;
 use api::job::JobState;
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use types::{JobId, QueueName, RunnerId, TenantId};
 
-/// How to reach a gateway.
+/// Connection options of every client command.
 #[derive(Debug, Clone, Args)]
 pub struct Connection {
     /// Gateways, separated by commas; tried in turn.
@@ -30,7 +30,7 @@
     pub output: OutputFormat,
 }
 
-/// Commands that ask a gateway.
+/// Subcommands that send requests to a gateway.
 #[derive(Debug, Subcommand)]
 pub enum ClientArguments {
     /// Submit jobs: one JSON document after the other. Sending the same again
@@ -141,37 +141,37 @@
     },
 }
 
-/// A command without its connection.
+/// A client command without its connection options.
 #[derive(Debug)]
 pub enum ClientCommand {
-    /// Submit jobs.
+    /// Submits jobs from a file or standard input.
     Submit(SubmitArguments),
-    /// Show a job.
+    /// Shows the state of a job.
     Status(JobArguments),
-    /// List jobs.
+    /// Lists jobs in order of submission.
     Jobs(ListArguments),
-    /// Cancel jobs.
+    /// Cancels jobs by name, or all unfinished jobs of a tenant.
     Cancel(CancelArguments),
-    /// Tell why a job is where it is.
+    /// Shows why the tasks of a job wait, or on which runners they run.
     Explain(JobArguments),
-    /// List queues.
+    /// Lists queues.
     Queues,
-    /// List licences.
+    /// Lists licences with their seats.
     Licences,
-    /// List tenants.
+    /// Lists tenants with their usage.
     Tenants,
-    /// Runners.
+    /// Lists runners, or changes the state of one.
     Runner(RunnerCommand),
-    /// List members.
+    /// Lists the daemons of the cluster.
     Members,
-    /// The configuration.
+    /// Reads or changes the cluster configuration.
     Config(ConfigCommand),
-    /// Read decisions.
+    /// Prints the decision log.
     Decisions(DecisionsArguments),
 }
 
 impl ClientArguments {
-    /// Connection and command apart.
+    /// Splits the arguments into the connection options and the command.
     pub fn split(self) -> (Connection, ClientCommand) {
         match self {
             Self::Submit {
--- a/crates/cypressdrum/src/client/configuration.rs
+++ b/crates/cypressdrum/src/client/configuration.rs
@@ -1,4 +1,4 @@
-//! Commands about the cluster configuration.
+//! Commands that read and change the cluster configuration.
 
 use crate::Exit;
 use crate::client::arguments::ConfigCommand;
@@ -15,7 +15,7 @@
 use serde::de::DeserializeOwned;
 use std::path::Path;
 
-/// Runs one of the commands.
+/// Runs a subcommand of `config`.
 ///
 /// # Errors
 ///
@@ -30,12 +30,12 @@
     }
 }
 
-async fn in_force(context: &Context) -> Result<ConfigurationViewBody, ClientError> {
+async fn fetch_current(context: &Context) -> Result<ConfigurationViewBody, ClientError> {
     context.gateways.get(route::CONFIGURATION, Vec::new()).await
 }
 
 async fn get(context: &Context) -> Result<Exit, ClientError> {
-    let view = in_force(context).await?;
+    let view = fetch_current(context).await?;
     match context.format {
         OutputFormat::Json => emit(&json_line(&view))?,
         OutputFormat::Table => {
@@ -50,7 +50,7 @@
     let document: ConfigurationBody = read_body(file)?;
     let version = match version {
         Some(version) => version,
-        None => in_force(context).await?.version + 1,
+        None => fetch_current(context).await?.version + 1,
     };
     send(context, Method::PUT, version, &document).await
 }
@@ -61,7 +61,7 @@
     send(context, Method::PATCH, version, &update).await
 }
 
-/// Sends what shall be in force under a version.
+/// Sends a document or an update that is to take effect as the given version.
 async fn send<T: Serialize>(
     context: &Context,
     method: Method,
@@ -69,10 +69,12 @@
     body: &T,
 ) -> Result<Exit, ClientError> {
     let path = route::CONFIGURATION_VERSION.replace("{version}", &version.to_string());
-    let sent = context.gateways.send(method, &path, Some(body)).await;
-    let answer: ConfiguredBody = sent.inspect_err(|error| {
+    let response = context.gateways.send(method, &path, Some(body)).await;
+    let answer: ConfiguredBody = response.inspect_err(|error| {
         if error.exit() == Exit::Unavailable {
-            eprintln!("version {version} may or may not be taken; send it again with --version");
+            eprintln!(
+                "version {version} may or may not have been accepted; send it again with --version"
+            );
         }
     })?;
     print(context.format, &answer)?;
@@ -81,7 +83,7 @@
 
 async fn diff(context: &Context, file: &Path) -> Result<Exit, ClientError> {
     let document: ConfigurationBody = read_body(file)?;
-    let view = in_force(context).await?;
+    let view = fetch_current(context).await?;
     let found = differences(&to_json(&view.configuration), &to_json(&document));
     match context.format {
         OutputFormat::Json => emit(&json_line(&found))?,
@@ -104,7 +106,8 @@
     Ok(Exit::Done)
 }
 
-/// Reads a body in JSON, which begins with a brace, or in TOML.
+/// Reads a request body from a file. A body that begins with a brace is JSON,
+/// any other is TOML.
 fn read_body<T: DeserializeOwned>(path: &Path) -> Result<T, ClientError> {
     let bytes = read_input(path)?;
     let first = bytes.iter().find(|byte| !byte.is_ascii_whitespace());
--- a/crates/cypressdrum/src/client/decisions.rs
+++ b/crates/cypressdrum/src/client/decisions.rs
@@ -1,4 +1,4 @@
-//! The decision log, once or as it grows.
+//! The `decisions` command: prints the decision log, and follows it on request.
 
 use crate::Exit;
 use crate::client::arguments::DecisionsArguments;
@@ -7,11 +7,12 @@
 use api::decision::DecisionLine;
 use api::route;
 
-/// Prints decisions, a line each.
+/// Prints decisions, one per line.
 ///
 /// # Errors
 ///
-/// Fails if no gateway answers, the answer is a rejection, or the stream breaks off.
+/// Fails if no gateway answers, the answer is a rejection, or the stream is
+/// interrupted or holds an invalid line.
 pub async fn run(context: &Context, arguments: DecisionsArguments) -> Result<Exit, ClientError> {
     let mut query = vec![
         ("after", arguments.after.to_string()),
@@ -21,10 +22,10 @@
     let mut response = context.gateways.stream(route::DECISIONS, query).await?;
     let url = response.url().to_string();
     let mut lines = LineBuffer::default();
-    while let Some(piece) = response.chunk().await.map_err(|error| {
-        ClientError::Unavailable(vec![format!("{url}: the stream broke: {error}")])
+    while let Some(chunk) = response.chunk().await.map_err(|error| {
+        ClientError::Unavailable(vec![format!("{url}: the stream was interrupted: {error}")])
     })? {
-        for line in lines.push(&piece) {
+        for line in lines.push(&chunk) {
             print_line(context.format, &url, &line)?;
         }
     }
@@ -51,14 +52,14 @@
     Ok(())
 }
 
-/// Cuts a stream of bytes into lines.
+/// Splits a stream of bytes into lines.
 #[derive(Debug, Default)]
 pub struct LineBuffer {
     partial: Vec<u8>,
 }
 
 impl LineBuffer {
-    /// Adds bytes and gives the lines that are whole now.
+    /// Appends bytes and returns the lines that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<String> {
         self.partial.extend_from_slice(bytes);
         let Some(end) = self.partial.iter().rposition(|byte| *byte == b'\n') else {
@@ -70,7 +71,7 @@
         text.lines().map(str::to_owned).collect()
     }
 
-    /// The last line, if it has no line end.
+    /// Returns the text after the last line break, or `None` if there is none.
     pub fn finish(self) -> Option<String> {
         if self.partial.is_empty() {
             None
--- a/crates/cypressdrum/src/client/error.rs
+++ b/crates/cypressdrum/src/client/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and its exit code.
+//! Errors of client commands and their exit codes.
 
 use crate::Exit;
 use api::BodyError;
@@ -7,58 +7,58 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a command failed.
+/// Error of a client command.
 #[derive(Debug, Error)]
 pub enum ClientError {
     /// An input file cannot be read.
     #[error("{path}: {source}", path = path.display())]
     Read {
-        /// The file.
+        /// Path as given on the command line.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// An input file holds something else.
+    /// An input file does not hold a valid document.
     #[error("{path}: {source}", path = path.display())]
     Input {
-        /// The file.
+        /// Path as given on the command line.
         path: PathBuf,
-        /// Why.
+        /// First invalid value, with its path in the document.
         source: BodyError,
     },
-    /// A file with a token has none.
-    #[error("{path} holds no token of the form <id>.<secret>", path = path.display())]
+    /// The key file does not hold a token.
+    #[error("{path} contains no token of the form <id>.<secret>", path = path.display())]
     Token {
-        /// The file.
+        /// Path given by `--key-file`.
         path: PathBuf,
     },
-    /// A gateway's URL makes no sense.
-    #[error("{url:?} is no URL of a gateway: {reason}")]
+    /// A gateway URL is malformed, or its scheme is not `http`.
+    #[error("{url:?} is not a valid gateway URL: {reason}")]
     Url {
-        /// As given.
+        /// URL as given by `--gateway`.
         url: String,
-        /// Why.
+        /// Reason why the URL is invalid.
         reason: String,
     },
-    /// The final answer is a rejection.
+    /// A gateway rejected the request, and another gateway would do the same.
     #[error("{}", describe(.0))]
     Rejected(RejectionBody),
-    /// No gateway gave a final answer.
-    #[error("no gateway could answer:{}", lines(.0))]
+    /// No gateway served the request; holds one reason per gateway.
+    #[error("no gateway could serve the request:{}", lines(.0))]
     Unavailable(Vec<String>),
-    /// An answer that this program does not know.
-    #[error("{url} gave an answer that makes no sense: {reason}")]
+    /// A gateway's response has an unexpected status or body.
+    #[error("{url} sent an invalid response: {reason}")]
     Answer {
-        /// What was asked.
+        /// URL of the request or of the gateway.
         url: String,
-        /// Why.
+        /// Status of the response, or the parse error of its body.
         reason: String,
     },
-    /// The HTTP client or the runtime cannot start.
-    #[error("cannot start: {0}")]
+    /// The async runtime cannot be started.
+    #[error("cannot start the async runtime: {0}")]
     Runtime(std::io::Error),
-    /// The HTTP client cannot start.
-    #[error("cannot start: {0}")]
+    /// The HTTP client cannot be built.
+    #[error("cannot build the HTTP client: {0}")]
     Http(#[from] reqwest::Error),
     /// Standard output cannot be written.
     #[error("cannot write the output: {0}")]
@@ -69,7 +69,7 @@
 }
 
 impl ClientError {
-    /// The exit code.
+    /// Returns the exit code of a command that fails with this error.
     pub fn exit(&self) -> Exit {
         match self {
             Self::Read { .. } | Self::Input { .. } | Self::Token { .. } | Self::Url { .. } => {
@@ -77,7 +77,7 @@
             }
             Self::Rejected(rejection) => rejection_exit(rejection.code),
             Self::Unavailable(_) => Exit::Unavailable,
-            // Whoever reads the output has seen enough.
+            // The reader closed the pipe, as `head` does: not a failure.
             Self::Output(error) if error.kind() == ErrorKind::BrokenPipe => Exit::Done,
             Self::Answer { .. }
             | Self::Runtime(_)
@@ -88,7 +88,8 @@
     }
 }
 
-/// The exit code of a rejection: 3 where the same request may succeed later.
+/// Returns the exit code of a rejection: 3 if the same request may succeed
+/// later, else 1.
 pub fn rejection_exit(code: Code) -> Exit {
     match code {
         Code::Invalid
--- a/crates/cypressdrum/src/client/http.rs
+++ b/crates/cypressdrum/src/client/http.rs
@@ -1,7 +1,7 @@
-//! Requests to a list of gateways, tried in turn.
+//! HTTP client that tries a list of gateways in order.
 //!
-//! Every operation may be sent again without harm, so a gateway that is
-//! silent or has no leader is followed by the next one.
+//! Every operation is idempotent, so a request to a gateway that is unreachable
+//! or has no leader is repeated at the next one.
 
 use crate::client::{ClientError, Connection};
 use api::rejection::{Code, RejectionBody};
@@ -12,13 +12,13 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Time that an answer may take beyond the deadline sent to the gateway.
-const ANSWER_MARGIN: Duration = Duration::from_millis(500);
+/// Time beyond the deadline sent to the gateway that a response may take.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(500);
 
-/// A body of no bytes.
+/// Body argument of a request without a body.
 pub const NO_BODY: Option<&()> = None;
 
-/// A client of several gateways.
+/// HTTP client that sends each request to the first gateway that serves it.
 pub struct GatewayClient {
     http: Client,
     gateways: Vec<Url>,
@@ -26,8 +26,8 @@
     deadline_ms: u64,
 }
 
-/// One request, to be sent to whichever gateway answers.
-struct Question<'a, B> {
+/// A request, independent of the gateway that it is sent to.
+struct GatewayRequest<'a, B> {
     method: Method,
     path: &'a str,
     query: Vec<(&'a str, String)>,
@@ -35,11 +35,13 @@
 }
 
 impl GatewayClient {
-    /// Checks URLs and token; connects with the first request.
+    /// Checks the gateway URLs and reads the key file. The first request opens a
+    /// connection.
     ///
     /// # Errors
     ///
-    /// Fails if a URL is malformed, the key file cannot be read or the client cannot be built.
+    /// Fails if a URL is malformed, the key file cannot be read or holds no token,
+    /// or the HTTP client cannot be built.
     pub fn connect(connection: &Connection) -> Result<Self, ClientError> {
         let gateways = connection.gateway.iter().map(|url| parse_url(url));
         Ok(Self {
@@ -50,7 +52,7 @@
         })
     }
 
-    /// `GET` with a query.
+    /// Sends a `GET` request with a query and returns the parsed response.
     ///
     /// # Errors
     ///
@@ -60,7 +62,7 @@
         path: &str,
         query: Vec<(&str, String)>,
     ) -> Result<T, ClientError> {
-        self.ask(Question {
+        self.send_request(GatewayRequest {
             method: Method::GET,
             path,
             query,
@@ -69,7 +71,8 @@
         .await
     }
 
-    /// `POST` or `PUT` with a body.
+    /// Sends a request with a body, such as `POST`, `PUT` or `PATCH`, and returns
+    /// the parsed response.
     ///
     /// # Errors
     ///
@@ -80,7 +83,7 @@
         path: &str,
         body: Option<&B>,
     ) -> Result<T, ClientError> {
-        self.ask(Question {
+        self.send_request(GatewayRequest {
             method,
             path,
             query: Vec::new(),
@@ -89,7 +92,8 @@
         .await
     }
 
-    /// `GET` whose answer is read piece by piece, without a limit of time.
+    /// Sends a `GET` request whose response is read in chunks, without a time
+    /// limit.
     ///
     /// # Errors
     ///
@@ -99,69 +103,73 @@
         path: &str,
         query: Vec<(&str, String)>,
     ) -> Result<Response, ClientError> {
-        let question = Question {
+        let gateway_request = GatewayRequest {
             method: Method::GET,
             path,
             query,
             body: NO_BODY,
         };
-        let mut problems = Vec::new();
+        let mut failures = Vec::new();
         for gateway in &self.gateways {
-            match self.request(gateway, &question)?.send().await {
-                Err(error) => problems.push(unreachable(gateway, &error)),
+            match self.request(gateway, &gateway_request)?.send().await {
+                Err(error) => failures.push(describe_error(gateway, &error)),
                 Ok(response) if response.status().is_success() => return Ok(response),
-                Ok(response) => problems.push(self.rejection(gateway, response).await?),
+                Ok(response) => failures.push(self.rejection(gateway, response).await?),
             }
         }
-        Err(ClientError::Unavailable(problems))
+        Err(ClientError::Unavailable(failures))
     }
 
-    async fn ask<B: Serialize, T: DeserializeOwned>(
+    async fn send_request<B: Serialize, T: DeserializeOwned>(
         &self,
-        question: Question<'_, B>,
+        gateway_request: GatewayRequest<'_, B>,
     ) -> Result<T, ClientError> {
-        let mut problems = Vec::new();
+        let mut failures = Vec::new();
         for gateway in &self.gateways {
-            let request = self.request(gateway, &question)?;
-            let timeout = Duration::from_millis(self.deadline_ms) + ANSWER_MARGIN;
+            let request = self.request(gateway, &gateway_request)?;
+            let timeout = Duration::from_millis(self.deadline_ms) + RESPONSE_MARGIN;
             match request.timeout(timeout).send().await {
-                Err(error) => problems.push(unreachable(gateway, &error)),
+                Err(error) => failures.push(describe_error(gateway, &error)),
                 Ok(response) if response.status().is_success() => {
-                    return read_answer(response).await;
+                    return read_response(response).await;
                 }
-                Ok(response) => problems.push(self.rejection(gateway, response).await?),
+                Ok(response) => failures.push(self.rejection(gateway, response).await?),
             }
         }
-        Err(ClientError::Unavailable(problems))
+        Err(ClientError::Unavailable(failures))
     }
 
     fn request<B: Serialize>(
         &self,
         gateway: &Url,
-        question: &Question<'_, B>,
+        gateway_request: &GatewayRequest<'_, B>,
     ) -> Result<RequestBuilder, ClientError> {
         let url = gateway
-            .join(question.path)
+            .join(gateway_request.path)
             .map_err(|error| ClientError::Url {
                 url: gateway.to_string(),
                 reason: error.to_string(),
             })?;
         let mut request = self
             .http
-            .request(question.method.clone(), url)
+            .request(gateway_request.method.clone(), url)
             .header(DEADLINE_HEADER, self.deadline_ms)
-            .query(&question.query);
+            .query(&gateway_request.query);
         if let Some(token) = &self.token {
             request = request.bearer_auth(token);
         }
-        if let Some(body) = question.body {
+        if let Some(body) = gateway_request.body {
             request = request.json(body);
         }
         Ok(request)
     }
 
-    /// The rejection as an error if it is final, else as a line to show when no
-    /// other gateway does better.
+    /// Reads a response that is no success. Returns a description if another
+    /// gateway may serve the request.
+    ///
+    /// # Errors
+    ///
+    /// Fails with the rejection if it is final, or if the response is invalid.
     async fn rejection(&self, gateway: &Url, response: Response) -> Result<String, ClientError> {
         let status = response.status();
         let bytes = response.bytes().await.unwrap_or_default();
@@ -181,12 +189,12 @@
     }
 }
 
-/// Returns whether another gateway may do better at once.
+/// Returns whether another gateway may serve the request immediately.
 fn is_retryable_elsewhere(code: Code) -> bool {
     matches!(code, Code::Unavailable | Code::TimedOut)
 }
 
-fn unreachable(gateway: &Url, error: &reqwest::Error) -> String {
+fn describe_error(gateway: &Url, error: &reqwest::Error) -> String {
     let mut text = format!("{gateway}: {error}");
     let mut source = std::error::Error::source(error);
     while let Some(cause) = source {
@@ -196,7 +204,7 @@
     text
 }
 
-async fn read_answer<T: DeserializeOwned>(response: Response) -> Result<T, ClientError> {
+async fn read_response<T: DeserializeOwned>(response: Response) -> Result<T, ClientError> {
     let url = response.url().to_string();
     response.json().await.map_err(|error| ClientError::Answer {
         url,
@@ -205,14 +213,14 @@
 }
 
 fn parse_url(text: &str) -> Result<Url, ClientError> {
-    let reject = |reason: String| ClientError::Url {
+    let invalid = |reason: String| ClientError::Url {
         url: text.to_owned(),
         reason,
     };
-    let url = Url::parse(text).map_err(|error| reject(error.to_string()))?;
+    let url = Url::parse(text).map_err(|error| invalid(error.to_string()))?;
     match url.scheme() {
         "http" => Ok(url),
-        _ => Err(reject("it must begin with http://".to_owned())),
+        _ => Err(invalid("the URL must begin with http://".to_owned())),
     }
 }
 
--- a/crates/cypressdrum/src/client/jobs.rs
+++ b/crates/cypressdrum/src/client/jobs.rs
@@ -1,4 +1,4 @@
-//! Commands about jobs.
+//! Commands that submit, show, list, explain and cancel jobs.
 
 use crate::Exit;
 use crate::client::arguments::{CancelArguments, JobArguments, ListArguments, SubmitArguments};
@@ -15,7 +15,7 @@
 use std::path::Path;
 use types::JobKey;
 
-/// A file name that means standard input.
+/// File name that selects standard input.
 const STANDARD_INPUT: &str = "-";
 
 /// Reads a file, or standard input for `-`.
@@ -60,7 +60,7 @@
     Ok(Exit::Done)
 }
 
-/// Shows a job.
+/// Prints the state of a job.
 ///
 /// # Errors
 ///
@@ -72,7 +72,7 @@
     Ok(Exit::Done)
 }
 
-/// Tells why a job's tasks are where they are.
+/// Prints why the tasks of a job wait, or on which runners they run.
 ///
 /// # Errors
 ///
@@ -84,7 +84,7 @@
     Ok(Exit::Done)
 }
 
-/// Lists jobs.
+/// Prints a list of jobs.
 ///
 /// # Errors
 ///
@@ -104,7 +104,7 @@
     Ok(Exit::Done)
 }
 
-/// Cancels jobs; rejected when one of them is unknown.
+/// Cancels jobs. Returns [`Exit::Rejected`] if one of them is unknown.
 ///
 /// # Errors
 ///
--- a/crates/cypressdrum/src/client/mod.rs
+++ b/crates/cypressdrum/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Commands for callers and operators, over HTTP to a gateway.
+//! Commands of callers and operators, sent to a gateway over HTTP.
 
 pub mod arguments;
 pub mod configuration;
@@ -18,24 +18,24 @@
 use crate::output::OutputFormat;
 use arguments::ClientCommand;
 
-/// What every command works with.
+/// Gateway client and output format of a client command.
 pub struct Context {
-    /// The gateways.
+    /// Client of the gateways given by `--gateway`.
     pub gateways: GatewayClient,
-    /// Shape of the output.
+    /// Output format given by `--output`.
     pub format: OutputFormat,
 }
 
-/// Runs one command to its end.
+/// Runs one client command and returns its exit code.
 pub fn run(command: ClientArguments) -> Exit {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let ended = match runtime {
+    let result = match runtime {
         Ok(runtime) => runtime.block_on(execute(command)),
         Err(error) => Err(ClientError::Runtime(error)),
     };
-    match ended {
+    match result {
         Ok(exit) => exit,
         Err(error) => {
             let exit = error.exit();
--- a/crates/cypressdrum/src/client/operator.rs
+++ b/crates/cypressdrum/src/client/operator.rs
@@ -1,4 +1,5 @@
-//! Commands about queues, tenants, runners and members.
+//! Commands that list queues, licences, tenants, runners and members, and change
+//! the state of runners.
 
 use crate::Exit;
 use crate::client::arguments::RunnerCommand;
@@ -14,7 +15,7 @@
 use serde::de::DeserializeOwned;
 use types::RunnerId;
 
-/// Lists queues.
+/// Prints the queues.
 ///
 /// # Errors
 ///
@@ -23,7 +24,7 @@
     show::<QueuesBody>(context, route::QUEUES).await
 }
 
-/// Lists licences.
+/// Prints the licences with their seats.
 ///
 /// # Errors
 ///
@@ -32,7 +33,7 @@
     show::<LicencesBody>(context, route::LICENCES).await
 }
 
-/// Lists tenants.
+/// Prints the tenants with their usage.
 ///
 /// # Errors
 ///
@@ -41,7 +42,7 @@
     show::<TenantsBody>(context, route::TENANTS).await
 }
 
-/// Lists members.
+/// Prints the daemons of the cluster.
 ///
 /// # Errors
 ///
@@ -50,7 +51,7 @@
     show::<MembersBody>(context, route::MEMBERS).await
 }
 
-/// Lists runners, or changes how one is used.
+/// Prints the runners, or drains, undrains or declares lost one of them.
 ///
 /// # Errors
 ///
@@ -58,9 +59,9 @@
 pub async fn runner(context: &Context, command: RunnerCommand) -> Result<Exit, ClientError> {
     match command {
         RunnerCommand::List => show::<RunnersBody>(context, route::RUNNERS).await,
-        RunnerCommand::Drain { runner } => drain(context, &runner, true).await,
-        RunnerCommand::Undrain { runner } => drain(context, &runner, false).await,
-        RunnerCommand::Lost { runner } => lost(context, &runner).await,
+        RunnerCommand::Drain { runner } => set_draining(context, &runner, true).await,
+        RunnerCommand::Undrain { runner } => set_draining(context, &runner, false).await,
+        RunnerCommand::Lost { runner } => declare_lost(context, &runner).await,
     }
 }
 
@@ -73,7 +74,11 @@
     Ok(Exit::Done)
 }
 
-async fn drain(context: &Context, runner: &RunnerId, draining: bool) -> Result<Exit, ClientError> {
+async fn set_draining(
+    context: &Context,
+    runner: &RunnerId,
+    draining: bool,
+) -> Result<Exit, ClientError> {
     let path = runner_path(route::RUNNER_DRAIN, runner);
     let body = DrainBody { draining };
     let answer: AcceptedBody = context
@@ -84,7 +89,7 @@
     Ok(Exit::Done)
 }
 
-async fn lost(context: &Context, runner: &RunnerId) -> Result<Exit, ClientError> {
+async fn declare_lost(context: &Context, runner: &RunnerId) -> Result<Exit, ClientError> {
     let path = runner_path(route::RUNNER_LOST, runner);
     let answer: RunsLostBody = context.gateways.send(Method::POST, &path, NO_BODY).await?;
     print(context.format, &answer)?;
--- a/crates/cypressdrum/src/client/show.rs
+++ b/crates/cypressdrum/src/client/show.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway as tables for people.
+//! Text output of the gateway's responses.
 
 use crate::output::{Show, Table};
 use api::cancel::{CancelledBody, JobKeyBody};
@@ -12,10 +12,10 @@
 use api::view::{ExplainedBody, JobViewBody, JobsBody, SubmittedBody};
 use serde::Serialize;
 
-/// Shown where there is no value.
+/// Text of a cell without a value.
 const NONE: &str = "-";
 
-/// The JSON word of an enum, such as `running`.
+/// Returns the JSON name of an enum value, such as `running`.
 pub(crate) fn json_name<T: Serialize>(value: &T) -> String {
     match serde_json::to_value(value) {
         Ok(serde_json::Value::String(text)) => text,
@@ -27,7 +27,7 @@
     if value { "yes" } else { "no" }.to_owned()
 }
 
-fn amounts(amounts: [(&str, Option<u32>); 4]) -> String {
+fn format_amounts(amounts: [(&str, Option<u32>); 4]) -> String {
     let shown = amounts.into_iter().filter_map(|(name, amount)| {
         let amount = amount.filter(|amount| *amount > 0)?;
         Some(format!("{name}={amount}"))
@@ -41,7 +41,7 @@
 }
 
 fn capacity(body: &CapacityBody) -> String {
-    amounts([
+    format_amounts([
         ("slots", Some(body.slots)),
         ("cpu_milli", Some(body.cpu_milli)),
         ("memory_mib", Some(body.memory_mib)),
@@ -50,7 +50,7 @@
 }
 
 fn resource_limit(body: &ResourceLimitBody) -> String {
-    amounts([
+    format_amounts([
         ("slots", body.slots),
         ("cpu_milli", body.cpu_milli),
         ("memory_mib", body.memory_mib),
@@ -64,8 +64,8 @@
 
 impl Show for SubmittedBody {
     fn table(&self) -> String {
-        let how = if self.known { "known already" } else { "taken" };
-        format!("job {} {how}\n", self.number)
+        let result = if self.known { "known already" } else { "taken" };
+        format!("job {} {result}\n", self.number)
     }
 }
 
@@ -247,16 +247,17 @@
                 member.socket.clone(),
                 member.status.clone(),
                 member.since_last_contact_ms.to_string(),
-                version_of(member.configuration),
-                member.links.map_or_else(|| "-".to_owned(), links_of),
+                format_version(member.configuration),
+                member.links.map_or_else(|| "-".to_owned(), format_links),
             ]);
         }
         table.render()
     }
 }
 
-/// The links of a voter, and what else speaks against its leading.
-fn links_of(links: LinkHealthBody) -> String {
+/// Returns the counts of good and bad links of a voter, and other reasons why it
+/// is no target of a leadership transfer: a slow disk or a recent transfer.
+fn format_links(links: LinkHealthBody) -> String {
     let mut text = format!("{}/{}", links.good, links.bad);
     if links.slow_disk {
         text.push_str(" slow disk");
@@ -283,17 +284,18 @@
 
 impl Show for ConfiguredBody {
     fn table(&self) -> String {
-        let how = if self.known {
+        let result = if self.known {
             "was taken already"
         } else {
             "is taken"
         };
-        format!("version {} {how}\n", self.version)
+        format!("version {} {result}\n", self.version)
     }
 }
 
-/// A version, if the member has reported one.
-fn version_of(reported: Option<u64>) -> String {
+/// Returns the text of a configuration version; `-` if the member has reported
+/// none.
+fn format_version(reported: Option<u64>) -> String {
     reported.map_or(NONE.to_owned(), |version| version.to_string())
 }
 
@@ -305,15 +307,15 @@
                 member.node.clone(),
                 member.role.clone(),
                 member.zone.clone(),
-                version_of(member.version),
+                format_version(member.version),
             ]);
         }
-        let where_to = if self.everywhere {
+        let progress = if self.everywhere {
             "everywhere"
         } else {
             "not everywhere yet"
         };
-        format!("version {} {where_to}\n{}", self.newest, table.render())
+        format!("version {} {progress}\n{}", self.newest, table.render())
     }
 }
 
--- a/crates/cypressdrum/src/daemon/flags.rs
+++ b/crates/cypressdrum/src/daemon/flags.rs
@@ -1,5 +1,5 @@
-//! Flags of the daemons. Every flag stands for a settings key and wins over
-//! the file; `--set` reaches the keys that have no flag of their own.
+//! Command-line flags of the daemons. A flag overrides the settings key of the
+//! same meaning in the file; `--set` overrides keys that have no flag.
 
 use crate::daemon::RunRole;
 use clap::Args;
@@ -8,23 +8,23 @@
 };
 use std::path::PathBuf;
 
-/// The flags of one role.
+/// Flags of a daemon role.
 pub trait DaemonFlags {
-    /// The settings they fill.
+    /// Settings of the same role.
     type Settings: RunRole;
 
-    /// File and flags together.
+    /// Returns the settings file and the overrides from the flags.
     ///
     /// # Errors
     ///
-    /// Names the flag whose value cannot be read.
+    /// Fails if a value of `--set` is malformed.
     fn source(&self) -> Result<Source, OverrideError>;
 
-    /// Whether only to check the settings.
+    /// Returns whether the settings are only to be checked (`--check`).
     fn check_only(&self) -> bool;
 }
 
-/// Flags of every daemon.
+/// Flags that all daemon roles have.
 #[derive(Debug, Clone, Default, Args)]
 pub struct NodeFlags {
     /// The settings file, TOML.
@@ -60,8 +60,12 @@
 }
 
 impl NodeFlags {
-    /// File and flags, with the role's own flags behind the common ones.
-    fn source(&self, own: &[(&str, &str, &Option<String>)]) -> Result<Source, OverrideError> {
+    /// Returns the settings file and the overrides from the flags: the common
+    /// flags first, then `role_flags`, `--seeds` and `--set`.
+    fn source(
+        &self,
+        role_flags: &[(&str, &str, &Option<String>)],
+    ) -> Result<Source, OverrideError> {
         let common = [
             ("--zone", "zone", &self.zone),
             ("--listen", "listen", &self.listen),
@@ -75,7 +79,7 @@
             ("--log-level", "log.level", &self.log_level),
         ];
         let mut overrides = Vec::new();
-        for (flag, key, value) in common.iter().chain(own) {
+        for (flag, key, value) in common.iter().chain(role_flags) {
             overrides.extend(value.as_ref().map(|text| Override::text(flag, key, text)));
         }
         if !self.seeds.is_empty() {
@@ -91,7 +95,7 @@
     }
 }
 
-/// Flags of a coordinator.
+/// Flags of the `coordinator` command.
 #[derive(Debug, Clone, Default, Args)]
 pub struct CoordinatorFlags {
     #[command(flatten)]
@@ -119,7 +123,7 @@
     }
 }
 
-/// Flags of a gateway.
+/// Flags of the `gateway` command.
 #[derive(Debug, Clone, Default, Args)]
 pub struct GatewayFlags {
     #[command(flatten)]
@@ -133,8 +137,8 @@
     type Settings = GatewaySettings;
 
     fn source(&self) -> Result<Source, OverrideError> {
-        let own = ("--http-listen", "http_listen", &self.http_listen);
-        self.node.source(&[own])
+        let http_listen = ("--http-listen", "http_listen", &self.http_listen);
+        self.node.source(&[http_listen])
     }
 
     fn check_only(&self) -> bool {
@@ -142,7 +146,7 @@
     }
 }
 
-/// Flags of an agent.
+/// Flags of the `agent` command.
 #[derive(Debug, Clone, Default, Args)]
 pub struct AgentFlags {
     #[command(flatten)]
@@ -156,8 +160,8 @@
     type Settings = AgentSettings;
 
     fn source(&self) -> Result<Source, OverrideError> {
-        let own = ("--http-listen", "http_listen", &self.http_listen);
-        self.node.source(&[own])
+        let http_listen = ("--http-listen", "http_listen", &self.http_listen);
+        self.node.source(&[http_listen])
     }
 
     fn check_only(&self) -> bool {
--- a/crates/cypressdrum/src/daemon/logging.rs
+++ b/crates/cypressdrum/src/daemon/logging.rs
@@ -1,4 +1,4 @@
-//! Structured logs on standard error, with a level that may change at runtime.
+//! Structured logs on standard error, with a level that can change at runtime.
 
 use settings::{LogFormat, LogLevel, LogSettings};
 use thiserror::Error;
@@ -8,32 +8,33 @@
 use tracing_subscriber::util::{SubscriberInitExt, TryInitError};
 use tracing_subscriber::{Layer, Registry, fmt, reload};
 
-/// Libraries whose finer lines are of no use to operators.
-const QUIET_LIBRARIES: [&str; 3] = ["hyper", "hyper_util", "reqwest"];
+/// Libraries that log at `warn` and above only: their finer levels do not help
+/// operators.
+const WARN_ONLY_LIBRARIES: [&str; 3] = ["hyper", "hyper_util", "reqwest"];
 
-/// Why logging cannot start, or its level cannot change.
+/// Error of starting the logger or of changing its level.
 #[derive(Debug, Error)]
 pub enum LoggingError {
-    /// This process has a subscriber already.
+    /// The process already has a tracing subscriber.
     #[error("cannot start logging: {0}")]
     Start(#[from] TryInitError),
-    /// The subscriber is gone.
+    /// The tracing subscriber no longer exists.
     #[error("cannot change the log level: {0}")]
     Level(#[from] reload::Error),
 }
 
-/// Changes the log level of this process.
+/// Handle that changes the log level of this process.
 #[derive(Debug, Clone)]
 pub struct LogHandle {
     filter: reload::Handle<Targets, Registry>,
 }
 
 impl LogHandle {
-    /// Takes another level.
+    /// Sets the log level, effective immediately.
     ///
     /// # Errors
     ///
-    /// Fails if the log filter is gone.
+    /// Fails if the tracing subscriber no longer exists.
     pub fn set_level(&self, level: LogLevel) -> Result<(), LoggingError> {
         self.filter.reload(targets(level))?;
         Ok(())
@@ -44,7 +45,7 @@
 ///
 /// # Errors
 ///
-/// Fails if a logger is installed already.
+/// Fails if the process already has a tracing subscriber.
 pub fn start(log: LogSettings) -> Result<LogHandle, LoggingError> {
     let (filter, handle) = reload::Layer::new(targets(log.level));
     let lines = fmt::layer().with_writer(std::io::stderr);
@@ -59,11 +60,11 @@
 }
 
 fn targets(level: LogLevel) -> Targets {
-    let own = level_filter(level);
-    let quiet = own.min(LevelFilter::WARN);
+    let default = level_filter(level);
+    let capped = default.min(LevelFilter::WARN);
     Targets::new()
-        .with_default(own)
-        .with_targets(QUIET_LIBRARIES.map(|library| (library, quiet)))
+        .with_default(default)
+        .with_targets(WARN_ONLY_LIBRARIES.map(|library| (library, capped)))
 }
 
 fn level_filter(level: LogLevel) -> LevelFilter {
--- a/crates/cypressdrum/src/daemon/options.rs
+++ b/crates/cypressdrum/src/daemon/options.rs
@@ -1,22 +1,23 @@
-//! Turns settings into the options of each role's shell.
+//! Conversion of settings to the options of each role's shell.
 
 use settings::{
     AgentSettings, CoordinatorSettings, DrawSetting, GatewaySettings, NodeSettings, PolicySettings,
 };
 use types::{Address, Milliseconds, NodeId, Role};
 
-/// Random values of one process incarnation, drawn once at its start.
+/// Random values of a process incarnation, generated once at its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Draws {
-    /// Identity; a coordinator uses it only when its disk holds none.
+pub struct RandomValues {
+    /// Node identity of a gateway or an agent. A coordinator takes its identity
+    /// from its data folder, or generates one if the folder holds none.
     pub node: NodeId,
-    /// Seed of elections, waits and identifiers.
+    /// Seed for election timeouts, wait times and identifiers.
     pub seed: u64,
 }
 
-impl Draws {
-    /// Fresh values from the operating system.
-    pub fn fresh() -> Self {
+impl RandomValues {
+    /// Generates values from the random source of the operating system.
+    pub fn generate() -> Self {
         Self {
             node: NodeId(rand::random()),
             seed: rand::random(),
@@ -42,8 +43,11 @@
     }
 }
 
-/// Options of a coordinator.
-pub fn coordinator(settings: &CoordinatorSettings, draws: Draws) -> coordinator::ShellOptions {
+/// Returns the options of a coordinator's shell.
+pub fn coordinator(
+    settings: &CoordinatorSettings,
+    random_values: RandomValues,
+) -> coordinator::ShellOptions {
     let CoordinatorSettings {
         node,
         timings,
@@ -52,7 +56,7 @@
         ..
     } = settings;
     let core = coordinator::CoordinatorOptions {
-        address: address(node, Role::Coordinator, draws),
+        address: address(node, Role::Coordinator, random_values),
         seeds: node.seeds.clone(),
         initial_coordinators: settings.initial_coordinators,
         bootstrap_rule: coordinator::BootstrapRule::Exact,
@@ -83,7 +87,7 @@
         snapshot_every: limits.snapshot_every_entries,
         max_waiting_requests: limits.max_waiting_requests,
         decision_log_capacity: limits.decision_log_capacity,
-        seed: draws.seed,
+        seed: random_values.seed,
         mutation: None,
     };
     coordinator::ShellOptions {
@@ -96,17 +100,17 @@
     }
 }
 
-/// Options of a gateway.
-pub fn gateway(settings: &GatewaySettings, draws: Draws) -> gateway::ShellOptions {
+/// Returns the options of a gateway's shell.
+pub fn gateway(settings: &GatewaySettings, random_values: RandomValues) -> gateway::ShellOptions {
     let GatewaySettings { node, timings, .. } = settings;
     let core = gateway::GatewayOptions {
-        address: address(node, Role::Gateway, draws),
+        address: address(node, Role::Gateway, random_values),
         seeds: node.seeds.clone(),
         session_interval: Milliseconds(timings.session_interval_ms),
         replica_valid: Milliseconds(timings.replica_valid_ms),
         max_waiting_requests: settings.limits.max_waiting_requests,
         resend_after: Milliseconds(timings.resend_after_ms),
-        seed: draws.seed,
+        seed: random_values.seed,
     };
     gateway::ShellOptions {
         core,
@@ -117,17 +121,17 @@
     }
 }
 
-/// Options of an agent.
-pub fn agent(settings: &AgentSettings, draws: Draws) -> agent::ShellOptions {
+/// Returns the options of an agent's shell.
+pub fn agent(settings: &AgentSettings, random_values: RandomValues) -> agent::ShellOptions {
     let AgentSettings { node, timings, .. } = settings;
     let core = agent::AgentOptions {
-        address: address(node, Role::Agent, draws),
+        address: address(node, Role::Agent, random_values),
         seeds: node.seeds.clone(),
         session_interval: Milliseconds(timings.session_interval_ms),
         order_timeout: Milliseconds(timings.order_timeout_ms),
         freeze_after: Milliseconds(timings.freeze_after_ms),
         replica_valid: Milliseconds(timings.replica_valid_ms),
-        seed: draws.seed,
+        seed: random_values.seed,
     };
     agent::ShellOptions {
         core,
@@ -138,9 +142,9 @@
     }
 }
 
-fn address(node: &NodeSettings, role: Role, draws: Draws) -> Address {
+fn address(node: &NodeSettings, role: Role, random_values: RandomValues) -> Address {
     Address {
-        node: draws.node,
+        node: random_values.node,
         role,
         zone: node.zone.clone(),
         socket: node.advertise,
--- a/crates/cypressdrum/src/daemon/role.rs
+++ b/crates/cypressdrum/src/daemon/role.rs
@@ -1,35 +1,36 @@
-//! What differs between the roles when a daemon runs.
+//! Role-specific part of running a daemon.
 
-use crate::daemon::options::{self, Draws};
+use crate::daemon::options::{self, RandomValues};
 use settings::{AgentSettings, CoordinatorSettings, GatewaySettings, RoleSettings};
 use std::future::Future;
 use thiserror::Error;
 use tokio::sync::watch;
 use types::Role;
 
-/// Why a daemon ended.
+/// Error that ended a daemon.
 #[derive(Debug, Error)]
 pub enum RoleError {
-    /// A coordinator.
+    /// The coordinator failed.
     #[error(transparent)]
     Coordinator(#[from] coordinator::CoordinatorError),
-    /// A gateway.
+    /// The gateway failed.
     #[error(transparent)]
     Gateway(#[from] gateway::GatewayError),
-    /// An agent.
+    /// The agent failed.
     #[error(transparent)]
     Agent(#[from] agent::AgentError),
 }
 
-/// Settings that a daemon can be run from.
+/// Settings of a role that can run a daemon.
 pub trait RunRole: RoleSettings + Send + Sync + 'static {
-    /// The role.
+    /// Role that these settings configure.
     const ROLE: Role;
 
-    /// Runs the daemon until `stop` turns true and all is handed over.
+    /// Runs the daemon until `stop` becomes true and its graceful shutdown is
+    /// complete, or until it fails.
     fn run(
         &self,
-        draws: Draws,
+        random_values: RandomValues,
         stop: watch::Receiver<bool>,
     ) -> impl Future<Output = Result<(), RoleError>> + Send + 'static;
 }
@@ -39,10 +40,10 @@
 
     fn run(
         &self,
-        draws: Draws,
+        random_values: RandomValues,
         stop: watch::Receiver<bool>,
     ) -> impl Future<Output = Result<(), RoleError>> + Send + 'static {
-        let options = options::coordinator(self, draws);
+        let options = options::coordinator(self, random_values);
         async move { Ok(coordinator::run(options, stop).await?) }
     }
 }
@@ -52,10 +53,10 @@
 
     fn run(
         &self,
-        draws: Draws,
+        random_values: RandomValues,
         stop: watch::Receiver<bool>,
     ) -> impl Future<Output = Result<(), RoleError>> + Send + 'static {
-        let options = options::gateway(self, draws);
+        let options = options::gateway(self, random_values);
         async move { Ok(gateway::run(options, stop).await?) }
     }
 }
@@ -65,10 +66,10 @@
 
     fn run(
         &self,
-        draws: Draws,
+        random_values: RandomValues,
         stop: watch::Receiver<bool>,
     ) -> impl Future<Output = Result<(), RoleError>> + Send + 'static {
-        let options = options::agent(self, draws);
+        let options = options::agent(self, random_values);
         async move { Ok(agent::run(options, stop).await?) }
     }
 }
--- a/crates/cypressdrum/src/daemon/supervise.rs
+++ b/crates/cypressdrum/src/daemon/supervise.rs
@@ -1,11 +1,11 @@
-//! One daemon's incarnation: the role's shell, watched over by signals.
+//! Supervision of a daemon process: runs the role's shell and handles signals.
 //!
-//! SIGTERM and SIGINT ask for a polite stop; a second one, or the end of the
-//! grace time, ends the process at once. SIGHUP reads the settings again.
+//! SIGTERM and SIGINT start a graceful shutdown. A second one of them, or the end
+//! of the grace period, ends the process immediately. SIGHUP reloads the settings.
 
 use crate::Exit;
 use crate::daemon::logging::LogHandle;
-use crate::daemon::options::Draws;
+use crate::daemon::options::RandomValues;
 use crate::daemon::role::{RoleError, RunRole};
 use settings::Source;
 use std::time::Duration;
@@ -13,10 +13,11 @@
 use tokio::sync::watch;
 use tokio::task::{JoinError, JoinHandle};
 
-/// What the shell gets beyond its own grace time before it is given up.
-const GRACE_MARGIN: Duration = Duration::from_millis(500);
+/// Time beyond the grace period that the shell has to end by itself before the
+/// process exits.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
 
-/// The signals that stop a daemon.
+/// Signals that start a graceful shutdown.
 struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
@@ -30,7 +31,7 @@
         })
     }
 
-    /// Waits for one of them.
+    /// Waits for the next SIGTERM or SIGINT.
     async fn recv(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -39,7 +40,7 @@
     }
 }
 
-/// A running role and what steers it.
+/// A running role, its settings and its stop channel.
 struct Supervisor<S> {
     settings: S,
     source: Source,
@@ -48,22 +49,21 @@
     role: JoinHandle<Result<(), RoleError>>,
 }
 
-/// Runs the role to its end.
+/// Runs the role until it ends or a signal stops it, and returns the exit code.
 pub async fn run<S: RunRole>(settings: S, source: Source, log: LogHandle) -> Exit {
     abort_on_panic();
-    let listening =
-        StopSignals::listen().and_then(|stop| Ok((stop, signal(SignalKind::hangup())?)));
-    let (stop_signals, hang_up) = match listening {
+    let signals = StopSignals::listen().and_then(|stop| Ok((stop, signal(SignalKind::hangup())?)));
+    let (stop_signals, hangup) = match signals {
         Ok(signals) => signals,
         Err(error) => {
             tracing::error!(%error, "installing signal handlers failed");
             return Exit::Rejected;
         }
     };
-    let draws = Draws::fresh();
-    log_start(&settings, draws);
+    let random_values = RandomValues::generate();
+    log_start(&settings, random_values);
     let (stop, stopping) = watch::channel(false);
-    let role = tokio::spawn(settings.run(draws, stopping));
+    let role = tokio::spawn(settings.run(random_values, stopping));
     let mut supervisor = Supervisor {
         settings,
         source,
@@ -71,23 +71,24 @@
         stop,
         role,
     };
-    supervisor.watch(stop_signals, hang_up).await
+    supervisor.watch(stop_signals, hangup).await
 }
 
-fn log_start<S: RunRole>(settings: &S, draws: Draws) {
+fn log_start<S: RunRole>(settings: &S, random_values: RandomValues) {
     let node = settings.node();
     tracing::info!(
         role = %S::ROLE,
         version = env!("CARGO_PKG_VERSION"),
         zone = %node.zone,
         listen = %node.listen,
-        drawn_identity = %draws.node,
+        drawn_identity = %random_values.node,
         "starting"
     );
 }
 
-/// A daemon with a dead task would look alive and do nothing: it ends whole,
-/// and the platform starts it again.
+/// Installs a panic hook that logs the panic and aborts the process. Without it,
+/// a daemon whose task has panicked would keep running and do no work; after an
+/// abort the platform restarts it.
 fn abort_on_panic() {
     std::panic::set_hook(Box::new(|panic| {
         let location = panic.location().map(ToString::to_string);
@@ -102,12 +103,12 @@
 }
 
 impl<S: RunRole> Supervisor<S> {
-    async fn watch(&mut self, mut stop_signals: StopSignals, mut hang_up: Signal) -> Exit {
+    async fn watch(&mut self, mut stop_signals: StopSignals, mut hangup: Signal) -> Exit {
         loop {
             tokio::select! {
                 ended = &mut self.role => return log_end(ended),
                 () = stop_signals.recv() => return self.drain(stop_signals).await,
-                _ = hang_up.recv() => self.reload(),
+                _ = hangup.recv() => self.reload(),
             }
         }
     }
@@ -122,30 +123,30 @@
                 tracing::warn!("second signal received, exiting immediately");
                 Exit::Unavailable
             }
-            () = tokio::time::sleep(grace + GRACE_MARGIN) => {
+            () = tokio::time::sleep(grace + SHUTDOWN_MARGIN) => {
                 tracing::warn!("grace period expired, exiting immediately");
                 Exit::Unavailable
             }
         }
     }
 
-    /// Reads the settings again. Only the log level may change at runtime; bad
+    /// Reloads the settings. Only the log level takes effect at runtime; invalid
     /// settings change nothing.
     fn reload(&mut self) {
-        let fresh: S = match settings::load(&self.source) {
-            Ok(fresh) => fresh,
+        let reloaded: S = match settings::load(&self.source) {
+            Ok(reloaded) => reloaded,
             Err(error) => {
                 tracing::error!(%error, "settings reload rejected, previous settings stay in force");
                 return;
             }
         };
-        let level = fresh.node().log.level;
+        let level = reloaded.node().log.level;
         if let Err(error) = self.log.set_level(level) {
             tracing::error!(%error, "settings reload failed, previous settings stay in force");
             return;
         }
         let applied = self.settings.clone().with_log_level(level);
-        let needs_restart = applied != fresh;
+        let needs_restart = applied != reloaded;
         self.settings = applied;
         tracing::info!(%level, needs_restart, "settings reloaded");
         if needs_restart {
--- a/crates/cypressdrum/src/exit.rs
+++ b/crates/cypressdrum/src/exit.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-/// Shown below `--help`.
+/// Table of the exit codes, shown at the end of `--help`.
 pub const HELP: &str = "\
 Exit codes:
   0  done
@@ -11,23 +11,24 @@
   3  unavailable, overloaded or out of time: the same command may be sent again
   4  a promise is broken (check)";
 
-/// How a command ended.
+/// Result of a command, as the exit code that it maps to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Exit {
-    /// Done.
+    /// The command succeeded.
     Done,
-    /// Rejected for good, not found, or different.
+    /// The request was rejected and a retry cannot succeed, the named item does
+    /// not exist, or `config diff` printed differences.
     Rejected,
     /// The command line, a settings file or an input file is wrong.
     Usage,
-    /// Nobody could answer in time; asking again may help.
+    /// No gateway could serve the request in time; a retry may succeed.
     Unavailable,
-    /// The checker found a broken promise.
+    /// The history given to `check` violates a guarantee.
     PromiseBroken,
 }
 
 impl Exit {
-    /// The number the shell sees.
+    /// Returns the exit code of the process, 0 to 4.
     pub fn code(self) -> u8 {
         match self {
             Self::Done => 0,
--- a/crates/cypressdrum/src/key.rs
+++ b/crates/cypressdrum/src/key.rs
@@ -1,4 +1,4 @@
-//! `key`: makes bearer keys.
+//! The `key` command: generates bearer keys.
 
 use crate::Exit;
 use api::key::KeyBody;
@@ -8,7 +8,8 @@
 use thiserror::Error;
 use types::{KeyId, TenantId};
 
-/// Random bytes in a secret.
+/// Random bytes in a secret; its text in hexadecimal has twice as many
+/// characters.
 const SECRET_BYTES: usize = 32;
 
 /// What to do with keys.
@@ -39,36 +40,37 @@
     Runner,
 }
 
-/// Role and tenant that do not go together.
+/// Combination of role and tenant that is not allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum KeyError {
-    /// A caller's key without a tenant.
+    /// A caller's key has no tenant.
     #[error("a caller's key needs --tenant")]
     NoTenant,
-    /// Another key with a tenant.
+    /// A key of another role has a tenant.
     #[error("only a caller's key has a tenant")]
     Tenant,
 }
 
-/// A fresh key with its secret.
+/// A newly generated key and the token with its secret.
 pub struct NewKey {
-    /// What the bearer sends.
+    /// Bearer token, `<id>.<secret>`. The cluster stores only a hash of the
+    /// secret, so the token cannot be shown again.
     pub token: String,
-    /// What the configuration holds.
+    /// Entry for the configuration: identifier, role and hash of the secret.
     pub key: Key,
 }
 
-/// The document's part with the key.
+/// Part of the configuration document that holds the new key.
 #[derive(Serialize)]
 struct KeyEntry {
     keys: [KeyBody; 1],
 }
 
-/// Makes a key with a random secret.
+/// Generates a key with a random secret.
 ///
 /// # Errors
 ///
-/// Fails if a caller's key lacks its tenant, or another role's key has one.
+/// Fails if a caller's key has no tenant, or a key of another role has one.
 pub fn new_key(id: KeyId, role: Role, tenant: Option<TenantId>) -> Result<NewKey, KeyError> {
     let role = match (role, tenant) {
         (Role::Caller, Some(tenant)) => KeyRole::Caller(tenant),
@@ -77,7 +79,7 @@
         (Role::Runner, None) => KeyRole::Runner,
         (_, Some(_)) => return Err(KeyError::Tenant),
     };
-    let secret = random_hex();
+    let secret = random_secret();
     let hash = KeyHash::new(rand::random(), secret.as_bytes());
     Ok(NewKey {
         token: format!("{id}.{secret}"),
@@ -85,12 +87,12 @@
     })
 }
 
-fn random_hex() -> String {
+fn random_secret() -> String {
     let bytes: [u8; SECRET_BYTES] = rand::random();
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Runs the command.
+/// Generates a key and prints its token and its configuration entry.
 pub fn run(command: KeyCommand) -> Exit {
     let KeyCommand::New { id, role, tenant } = command;
     let new = match new_key(id, role, tenant) {
--- a/crates/cypressdrum/src/lib.rs
+++ b/crates/cypressdrum/src/lib.rs
@@ -1,7 +1,7 @@
-//! The command line: daemons, operator and caller commands, toolbox.
+//! The command line: daemons, commands of callers and operators, and tools.
 //!
-//! A library as well as a program, so that the lab can run the very daemons it
-//! tries out.
+//! This is a library as well as a program, so that the lab can run the same
+//! daemons that are deployed.
 
 pub mod check;
 pub mod cli;
--- a/crates/cypressdrum/src/output.rs
+++ b/crates/cypressdrum/src/output.rs
@@ -1,4 +1,4 @@
-//! Tables for people, JSON for programs.
+//! Output of commands, as text tables or JSON.
 
 use clap::ValueEnum;
 use serde::Serialize;
@@ -17,13 +17,13 @@
     Json,
 }
 
-/// Something that can be shown both ways.
+/// A value that can be printed as text and as JSON.
 pub trait Show: Serialize {
-    /// Text for people, with a line end.
+    /// Returns the value as text; each line ends with a line break.
     fn table(&self) -> String;
 }
 
-/// Prints in the wanted shape.
+/// Prints a value in the requested format.
 ///
 /// # Errors
 ///
@@ -35,8 +35,8 @@
     }
 }
 
-/// Writes to standard output. A reader that went away is an error, where
-/// `print!` would panic.
+/// Writes to standard output and flushes it. A closed pipe is returned as an
+/// error, where `print!` would panic.
 ///
 /// # Errors
 ///
@@ -47,7 +47,7 @@
     output.flush()
 }
 
-/// The value as one JSON line.
+/// Returns the value as one line of JSON.
 pub fn json_line<T: Serialize>(value: &T) -> String {
     match serde_json::to_string(value) {
         Ok(text) => format!("{text}\n"),
@@ -55,14 +55,14 @@
     }
 }
 
-/// A table with a heading, its columns as wide as their widest cell.
+/// A text table whose columns are as wide as their widest cell.
 #[derive(Debug)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with these headings.
+    /// Creates a table whose first row holds the headings.
     pub fn new(headings: &[&str]) -> Self {
         let headings = headings.iter().map(|heading| (*heading).to_owned());
         Self {
@@ -70,12 +70,13 @@
         }
     }
 
-    /// Adds a row.
+    /// Appends a row with one cell per column.
     pub fn row(&mut self, cells: impl IntoIterator<Item = String>) {
         self.rows.push(cells.into_iter().collect());
     }
 
-    /// The table as text; every line ends with a line end.
+    /// Returns the table as text; each line ends with a line break and has no
+    /// trailing spaces.
     pub fn render(&self) -> String {
         let widths = self.widths();
         let mut text = String::new();
--- a/crates/cypressdrum/src/replay.rs
+++ b/crates/cypressdrum/src/replay.rs
@@ -1,14 +1,15 @@
-//! `replay`: inputs of a file or stream through a coordinator in virtual time.
+//! The `replay` command: feeds inputs from a file or stream to a coordinator in
+//! virtual time.
 
 use crate::Exit;
-use ::replay::{ReplayError, run as drive};
+use ::replay::{ReplayError, run as replay_lines};
 use clap::Args;
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A file name that means standard input.
+/// File name that selects standard input.
 const STANDARD_INPUT: &str = "-";
 
 /// What to replay.
@@ -24,20 +25,21 @@
     output: Option<PathBuf>,
 }
 
-/// Why a replay did not reach its end.
+/// Error that ended the command early.
 #[derive(Debug, Error)]
 enum CommandError {
-    /// A file cannot be opened.
+    /// The input cannot be opened, or the output cannot be created.
     #[error("{path}: {source}", path = path.display())]
     Open { path: PathBuf, source: io::Error },
-    /// The replay ended early.
+    /// An input line is invalid, or reading or writing failed.
     #[error("{path}: {source}", path = path.display())]
     Replay { path: PathBuf, source: ReplayError },
 }
 
 impl CommandError {
-    /// Returns whether the program that reads the output has ended, as `head` does.
-    fn reader_has_ended(&self) -> bool {
+    /// Returns whether the reader of the output has closed the pipe, as `head`
+    /// does.
+    fn is_broken_pipe(&self) -> bool {
         let Self::Replay { source, .. } = self else {
             return false;
         };
@@ -45,11 +47,12 @@
     }
 }
 
-/// Replays, and prints what came of it.
+/// Replays the input and writes the coordinator's decisions. A closed output
+/// pipe is a success.
 pub fn run(arguments: &ReplayArguments) -> Exit {
     match replay(arguments) {
         Ok(()) => Exit::Done,
-        Err(error) if error.reader_has_ended() => Exit::Done,
+        Err(error) if error.is_broken_pipe() => Exit::Done,
         Err(error) => {
             eprintln!("{error}");
             Exit::Usage
@@ -61,7 +64,7 @@
     let path = &arguments.file;
     let input = open_input(path)?;
     let output = open_output(arguments.output.as_deref())?;
-    match drive(input, output, arguments.seed) {
+    match replay_lines(input, output, arguments.seed) {
         Ok(_) => Ok(()),
         Err(source) => Err(CommandError::Replay {
             path: path.clone(),
