--- a/crates/cypressdrum/src/cli.rs
+++ b/crates/cypressdrum/src/cli.rs
@@ -1,4 +1,4 @@
-//! Top-level subcommands, and their dispatch.
+//! Top-level subcommands and their dispatch.
 
 use crate::client::{self, ClientArguments};
 use crate::daemon::{self, AgentFlags, CoordinatorFlags, GatewayFlags};
--- a/crates/cypressdrum/src/client/http.rs
+++ b/crates/cypressdrum/src/client/http.rs
@@ -1,7 +1,7 @@
 //! HTTP client that tries a list of gateways in order.
 //!
 //! Every operation is idempotent, so a request to a gateway that is unreachable
-//! or has no leader is repeated at the next one.
+//! or has no leader is sent to the next one.
 
 use crate::client::{ClientError, Connection};
 use api::rejection::{Code, RejectionBody};
@@ -164,8 +164,8 @@
         Ok(request)
     }
 
-    /// Reads a response that is no success. Returns a description if another
-    /// gateway may serve the request.
+    /// Reads an error response. Returns a description if another gateway may serve
+    /// the request.
     ///
     /// # Errors
     ///
--- a/crates/cypressdrum/tests/arguments.rs
+++ b/crates/cypressdrum/tests/arguments.rs
@@ -1,19 +1,19 @@
-//! The command line as people type it.
+//! Parsing of command lines.
 
 use clap::{CommandFactory, Parser};
 use cypressdrum::Arguments;
 
-fn parses(line: &str) -> Result<Arguments, clap::Error> {
+fn parse(line: &str) -> Result<Arguments, clap::Error> {
     Arguments::try_parse_from(line.split_whitespace())
 }
 
 #[test]
-fn the_definition_holds_together() {
+fn command_definition_passes_clap_assertions() {
     Arguments::command().debug_assert();
 }
 
 #[test]
-fn the_documented_commands_parse() {
+fn documented_commands_parse() {
     for line in [
         "cypressdrum coordinator --settings c.toml --check",
         "cypressdrum coordinator --settings c.toml --data /d --admin-listen 127.0.0.1:1",
@@ -42,14 +42,14 @@
         "cypressdrum key new editors --role caller --tenant editors",
         "cypressdrum completions bash",
     ] {
-        if let Err(error) = parses(line) {
+        if let Err(error) = parse(line) {
             panic!("{line}: {error}");
         }
     }
 }
 
 #[test]
-fn commands_that_could_do_harm_by_accident_are_refused() {
+fn ambiguous_or_unsafe_commands_are_rejected() {
     for line in [
         "cypressdrum cancel poster",
         "cypressdrum cancel poster sheet-1 --all",
@@ -59,12 +59,12 @@
         "cypressdrum gateway --cluster-key secret",
         "cypressdrum status poster sheet-1 --key secret",
     ] {
-        assert!(parses(line).is_err(), "{line}");
+        assert!(parse(line).is_err(), "{line}");
     }
 }
 
 #[test]
-fn help_tells_the_exit_codes() {
+fn help_lists_exit_codes() {
     let help = Arguments::command().render_help().to_string();
     for code in [
         "0  done",
--- a/crates/cypressdrum/tests/daemon.rs
+++ b/crates/cypressdrum/tests/daemon.rs
@@ -1,4 +1,5 @@
-//! A daemon's incarnation under signals, as its platform sees it.
+//! Reaction of a daemon process to signals: SIGTERM drains it, SIGHUP reloads its
+//! settings.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -7,25 +8,26 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStderr, Command, Stdio};
 
-/// A gateway without a cluster; it is not ready, and alive all the same.
+/// A gateway process without a cluster: it is alive, but never ready.
 struct Daemon {
     child: Child,
     log: Lines<BufReader<ChildStderr>>,
     settings: PathBuf,
 }
 
-/// Two free ports on a loopback address of one test's own, and three dead ones.
-fn free_sockets(machine: u8) -> [SocketAddr; 5] {
-    let any = SocketAddr::from(([127, 0, 7, machine], 0));
+/// Returns five unused sockets on a loopback address that only one test uses: two
+/// for the daemon and three seeds that no process listens on.
+fn unused_sockets(host: u8) -> [SocketAddr; 5] {
+    let any = SocketAddr::from(([127, 0, 7, host], 0));
     let listeners = [(); 5].map(|()| TcpListener::bind(any).unwrap());
     listeners.map(|listener| listener.local_addr().unwrap())
 }
 
-fn settings_text(folder: &Path, machine: u8) -> String {
+fn settings_text(folder: &Path, host: u8) -> String {
     let key = folder.join("cluster.key");
     std::fs::write(&key, "k".repeat(32)).unwrap();
-    let [peer, http, dead @ ..] = free_sockets(machine);
-    let seeds = dead.map(|socket| format!("\"{socket}\"")).join(", ");
+    let [peer, http, seeds @ ..] = unused_sockets(host);
+    let seeds = seeds.map(|socket| format!("\"{socket}\"")).join(", ");
     format!(
         "zone = \"a\"\nlisten = \"{peer}\"\nhttp_listen = \"{http}\"\nseeds = [{seeds}]\n\
          cluster_key_file = {key:?}\n[log]\nformat = \"plain\"\nlevel = \"info\"\n"
@@ -33,11 +35,11 @@
 }
 
 impl Daemon {
-    fn start(name: &str, machine: u8) -> Self {
+    fn start(name: &str, host: u8) -> Self {
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
         std::fs::create_dir_all(&folder).unwrap();
         let settings = folder.join("gateway.toml");
-        std::fs::write(&settings, settings_text(&folder, machine)).unwrap();
+        std::fs::write(&settings, settings_text(&folder, host)).unwrap();
         let mut child = Command::new(env!("CARGO_BIN_EXE_cypressdrum"))
             .args(["gateway", "--settings"])
             .arg(&settings)
@@ -58,7 +60,7 @@
         kill(Pid::from_raw(self.child.id().cast_signed()), signal).unwrap();
     }
 
-    /// Reads the log up to a line that holds this text.
+    /// Reads the log up to the first line that contains `text`, and returns it.
     fn wait_for(&mut self, text: &str) -> String {
         let mut seen = Vec::new();
         for line in &mut self.log {
@@ -68,7 +70,7 @@
             }
             seen.push(line);
         }
-        panic!("the log ended without {text:?}: {seen:#?}");
+        panic!("the log ended without a line that contains {text:?}: {seen:#?}");
     }
 
     fn change_settings(&self, from: &str, to: &str) {
@@ -86,8 +88,8 @@
 }
 
 #[test]
-fn a_polite_signal_drains_and_ends_with_zero() {
-    let mut daemon = Daemon::start("polite", 1);
+fn sigterm_drains_and_exits_with_code_zero() {
+    let mut daemon = Daemon::start("terminate", 1);
     daemon.signal(Signal::SIGTERM);
     daemon.wait_for("graceful shutdown started");
     daemon.wait_for("stopped");
@@ -95,7 +97,7 @@
 }
 
 #[test]
-fn a_reload_takes_the_log_level() {
+fn reload_applies_log_level() {
     let mut daemon = Daemon::start("level", 2);
     daemon.change_settings("\"info\"", "\"debug\"");
     daemon.signal(Signal::SIGHUP);
@@ -105,7 +107,7 @@
 }
 
 #[test]
-fn a_reload_says_that_other_settings_need_a_restart() {
+fn reload_of_other_settings_reports_required_restart() {
     let mut daemon = Daemon::start("restart", 3);
     daemon.change_settings("zone = \"a\"", "zone = \"b\"");
     daemon.signal(Signal::SIGHUP);
@@ -114,8 +116,8 @@
 }
 
 #[test]
-fn a_bad_file_keeps_the_old_settings_and_says_why() {
-    let mut daemon = Daemon::start("bad", 4);
+fn reload_of_invalid_file_keeps_previous_settings() {
+    let mut daemon = Daemon::start("invalid", 4);
     daemon.change_settings("zone = \"a\"", "colour = \"green\"");
     daemon.signal(Signal::SIGHUP);
     daemon.wait_for("previous settings stay in force");
--- a/crates/cypressdrum/tests/gateways.rs
+++ b/crates/cypressdrum/tests/gateways.rs
@@ -1,4 +1,5 @@
-//! Client commands against stub gateways: order of trial and exit codes.
+//! Client commands against stub gateways: order in which gateways are tried, and
+//! exit codes.
 
 use api::rejection::{Code, RejectionBody};
 use axum::Router;
@@ -12,7 +13,7 @@
 use tokio::net::TcpListener;
 use tokio::runtime::Runtime;
 
-/// A stub that lives as long as its runtime.
+/// A stub gateway; dropping its runtime stops the server.
 struct Stub {
     _runtime: Runtime,
     socket: SocketAddr,
@@ -31,12 +32,12 @@
         }
     }
 
-    fn refusing(code: Code) -> Self {
+    fn rejecting(code: Code) -> Self {
         let reject = move || async move {
             let status = StatusCode::from_u16(code.status()).unwrap();
             let body = RejectionBody {
                 code,
-                message: "refused by the stub".to_owned(),
+                message: "rejected by the stub".to_owned(),
                 retry_after_ms: None,
                 problems: Vec::new(),
             };
@@ -45,7 +46,7 @@
         Self::serve(Router::new().fallback(reject))
     }
 
-    fn queues() -> Self {
+    fn with_empty_queue_list() -> Self {
         let empty = || async { r#"{"queues":[]}"# };
         Self::serve(Router::new().route(api::route::QUEUES, get(empty)))
     }
@@ -55,8 +56,8 @@
     }
 }
 
-/// A URL where nobody listens.
-fn nobody() -> String {
+/// Returns a URL that no server listens on.
+fn unreachable_url() -> String {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = std::net::TcpListener::bind(any).unwrap();
     format!("http://{}", listener.local_addr().unwrap())
@@ -69,23 +70,23 @@
 }
 
 #[test]
-fn the_next_gateway_is_asked_when_one_is_silent_or_has_no_leader() {
-    let leaderless = Stub::refusing(Code::Unavailable);
-    let fine = Stub::queues();
-    let gateways = [nobody(), leaderless.url(), fine.url()];
+fn next_gateway_is_tried_when_one_is_unreachable_or_leaderless() {
+    let leaderless = Stub::rejecting(Code::Unavailable);
+    let working = Stub::with_empty_queue_list();
+    let gateways = [unreachable_url(), leaderless.url(), working.url()];
     assert_eq!(run("queue list", &gateways), Exit::Done);
 }
 
 #[test]
-fn a_final_refusal_is_not_carried_to_the_next_gateway() {
-    let forbidden = Stub::refusing(Code::Forbidden);
-    let fine = Stub::queues();
-    let gateways = [forbidden.url(), fine.url()];
+fn final_rejection_is_not_retried_on_next_gateway() {
+    let forbidden = Stub::rejecting(Code::Forbidden);
+    let working = Stub::with_empty_queue_list();
+    let gateways = [forbidden.url(), working.url()];
     assert_eq!(run("queue list", &gateways), Exit::Rejected);
 }
 
 #[test]
-fn refusals_have_the_documented_exit_codes() {
+fn rejections_have_documented_exit_codes() {
     for (code, exit) in [
         (Code::Invalid, Exit::Rejected),
         (Code::Unauthenticated, Exit::Rejected),
@@ -95,19 +96,19 @@
         (Code::Unavailable, Exit::Unavailable),
         (Code::TimedOut, Exit::Unavailable),
     ] {
-        let stub = Stub::refusing(code);
+        let stub = Stub::rejecting(code);
         assert_eq!(
             run("status poster sheet-1", &[stub.url()]),
             exit,
             "{code:?}"
         );
     }
-    assert_eq!(run("members", &[nobody()]), Exit::Unavailable);
+    assert_eq!(run("members", &[unreachable_url()]), Exit::Unavailable);
 }
 
 #[test]
-fn wrong_files_and_urls_are_usage_errors() {
-    let stub = Stub::queues();
+fn invalid_files_and_urls_are_usage_errors() {
+    let stub = Stub::with_empty_queue_list();
     assert_eq!(run("submit no/such/file", &[stub.url()]), Exit::Usage);
     let ftp = "ftp://127.0.0.1".to_owned();
     assert_eq!(run("queue list", &[ftp]), Exit::Usage);
@@ -118,8 +119,8 @@
 }
 
 #[test]
-fn jobs_are_submitted_one_after_the_other_with_token_and_deadline() {
-    let take = |headers: HeaderMap, body: String| async move {
+fn jobs_are_submitted_one_by_one_with_token_and_deadline() {
+    let accept = |headers: HeaderMap, body: String| async move {
         let bearer = headers
             .get("authorization")
             .map(axum::http::HeaderValue::as_bytes);
@@ -128,7 +129,7 @@
         assert!(body.contains("sheet-"));
         (StatusCode::CREATED, r#"{"number":1,"known":false}"#)
     };
-    let stub = Stub::serve(Router::new().route(api::route::JOBS, post(take)));
+    let stub = Stub::serve(Router::new().route(api::route::JOBS, post(accept)));
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let key = folder.join("editors.key");
     std::fs::write(&key, "editors.secret\n").unwrap();
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn a_cancel_that_names_an_unknown_job_is_not_done() {
+fn cancel_with_unknown_job_exits_as_rejected() {
     let answer = || async {
         r#"{"cancelled":1,"finished":0,"unknown":[{"tenant":"poster","job":"sheet-2"}]}"#
     };
--- a/crates/cypressdrum/tests/golden_metrics.rs
+++ b/crates/cypressdrum/tests/golden_metrics.rs
@@ -1,5 +1,5 @@
-//! Names, kinds and labels of all metrics in the sources, beside recorded text
-//! and the page for operators.
+//! Compares names, kinds and labels of all metrics in the sources with a golden
+//! file and with the tables in docs/OPERATIONS.md.
 
 mod golden;
 
@@ -8,12 +8,12 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Macros that record a value, which are the kinds of metrics as well.
+/// Macros that record a value; their names are also the kinds of metrics.
 const KINDS: [&str; 3] = ["counter", "gauge", "histogram"];
-/// Start of every name.
+/// Prefix of every metric name.
 const PREFIX: &str = "cypressdrum_";
 
-/// A metric as it stands in the sources.
+/// A metric as recorded by a macro call in the sources.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Metric {
     name: String,
@@ -22,14 +22,14 @@
 }
 
 impl Metric {
-    /// The metric of a macro's arguments: the name, then `label => value`.
-    fn read(kind: &'static str, arguments: &str) -> Self {
+    /// Parses the arguments of a macro call: the name, then `label => value`.
+    fn parse(kind: &'static str, arguments: &str) -> Self {
         let mut arguments = arguments.split(',').map(str::trim);
-        let name = literal(arguments.next().unwrap_or_default());
+        let name = unquote(arguments.next().unwrap_or_default());
         let rest = arguments.filter(|argument| !argument.is_empty());
         let labels = rest.map(|argument| {
             let (label, _) = argument.split_once("=>").unwrap_or_default();
-            literal(label.trim())
+            unquote(label.trim())
         });
         assert!(name.starts_with(PREFIX), "{name}");
         Self {
@@ -48,13 +48,14 @@
     }
 }
 
-/// What stands between the quotes; a name that is put together is not seen here.
-fn literal(text: &str) -> String {
+/// Returns the text between the quotes of a string literal. Fails for any other
+/// expression, such as a name built by `format!`.
+fn unquote(text: &str) -> String {
     let inner = text
         .strip_prefix('"')
         .and_then(|text| text.strip_suffix('"'));
     inner
-        .unwrap_or_else(|| panic!("a literal is wanted, not {text:?}"))
+        .unwrap_or_else(|| panic!("expected a string literal, found {text:?}"))
         .to_owned()
 }
 
@@ -62,7 +63,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The folders with the sources of all crates, whatever these are called.
+/// Returns the source folder of every crate, read from the file system so that
+/// renamed crates are included.
 fn source_folders() -> Vec<PathBuf> {
     let crates = fs::read_dir(repository().join("crates")).unwrap();
     let crates = crates.map(|entry| entry.unwrap().path());
@@ -86,14 +88,17 @@
     for kind in KINDS {
         let call = format!("{kind}!(");
         for (start, _) in source.match_indices(&call) {
-            found.push(Metric::read(kind, inside(&source[start + call.len()..])));
+            found.push(Metric::parse(
+                kind,
+                until_closing_parenthesis(&source[start + call.len()..]),
+            ));
         }
     }
     found
 }
 
-/// The text up to the bracket that closes the one before it.
-fn inside(text: &str) -> &str {
+/// Returns the text up to the parenthesis that closes the one just before `text`.
+fn until_closing_parenthesis(text: &str) -> &str {
     let mut depth = 1;
     for (position, character) in text.char_indices() {
         match character {
@@ -105,7 +110,7 @@
             return &text[..position];
         }
     }
-    panic!("a macro does not end: {text}");
+    panic!("unclosed macro call: {text}");
 }
 
 fn metrics() -> BTreeSet<Metric> {
@@ -117,26 +122,26 @@
 }
 
 #[test]
-fn names_kinds_and_labels_are_the_recorded_ones() {
+fn names_kinds_and_labels_match_golden_file() {
     let lines: String = metrics().iter().map(Metric::line).collect();
     assert_text("metrics.txt", &lines);
 }
 
-/// Rows of the page's table, each from its name on.
+/// Returns the table rows of a page that describe a metric.
 fn rows(page: &str) -> Vec<&str> {
-    let begins = format!("| `{PREFIX}");
+    let start = format!("| `{PREFIX}");
     let lines = page.lines();
-    lines.filter(|line| line.starts_with(&begins)).collect()
+    lines.filter(|line| line.starts_with(&start)).collect()
 }
 
 #[test]
-fn the_page_lists_each_metric_with_its_kind_and_labels() {
+fn page_lists_every_metric_with_kind_and_labels() {
     let page = fs::read_to_string(repository().join("docs/OPERATIONS.md")).unwrap();
     let rows = rows(&page);
     let mut missing = Vec::new();
     for metric in metrics() {
-        let begins = format!("| `{}` | {} |", metric.name, metric.kind);
-        let row = rows.iter().find(|row| row.starts_with(&begins));
+        let start = format!("| `{}` | {} |", metric.name, metric.kind);
+        let row = rows.iter().find(|row| row.starts_with(&start));
         let names_labels = |row: &&str| {
             let labels = metric.labels.iter();
             labels
@@ -151,7 +156,7 @@
 }
 
 #[test]
-fn the_page_lists_no_metric_that_there_is_not() {
+fn page_lists_no_unknown_metric() {
     let page = fs::read_to_string(repository().join("docs/OPERATIONS.md")).unwrap();
     let names: BTreeSet<String> = metrics().into_iter().map(|metric| metric.name).collect();
     for row in rows(&page) {
--- a/crates/cypressdrum/tests/log_lines.rs
+++ b/crates/cypressdrum/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! The lines of the log and the table that explains them are the same.
+//! Compares the log lines in the sources with the table that explains them.
 
 mod support;
 
@@ -6,99 +6,109 @@
 use support::markdown::Page;
 use support::{assert_none, crates, rust};
 
-/// Where the table stands.
+/// Page with the table of log lines.
 const PAGE: &str = "docs/OPERATIONS.md";
+/// Heading above the table.
 const HEADING: &str = "Log lines";
-/// level, message, meaning, usual cause, what to do, metric to look at.
+/// Columns of the table: level, message, meaning, usual cause, remedy, metric.
 const COLUMNS: usize = 6;
-/// What begins the name of every metric.
-const METRIC: &str = "cypressdrum_";
+/// Prefix of every metric name.
+const METRIC_PREFIX: &str = "cypressdrum_";
 
-/// Level and message of a line.
-type Line = (String, String);
+/// Level and message of a log line.
+type LogLine = (String, String);
 
-/// Every line that the sources log, with the places that log it.
-fn lines_in_code() -> BTreeMap<Line, Vec<String>> {
-    let mut lines: BTreeMap<Line, Vec<String>> = BTreeMap::new();
+/// Returns every log line of the sources, each with the locations that write it.
+fn log_lines_in_sources() -> BTreeMap<LogLine, Vec<String>> {
+    let mut lines: BTreeMap<LogLine, Vec<String>> = BTreeMap::new();
     for (name, source) in crates::sources() {
-        for logged in rust::logged(&source) {
-            let place = format!("{name}:{}", logged.line);
-            let message = logged.message.unwrap_or_default();
-            let line = (logged.level.to_owned(), message);
-            lines.entry(line).or_default().push(place);
+        for call in rust::log_calls(&source) {
+            let location = format!("{name}:{}", call.line);
+            let message = call.message.unwrap_or_default();
+            let line = (call.level.to_owned(), message);
+            lines.entry(line).or_default().push(location);
         }
     }
     lines
 }
 
-/// The rows of the table, with their lines in the page.
-fn rows() -> Vec<(usize, Vec<String>)> {
+/// Returns the rows of the table, each with its line number in the page.
+fn table_rows() -> Vec<(usize, Vec<String>)> {
     Page::read(PAGE).table(HEADING)
 }
 
-/// Level and message that a row is about.
-fn line_of(cells: &[String]) -> Option<Line> {
+/// Returns the level and message that a row describes; `None` if its message is
+/// not a code span.
+fn log_line_of(cells: &[String]) -> Option<LogLine> {
     let message = cells.get(1)?.strip_prefix('`')?.strip_suffix('`')?;
     Some((cells.first()?.clone(), message.to_owned()))
 }
 
 #[test]
-fn every_line_of_the_log_has_a_message() {
-    let lines = lines_in_code();
-    assert!(!lines.is_empty(), "the sources log something");
-    let unnamed = lines.iter().filter(|((_, message), _)| message.is_empty());
-    let problems: Vec<String> = unnamed
-        .map(|((level, _), places)| format!("{}: {level}! without a message", places.join(", ")))
+fn every_log_line_has_message() {
+    let lines = log_lines_in_sources();
+    assert!(!lines.is_empty(), "no log lines found in the sources");
+    let without_message = lines.iter().filter(|((_, message), _)| message.is_empty());
+    let problems: Vec<String> = without_message
+        .map(|((level, _), locations)| {
+            format!("{}: {level}! without a message", locations.join(", "))
+        })
         .collect();
     assert_none(&problems);
 }
 
 #[test]
-fn every_line_of_the_log_stands_in_the_table() {
-    let rows = rows();
-    let told: BTreeSet<Line> = rows
+fn every_log_line_is_in_table() {
+    let rows = table_rows();
+    let documented: BTreeSet<LogLine> = rows
         .iter()
-        .filter_map(|(_, cells)| line_of(cells))
+        .filter_map(|(_, cells)| log_line_of(cells))
         .collect();
-    let untold = lines_in_code().into_iter();
-    let problems: Vec<String> = untold
-        .filter(|(line, _)| !told.contains(line))
-        .map(|((level, message), places)| {
-            format!("{}: {level} `{message}` is not told", places.join(", "))
+    let lines = log_lines_in_sources().into_iter();
+    let problems: Vec<String> = lines
+        .filter(|(line, _)| !documented.contains(line))
+        .map(|((level, message), locations)| {
+            format!(
+                "{}: {level} `{message}` is not in the table of {PAGE}",
+                locations.join(", ")
+            )
         })
         .collect();
     assert_none(&problems);
 }
 
 #[test]
-fn every_row_of_the_table_is_a_line_of_the_log() {
-    let lines = lines_in_code();
+fn every_table_row_is_a_log_line() {
+    let lines = log_lines_in_sources();
     let mut problems = Vec::new();
     let mut seen = BTreeSet::new();
-    for (number, cells) in rows() {
-        let place = format!("{PAGE}:{number}");
-        match line_of(&cells) {
+    for (number, cells) in table_rows() {
+        let location = format!("{PAGE}:{number}");
+        match log_line_of(&cells) {
             Some(line) if !lines.contains_key(&line) => {
-                problems.push(format!("{place}: nothing logs {} `{}`", line.0, line.1));
+                problems.push(format!(
+                    "{location}: no source logs {} `{}`",
+                    line.0, line.1
+                ));
             }
             Some(line) => {
                 if !seen.insert(line) {
-                    problems.push(format!("{place}: told twice"));
+                    problems.push(format!("{location}: duplicate row"));
                 }
             }
-            None => problems.push(format!("{place}: the message is no code span")),
+            None => problems.push(format!("{location}: the message is not a code span")),
         }
     }
     assert_none(&problems);
 }
 
 #[test]
-fn every_row_of_the_table_is_filled() {
+fn every_table_row_has_all_cells_filled() {
     let mut problems = Vec::new();
-    for (number, cells) in rows() {
+    for (number, cells) in table_rows() {
         if cells.len() != COLUMNS || cells.iter().any(String::is_empty) {
             problems.push(format!(
-                "{PAGE}:{number}: {COLUMNS} filled cells are wanted"
+                "{PAGE}:{number}: expected {COLUMNS} non-empty cells"
             ));
         }
     }
@@ -106,19 +116,19 @@
 }
 
 #[test]
-fn every_metric_that_the_table_names_is_recorded() {
+fn every_metric_named_in_table_is_recorded() {
     let sources = crates::sources();
     let recorded = |name: &str| {
         let literal = format!("\"{name}\"");
         sources.iter().any(|(_, source)| source.contains(&literal))
     };
     let mut problems = Vec::new();
-    for (number, cells) in rows() {
+    for (number, cells) in table_rows() {
         let words = cells.last().map(String::as_str).unwrap_or_default();
         let words = words.split(|c: char| !c.is_alphanumeric() && c != '_');
-        for name in words.filter(|word| word.starts_with(METRIC)) {
+        for name in words.filter(|word| word.starts_with(METRIC_PREFIX)) {
             if !recorded(name) {
-                problems.push(format!("{PAGE}:{number}: nothing records {name}"));
+                problems.push(format!("{PAGE}:{number}: no source records {name}"));
             }
         }
     }
@@ -126,12 +136,12 @@
 }
 
 #[test]
-fn messages_are_lower_case_without_a_full_stop_or_values() {
+fn log_messages_are_lower_case_without_full_stop_or_values() {
     let mut problems = Vec::new();
-    for ((level, message), places) in lines_in_code() {
+    for ((level, message), locations) in log_lines_in_sources() {
         let capital = message.starts_with(char::is_uppercase);
         if capital || message.ends_with('.') || message.contains('{') {
-            problems.push(format!("{}: {level} `{message}`", places.join(", ")));
+            problems.push(format!("{}: {level} `{message}`", locations.join(", ")));
         }
     }
     assert_none(&problems);
--- a/crates/cypressdrum/tests/output.rs
+++ b/crates/cypressdrum/tests/output.rs
@@ -1,4 +1,4 @@
-//! Tables, differences and lines.
+//! Text tables, differences of documents and splitting of streams into lines.
 
 use cypressdrum::client::decisions::LineBuffer;
 use cypressdrum::client::difference::differences;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn differences_name_the_place_and_both_values() {
+fn differences_report_path_and_both_values() {
     let before = json!({"queues": {"a": {"pool": "p"}, "b": {}}, "keys": [{"id": "k", "n": 1}]});
     let after = json!({"queues": {"a": {"pool": "q"}, "c": {}}, "keys": [{"id": "k", "n": 1}]});
     let lines: Vec<_> = differences(&before, &after)
@@ -32,18 +32,18 @@
 }
 
 #[test]
-fn lists_with_identifiers_compare_by_them_and_not_by_position() {
+fn lists_of_items_with_id_compare_by_id_not_position() {
     let before = json!({"keys": [{"id": "a", "n": 1}, {"id": "b", "n": 2}]});
     let after = json!({"keys": [{"id": "b", "n": 2}]});
-    let places: Vec<_> = differences(&before, &after)
+    let paths: Vec<_> = differences(&before, &after)
         .into_iter()
         .map(|difference| difference.path)
         .collect();
-    assert_eq!(places, ["keys.[a].id", "keys.[a].n"]);
+    assert_eq!(paths, ["keys.[a].id", "keys.[a].n"]);
 }
 
 #[test]
-fn lines_are_cut_wherever_the_pieces_end() {
+fn lines_split_across_chunks_are_reassembled() {
     let mut buffer = LineBuffer::default();
     assert!(buffer.push(b"on").is_empty());
     assert_eq!(buffer.push(b"e\ntwo\nth"), ["one", "two"]);
--- a/crates/cypressdrum/tests/pages.rs
+++ b/crates/cypressdrum/tests/pages.rs
@@ -1,4 +1,4 @@
-//! Every file, function and link that the pages name is there.
+//! Checks that every file, declaration and link target named in the pages exists.
 
 mod support;
 
@@ -8,37 +8,39 @@
 use support::markdown::{Block, Link, Page, pages};
 use support::{assert_none, read, rust};
 
-/// The page whose numbered lists are steps through the code.
+/// Page whose numbered lists describe paths through the code step by step.
 const STEPS_PAGE: &str = "docs/ARCHITECTURE.md";
 
-/// Pages that tell of older versions: what they name in code may be gone since.
-/// Their links and files are still checked.
-const HISTORIES: [&str; 3] = ["docs/ROADMAP.md", "docs/INCIDENTS.md", "docs/POLICY.md"];
+/// Pages about older versions, which may name items that no longer exist. Their
+/// links and files are still checked.
+const HISTORICAL_PAGES: [&str; 3] = ["docs/ROADMAP.md", "docs/INCIDENTS.md", "docs/POLICY.md"];
 
-/// What a span that names a file ends in.
+/// Endings by which a code span counts as a file name.
 const FILE_ENDINGS: [&str; 5] = [".rs", ".toml", ".md", ".json", ".jsonl"];
-/// Folders at the root that a span may begin with.
+/// Folders at the root by which a code span counts as a path.
 const FOLDERS: [&str; 5] = ["crates/", "docs/", "examples/", "deploy/", "platform/"];
-/// Folders of a crate, by which a span such as `record/tests/runs` is known.
+/// Folders of a crate by which a code span such as `record/tests/runs` counts as a
+/// path.
 const CRATE_FOLDERS: [&str; 3] = ["src", "tests", "examples"];
-/// First words of paths that name no crate of this workspace.
+/// External crates whose items the pages may name; they are not checked.
 const OTHER_CRATES: [&str; 2] = ["std", "tokio"];
 
-/// Runs a check over every block and fails with all that it finds.
+/// Runs a check over every block of the pages. The failure message lists all
+/// problems with page and line.
 fn check_blocks(pages: &[Page], check: impl Fn(&Page, &Block) -> Vec<String>) {
     let mut problems = Vec::new();
     for page in pages {
         for block in &page.blocks {
-            let place = page.place(block);
+            let location = page.location(block);
             let found = check(page, block).into_iter();
-            problems.extend(found.map(|problem| format!("{place}: {problem}")));
+            problems.extend(found.map(|problem| format!("{location}: {problem}")));
         }
     }
     assert_none(&problems);
 }
 
 #[test]
-fn every_link_leads_to_a_file_and_a_heading() {
+fn every_link_targets_existing_file_and_heading() {
     let pages = pages();
     let anchors: BTreeMap<&str, Vec<String>> = pages
         .iter()
@@ -63,15 +65,15 @@
         file => resolve(&page.name, file),
     };
     if !exists(&target) {
-        return Some(format!("{} leads to no file", link.target));
+        return Some(format!("{} targets a missing file", link.target));
     }
     let anchor = anchor?;
     let known = anchors.get(target.as_str());
     let found = known.is_some_and(|known| known.iter().any(|heading| heading == anchor));
-    (!found).then(|| format!("{} leads to no heading", link.target))
+    (!found).then(|| format!("{} targets a missing heading", link.target))
 }
 
-/// A relative link of a page, as a path from the root.
+/// Resolves a relative link of a page to a path from the root.
 fn resolve(page: &str, target: &str) -> String {
     let folder = Path::new(page).parent().unwrap_or(Path::new(""));
     let mut resolved = PathBuf::new();
@@ -88,25 +90,27 @@
 }
 
 #[test]
-fn every_path_in_code_exists() {
+fn every_path_in_code_span_exists() {
     check_blocks(&pages(), |_, block| {
         let spans = block.code_spans().into_iter();
         spans
             .filter(|span| is_path(span))
             .filter(|span| !path_exists(span))
-            .map(|span| format!("`{span}` is not there"))
+            .map(|span| format!("`{span}` does not exist"))
             .collect()
     });
 }
 
 fn is_path(span: &str) -> bool {
-    let is_one = span.contains('/') && !span.contains([' ', ':', '{']) && !span.starts_with('/');
-    let known = FILE_ENDINGS.iter().any(|ending| span.ends_with(ending))
+    let has_path_form =
+        span.contains('/') && !span.contains([' ', ':', '{']) && !span.starts_with('/');
+    let has_known_part = FILE_ENDINGS.iter().any(|ending| span.ends_with(ending))
         || FOLDERS.iter().any(|folder| span.starts_with(folder));
-    is_one && (known || is_short_path(span))
+    has_path_form && (has_known_part || is_short_path(span))
 }
 
-/// `record/tests/runs` stands for a file or folder below `crates/record`.
+/// Returns whether a span is a path without `crates/`, such as `record/tests/runs`
+/// for a file or folder below `crates/record`.
 fn is_short_path(span: &str) -> bool {
     let mut parts = span.split('/');
     let first = parts.next().unwrap_or_default();
@@ -115,7 +119,8 @@
     is_name && !first.is_empty() && CRATE_FOLDERS.contains(&folder)
 }
 
-/// A `*` stands for every crate: one of them must fit.
+/// Returns whether the path of a span exists. A `*` matches any crate, of which
+/// one must have the path.
 fn path_exists(span: &str) -> bool {
     let span = span.trim_end_matches('/');
     if let Some((before, after)) = span.split_once("/*") {
@@ -134,11 +139,11 @@
 }
 
 #[test]
-fn every_item_in_code_is_declared() {
+fn every_item_in_code_span_is_declared() {
     let crates = crates::all();
     let pages = pages().into_iter();
     let current: Vec<Page> = pages
-        .filter(|page| !HISTORIES.contains(&page.name.as_str()))
+        .filter(|page| !HISTORICAL_PAGES.contains(&page.name.as_str()))
         .collect();
     check_blocks(&current, |_, block| {
         let spans = block.code_spans().into_iter();
@@ -149,7 +154,7 @@
     });
 }
 
-/// `crate::module::item`, with a call's empty brackets or without.
+/// Returns whether a span has the form `crate::module::item`, with or without `()`.
 fn is_item(span: &str) -> bool {
     let path = span.strip_suffix("()").unwrap_or(span);
     let is_word = |word: &str| {
@@ -170,21 +175,24 @@
         return None;
     }
     if is_type(first) {
-        // `Type::item`, of whichever crate.
+        // `Type::item` of any crate.
         let known = |member: &Crate| rest.len() == 1 && member.declares(Some(first), rest[0]);
         let found = crates.values().any(known);
-        return (!found).then(|| format!("`{span}` is declared nowhere"));
+        return (!found).then(|| format!("`{span}` is not declared in any crate"));
     }
     match crates.get(*first) {
-        Some(member) => unresolved(member, rest).map(|why| format!("`{span}`: {why}")),
-        None => Some(format!("`{span}`: no crate is called {first}")),
+        Some(member) => {
+            resolution_problem(member, rest).map(|problem| format!("`{span}`: {problem}"))
+        }
+        None => Some(format!("`{span}`: there is no crate {first}")),
     }
 }
 
-/// Why the words after a crate's name name nothing in it.
-fn unresolved(member: &Crate, words: &[&str]) -> Option<String> {
-    let (last, before) = words.split_last()?;
-    if member.has_module(words) {
+/// Returns the reason why `path`, without the crate's name, is not an item or module
+/// of the crate; `None` if it is one.
+fn resolution_problem(member: &Crate, path: &[&str]) -> Option<String> {
+    let (last, before) = path.split_last()?;
+    if member.has_module(path) {
         return None;
     }
     let (owner, modules) = match before.split_last() {
@@ -195,15 +203,15 @@
         return Some(format!("there is no module {}", modules.join("::")));
     }
     let top = owner.unwrap_or(last);
-    if modules.is_empty() && !member.gives_out(top) {
-        return Some(format!("lib.rs does not give {top} out"));
+    if modules.is_empty() && !member.reexports(top) {
+        return Some(format!("lib.rs does not re-export {top}"));
     }
     let declared = member.declares(owner, last);
     (!declared).then(|| format!("{last} is not declared"))
 }
 
 #[test]
-fn every_reference_of_the_architecture_names_a_declaration_of_its_file() {
+fn every_architecture_reference_names_declaration_in_its_file() {
     let page = Page::read(STEPS_PAGE);
     check_blocks(&[page], |page, block| {
         let links = block.links().into_iter();
@@ -215,7 +223,7 @@
 }
 
 #[test]
-fn every_step_of_the_architecture_names_a_file_and_its_function() {
+fn every_architecture_step_references_source_file() {
     let page = Page::read(STEPS_PAGE);
     let steps = page.blocks.iter().filter(|block| block.is_numbered());
     let without = steps.filter(|block| {
@@ -223,36 +231,45 @@
         !links.any(|link| link.target.ends_with(".rs"))
     });
     let problems: Vec<String> = without
-        .map(|block| format!("{}: the step names no function", page.place(block)))
+        .map(|block| {
+            format!(
+                "{}: the step references no source file",
+                page.location(block)
+            )
+        })
         .collect();
     assert_none(&problems);
 }
 
-/// The one form: [`file.rs`](../crates/x/src/file.rs) `Type::function`. A step
-/// names a function; other places may name any declaration.
-fn reference_problem(page: &Page, link: &Link, any: bool) -> Option<String> {
+/// Returns the reason why a reference is invalid, or `None` if it is valid. Its form
+/// is [`file.rs`](../crates/x/src/file.rs) `Type::function`. If `allow_any` is set,
+/// the reference may name any declaration, else only a function, as in steps.
+fn reference_problem(page: &Page, link: &Link, allow_any: bool) -> Option<String> {
     let file = resolve(&page.name, &link.target);
     let shown = link.text.trim_matches('`');
-    let is_form = link.text == format!("`{shown}`") && file.ends_with(&format!("/{shown}"));
+    let has_form = link.text == format!("`{shown}`") && file.ends_with(&format!("/{shown}"));
     let name = link
         .rest
         .strip_prefix(" `")
         .and_then(|rest| rest.split('`').next());
-    let (true, Some(name)) = (is_form, name) else {
-        return Some(format!("{} is not [`file.rs`](path) `name`", link.target));
+    let (true, Some(name)) = (has_form, name) else {
+        return Some(format!(
+            "{} does not have the form [`file.rs`](path) `name`",
+            link.target
+        ));
     };
     if !exists(&file) {
-        return Some(format!("{} leads to no file", link.target));
+        return Some(format!("{} targets a missing file", link.target));
     }
     let (owner, item) = match name.rsplit_once("::") {
         Some((owner, item)) => (Some(owner), item),
         None => (None, name),
     };
-    let declared = rust::declared(&read(&file));
-    let found = declared.iter().any(|declared| {
-        declared.name == item
-            && (any || declared.kind == "fn")
-            && (owner.is_none() || declared.owner.as_deref() == owner)
+    let declarations = rust::declarations(&read(&file));
+    let found = declarations.iter().any(|declaration| {
+        declaration.name == item
+            && (allow_any || declaration.kind == "fn")
+            && (owner.is_none() || declaration.owner.as_deref() == owner)
     });
     (!found).then(|| format!("{file} does not declare `{name}`"))
 }
--- a/crates/cypressdrum/tests/replay.rs
+++ b/crates/cypressdrum/tests/replay.rs
@@ -1,4 +1,4 @@
-//! The command `replay`, as processes.
+//! The `replay` command, run as a process.
 
 use cypressdrum::Exit;
 use std::io::{BufRead, BufReader, Write};
@@ -11,7 +11,7 @@
     folder.join(name)
 }
 
-fn scratch(name: &str) -> PathBuf {
+fn temporary_file(name: &str) -> PathBuf {
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(name)
 }
 
@@ -25,38 +25,38 @@
     command(arguments).output().unwrap()
 }
 
-fn ends(output: &Output, exit: Exit) -> bool {
+fn exited_with(output: &Output, exit: Exit) -> bool {
     output.status.code() == Some(i32::from(exit.code()))
 }
 
 #[test]
-fn two_processes_give_the_fixed_output_of_the_example() {
+fn example_replay_matches_recorded_output() {
     let expected = std::fs::read(example("day.output.jsonl")).unwrap();
     let input = example("day.jsonl");
     let input = input.to_str().unwrap();
     let printed = replay(&[input]);
-    assert!(ends(&printed, Exit::Done));
+    assert!(exited_with(&printed, Exit::Done));
     assert!(printed.stdout == expected);
 
-    let file = scratch("day.output.jsonl");
+    let file = temporary_file("day.output.jsonl");
     let written = replay(&[input, "--seed", "0", "--output", file.to_str().unwrap()]);
-    assert!(ends(&written, Exit::Done));
+    assert!(exited_with(&written, Exit::Done));
     assert!(written.stdout.is_empty());
     assert!(std::fs::read(file).unwrap() == expected);
 }
 
 #[test]
-fn two_processes_of_another_seed_agree() {
+fn two_processes_with_same_seed_give_same_output() {
     let input = example("day.jsonl");
     let arguments = [input.to_str().unwrap(), "--seed", "77"];
     let (first, second) = (replay(&arguments), replay(&arguments));
-    assert!(ends(&first, Exit::Done));
+    assert!(exited_with(&first, Exit::Done));
     assert!(!first.stdout.is_empty());
     assert!(first.stdout == second.stdout);
 }
 
 #[test]
-fn a_program_drives_it_as_a_stream() {
+fn streamed_input_is_answered_line_by_line() {
     let mut child = command(&["-"])
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -81,11 +81,11 @@
 }
 
 #[test]
-fn a_bad_line_ends_it_with_code_two_and_its_number() {
-    let file = scratch("bad.jsonl");
+fn invalid_line_exits_with_code_two_and_line_number() {
+    let file = temporary_file("bad.jsonl");
     std::fs::write(&file, "{\"at_ms\":5}\n{\"at_ms\":4}\n{\"at_ms\":6}\n").unwrap();
     let output = replay(&[file.to_str().unwrap()]);
-    assert!(ends(&output, Exit::Usage));
+    assert!(exited_with(&output, Exit::Usage));
     let error = String::from_utf8(output.stderr).unwrap();
     assert!(
         error.contains("bad.jsonl: line 2: at_ms: 4 lies before 5"),
@@ -93,19 +93,19 @@
     );
     assert_eq!(output.stdout.split(|byte| *byte == b'\n').count(), 2);
 
-    assert!(ends(&replay(&["no/such/file"]), Exit::Usage));
+    assert!(exited_with(&replay(&["no/such/file"]), Exit::Usage));
     let file = file.to_str().unwrap();
-    assert!(ends(
+    assert!(exited_with(
         &replay(&[file, "--output", "no/such/folder/file"]),
         Exit::Usage
     ));
 }
 
-/// How long the program may take to notice that nobody reads.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time within which the program must notice that its output pipe is closed.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[test]
-fn it_ends_quietly_when_its_reader_is_gone() {
+fn replay_exits_quietly_when_output_pipe_closes() {
     let mut child = command(&["-"])
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -114,20 +114,23 @@
         .unwrap();
     drop(child.stdout.take());
     let mut input = child.stdin.take().unwrap();
-    // Standard input stays open: a write alone must end it. A child that another
-    // test forks at this moment holds the reading end until its exec, so the
-    // first write may still find a reader; then a later one must not.
-    let begun = Instant::now();
+    // Standard input stays open, so only a failed write can end the program. A
+    // child process that another test forks at this moment holds the read end of
+    // the pipe until its exec, so the first write may succeed; a later one fails.
+    let started = Instant::now();
     for at_ms in 1_u64.. {
         let written = writeln!(input, "{{\"at_ms\":{at_ms}}}");
         if written.is_err() || child.try_wait().unwrap().is_some() {
             break;
         }
-        assert!(begun.elapsed() < PATIENCE, "it goes on without a reader");
+        assert!(
+            started.elapsed() < EXIT_TIMEOUT,
+            "replay continues after its output pipe closed"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
-    let ended = child.wait_with_output().unwrap();
+    let output = child.wait_with_output().unwrap();
     drop(input);
-    assert!(ends(&ended, Exit::Done));
-    assert!(ended.stderr.is_empty());
+    assert!(exited_with(&output, Exit::Done));
+    assert!(output.stderr.is_empty());
 }
--- a/crates/cypressdrum/tests/support/crates.rs
+++ b/crates/cypressdrum/tests/support/crates.rs
@@ -1,17 +1,18 @@
-//! The crates of the workspace, read from their folders: they may be renamed.
+//! The crates of the workspace, listed from the file system so that renamed crates
+//! are included.
 
 use super::{files_below, read, root, rust};
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// One crate.
+/// A crate of the workspace.
 #[derive(Debug)]
 pub struct Crate {
-    /// Its folder.
+    /// Folder that holds the crate's manifest.
     pub folder: PathBuf,
-    /// What its sources declare.
-    pub declared: Vec<rust::Declared>,
+    /// Declarations in the sources of the crate, without those in functions.
+    pub declarations: Vec<rust::Declaration>,
 }
 
 impl Crate {
@@ -19,19 +20,21 @@
         let files = files_below(&folder.join("src"), ".rs").into_iter();
         let sources = files.map(|file| fs::read_to_string(file).unwrap());
         Self {
-            declared: sources.flat_map(|source| rust::declared(&source)).collect(),
+            declarations: sources
+                .flat_map(|source| rust::declarations(&source))
+                .collect(),
             folder,
         }
     }
 
-    /// Returns whether a module of this path has a file of its own.
+    /// Returns whether a file exists for the module of the given path.
     pub fn has_module(&self, modules: &[&str]) -> bool {
         let path = self.folder.join("src").join(modules.join("/"));
         path.with_extension("rs").is_file() || path.join("mod.rs").is_file()
     }
 
-    /// Returns whether `lib.rs` gives the item out.
-    pub fn gives_out(&self, item: &str) -> bool {
+    /// Returns whether `lib.rs` re-exports the item.
+    pub fn reexports(&self, item: &str) -> bool {
         let library = fs::read_to_string(self.folder.join("src/lib.rs")).unwrap_or_default();
         let mut statements = library.split(';');
         let public = statements.by_ref().filter(|text| text.contains("pub use "));
@@ -40,23 +43,23 @@
             .any(|word| word == item)
     }
 
-    /// Returns whether the sources declare the item; with an owner, as its function,
-    /// constant or variant.
+    /// Returns whether the sources declare the item. If an owner is given, the item
+    /// must be a function, constant or variant of that type or trait.
     pub fn declares(&self, owner: Option<&str>, item: &str) -> bool {
-        let fits = |declared: &&rust::Declared| declared.name == item;
-        let mut found = self.declared.iter().filter(fits);
-        found.any(|declared| owner.is_none() || declared.owner.as_deref() == owner)
+        let has_name = |declaration: &&rust::Declaration| declaration.name == item;
+        let mut found = self.declarations.iter().filter(has_name);
+        found.any(|declaration| owner.is_none() || declaration.owner.as_deref() == owner)
     }
 }
 
-/// Every crate by the name that code uses for it.
+/// Returns all crates by their name in code.
 pub fn all() -> BTreeMap<String, Crate> {
     let mut folders = vec![root().join("platform")];
     let entries = fs::read_dir(root().join("crates")).unwrap();
     folders.extend(entries.map(|entry| entry.unwrap().path()));
     let with_manifest = folders.into_iter().filter(|folder| is_crate(folder));
     with_manifest
-        .map(|folder| (name_of(&folder), Crate::read(folder)))
+        .map(|folder| (crate_name(&folder), Crate::read(folder)))
         .collect()
 }
 
@@ -64,8 +67,9 @@
     folder.join("Cargo.toml").is_file()
 }
 
-/// The library's name where the manifest gives one, else the package's.
-fn name_of(folder: &Path) -> String {
+/// Returns the name of the library if the manifest sets one, else the name of the
+/// package, with underscores.
+fn crate_name(folder: &Path) -> String {
     let manifest = folder.join("Cargo.toml");
     let manifest: toml::Table = toml::from_str(&fs::read_to_string(manifest).unwrap()).unwrap();
     let name = |table: &str| manifest.get(table)?.get("name")?.as_str();
@@ -78,7 +82,7 @@
     root().join(path).exists()
 }
 
-/// The sources of the daemons and tools, as paths from the root with their text.
+/// Returns the source files of all crates, as path from the root and text.
 pub fn sources() -> Vec<(String, String)> {
     let root = root();
     let crates = all();
--- a/crates/cypressdrum/tests/support/markdown.rs
+++ b/crates/cypressdrum/tests/support/markdown.rs
@@ -1,38 +1,38 @@
-//! The little of Markdown that the pages use: fences, headings, links, code
-//! spans, tables.
+//! Reader of the part of Markdown that the pages use: fences, headings, links,
+//! code spans and tables.
 
 use super::{files_below, read, root};
 
-/// A page.
+/// A Markdown page, split into blocks.
 #[derive(Debug)]
 pub struct Page {
-    /// Its path from the root.
+    /// Path from the root of the repository.
     pub name: String,
-    /// Paragraphs, items, headings and rows, each on one line; no fences.
+    /// Paragraphs, list items, headings and table rows, without fenced code.
     pub blocks: Vec<Block>,
 }
 
-/// A part of a page that no code span leaves.
+/// A part of a page within which every code span and link begins and ends.
 #[derive(Debug)]
 pub struct Block {
-    /// Line of the page where it begins.
+    /// Line of the page where the block begins, from 1.
     pub line: usize,
-    /// Its text on one line.
+    /// Text of the block, joined to one line.
     pub text: String,
 }
 
-/// A link.
+/// A link of the form `[text](target)`.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Link {
-    /// What is shown.
+    /// Text between the brackets.
     pub text: String,
-    /// Where it leads.
+    /// Path or address, with its anchor and without a title.
     pub target: String,
-    /// What follows it in its block.
+    /// Text of the block after the link.
     pub rest: String,
 }
 
-/// All pages that are held to the code.
+/// Returns all pages that are compared with the code.
 pub fn pages() -> Vec<Page> {
     let docs = files_below(&root().join("docs"), ".md").into_iter();
     let mut names: Vec<String> = docs
@@ -48,7 +48,7 @@
         Self::parse(name, &read(name))
     }
 
-    /// A page of this text.
+    /// Parses the text of a page.
     pub fn parse(name: &str, text: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -56,12 +56,12 @@
         }
     }
 
-    /// A block's place, for a problem's text.
-    pub fn place(&self, block: &Block) -> String {
+    /// Returns the page and line of a block, for failure messages.
+    pub fn location(&self, block: &Block) -> String {
         format!("{}:{}", self.name, block.line)
     }
 
-    /// The anchors of its headings, as GitHub makes them.
+    /// Returns the anchors that GitHub generates for the headings of the page.
     pub fn anchors(&self) -> Vec<String> {
         let mut anchors: Vec<String> = Vec::new();
         for heading in self.blocks.iter().filter_map(Block::heading) {
@@ -75,7 +75,8 @@
         anchors
     }
 
-    /// The rows of the table under a heading, cell by cell, without its head.
+    /// Returns the rows of the table below a heading, without its header, as line
+    /// number and cells.
     pub fn table(&self, heading: &str) -> Vec<(usize, Vec<String>)> {
         let is_start = |block: &Block| block.heading().as_deref() == Some(heading);
         let start = self.blocks.iter().position(is_start);
@@ -91,20 +92,20 @@
 }
 
 impl Block {
-    /// The text of a heading; none for another block.
+    /// Returns the text of a heading; `None` if the block is not a heading.
     pub fn heading(&self) -> Option<String> {
         let text = self.text.trim_start_matches('#');
         let level = self.text.len() - text.len();
         (level > 0 && text.starts_with(' ')).then(|| text.trim().to_owned())
     }
 
-    /// True for an item of a numbered list.
+    /// Returns whether the block is an item of a numbered list.
     pub fn is_numbered(&self) -> bool {
         let digits = self.text.bytes().take_while(u8::is_ascii_digit).count();
         digits > 0 && self.text[digits..].starts_with(". ")
     }
 
-    /// Its code spans.
+    /// Returns the code spans of the block, without backticks.
     pub fn code_spans(&self) -> Vec<String> {
         split_code(&self.text)
             .into_iter()
@@ -112,7 +113,7 @@
             .collect()
     }
 
-    /// Its links. A bracket within a code span opens none.
+    /// Returns the links of the block. Brackets in code spans are ignored.
     pub fn links(&self) -> Vec<Link> {
         let masked = mask_code(&self.text);
         let mut links = Vec::new();
@@ -134,43 +135,43 @@
     }
 }
 
-/// A piece of text or code.
-enum Piece<'a> {
+/// A part of a block: plain text, or a code span with its backticks.
+enum Segment<'a> {
     Text(&'a str),
     Code(&'a str),
 }
 
-fn code_of(piece: Piece<'_>) -> Option<String> {
-    match piece {
-        Piece::Code(code) => Some(code.trim_matches('`').trim().to_owned()),
-        Piece::Text(_) => None,
+fn code_of(segment: Segment<'_>) -> Option<String> {
+    match segment {
+        Segment::Code(code) => Some(code.trim_matches('`').trim().to_owned()),
+        Segment::Text(_) => None,
     }
 }
 
-/// Cuts a block into text and code. A span ends at as many backticks as began
-/// it; backticks that nothing ends are text.
-fn split_code(text: &str) -> Vec<Piece<'_>> {
-    let mut pieces = Vec::new();
+/// Splits a block into text and code. A code span is closed by as many backticks
+/// as opened it; unclosed backticks are text.
+fn split_code(text: &str) -> Vec<Segment<'_>> {
+    let mut segments = Vec::new();
     let mut rest = text;
     while let Some(start) = rest.find('`') {
         let ticks = rest[start..].bytes().take_while(|b| *b == b'`').count();
         let body = start + ticks;
-        let Some(length) = closing(&rest[body..], ticks) else {
-            pieces.push(Piece::Text(&rest[..body]));
+        let Some(length) = find_closing_ticks(&rest[body..], ticks) else {
+            segments.push(Segment::Text(&rest[..body]));
             rest = &rest[body..];
             continue;
         };
         let end = body + length + ticks;
-        pieces.push(Piece::Text(&rest[..start]));
-        pieces.push(Piece::Code(&rest[start..end]));
+        segments.push(Segment::Text(&rest[..start]));
+        segments.push(Segment::Code(&rest[start..end]));
         rest = &rest[end..];
     }
-    pieces.push(Piece::Text(rest));
-    pieces
+    segments.push(Segment::Text(rest));
+    segments
 }
 
-/// Where a run of just so many backticks begins.
-fn closing(text: &str, ticks: usize) -> Option<usize> {
+/// Returns the position of the first run of exactly `ticks` backticks.
+fn find_closing_ticks(text: &str, ticks: usize) -> Option<usize> {
     let mut from = 0;
     while let Some(at) = text[from..].find('`').map(|at| at + from) {
         let run = text[at..].bytes().take_while(|b| *b == b'`').count();
@@ -182,13 +183,14 @@
     None
 }
 
-/// The text with all code blanked out, byte for byte.
+/// Returns the text with each byte of a code span replaced by a space, so that
+/// positions stay the same.
 fn mask_code(text: &str) -> String {
-    let pieces = split_code(text).into_iter();
-    pieces
-        .map(|piece| match piece {
-            Piece::Text(text) => text.to_owned(),
-            Piece::Code(code) => " ".repeat(code.len()),
+    let segments = split_code(text).into_iter();
+    segments
+        .map(|segment| match segment {
+            Segment::Text(text) => text.to_owned(),
+            Segment::Code(code) => " ".repeat(code.len()),
         })
         .collect()
 }
@@ -196,19 +198,19 @@
 fn blocks(text: &str) -> Vec<Block> {
     let mut blocks: Vec<Block> = Vec::new();
     let mut fenced = false;
-    let mut open = false;
+    let mut continues = false;
     for (number, line) in text.lines().enumerate() {
         let trimmed = line.trim();
         let is_fence = trimmed.starts_with("```");
         if is_fence || fenced || trimmed.is_empty() {
             fenced ^= is_fence;
-            open = false;
+            continues = false;
             continue;
         }
-        let alone = trimmed.starts_with('|') || trimmed.starts_with('#');
+        let is_single_line = trimmed.starts_with('|') || trimmed.starts_with('#');
         match blocks
             .last_mut()
-            .filter(|_| open && !alone && !begins_item(trimmed))
+            .filter(|_| continues && !is_single_line && !begins_item(trimmed))
         {
             Some(block) => {
                 block.text.push(' ');
@@ -219,7 +221,7 @@
                 text: trimmed.to_owned(),
             }),
         }
-        open = !alone;
+        continues = !is_single_line;
     }
     blocks
 }
@@ -230,8 +232,8 @@
     numbered || line.starts_with("- ") || line.starts_with("* ")
 }
 
-/// GitHub's anchor of a heading: lower case, without punctuation, spaces as
-/// hyphens; of a link its text alone.
+/// Returns GitHub's anchor of a heading: in lower case, without punctuation and
+/// link targets, and with hyphens for spaces.
 fn slug(heading: &str) -> String {
     let mut text = heading.to_owned();
     while let Some(middle) = text.find("](") {
@@ -247,7 +249,8 @@
     kept.map(|c| if c == ' ' { '-' } else { c }).collect()
 }
 
-/// The cells of a row. A bar within a code span, or escaped, ends none.
+/// Returns the cells of a table row. A bar in a code span or after a backslash
+/// does not end a cell.
 fn cells(row: &str) -> Vec<String> {
     let masked = mask_code(row).replace("\\|", "  ");
     let bars: Vec<usize> = masked.match_indices('|').map(|(at, _)| at).collect();
--- a/crates/cypressdrum/tests/support/mod.rs
+++ b/crates/cypressdrum/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! The repository as the tests of its pages read it.
+//! Access to the repository's files for the tests that compare pages with code.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -9,19 +9,20 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The root of the repository.
+/// Returns the root folder of the repository.
 pub fn root() -> PathBuf {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     root.canonicalize().unwrap()
 }
 
-/// A file of the repository, named from its root.
+/// Reads a file of the repository, given by its path from the root.
 pub fn read(name: &str) -> String {
     let path = root().join(name);
     fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// Every file below a folder whose name has this ending, in order.
+/// Returns all files below a folder whose name has the given ending, sorted by
+/// path; none if the folder does not exist.
 pub fn files_below(folder: &Path, ending: &str) -> Vec<PathBuf> {
     let mut found = Vec::new();
     let Ok(entries) = fs::read_dir(folder) else {
@@ -39,7 +40,7 @@
     found
 }
 
-/// Fails with every problem at once.
+/// Asserts that there are no problems. The failure message lists all of them.
 pub fn assert_none(problems: &[String]) {
     assert!(problems.is_empty(), "\n{}\n", problems.join("\n"));
 }
--- a/crates/cypressdrum/tests/support/rust.rs
+++ b/crates/cypressdrum/tests/support/rust.rs
@@ -1,16 +1,16 @@
-//! The little of Rust that the tests read: what a formatted source declares,
-//! and the lines it logs. The formatter's indentation is relied upon.
+//! Reader of declarations and log calls in Rust sources. It depends on the
+//! indentation of rustfmt.
 
 use std::str::Chars;
 
-/// Something that a source declares.
+/// A declaration in a source.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Declared {
-    /// What stands before the name: `fn`, `struct`, ..., `variant`.
+pub struct Declaration {
+    /// Keyword of the declaration, such as `fn` or `struct`, or `variant`.
     pub kind: &'static str,
-    /// The type or trait that it belongs to.
+    /// Type or trait that the item belongs to; `None` for other items.
     pub owner: Option<String>,
-    /// Its name.
+    /// Name of the item, without its path.
     pub name: String,
 }
 
@@ -19,8 +19,8 @@
 ];
 const MODIFIERS: [&str; 6] = ["pub", "async", "unsafe", "const", "extern", "default"];
 
-/// All that a source declares outside of functions.
-pub fn declared(source: &str) -> Vec<Declared> {
+/// Returns all declarations of a source, without those in functions.
+pub fn declarations(source: &str) -> Vec<Declaration> {
     let mut found = Vec::new();
     let mut owner: Option<String> = None;
     let mut in_enum = false;
@@ -33,42 +33,45 @@
                 let Some(next) = lines.next() else { break };
                 head.push_str(next);
             }
-            owner = implemented(&head);
+            owner = impl_target(&head);
             in_enum = false;
         } else if indent == 0 && line.starts_with('}') {
             owner = None;
             in_enum = false;
-        } else if let Some((kind, name)) = declaration(line.trim_start()).filter(|_| indent <= 4) {
-            let belongs = (indent > 0).then(|| owner.clone()).flatten();
+        } else if let Some((kind, name)) =
+            parse_declaration(line.trim_start()).filter(|_| indent <= 4)
+        {
+            let item_owner = (indent > 0).then(|| owner.clone()).flatten();
             if indent == 0 && matches!(kind, "enum" | "trait") && !line.trim_end().ends_with('}') {
                 owner = Some(name.clone());
                 in_enum = kind == "enum";
             }
-            found.push(Declared {
+            found.push(Declaration {
                 kind,
-                owner: belongs,
+                owner: item_owner,
                 name,
             });
         } else if in_enum && indent == 4 && line.trim_start().starts_with(char::is_uppercase) {
-            found.push(Declared {
+            found.push(Declaration {
                 kind: "variant",
                 owner: owner.clone(),
-                name: word(line.trim_start()).to_owned(),
+                name: leading_identifier(line.trim_start()).to_owned(),
             });
         }
     }
     found
 }
 
-/// The kind and name that a line declares.
-fn declaration(line: &str) -> Option<(&'static str, String)> {
+/// Returns the kind and name that a line declares, or `None` if it declares
+/// nothing.
+fn parse_declaration(line: &str) -> Option<(&'static str, String)> {
     let mut words = line.split_whitespace().peekable();
     while let Some(first) = words.next() {
         let next = words.peek().copied().unwrap_or_default();
         let is_const_fn = first == "const" && next == "fn";
         let kind = KINDS.iter().find(|kind| **kind == first);
         if let Some(kind) = kind.filter(|_| !is_const_fn) {
-            let name = word(next);
+            let name = leading_identifier(next);
             return (!name.is_empty()).then(|| (*kind, name.to_owned()));
         }
         if !MODIFIERS.contains(&first) && !first.starts_with("pub(") && !first.ends_with(')') {
@@ -78,19 +81,19 @@
     None
 }
 
-/// The type that an `impl` is for.
-fn implemented(head: &str) -> Option<String> {
+/// Returns the name of the type that an `impl` block is for.
+fn impl_target(head: &str) -> Option<String> {
     let head = head.split('{').next()?;
     let head = head.split(" where ").next()?;
     let subject = match head.split_once(" for ") {
         Some((_, subject)) => subject,
-        None => after_generics(head.strip_prefix("impl")?),
+        None => skip_generics(head.strip_prefix("impl")?),
     };
     let path = subject.split(['<', ' ']).find(|part| !part.is_empty())?;
     Some(path.rsplit("::").next()?.to_owned())
 }
 
-fn after_generics(text: &str) -> &str {
+fn skip_generics(text: &str) -> &str {
     let text = text.trim_start();
     if !text.starts_with('<') {
         return text;
@@ -105,26 +108,26 @@
     text
 }
 
-fn word(text: &str) -> &str {
+fn leading_identifier(text: &str) -> &str {
     let end = text.find(|c: char| !c.is_alphanumeric() && c != '_');
     &text[..end.unwrap_or(text.len())]
 }
 
-/// A line of the log as the source writes it.
+/// A call of a logging macro in a source.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Logged {
+pub struct LogCall {
     /// `error`, `warn` or `info`.
     pub level: &'static str,
-    /// Line of the source.
+    /// Line of the source where the call begins, from 1.
     pub line: usize,
-    /// Its message; none when the macro has no literal for it.
+    /// Message of the log line; `None` if no argument is a string literal.
     pub message: Option<String>,
 }
 
 const LEVELS: [&str; 3] = ["error", "warn", "info"];
 
-/// The lines that a source logs at `info` and above.
-pub fn logged(source: &str) -> Vec<Logged> {
+/// Returns the log calls of a source at `info` and above.
+pub fn log_calls(source: &str) -> Vec<LogCall> {
     let (code, literals) = lex(source);
     let mut found = Vec::new();
     for level in LEVELS {
@@ -136,7 +139,7 @@
             if is_name || !code[opened..].starts_with(['(', '{', '[']) {
                 continue;
             }
-            found.push(Logged {
+            found.push(LogCall {
                 level,
                 line: code[..at].matches('\n').count() + 1,
                 message: message(&code[opened + 1..], &literals),
@@ -146,7 +149,7 @@
     found
 }
 
-/// The first argument that is a literal alone.
+/// Returns the first argument that consists of a string literal only.
 fn message(arguments: &str, literals: &[String]) -> Option<String> {
     let mut depth = 0;
     let mut start = 0;
@@ -157,8 +160,8 @@
             _ => {}
         }
         if depth < 0 || (depth == 0 && c == ',') {
-            if let Some(number) = literal(arguments[start..at].trim()) {
-                return literals.get(number).cloned();
+            if let Some(index) = literal_index(arguments[start..at].trim()) {
+                return literals.get(index).cloned();
             }
             start = at + 1;
         }
@@ -169,14 +172,16 @@
     None
 }
 
-/// The number of a literal that stands alone; see [`lex`].
-fn literal(argument: &str) -> Option<usize> {
-    let number = argument.strip_prefix('"')?.strip_suffix('"')?;
-    number.parse().ok()
+/// Returns the index of the literal if the argument consists of it only; see
+/// [`lex`].
+fn literal_index(argument: &str) -> Option<usize> {
+    let index = argument.strip_prefix('"')?.strip_suffix('"')?;
+    index.parse().ok()
 }
 
-/// The code without comments, each literal replaced by its number in quotes,
-/// and the literals. Line breaks stay, so that lines can be counted.
+/// Returns the code without comments, with each string literal replaced by its
+/// index in quotes, and the literals. Line breaks are kept, so that lines can be
+/// counted.
 fn lex(source: &str) -> (String, Vec<String>) {
     let mut code = String::new();
     let mut literals = Vec::new();
@@ -195,7 +200,7 @@
             }
             '\'' => skip_character(&mut chars),
             '"' => {
-                let text = take_literal(&mut chars, raw_hashes(&code));
+                let text = take_literal(&mut chars, raw_string_hashes(&code));
                 code.push_str(&format!("\"{}\"", literals.len()));
                 code.extend(text.matches('\n'));
                 literals.push(unescape(&text));
@@ -206,11 +211,12 @@
     (code, literals)
 }
 
-/// Passes over a character literal; a lifetime has no closing quote.
+/// Skips the rest of a character literal. A lifetime has no closing quote, so
+/// nothing is skipped.
 fn skip_character(chars: &mut Chars<'_>) {
     let rest = chars.as_str();
     let length = match rest.strip_prefix('\\') {
-        // What is escaped may be a quote itself.
+        // The escaped character may be a quote.
         Some(escaped) => escaped
             .get(1..)
             .and_then(|rest| rest.find('\''))
@@ -225,8 +231,9 @@
     }
 }
 
-/// How many `#` a raw literal that begins here has; none for another literal.
-fn raw_hashes(code: &str) -> Option<usize> {
+/// Returns the number of `#` of a raw string literal that begins after `code`;
+/// `None` if the literal is not raw.
+fn raw_string_hashes(code: &str) -> Option<usize> {
     let unhashed = code.trim_end_matches('#');
     let hashes = code.len() - unhashed.len();
     unhashed.ends_with('r').then_some(hashes)
@@ -252,7 +259,8 @@
     })
 }
 
-/// Joins a literal that a backslash carries on to the next line.
+/// Joins the lines of a literal that are continued with a backslash, and unescapes
+/// quotes.
 fn unescape(text: &str) -> String {
     let mut parts = text.split("\\\n");
     let mut joined = parts.next().unwrap_or_default().to_owned();
--- a/crates/cypressdrum/tests/toolbox.rs
+++ b/crates/cypressdrum/tests/toolbox.rs
@@ -1,4 +1,4 @@
-//! Keys, settings checks and histories.
+//! The `key` and `check` commands, and the `--check` flag of daemons.
 
 use configuration::{ClusterConfiguration, KeyRole};
 use cypressdrum::key::{KeyError, Role, new_key};
@@ -6,14 +6,14 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
     path
 }
 
 #[test]
-fn a_new_key_opens_with_its_token_and_no_two_are_alike() {
+fn new_key_matches_its_own_secret_only() {
     let id = || "editors".parse().unwrap();
     let tenant = || Some("editors".parse().unwrap());
     let one = new_key(id(), Role::Caller, tenant()).unwrap();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn role_and_tenant_must_go_together() {
+fn key_requires_tenant_for_callers_only() {
     let id = || "key".parse().unwrap();
     let caller = new_key(id(), Role::Caller, None);
     assert_eq!(caller.err(), Some(KeyError::NoTenant));
@@ -40,27 +40,27 @@
 }
 
 #[test]
-fn check_ends_by_what_the_history_shows() {
-    let calm = r#"{"at":1,"observer":"lab","event":"finished"}"#;
+fn check_exit_code_follows_history() {
+    let finished = r#"{"at":1,"observer":"lab","event":"finished"}"#;
     let acknowledged = r#"{"at":0,"observer":"caller","event":"submit_acknowledged",
         "job":{"tenant":"poster","job":"sheet-1"}}"#;
     let lost = format!(
         "{}\n{}\n",
         acknowledged.replace('\n', ""),
-        calm.replace(":1", ":60000")
+        finished.replace(":1", ":60000")
     );
     for (name, text, exit) in [
-        ("calm.jsonl", calm, Exit::Done),
+        ("finished.jsonl", finished, Exit::Done),
         ("lost.jsonl", lost.as_str(), Exit::PromiseBroken),
         ("wrong.jsonl", "{\"at\":1}\n", Exit::Usage),
     ] {
-        let path = file(name, text);
+        let path = write_file(name, text);
         assert_eq!(check::run(&path), exit, "{name}");
     }
     assert_eq!(check::run(Path::new("no/such/history")), Exit::Usage);
 }
 
-fn cypressdrum(arguments: &[&str]) -> (Option<i32>, String) {
+fn run_program(arguments: &[&str]) -> (Option<i32>, String) {
     let program = env!("CARGO_BIN_EXE_cypressdrum");
     let output = Command::new(program).args(arguments).output().unwrap();
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -68,8 +68,8 @@
 }
 
 #[test]
-fn check_reads_settings_and_tells_every_problem() {
-    let key = file("cluster.key", &"k".repeat(32));
+fn check_flag_reports_every_settings_problem() {
+    let key = write_file("cluster.key", &"k".repeat(32));
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/settings");
     let settings = examples.join("coordinator.toml");
     let arguments = [
@@ -80,18 +80,18 @@
         "--cluster-key-file",
         key.to_str().unwrap(),
     ];
-    let (code, text) = cypressdrum(&arguments);
+    let (code, text) = run_program(&arguments);
     assert_eq!(code, Some(i32::from(Exit::Done.code())), "{text}");
 
-    let wrong = [&arguments[..], &["--zone", "a b", "--log-level", "loud"]].concat();
-    let (code, text) = cypressdrum(&wrong);
+    let invalid = [&arguments[..], &["--zone", "a b", "--log-level", "loud"]].concat();
+    let (code, text) = run_program(&invalid);
     assert_eq!(code, Some(i32::from(Exit::Usage.code())));
     assert!(text.contains("--zone: zone"), "{text}");
     assert!(text.contains("--log-level: log.level"), "{text}");
 }
 
 #[test]
-fn an_unknown_flag_is_a_usage_error() {
-    let (code, _) = cypressdrum(&["coordinator", "--no-such-flag"]);
+fn unknown_flag_is_usage_error() {
+    let (code, _) = run_program(&["coordinator", "--no-such-flag"]);
     assert_eq!(code, Some(i32::from(Exit::Usage.code())));
 }
