--- a/crates/checker/src/check.rs
+++ b/crates/checker/src/check.rs
@@ -1,4 +1,6 @@
-//! The rules.
+//! Checks a history with every rule, and counts jobs and runs.
+//!
+//! Each module below checks one guarantee, or a few that belong together.
 
 mod cancel;
 mod configuration;
@@ -26,23 +28,29 @@
 use serde::{Deserialize, Serialize};
 use types::{JobState, Milliseconds};
 
-/// Times and margins of the promises, from the brief.
+/// Times and margins of the guarantees.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// An acknowledged job is known to everyone after this.
+    /// Time after the acknowledgement of a submit from which every request for
+    /// the job's state must find it.
     pub known_after: Milliseconds,
-    /// No new start of a cancelled job after this.
+    /// Time after the acknowledgement of a cancel from which no run of the job
+    /// may start.
     pub cancel_after: Milliseconds,
-    /// No new start on a leaving runner after this.
+    /// Time after the start of draining from which no run may start on the
+    /// runner.
     pub drain_after: Milliseconds,
-    /// An acknowledged configuration holds everywhere after this.
+    /// Time after the acknowledgement of a configuration from which every ready
+    /// daemon must use it.
     pub configuration_after: Milliseconds,
-    /// Service is back this long after the last fault healed.
+    /// Time after the end of the last fault within which service must be
+    /// available again.
     pub service_after: Milliseconds,
-    /// A resource limit may be exceeded by this part, in percent.
+    /// Part of a resource limit by which a tenant may exceed it, in percent.
     #[serde(rename = "ceiling_margin_percent")]
     pub limit_margin_percent: u32,
-    /// An acknowledged job may be forgotten this long after it was taken.
+    /// Time after the acknowledgement of a submit from which the job may be
+    /// removed.
     pub retention: Milliseconds,
 }
 
@@ -60,87 +68,90 @@
     }
 }
 
-/// Kinds of broken promise.
+/// Kinds of violated guarantee.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ViolationKind {
-    /// An acknowledged job was unknown later, or never finished.
+    /// An acknowledged job was unknown later, or never reached a final state.
     LostJob,
-    /// A job was marked failed, cancelled or done without cause.
+    /// A job was read as failed, cancelled or done without an observed cause.
     FalseEnd,
-    /// A final state changed.
+    /// A job left its final state.
     Reopened,
-    /// Two runs of a task at once beyond its copies.
+    /// More runs of a task were open at once than its copies.
     OverlappingRuns,
     /// A task started again after it ended done.
     RepeatedTask,
     /// One run identifier started twice.
     DoubleStart,
-    /// A start before a step it depends on was done.
+    /// A run started before a step that its own depends on was done.
     StartBeforeDependency,
-    /// A start before the job's time.
+    /// A run started before the earliest start of its job.
     StartBeforeTime,
-    /// A tenant held more than its resource limit and margin.
+    /// A tenant's runs held more than its resource limit plus the margin.
     #[serde(rename = "ceiling_exceeded")]
     ResourceLimitExceeded,
-    /// More runs took a seat of a licence than it has.
+    /// More runs used a licence at once than it has seats.
     SeatsExceeded,
-    /// A member of a gang went on while another one had not started.
+    /// A member of a gang kept running while another member had no run.
     GangApart,
-    /// A task was run again past its allowed failures.
+    /// A task ran again after more failures than allowed.
     RetriedPastAllowed,
-    /// A start after the cancel should have held.
+    /// A run started too long after the cancel of its job was acknowledged.
     StartAfterCancel,
-    /// A start on a runner that was leaving.
+    /// A run started on a runner that was draining.
     StartOnDrainingRunner,
-    /// A configuration was not in force in time.
+    /// A daemon did not use an acknowledged configuration in time.
     ConfigurationLate,
-    /// A daemon went back to an older configuration.
+    /// A daemon returned to an older configuration.
     ConfigurationSlidBack,
-    /// Two documents were acknowledged under one version.
+    /// Two documents were acknowledged or read under one version.
     TwoWinners,
-    /// An order of a superseded leader was accepted.
+    /// A runner accepted an order of a superseded leader.
     StaleOrderAccepted,
-    /// Service was not back in time.
+    /// Service was not available again in time after the last fault.
     ServiceNotBack,
 }
 
-/// A broken promise, with what shows it.
+/// A violated guarantee and the observation that shows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Violation {
-    /// Which promise.
+    /// Guarantee that was violated.
     pub kind: ViolationKind,
-    /// When it broke.
+    /// Time of the violation on the observer's clock.
     pub at: Milliseconds,
-    /// What was seen, in one sentence.
+    /// Description of the observed facts, in one line.
     pub detail: String,
 }
 
-/// The checker's findings and counts.
+/// Violations in a history, and counts of its jobs and runs.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Report {
-    /// Broken promises in order of time.
+    /// Violations of all rules, in order of time.
     pub violations: Vec<Violation>,
-    /// Jobs acknowledged.
+    /// Number of jobs of which a submit was acknowledged.
     pub acknowledged_jobs: u64,
-    /// Jobs seen done.
+    /// Number of jobs whose first final state was done.
     pub done_jobs: u64,
-    /// Jobs seen failed.
+    /// Number of jobs whose first final state was failed.
     pub failed_jobs: u64,
-    /// Jobs seen cancelled.
+    /// Number of jobs whose first final state was cancelled.
     pub cancelled_jobs: u64,
-    /// Runs started.
+    /// Number of observed starts of runs.
     pub started_runs: u64,
-    /// Of those, runs of a task that had ended done on a runner that fell
-    /// unresponsive past its run lease, or died, before it could report it.
+    /// Number of starts of a task that had ended done on a runner that became
+    /// unresponsive past its run lease, or stopped, before it could report the
+    /// end. The guarantees allow such starts.
     pub repeated_unreported: u64,
-    /// Of those, runs past the allowed failures, after a failure that was
-    /// unreported in the same way.
+    /// Number of starts past the allowed failures, after a failure that was
+    /// unreported in the same way. The guarantees allow such starts.
     pub retried_unreported: u64,
 }
 
-/// Checks a whole history, in order of time. What was asked and not answered
-/// may or may not have been taken; the rules allow for both.
+/// Checks a complete history, whose observations are in order of time.
+///
+/// A request without a reply may or may not have taken effect; the rules allow
+/// both.
 pub fn check(history: &[Observation], limits: &Limits) -> Report {
     let mut rules = all_rules();
     let mut observed = ObservedCluster::default();
@@ -150,7 +161,7 @@
         for rule in &mut rules {
             rule.observe(observation, &observed, limits, &mut findings);
         }
-        count(observation, &observed, &mut report);
+        count_event(observation, &observed, &mut report);
         observed.observe(observation);
     }
     report.violations = findings.into_violations();
@@ -181,26 +192,26 @@
     ]
 }
 
-fn count(observation: &Observation, observed: &ObservedCluster, report: &mut Report) {
+fn count_event(observation: &Observation, observed: &ObservedCluster, report: &mut Report) {
     match &observation.event {
         Event::RunStarted { .. } => {
             report.started_runs += 1;
-            let start = started::Started::of(observation);
+            let start = started::RunStart::from_observation(observation);
             let repeated = start.is_some_and(|start| start.repeats_unreported(observed));
             report.repeated_unreported += u64::from(repeated);
             let retried = start.is_some_and(|start| start.retries_unreported(observed));
             report.retried_unreported += u64::from(retried);
         }
         Event::SubmitAcknowledged { job } => {
-            let known = observed.job(job).and_then(|facts| facts.acknowledged_at);
-            report.acknowledged_jobs += u64::from(known.is_none());
+            let acknowledged_at = observed.job(job).and_then(|facts| facts.acknowledged_at);
+            report.acknowledged_jobs += u64::from(acknowledged_at.is_none());
         }
         Event::StateRead {
             job,
             state: ReadState::Known(state),
             ..
         } => {
-            let first = observed
+            let is_first = observed
                 .job(job)
                 .is_none_or(|facts| facts.final_state.is_none());
             let counter = match state {
@@ -209,7 +220,7 @@
                 JobState::Cancelled => &mut report.cancelled_jobs,
                 JobState::Waiting | JobState::Running => return,
             };
-            *counter += u64::from(first);
+            *counter += u64::from(is_first);
         }
         _ => {}
     }
--- a/crates/checker/src/check/cancel.rs
+++ b/crates/checker/src/check/cancel.rs
@@ -1,4 +1,8 @@
-//! An acknowledged cancel stops new starts in time.
+//! Guarantee: after an acknowledged cancel, no run of the job starts.
+//!
+//! Reads the acknowledgements of cancels and the starts of runs. Reports a
+//! violation if a run starts more than [`Limits::cancel_after`] after the
+//! acknowledgement.
 
 use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
@@ -20,11 +24,12 @@
             return;
         };
         let facts = observed.job(job);
-        let Some(cancelled) = facts.and_then(|facts| facts.cancel_acknowledged_at) else {
+        let Some(cancelled_at) = facts.and_then(|facts| facts.cancel_acknowledged_at) else {
             return;
         };
-        if observation.at > cancelled + limits.cancel_after {
-            let detail = format!("run {run} of {job} began, cancel acknowledged at {cancelled}");
+        if observation.at > cancelled_at + limits.cancel_after {
+            let detail =
+                format!("run {run} of {job} started, cancel acknowledged at {cancelled_at}");
             findings.add(ViolationKind::StartAfterCancel, observation.at, detail);
         }
     }
--- a/crates/checker/src/check/configuration.rs
+++ b/crates/checker/src/check/configuration.rs
@@ -1,4 +1,9 @@
-//! An acknowledged configuration holds in time, everywhere, for good.
+//! Guarantees on configurations.
+//!
+//! Reads the acknowledgements of configurations and the configurations that ready
+//! daemons reply with. Reports a violation if a daemon uses an acknowledged
+//! configuration too late, returns to an older one, or if two documents have the
+//! same version.
 
 use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
@@ -7,14 +12,19 @@
 use std::collections::BTreeMap;
 use types::{ConfigurationVersion, Milliseconds};
 
-/// A ready daemon answers with the newest one that was acknowledged in time.
+/// Guarantee: an acknowledged configuration is in force on every daemon in time.
+///
+/// Reports a violation if a daemon's reply has an older version than the newest
+/// one that was acknowledged [`Limits::configuration_after`] or longer before the
+/// request was sent.
 #[derive(Debug, Default)]
 pub(super) struct ConfigurationLate {
-    /// Highest version acknowledged up to each time, in order.
+    /// Highest version acknowledged so far, at the time of each acknowledgement.
     acknowledged: Vec<(Milliseconds, ConfigurationVersion)>,
 }
 
 impl ConfigurationLate {
+    /// Returns the highest version acknowledged up to a time; None if none was.
     fn newest_at(&self, time: Milliseconds) -> Option<ConfigurationVersion> {
         let count = self.acknowledged.partition_point(|(at, _)| *at <= time);
         let last = self.acknowledged.get(count.checked_sub(1)?)?;
@@ -47,7 +57,9 @@
                 };
                 let due = self.newest_at(Milliseconds(time));
                 if let Some(due) = due.filter(|due| version < due) {
-                    let detail = format!("{daemon} asked at {asked_at} had {version}, due {due}");
+                    let detail = format!(
+                        "{daemon} had {version} for a request sent at {asked_at}, due {due}"
+                    );
                     findings.add(ViolationKind::ConfigurationLate, observation.at, detail);
                 }
             }
@@ -56,10 +68,13 @@
     }
 }
 
-/// No daemon goes back to an older one.
+/// Guarantee: no daemon returns to an older configuration.
+///
+/// Reports a violation if a daemon's reply has an older version than a reply that
+/// was received before the request was sent.
 #[derive(Debug, Default)]
 pub(super) struct ConfigurationSlidBack {
-    /// Highest version of each daemon, and when it was first read.
+    /// Highest version of each daemon, and the time at which it was first read.
     highest: BTreeMap<String, (ConfigurationVersion, Milliseconds)>,
 }
 
@@ -80,12 +95,12 @@
         else {
             return;
         };
-        let new = (*version, observation.at);
-        let highest = self.highest.entry(daemon.clone()).or_insert(new);
+        let current = (*version, observation.at);
+        let highest = self.highest.entry(daemon.clone()).or_insert(current);
         if *version > highest.0 {
-            *highest = new;
+            *highest = current;
         }
-        // An answer to an older question may lawfully arrive later.
+        // The reply to an earlier request may arrive later.
         if *version < highest.0 && *asked_at >= highest.1 {
             let detail = format!(
                 "{daemon} had {} at {}, then {version}",
@@ -96,9 +111,12 @@
     }
 }
 
-/// One version is one document.
+/// Guarantee: a version belongs to one document.
+///
+/// Reports a violation if a version was acknowledged or read with two digests.
 #[derive(Debug, Default)]
 pub(super) struct TwoWinners {
+    /// First digest observed of each version.
     digests: BTreeMap<ConfigurationVersion, String>,
 }
 
@@ -117,12 +135,12 @@
         else {
             return;
         };
-        let winner = self
+        let first = self
             .digests
             .entry(*version)
             .or_insert_with(|| digest.clone());
-        if winner != digest {
-            let detail = format!("version {version} was {winner} and {digest}");
+        if first != digest {
+            let detail = format!("version {version} has digests {first} and {digest}");
             findings.add(ViolationKind::TwoWinners, observation.at, detail);
         }
     }
--- a/crates/checker/src/check/dependency.rs
+++ b/crates/checker/src/check/dependency.rs
@@ -1,4 +1,7 @@
-//! No start before the steps it depends on are done.
+//! Guarantee: a step starts only after the steps that it depends on are done.
+//!
+//! Reads the starts of runs. Reports a violation for each dependency of which a
+//! task had not ended done when the run started.
 
 use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
@@ -27,10 +30,10 @@
         };
         for earlier in &expected.after {
             let tasks = facts.step(earlier).map_or(0, |step| step.tasks);
-            let done = facts.done_in(earlier);
+            let done = facts.done_tasks(earlier);
             if done < tasks {
                 let detail = format!(
-                    "run {run} of {job} {step} began with {done} of {tasks} tasks of {earlier} done"
+                    "run {run} of {job} {step} started with {done} of {tasks} tasks of {earlier} done"
                 );
                 findings.add(ViolationKind::StartBeforeDependency, observation.at, detail);
             }
--- a/crates/checker/src/check/drain.rs
+++ b/crates/checker/src/check/drain.rs
@@ -1,4 +1,9 @@
-//! A leaving runner gets nothing new.
+//! Guarantee: no run starts on a draining runner.
+//!
+//! Reads the reports of draining by runners, the operators' acknowledged orders to
+//! drain, and the starts of runs. A runner's own report holds until its process
+//! stops, an operator's order until it is lifted. Reports a violation if a run
+//! starts more than [`Limits::drain_after`] after the runner began to drain.
 
 use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
@@ -9,9 +14,9 @@
 
 #[derive(Debug, Default)]
 pub(super) struct StartOnDrainingRunner {
-    /// Since when runners say themselves that they leave; until they stop.
+    /// Time since which each runner reports that it is draining.
     by_runner: BTreeMap<RunnerId, Milliseconds>,
-    /// Since when operators' orders hold; until they are lifted.
+    /// Time since which an operator's order to drain each runner is in force.
     by_operator: BTreeMap<RunnerId, Milliseconds>,
 }
 
@@ -43,7 +48,7 @@
                     return;
                 };
                 if at > *since + limits.drain_after {
-                    let detail = format!("run {run} began on {runner}, leaving since {since}");
+                    let detail = format!("run {run} started on {runner}, draining since {since}");
                     findings.add(ViolationKind::StartOnDrainingRunner, at, detail);
                 }
             }
--- a/crates/checker/src/check/end.rs
+++ b/crates/checker/src/check/end.rs
@@ -1,4 +1,11 @@
-//! A job ends only for a cause that was seen before.
+//! Guarantee: a job reaches a final state only for a cause that was observed before.
+//!
+//! Reads the replies with a job's state. Reports a violation if the first final
+//! state is
+//!
+//! * failed, but no task can have failed more often than allowed;
+//! * cancelled, but no cancel was sent;
+//! * done, but not every task ended done.
 
 use super::facts::JobFacts;
 use super::observed::ObservedCluster;
@@ -32,13 +39,14 @@
         if facts.final_state.is_some() {
             return;
         }
-        if let Some(lacking) = missing_cause(*state, facts, observed, observation.at) {
-            let detail = format!("job {job} was read as {state:?}, but {lacking}");
+        if let Some(reason) = missing_cause(*state, facts, observed, observation.at) {
+            let detail = format!("job {job} was read as {state:?}, but {reason}");
             findings.add(ViolationKind::FalseEnd, observation.at, detail);
         }
     }
 }
 
+/// Returns why a job cannot be in a state; None if it may be.
 fn missing_cause(
     state: JobState,
     facts: &JobFacts,
@@ -47,10 +55,10 @@
 ) -> Option<&'static str> {
     match state {
         JobState::Failed if !facts.may_have_failed(|run| observed.run(run), at) => {
-            Some("no task had used up its allowed failures")
+            Some("no task had failed more often than allowed")
         }
         JobState::Cancelled if !facts.cancel_sent => Some("no cancel had been sent"),
-        JobState::Done if facts.is_done() == Some(false) => Some("not all its tasks were done"),
+        JobState::Done if facts.is_done() == Some(false) => Some("not all of its tasks were done"),
         _ => None,
     }
 }
--- a/crates/checker/src/check/lost.rs
+++ b/crates/checker/src/check/lost.rs
@@ -1,4 +1,12 @@
-//! An acknowledged job is known from then on, and comes to an end.
+//! Guarantee: an acknowledged job stays known and reaches a final state.
+//!
+//! Reads the replies that a job is unknown and the end of the history. Reports a
+//! violation if
+//!
+//! * a request for the state, sent [`Limits::known_after`] after the
+//!   acknowledgement or later, but within [`Limits::retention`], finds no job;
+//! * no final state of the job was read by the end of the history, although the
+//!   job could start [`Limits::service_after`] before the end or earlier.
 
 use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
@@ -37,15 +45,15 @@
     limits: &Limits,
     findings: &mut Findings,
 ) {
-    let acknowledged = observed.job(job).and_then(|facts| facts.acknowledged_at);
-    let Some(acknowledged) = acknowledged else {
+    let acknowledged_at = observed.job(job).and_then(|facts| facts.acknowledged_at);
+    let Some(acknowledged_at) = acknowledged_at else {
         return;
     };
-    let must_be_known = asked_at >= acknowledged + limits.known_after;
-    let may_be_forgotten = asked_at >= acknowledged + limits.retention;
-    if must_be_known && !may_be_forgotten {
+    let must_be_known = asked_at >= acknowledged_at + limits.known_after;
+    let may_be_removed = asked_at >= acknowledged_at + limits.retention;
+    if must_be_known && !may_be_removed {
         let detail = format!(
-            "job {job}, acknowledged at {acknowledged}, was unknown when asked for at {asked_at}"
+            "job {job}, acknowledged at {acknowledged_at}, was unknown to a request sent at {asked_at}"
         );
         findings.add(ViolationKind::LostJob, at, detail);
     }
@@ -58,14 +66,15 @@
     findings: &mut Findings,
 ) {
     for (job, facts) in observed.jobs() {
-        let Some(acknowledged) = facts.acknowledged_at else {
+        let Some(acknowledged_at) = facts.acknowledged_at else {
             continue;
         };
-        // A job that could only just begin cannot be asked to have ended.
-        let could_begin = facts.not_before.unwrap_or_default() + limits.service_after <= at;
-        if facts.final_state.is_none() && could_begin {
+        // A job whose earliest start is near the end of the history may not have
+        // had the time to finish.
+        let could_finish = facts.not_before.unwrap_or_default() + limits.service_after <= at;
+        if facts.final_state.is_none() && could_finish {
             let detail = format!(
-                "job {job}, acknowledged at {acknowledged}, was never seen in a final state"
+                "job {job}, acknowledged at {acknowledged_at}, was never read in a final state"
             );
             findings.add(ViolationKind::LostJob, at, detail);
         }
--- a/crates/checker/src/check/observed.rs
+++ b/crates/checker/src/check/observed.rs
@@ -1,59 +1,61 @@
-//! What the history has shown so far, shared by the rules.
+//! Observed state of the cluster up to the current event, shared by the rules.
 
-use super::facts::{JobFacts, RunFacts, TaskFacts, is_overdue};
+use super::facts::{JobFacts, RunFacts, TaskFacts, may_have_timed_out};
 use crate::{Event, Observation, ReadState};
 use std::collections::{BTreeMap, BTreeSet};
 use types::{
     JobKey, LicenceName, Milliseconds, Outcome, Resources, RunId, RunnerId, StepName, TenantId,
 };
 
-/// Once no fault has been going on for so long, every runner has reported.
-const REPORTED_AFTER: Milliseconds = Milliseconds(3_000);
+/// Time without a fault after which every runner has reported its ended runs.
+const REPORT_TIME: Milliseconds = Milliseconds(3_000);
 
-/// All jobs and runs, and whether a fault is going on.
+/// Observed jobs, runs and runners, and whether a fault is active.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ObservedCluster {
     jobs: BTreeMap<JobKey, JobFacts>,
     runs: BTreeMap<RunId, RunFacts>,
     open_by_runner: BTreeMap<RunnerId, BTreeSet<RunId>>,
+    /// Resources that the open runs of each tenant hold.
     usage: BTreeMap<TenantId, Resources>,
-    /// Acknowledged jobs that may have work left.
+    /// Acknowledged jobs that definitely have tasks left to run.
     pub(super) unfinished: BTreeSet<JobKey>,
-    /// Ended runs whose runner does not know yet that the record has them.
+    /// Ended runs of each runner that has not been notified yet that the end is
+    /// recorded.
     unrecorded: BTreeMap<RunnerId, BTreeSet<RunId>>,
-    frozen: BTreeSet<RunnerId>,
-    is_disturbed: bool,
+    frozen_runners: BTreeSet<RunnerId>,
+    has_fault: bool,
     healed_at: Milliseconds,
 }
 
 impl ObservedCluster {
-    /// What is known of a job.
+    /// Returns the observed state of a job.
     pub(super) fn job(&self, job: &JobKey) -> Option<&JobFacts> {
         self.jobs.get(job)
     }
 
-    /// All jobs.
+    /// Returns all observed jobs, in order of their keys.
     pub(super) fn jobs(&self) -> impl Iterator<Item = (&JobKey, &JobFacts)> {
         self.jobs.iter()
     }
 
-    /// What is known of a task.
+    /// Returns the observed state of a task; None if none of its runs has started.
     pub(super) fn task(&self, job: &JobKey, step: &StepName, task: u32) -> Option<&TaskFacts> {
         self.job(job)?.tasks.get(&(step.clone(), task))
     }
 
-    /// A run that was seen to start.
+    /// Returns the observed state of a run; None if it has not started.
     pub(super) fn run(&self, run: RunId) -> Option<&RunFacts> {
         self.runs.get(&run)
     }
 
     /// Returns whether a runner's machine is frozen.
     pub(super) fn is_frozen(&self, runner: &RunnerId) -> bool {
-        self.frozen.contains(runner)
+        self.frozen_runners.contains(runner)
     }
 
-    /// Open runs of a runner.
-    pub(super) fn open_on(&self, runner: &RunnerId) -> impl Iterator<Item = RunId> {
+    /// Returns the open runs of a runner.
+    pub(super) fn open_runs_on(&self, runner: &RunnerId) -> impl Iterator<Item = RunId> {
         self.open_by_runner
             .get(runner)
             .into_iter()
@@ -61,60 +63,68 @@
             .copied()
     }
 
-    /// Returns whether the end of a run may never have reached anyone by `at`: its
-    /// runner was not notified that the record has it, and has either lost its
-    /// memory with its process, or been unresponsive past its run lease and not had
-    /// the time without a fault that a report takes.
+    /// Returns whether the runner may not have reported the end of a run by `at`.
+    ///
+    /// That is so if the runner was not notified that the end is recorded, and
+    /// either its process stopped, or its run lease expired and it has not had
+    /// `REPORT_TIME` without a fault since the end.
     pub(super) fn may_be_unreported(&self, run: RunId, at: Milliseconds) -> bool {
         let Some(facts) = self.runs.get(&run).filter(|run| !run.end_recorded) else {
             return false;
         };
-        let expired = facts.lease_until.is_some_and(|until| at >= until);
-        let calm_since = facts.ended_at.and_then(|ended| self.calm_since(ended));
-        let had_time = calm_since.is_some_and(|calm| at > calm + REPORTED_AFTER);
-        facts.end_forgotten || (expired && !had_time)
+        let is_expired = facts.lease_until.is_some_and(|expiry| at >= expiry);
+        let fault_free_since = facts
+            .ended_at
+            .and_then(|ended_at| self.fault_free_since(ended_at));
+        let had_time = fault_free_since.is_some_and(|since| at > since + REPORT_TIME);
+        facts.end_lost || (is_expired && !had_time)
     }
 
-    /// What a tenant's runs hold over all runners but those whose machines
-    /// stand still: there they do nothing, and once their lease is over they
-    /// must end when the machine wakes.
+    /// Returns the resources that a tenant's runs hold on runners that are not
+    /// frozen. Runs on a frozen machine make no progress, and must end when it
+    /// resumes if their lease has expired.
     pub(super) fn usage(&self, tenant: &TenantId) -> Resources {
         let usage = self.usage.get(tenant).copied().unwrap_or_default();
-        let still = self.frozen.iter().flat_map(|runner| self.open_on(runner));
-        still
+        let frozen_runs = self
+            .frozen_runners
+            .iter()
+            .flat_map(|runner| self.open_runs_on(runner));
+        frozen_runs
             .filter_map(|run| self.run(run))
             .filter(|run| run.job.tenant == *tenant)
             .fold(usage, |usage, run| usage.minus(&run.resources))
     }
 
-    /// Runs that take a seat of a licence, but those whose machines stand still.
+    /// Returns the number of open runs that use a seat of a licence on runners that
+    /// are not frozen.
     pub(super) fn seats_used(&self, licence: &LicenceName) -> usize {
-        let open = self.open_by_runner.iter();
-        open.filter(|(runner, _)| !self.frozen.contains(*runner))
+        let open_runs = self.open_by_runner.iter();
+        open_runs
+            .filter(|(runner, _)| !self.frozen_runners.contains(*runner))
             .flat_map(|(_, runs)| runs)
             .filter_map(|run| self.run(*run))
             .filter(|run| self.licence_of(&run.job, &run.task.0) == Some(licence))
             .count()
     }
 
-    /// The licence that a step of a job needs.
+    /// Returns the licence that a step of a job needs; None if it needs none.
     pub(super) fn licence_of(&self, job: &JobKey, step: &StepName) -> Option<&LicenceName> {
-        let expected = self.jobs.get(job)?.likely_step(step)?;
+        let expected = self.jobs.get(job)?.probable_step(step)?;
         expected.licence.as_ref()
     }
 
-    /// Returns whether any run is going on any runner.
+    /// Returns whether any run is open, on frozen runners as well.
     pub(super) fn has_open_runs(&self) -> bool {
         !self.open_by_runner.is_empty()
     }
 
-    /// Since when no fault delays reports on their way, counted from `since`
-    /// at the earliest; None while one may.
-    pub(super) fn calm_since(&self, since: Milliseconds) -> Option<Milliseconds> {
-        (!self.is_disturbed).then_some(self.healed_at.max(since))
+    /// Returns the time since which no fault delays reports and orders, but at
+    /// least `since`; None while a fault is active.
+    pub(super) fn fault_free_since(&self, since: Milliseconds) -> Option<Milliseconds> {
+        (!self.has_fault).then_some(self.healed_at.max(since))
     }
 
-    /// Takes an event in.
+    /// Updates the state with an event.
     pub(super) fn observe(&mut self, observation: &Observation) {
         let at = observation.at;
         match &observation.event {
@@ -122,10 +132,10 @@
                 job,
                 steps,
                 not_before,
-            } => self.job_mut(job).take_submit(steps, *not_before),
+            } => self.job_mut(job).record_submit(steps, *not_before),
             Event::SubmitAcknowledged { job } => {
                 self.job_mut(job).acknowledged_at.get_or_insert(at);
-                self.review(job);
+                self.update_unfinished(job);
             }
             Event::StateRead {
                 job,
@@ -133,30 +143,30 @@
                 ..
             } if state.is_final() => {
                 self.job_mut(job).final_state.get_or_insert(*state);
-                self.review(job);
+                self.update_unfinished(job);
             }
             Event::CancelSent { job } => self.job_mut(job).cancel_sent = true,
             Event::CancelAcknowledged { job } => {
                 self.job_mut(job).cancel_acknowledged_at.get_or_insert(at);
             }
-            Event::RunStarted { .. } => self.start(observation),
+            Event::RunStarted { .. } => self.record_run_start(observation),
             Event::RunEnded {
                 run,
                 outcome,
                 lease_until,
                 ..
-            } => self.end(*run, outcome, *lease_until, at),
-            Event::EndRecorded { runner, run } => self.record_end(runner, *run),
-            Event::RunnerStopped { runner } => self.stop_runner(runner, at),
+            } => self.record_run_end(*run, outcome, *lease_until, at),
+            Event::EndRecorded { runner, run } => self.notify_recorded(runner, *run),
+            Event::RunnerStopped { runner } => self.record_runner_stop(runner, at),
             Event::RunnerFrozen { runner } => {
-                self.frozen.insert(runner.clone());
+                self.frozen_runners.insert(runner.clone());
             }
             Event::RunnerWoke { runner } => {
-                self.frozen.remove(runner);
+                self.frozen_runners.remove(runner);
             }
-            Event::Fault { .. } => self.is_disturbed = true,
+            Event::Fault { .. } => self.has_fault = true,
             Event::Healed => {
-                self.is_disturbed = false;
+                self.has_fault = false;
                 self.healed_at = at;
             }
             _ => {}
@@ -167,7 +177,7 @@
         self.jobs.entry(job.clone()).or_default()
     }
 
-    fn start(&mut self, observation: &Observation) {
+    fn record_run_start(&mut self, observation: &Observation) {
         let Event::RunStarted {
             runner,
             run,
@@ -185,12 +195,12 @@
         }
         let key = (step.clone(), *task);
         let task = self.job_mut(job).tasks.entry(key.clone()).or_default();
-        task.open.insert(*run);
+        task.open_runs.insert(*run);
         task.changed_at = observation.at;
         let usage = self.usage.entry(job.tenant.clone()).or_default();
         *usage = usage.plus(resources);
-        let open = self.open_by_runner.entry(runner.clone()).or_default();
-        open.insert(*run);
+        let open_runs = self.open_by_runner.entry(runner.clone()).or_default();
+        open_runs.insert(*run);
         let facts = RunFacts {
             job: job.clone(),
             task: key,
@@ -200,24 +210,24 @@
             ended_at: None,
             lease_until: None,
             end_recorded: false,
-            end_forgotten: false,
+            end_lost: false,
         };
         self.runs.insert(*run, facts);
     }
 
-    fn stop_runner(&mut self, runner: &RunnerId, at: Milliseconds) {
-        let open = self.open_by_runner.get(runner).cloned().unwrap_or_default();
-        for run in open {
-            self.end(run, &Outcome::Stopped, None, at);
+    fn record_runner_stop(&mut self, runner: &RunnerId, at: Milliseconds) {
+        let open_runs = self.open_by_runner.get(runner).cloned().unwrap_or_default();
+        for run in open_runs {
+            self.record_run_end(run, &Outcome::Stopped, None, at);
         }
         for run in self.unrecorded.remove(runner).unwrap_or_default() {
             if let Some(facts) = self.runs.get_mut(&run) {
-                facts.end_forgotten = true;
+                facts.end_lost = true;
             }
         }
     }
 
-    fn record_end(&mut self, runner: &RunnerId, run: RunId) {
+    fn notify_recorded(&mut self, runner: &RunnerId, run: RunId) {
         if let Some(runs) = self.unrecorded.get_mut(runner) {
             runs.remove(&run);
         }
@@ -226,7 +236,7 @@
         }
     }
 
-    fn end(
+    fn record_run_end(
         &mut self,
         id: RunId,
         outcome: &Outcome,
@@ -243,11 +253,11 @@
             .entry(run.runner.clone())
             .or_default()
             .insert(id);
-        self.free(id, &run);
+        self.release(id, &run);
         let facts = self.job_mut(&run.job);
-        let limit = facts.step(&run.task.0).and_then(|step| step.time_limit);
+        let time_limit = facts.step(&run.task.0).and_then(|step| step.time_limit);
         let task = facts.tasks.entry(run.task.clone()).or_default();
-        task.open.remove(&id);
+        task.open_runs.remove(&id);
         task.changed_at = at;
         match outcome {
             Outcome::Done if task.done_at.is_none() => {
@@ -256,34 +266,36 @@
                 *facts.done_by_step.entry(run.task.0).or_default() += 1;
             }
             Outcome::Done => {}
-            Outcome::Failed(_) => task.failed.push(id),
-            Outcome::Stopped if is_overdue(run.started_at, at, limit) => task.overdue_stops += 1,
+            Outcome::Failed(_) => task.failed_runs.push(id),
+            Outcome::Stopped if may_have_timed_out(run.started_at, at, time_limit) => {
+                task.possible_timeouts += 1;
+            }
             Outcome::Stopped => {}
         }
-        self.review(&run.job);
+        self.update_unfinished(&run.job);
     }
 
-    fn free(&mut self, id: RunId, run: &RunFacts) {
+    fn release(&mut self, id: RunId, run: &RunFacts) {
         if let Some(usage) = self.usage.get_mut(&run.job.tenant) {
             *usage = usage.minus(&run.resources);
         }
-        if let Some(open) = self.open_by_runner.get_mut(&run.runner) {
-            open.remove(&id);
-            if open.is_empty() {
+        if let Some(open_runs) = self.open_by_runner.get_mut(&run.runner) {
+            open_runs.remove(&id);
+            if open_runs.is_empty() {
                 self.open_by_runner.remove(&run.runner);
             }
         }
     }
 
-    // A job whose work is over, or may be, shows nothing about service.
-    fn review(&mut self, job: &JobKey) {
+    // A job that may have no work left is no evidence that service is down.
+    fn update_unfinished(&mut self, job: &JobKey) {
         let Some(facts) = self.jobs.get(job) else {
             return;
         };
         let has_work = facts.acknowledged_at.is_some()
             && facts.final_state.is_none()
             && facts.is_done() == Some(false)
-            && !facts.has_used_up_failures();
+            && !facts.may_have_exceeded_failures();
         if has_work {
             self.unfinished.insert(job.clone());
         } else {
--- a/crates/checker/src/check/order.rs
+++ b/crates/checker/src/check/order.rs
@@ -1,4 +1,8 @@
-//! A runner rejects orders of a superseded leader.
+//! Guarantee: a runner rejects orders of a superseded leader.
+//!
+//! Reads the accepted orders and the stops of runners. Reports a violation if a
+//! runner accepts an order although it has seen a higher term, or accepted an
+//! order of one, in its current incarnation.
 
 use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
@@ -9,7 +13,8 @@
 
 #[derive(Debug, Default)]
 pub(super) struct StaleOrderAccepted {
-    /// Highest term of an order that each runner took in its current incarnation.
+    /// Highest term of an order that each runner accepted in its current
+    /// incarnation.
     highest: BTreeMap<RunnerId, Term>,
 }
 
@@ -32,7 +37,7 @@
             } => {
                 let highest = self.highest.entry(runner.clone()).or_insert(*term);
                 if *stale || term < highest {
-                    let detail = format!("{runner} took an order of superseded term {term}");
+                    let detail = format!("{runner} accepted an order of superseded term {term}");
                     findings.add(ViolationKind::StaleOrderAccepted, observation.at, detail);
                 }
                 *highest = (*highest).max(*term);
--- a/crates/checker/src/check/reopened.rs
+++ b/crates/checker/src/check/reopened.rs
@@ -1,4 +1,8 @@
-//! A final state never changes.
+//! Guarantee: a job never leaves a final state.
+//!
+//! Reads the replies with a job's state. Reports a violation if, after a final
+//! state, another final state is read, or an unfinished one by a request that was
+//! sent after the final state was read.
 
 use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
@@ -9,8 +13,8 @@
 
 #[derive(Debug, Default)]
 pub(super) struct Reopened {
-    /// First final state of each job, and when it was read.
-    finals: BTreeMap<JobKey, (JobState, Milliseconds)>,
+    /// First final state of each job, and the time at which it was read.
+    final_states: BTreeMap<JobKey, (JobState, Milliseconds)>,
 }
 
 impl Rule for Reopened {
@@ -29,13 +33,14 @@
         else {
             return;
         };
-        let Some((first, read_at)) = self.finals.get(job) else {
+        let Some((first, read_at)) = self.final_states.get(job) else {
             if state.is_final() {
-                self.finals.insert(job.clone(), (*state, observation.at));
+                self.final_states
+                    .insert(job.clone(), (*state, observation.at));
             }
             return;
         };
-        // An answer to an older question may lawfully arrive later.
+        // The reply to an earlier request may arrive later.
         let is_later = asked_at >= read_at;
         if state != first && (state.is_final() || is_later) {
             let detail = format!("job {job} was {first:?} at {read_at}, and later {state:?}");
--- a/crates/checker/src/check/repeat.rs
+++ b/crates/checker/src/check/repeat.rs
@@ -1,18 +1,25 @@
-//! A run starts once, a task runs once at a time and never after it is done.
+//! Guarantees: a run starts once, and a task runs only once at a time (or as often
+//! as it has copies) and never after it is done.
+//!
+//! Reads the orders to start, the starts and ends of runs, and the runners that
+//! freeze and resume. Each rule below states when it reports a violation.
 
 use super::facts::RunFacts;
 use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
-use super::started::Started;
+use super::started::RunStart;
 use super::{Limits, ViolationKind};
 use crate::{Event, Observation};
 use std::collections::{BTreeMap, BTreeSet};
 use types::{Milliseconds, RunId};
 
-/// One run identifier starts once, on one runner, and is not even asked to
-/// start again: a runner need not reject a repeated start.
+/// Guarantee: a run identifier is ordered to start, and starts, at most once.
+///
+/// Reports a violation also if only the order is repeated: a runner does not have
+/// to reject a repeated start.
 #[derive(Debug, Default)]
 pub(super) struct DoubleStart {
+    /// Runs whose start order reached a runner.
     delivered: BTreeSet<RunId>,
 }
 
@@ -43,16 +50,18 @@
     }
 }
 
-/// A runner that wakes must end what was given up meanwhile within this time.
-const WAKE_TOLERANCE: Milliseconds = Milliseconds(20);
+/// Time within which a runner that resumes must end the runs that other runs have
+/// replaced while it was frozen.
+const RESUME_TOLERANCE: Milliseconds = Milliseconds(20);
 
-/// No more runs of a task at once than its copies.
+/// Guarantee: at most as many runs of a task are open at once as it has copies.
 ///
-/// The runs of a frozen machine do nothing and do not count. When
-/// it wakes, those that another run has taken over must end at once.
+/// Runs on a frozen machine make no progress and do not count. When the machine
+/// resumes, those that other runs have replaced must end at once.
 #[derive(Debug, Default)]
 pub(super) struct OverlappingRuns {
-    woken: BTreeMap<RunId, Milliseconds>,
+    /// Runs that must end, each with the time at which its runner resumed.
+    replaced: BTreeMap<RunId, Milliseconds>,
 }
 
 impl Rule for OverlappingRuns {
@@ -63,18 +72,18 @@
         _limits: &Limits,
         findings: &mut Findings,
     ) {
-        self.check_woken(observation.at, observed, findings);
+        self.check_replaced(observation.at, observed, findings);
         match &observation.event {
-            Event::RunStarted { .. } => check_started(observation, observed, findings),
+            Event::RunStarted { .. } => check_start(observation, observed, findings),
             Event::RunnerWoke { runner } => {
                 let exceeding = observed
-                    .open_on(runner)
+                    .open_runs_on(runner)
                     .filter(|run| exceeds_copies(*run, observed));
-                self.woken
+                self.replaced
                     .extend(exceeding.map(|run| (run, observation.at)));
             }
             Event::RunEnded { run, .. } => {
-                self.woken.remove(run);
+                self.replaced.remove(run);
             }
             _ => {}
         }
@@ -82,67 +91,71 @@
 }
 
 impl OverlappingRuns {
-    fn check_woken(
+    fn check_replaced(
         &mut self,
         now: Milliseconds,
         observed: &ObservedCluster,
         findings: &mut Findings,
     ) {
         let late: Vec<RunId> = self
-            .woken
+            .replaced
             .iter()
-            .filter(|(_, woke_at)| now > **woke_at + WAKE_TOLERANCE)
+            .filter(|(_, resumed_at)| now > **resumed_at + RESUME_TOLERANCE)
             .map(|(run, _)| *run)
             .collect();
         for run in late {
-            self.woken.remove(&run);
+            self.replaced.remove(&run);
             if observed.run(run).is_some_and(RunFacts::is_open) {
-                let detail = format!("run {run} went on after its runner woke beside another run");
+                let detail = format!(
+                    "run {run} continued after its runner resumed, although another run replaced it"
+                );
                 findings.add(ViolationKind::OverlappingRuns, now, detail);
             }
         }
     }
 }
 
-/// Returns whether more runs of its task are open than its copies.
+/// Returns whether more runs of the run's task are open than it has copies.
 fn exceeds_copies(run: RunId, observed: &ObservedCluster) -> bool {
     let Some(facts) = observed.run(run) else {
         return false;
     };
     let (step, task) = &facts.task;
-    let open = observed
+    let open_runs = observed
         .task(&facts.job, step, *task)
-        .map_or(0, |task| task.open.len());
-    let copies = observed
+        .map_or(0, |task| task.open_runs.len());
+    let max_copies = observed
         .job(&facts.job)
         .map_or(1, |job| job.allowed_copies(step));
-    open > copies as usize
+    open_runs > max_copies as usize
 }
 
-fn check_started(observation: &Observation, observed: &ObservedCluster, findings: &mut Findings) {
-    let Some(start) = Started::of(observation) else {
+fn check_start(observation: &Observation, observed: &ObservedCluster, findings: &mut Findings) {
+    let Some(start) = RunStart::from_observation(observation) else {
         return;
     };
     let Some(facts) = start.facts(observed) else {
         return;
     };
-    let others = facts.open.iter().filter(|open| **open != start.run);
-    let going = others
+    let others = facts.open_runs.iter().filter(|open| **open != start.run);
+    let overlapping = others
         .filter_map(|open| observed.run(*open))
         .filter(|open| !observed.is_frozen(&open.runner))
         .count();
-    if going >= start.copies(observed) as usize {
-        let detail = format!("{start} began beside {going} more");
+    if overlapping >= start.max_copies(observed) as usize {
+        let detail = format!("{start} started while {overlapping} others were open");
         findings.add(ViolationKind::OverlappingRuns, observation.at, detail);
     }
 }
 
-/// No start of a task that ended done.
+/// Guarantee: no run of a task starts after the task ended done.
 ///
-/// A done end that nobody can have received does not count: its runner became
-/// unresponsive before it could report it, and its run lease (or its process) ended
-/// before the new start. That is the price of not waiting for ever for a dead
-/// machine; such starts are counted in the report.
+/// A done end that the runner may not have reported does not count: the runner
+/// became unresponsive before it could report the end, and its run lease expired or
+/// its process ended before the new start. The system does not wait forever for a
+/// machine that may have failed, so it has to start the task again. The report
+/// counts such starts. Where copies are allowed, one that was ordered before the
+/// done end was reported may still start.
 #[derive(Debug)]
 pub(super) struct RepeatedTask;
 
@@ -154,7 +167,7 @@
         limits: &Limits,
         findings: &mut Findings,
     ) {
-        let Some(start) = Started::of(observation) else {
+        let Some(start) = RunStart::from_observation(observation) else {
             return;
         };
         let done_at = start.facts(observed).and_then(|facts| facts.done_at);
@@ -162,7 +175,7 @@
             return;
         };
         if !start.repeats_unreported(observed) && start.is_too_late(done_at, observed, limits) {
-            let detail = format!("{start} began, done since {done_at}");
+            let detail = format!("{start} started, but its task was done at {done_at}");
             findings.add(ViolationKind::RepeatedTask, observation.at, detail);
         }
     }
--- a/crates/checker/src/check/resource_limit.rs
+++ b/crates/checker/src/check/resource_limit.rs
@@ -1,6 +1,9 @@
-//! No tenant holds more than its resource limit and the margin.
+//! Guarantee: a tenant's runs hold at most its resource limit plus the margin.
 //!
-//! Judged at each start: runs that go on after a resource limit was lowered may stay.
+//! Reads the sent and acknowledged resource limits and the starts of runs. Reports
+//! a violation if a run starts and the tenant then holds more than the highest
+//! limit that may be in force, plus [`Limits::limit_margin_percent`]. Only starts
+//! are checked: runs that started before a limit was lowered may continue.
 
 use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
@@ -9,23 +12,27 @@
 use std::collections::BTreeMap;
 use types::{Milliseconds, Resources, TenantId};
 
+/// A resource limit that may be in force.
 #[derive(Debug, Clone)]
 struct Candidate {
     resource_limit: Resources,
     sent_at: Milliseconds,
     is_acknowledged: bool,
+    /// Time at which a later limit was acknowledged; None if none was.
     superseded_at: Option<Milliseconds>,
 }
 
 impl Candidate {
-    /// Returns whether a start seen at `at` may have been decided under it. One that
-    /// was not acknowledged may be taken late, as long as service may be out.
+    /// Returns whether a start observed at `at` may have been decided under this
+    /// limit. A limit that was not acknowledged may take effect late, within the
+    /// time for which service may be unavailable.
     fn may_apply(&self, at: Milliseconds, limits: &Limits) -> bool {
-        let Some(superseded) = self.superseded_at else {
+        let Some(superseded_at) = self.superseded_at else {
             return true;
         };
-        let may_be_late = !self.is_acknowledged && at <= self.sent_at + limits.service_after;
-        may_be_late || at <= superseded + limits.configuration_after
+        let may_take_effect_late =
+            !self.is_acknowledged && at <= self.sent_at + limits.service_after;
+        may_take_effect_late || at <= superseded_at + limits.configuration_after
     }
 }
 
@@ -35,7 +42,7 @@
 }
 
 impl ResourceLimitExceeded {
-    fn take(
+    fn add_candidate(
         &mut self,
         tenant: &TenantId,
         resource_limit: Resources,
@@ -58,9 +65,14 @@
         });
     }
 
-    /// The highest amount of each kind that may be in force; None when no
-    /// resource limit was ever acknowledged.
-    fn highest(&self, tenant: &TenantId, at: Milliseconds, limits: &Limits) -> Option<Resources> {
+    /// Returns the highest limit of each resource that may be in force; None if no
+    /// limit of the tenant was acknowledged.
+    fn highest_limit(
+        &self,
+        tenant: &TenantId,
+        at: Milliseconds,
+        limits: &Limits,
+    ) -> Option<Resources> {
         let candidates = self.candidates.get(tenant)?;
         candidates
             .iter()
@@ -93,13 +105,13 @@
                 tenant,
                 resource_limit,
             } => {
-                self.take(tenant, *resource_limit, at, false, limits);
+                self.add_candidate(tenant, *resource_limit, at, false, limits);
             }
             Event::ResourceLimitInForce {
                 tenant,
                 resource_limit,
             } => {
-                self.take(tenant, *resource_limit, at, true, limits);
+                self.add_candidate(tenant, *resource_limit, at, true, limits);
             }
             Event::RunStarted {
                 run,
@@ -108,7 +120,7 @@
                 ..
             } => {
                 let tenant = &job.tenant;
-                let Some(resource_limit) = self.highest(tenant, at, limits) else {
+                let Some(resource_limit) = self.highest_limit(tenant, at, limits) else {
                     return;
                 };
                 let usage = observed.usage(tenant).plus(resources);
@@ -119,7 +131,7 @@
                     limits.limit_margin_percent,
                 ) {
                     let detail = format!(
-                        "with run {run}, tenant {tenant} holds {usage:?} under a ceiling of {resource_limit:?}"
+                        "with run {run}, tenant {tenant} holds {usage:?} under a resource limit of {resource_limit:?}"
                     );
                     findings.add(ViolationKind::ResourceLimitExceeded, at, detail);
                 }
@@ -129,18 +141,19 @@
     }
 }
 
-// Only kinds that the new run takes some of are judged by its start.
-fn exceeds(usage: &Resources, resource_limit: &Resources, taken: &Resources, margin: u32) -> bool {
-    let part = 100 + u64::from(margin);
-    let over = |usage: u32, resource_limit: u32, taken: u32| {
-        taken > 0 && u64::from(usage) * 100 > u64::from(resource_limit) * part
+/// Returns whether the usage of a resource that the new run holds exceeds the
+/// limit plus the margin. Resources that the run doesn't hold are not checked.
+fn exceeds(usage: &Resources, resource_limit: &Resources, added: &Resources, margin: u32) -> bool {
+    let max_percent = 100 + u64::from(margin);
+    let is_over = |usage: u32, resource_limit: u32, added: u32| {
+        added > 0 && u64::from(usage) * 100 > u64::from(resource_limit) * max_percent
     };
-    over(usage.slots, resource_limit.slots, taken.slots)
-        || over(usage.cpu_milli, resource_limit.cpu_milli, taken.cpu_milli)
-        || over(
+    is_over(usage.slots, resource_limit.slots, added.slots)
+        || is_over(usage.cpu_milli, resource_limit.cpu_milli, added.cpu_milli)
+        || is_over(
             usage.memory_mib,
             resource_limit.memory_mib,
-            taken.memory_mib,
+            added.memory_mib,
         )
-        || over(usage.gpus, resource_limit.gpus, taken.gpus)
+        || is_over(usage.gpus, resource_limit.gpus, added.gpus)
 }
--- a/crates/checker/src/check/retry.rs
+++ b/crates/checker/src/check/retry.rs
@@ -1,15 +1,19 @@
-//! No task runs again past its allowed failures.
+//! Guarantee: no task runs again after more failures than allowed.
+//!
+//! Reads the starts of runs. Reports a violation if a run starts although more
+//! reported runs of its task have failed than allowed. Where copies are allowed,
+//! one that was ordered before the last failure was reported may still start.
 
 use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
-use super::started::Started;
+use super::started::RunStart;
 use super::{Limits, ViolationKind};
 use crate::Observation;
 
-/// No start of a task whose failed runs are more than allowed.
+/// Guarantee: no run of a task starts after more failures than allowed.
 ///
-/// As with done ends, a failure that nobody can have received does not count;
-/// starts that only this allows are counted in the report.
+/// As with done ends, a failure that the runner may not have reported does not
+/// count. The report counts the starts that are allowed only for this reason.
 #[derive(Debug)]
 pub(super) struct RetriedPastAllowed;
 
@@ -21,7 +25,7 @@
         limits: &Limits,
         findings: &mut Findings,
     ) {
-        let Some(start) = Started::of(observation) else {
+        let Some(start) = RunStart::from_observation(observation) else {
             return;
         };
         let Some(expected) = observed.job(start.job).and_then(|job| job.step(start.step)) else {
@@ -34,7 +38,7 @@
         let last_failure_at = failures.iter().filter_map(|run| run.ended_at).max();
         if start.is_too_late(last_failure_at.unwrap_or_default(), observed, limits) {
             let detail = format!(
-                "{start} began after {} failed runs, {} allowed",
+                "{start} started after {} failed runs, {} allowed",
                 failures.len(),
                 expected.allowed_failures
             );
--- a/crates/checker/src/check/seats.rs
+++ b/crates/checker/src/check/seats.rs
@@ -1,8 +1,10 @@
-//! No more runs take a seat of a licence than it has, over all runners.
+//! Guarantee: the runs on all runners use at most the seats that a licence has.
 //!
-//! A run takes its seat from its start to its end on the runner. One on a
-//! machine that is frozen does nothing, and must end when it wakes, once its
-//! lease is over; so it does not count until then.
+//! Reads the seats in force and the starts of runs. Reports a violation if a run
+//! starts and then more runs use the licence than it has seats. A run uses its
+//! seat from its start to its end on the runner. A run on a frozen machine does
+//! not count: it makes no progress, and must end when the machine resumes if its
+//! lease has expired.
 
 use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
@@ -13,6 +15,7 @@
 
 #[derive(Debug, Default)]
 pub(super) struct SeatsExceeded {
+    /// Seats in force of each licence.
     seats: BTreeMap<LicenceName, u32>,
 }
 
@@ -37,7 +40,8 @@
                 };
                 let used = observed.seats_used(licence) + 1;
                 if used > *seats as usize {
-                    let detail = format!("with run {run}, {used} of {seats} seats of {licence}");
+                    let detail =
+                        format!("with run {run}, {used} runs use the {seats} seats of {licence}");
                     findings.add(ViolationKind::SeatsExceeded, observation.at, detail);
                 }
             }
--- a/crates/checker/src/check/start_time.rs
+++ b/crates/checker/src/check/start_time.rs
@@ -1,4 +1,7 @@
-//! No start before the job's own time.
+//! Guarantee: no run starts before the earliest start of its job.
+//!
+//! Reads the starts of runs and the earliest start in the job's submits. Reports a
+//! violation if a run starts more than `CLOCK_TOLERANCE` too early.
 
 use super::observed::ObservedCluster;
 use super::rule::{Findings, Rule};
@@ -6,8 +9,8 @@
 use crate::{Event, Observation};
 use types::Milliseconds;
 
-/// The leader judges by its own clock, which may run this far from the
-/// observer's.
+/// Largest allowed difference between the leader's clock, which decides on the
+/// start, and the observer's clock.
 const CLOCK_TOLERANCE: Milliseconds = Milliseconds(100);
 
 #[derive(Debug)]
@@ -24,11 +27,12 @@
         let Event::RunStarted { run, job, .. } = &observation.event else {
             return;
         };
-        let Some(time) = observed.job(job).and_then(|facts| facts.not_before) else {
+        let Some(not_before) = observed.job(job).and_then(|facts| facts.not_before) else {
             return;
         };
-        if observation.at + CLOCK_TOLERANCE < time {
-            let detail = format!("run {run} of {job} began before the job's time, {time}");
+        if observation.at + CLOCK_TOLERANCE < not_before {
+            let detail =
+                format!("run {run} of {job} started before the job's earliest start, {not_before}");
             findings.add(ViolationKind::StartBeforeTime, observation.at, detail);
         }
     }
--- a/crates/checker/src/check/started.rs
+++ b/crates/checker/src/check/started.rs
@@ -1,4 +1,4 @@
-//! A start of a run, as the rules about its task look at it.
+//! An observed start of a run, with the queries that several rules share.
 
 use super::Limits;
 use super::facts::{RunFacts, TaskFacts};
@@ -7,19 +7,20 @@
 use std::fmt;
 use types::{JobKey, Milliseconds, RunId, StepName};
 
-/// A run began.
+/// Start of a run, borrowed from the observation of it.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Started<'a> {
+pub(super) struct RunStart<'a> {
     pub at: Milliseconds,
     pub run: RunId,
     pub job: &'a JobKey,
     pub step: &'a StepName,
+    /// Index of the task within the step, from 0.
     pub task: u32,
 }
 
-impl<'a> Started<'a> {
-    /// The start that an observation shows, if it shows one.
-    pub fn of(observation: &'a Observation) -> Option<Self> {
+impl<'a> RunStart<'a> {
+    /// Returns the start that an observation describes; None for other events.
+    pub fn from_observation(observation: &'a Observation) -> Option<Self> {
         let Event::RunStarted {
             run,
             job,
@@ -39,60 +40,65 @@
         })
     }
 
-    /// What is known of its task.
-    pub fn facts<'w>(&self, observed: &'w ObservedCluster) -> Option<&'w TaskFacts> {
+    /// Returns the observed state of the task; None if this is its first run.
+    pub fn facts<'o>(&self, observed: &'o ObservedCluster) -> Option<&'o TaskFacts> {
         observed.task(self.job, self.step, self.task)
     }
 
-    /// Copies allowed of its task: the most that any submit of its job asked
-    /// for.
-    pub fn copies(&self, observed: &ObservedCluster) -> u32 {
+    /// Returns the number of copies allowed for the task: the highest in any submit
+    /// of the job.
+    pub fn max_copies(&self, observed: &ObservedCluster) -> u32 {
         let job = observed.job(self.job);
         job.map_or(1, |facts| facts.allowed_copies(self.step))
     }
 
-    /// True where no further run may begin after what happened at `decided_at`.
-    /// A further copy may be on its way until that has been reported, which a
-    /// fault may delay.
+    /// Returns whether the start is too late after an event at `decided_at` after
+    /// which the task must not run again.
+    ///
+    /// A task with one copy must not start at all. An order to start a further
+    /// copy may still be in transit until the event is reported, which a fault may
+    /// delay.
     pub fn is_too_late(
         &self,
         decided_at: Milliseconds,
         observed: &ObservedCluster,
         limits: &Limits,
     ) -> bool {
-        let calm_since = observed.calm_since(decided_at);
-        let is_late = calm_since.is_some_and(|calm| self.at > calm + limits.cancel_after);
-        is_late || self.copies(observed) == 1
+        let fault_free_since = observed.fault_free_since(decided_at);
+        let is_late = fault_free_since.is_some_and(|since| self.at > since + limits.cancel_after);
+        is_late || self.max_copies(observed) == 1
     }
 
-    /// Failed runs of its task whose failure somebody can have received.
-    pub fn reported_failures<'w>(&self, observed: &'w ObservedCluster) -> Vec<&'w RunFacts> {
+    /// Returns the failed runs of the task, except those whose failure may be
+    /// unreported.
+    pub fn reported_failures<'o>(&self, observed: &'o ObservedCluster) -> Vec<&'o RunFacts> {
         let failed = self
             .facts(observed)
             .into_iter()
-            .flat_map(|facts| &facts.failed);
+            .flat_map(|facts| &facts.failed_runs);
         let reported = failed.filter(|run| !observed.may_be_unreported(**run, self.at));
         reported.filter_map(|run| observed.run(*run)).collect()
     }
 
-    /// Returns whether it is allowed only since a failure may be unreported.
+    /// Returns whether the start is allowed only because a failure of the task may
+    /// be unreported.
     pub fn retries_unreported(&self, observed: &ObservedCluster) -> bool {
         let expected = observed.job(self.job).and_then(|job| job.step(self.step));
         let Some((expected, facts)) = expected.zip(self.facts(observed)) else {
             return false;
         };
         let allowed = expected.allowed_failures as usize;
-        facts.failed.len() > allowed && self.reported_failures(observed).len() <= allowed
+        facts.failed_runs.len() > allowed && self.reported_failures(observed).len() <= allowed
     }
 
-    /// Returns whether its task has a done end that may be unreported.
+    /// Returns whether the task has a done end that may be unreported.
     pub fn repeats_unreported(&self, observed: &ObservedCluster) -> bool {
         let done_run = self.facts(observed).and_then(|facts| facts.done_run);
-        done_run.is_some_and(|done| observed.may_be_unreported(done, self.at))
+        done_run.is_some_and(|run| observed.may_be_unreported(run, self.at))
     }
 }
 
-impl fmt::Display for Started<'_> {
+impl fmt::Display for RunStart<'_> {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
             run,
--- a/crates/checker/src/event.rs
+++ b/crates/checker/src/event.rs
@@ -1,5 +1,7 @@
-//! Events of a history. One JSON line each, in order of time; one clock, the
-//! observer's, dates them all.
+//! Events of a history.
+//!
+//! A history has one JSON line per observation, in order of time. All times are
+//! read from one clock, that of the observer.
 
 use serde::{Deserialize, Serialize};
 use types::{
@@ -7,258 +9,265 @@
     RunnerIncarnation, StepName, Term,
 };
 
-/// One event with its time and place.
+/// An event, the time at which it was observed, and its observer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Observer's clock since the start of the run.
+    /// Time on the observer's clock, since the start of the recording.
     pub at: Milliseconds,
-    /// Who saw it, for people: `caller-3`, `runner-a2`.
+    /// Name of the process that observed the event, such as `caller-3` or
+    /// `runner-a2`. Only for readers: no rule uses it.
     pub observer: String,
-    /// What was seen.
+    /// Observed event, written into the same JSON object.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// What was seen.
+/// Kinds of event that callers, operators, runners and the fault injection
+/// record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
-    /// A caller sent a submit (first time or again).
+    /// A caller sent a submit, for the first time or again.
     SubmitSent {
-        /// The job.
+        /// Job that the submit creates.
         job: JobKey,
-        /// What the checker must know of its content.
+        /// Steps of the job, as far as the rules depend on them.
         steps: Vec<ExpectedStep>,
-        /// No start before this time on the observer's clock.
+        /// Earliest start of the job, on the observer's clock. None if the job
+        /// may start at once.
         not_before: Option<Milliseconds>,
     },
-    /// A submit was acknowledged.
+    /// A caller received the acknowledgement of a submit.
     SubmitAcknowledged {
-        /// The job.
+        /// Job that the submit created.
         job: JobKey,
     },
-    /// A submit got a final rejection.
+    /// A caller received a final rejection of a submit.
     #[serde(rename = "submit_refused")]
     SubmitRejected {
-        /// The job.
+        /// Job that was not created.
         job: JobKey,
         /// Code of the rejection.
         code: String,
     },
-    /// A caller asked for a job's state and got an answer.
+    /// A caller requested the state of a job and received a reply.
     StateRead {
-        /// The job.
+        /// Job whose state was requested.
         job: JobKey,
-        /// When the question was sent.
+        /// Time at which the request was sent; the observation has the time of
+        /// the reply.
         asked_at: Milliseconds,
-        /// The answer.
+        /// State in the reply.
         state: ReadState,
     },
-    /// A caller's request of any kind got no answer in its time.
+    /// A caller's request of any kind got no reply before its timeout.
     RequestTimedOut {
-        /// What was asked.
+        /// Kind of request.
         operation: String,
     },
-    /// A cancel was sent.
+    /// A caller sent a cancel.
     CancelSent {
-        /// The job.
+        /// Job to cancel.
         job: JobKey,
     },
-    /// A cancel was acknowledged.
+    /// A caller received the acknowledgement of a cancel.
     CancelAcknowledged {
-        /// The job.
+        /// Job that the cancel named.
         job: JobKey,
     },
-    /// An order to start a run reached a runner, whatever it answered.
+    /// An order to start a run reached a runner, whether it accepted the order
+    /// or not.
     StartDelivered {
-        /// The runner.
+        /// Runner that received the order.
         runner: RunnerId,
-        /// The run.
+        /// Run to start.
         run: RunId,
     },
-    /// A runner began a run.
+    /// A runner started a run.
     RunStarted {
-        /// The runner.
+        /// Runner that executes the run.
         runner: RunnerId,
-        /// Its incarnation.
+        /// Incarnation of the runner's process.
         incarnation: RunnerIncarnation,
-        /// The run.
+        /// Identifier of the started run.
         run: RunId,
-        /// The job.
+        /// Job that the run belongs to.
         job: JobKey,
-        /// The step.
+        /// Step that the run belongs to.
         step: StepName,
-        /// Position in the step.
+        /// Index of the run's task within the step, from 0.
         task: u32,
-        /// Slots, processor, memory and accelerators it holds.
+        /// Resources that the run holds until it ends.
         resources: types::Resources,
     },
-    /// A run ended on its runner, or died with it.
+    /// A run ended on its runner, or was killed together with it.
     RunEnded {
-        /// The runner.
+        /// Runner that executed the run.
         runner: RunnerId,
-        /// The run.
+        /// Identifier of the ended run.
         run: RunId,
-        /// How; a run that died with its runner has `stopped`.
+        /// Outcome of the run; `stopped` if it was killed with its runner.
         outcome: Outcome,
-        /// When the run lease that the runner held then would end, if no
-        /// further heartbeat of it is confirmed.
+        /// Expiry of the run lease that the runner held at the end of the run,
+        /// unless a later heartbeat is confirmed. None if it was not recorded.
         #[serde(default)]
         lease_until: Option<Milliseconds>,
     },
-    /// A runner was notified that the record has the end of a run.
+    /// A runner was notified that the end of a run is recorded.
     EndRecorded {
-        /// The runner.
+        /// Runner that was notified.
         runner: RunnerId,
-        /// The run.
+        /// Run whose end is recorded.
         run: RunId,
     },
-    /// A runner's machine began to stand still; its runs do nothing.
+    /// A runner's machine froze: its runs make no progress until it resumes.
     RunnerFrozen {
-        /// The runner.
+        /// Runner on the frozen machine.
         runner: RunnerId,
     },
-    /// It goes on.
+    /// A runner's frozen machine resumed.
     RunnerWoke {
-        /// The runner.
+        /// Runner on the resumed machine.
         runner: RunnerId,
     },
-    /// A runner took an order.
+    /// A runner accepted an order.
     OrderAccepted {
-        /// The runner.
+        /// Runner that accepted the order.
         runner: RunnerId,
-        /// Term of the order.
+        /// Term of the leader that sent the order.
         term: Term,
-        /// Whether the leader of that term had been superseded in the eyes of
-        /// this runner: it had seen a higher term before.
+        /// Whether the runner had seen a higher term before, so that the leader
+        /// was superseded.
         stale: bool,
     },
-    /// A runner began to say that it leaves.
+    /// A runner began to report that it is draining.
     RunnerDraining {
-        /// The runner.
+        /// Runner that is draining.
         runner: RunnerId,
     },
-    /// An operator's draining order was acknowledged.
+    /// An operator received the acknowledgement of an order to drain a runner.
     RunnerDrainAcknowledged {
-        /// The runner.
+        /// Runner to drain.
         runner: RunnerId,
     },
-    /// An operator sent word that the runner need not drain any more.
+    /// An operator sent an order that ends the draining of a runner.
     RunnerDrainLifted {
-        /// The runner.
+        /// Runner that no longer has to drain.
         runner: RunnerId,
     },
-    /// A runner process ended; its runs with it.
+    /// The process of a runner ended, and its runs with it.
     RunnerStopped {
-        /// The runner.
+        /// Runner whose process ended.
         runner: RunnerId,
     },
     /// An operator sent a configuration.
     ConfigurationSent {
-        /// The version wanted.
+        /// Version that the configuration gets if it is accepted.
         version: ConfigurationVersion,
-        /// Digest of the document.
+        /// Digest of the configuration's document.
         digest: String,
     },
-    /// It was acknowledged.
+    /// An operator received the acknowledgement of a configuration.
     ConfigurationAcknowledged {
-        /// The version.
+        /// Version of the acknowledged configuration.
         version: ConfigurationVersion,
-        /// Digest of the document.
+        /// Digest of the acknowledged document.
         digest: String,
     },
-    /// It was rejected.
+    /// An operator received the rejection of a configuration.
     #[serde(rename = "configuration_refused")]
     ConfigurationRejected {
-        /// The version wanted.
+        /// Version that the configuration would have had.
         version: ConfigurationVersion,
-        /// Digest of the document.
+        /// Digest of the rejected document.
         digest: String,
         /// Code of the rejection.
         code: String,
     },
-    /// A ready daemon answered with this configuration.
+    /// A ready daemon replied with the configuration that it uses.
     ConfigurationRead {
-        /// The daemon.
+        /// Name of the daemon.
         daemon: String,
-        /// When the question was sent.
+        /// Time at which the request was sent; the observation has the time of
+        /// the reply.
         asked_at: Milliseconds,
-        /// The version.
+        /// Version in the reply.
         version: ConfigurationVersion,
-        /// Digest of the document.
+        /// Digest of the document in the reply.
         digest: String,
     },
-    /// A configuration with this resource limit was sent: it may be in force from now
-    /// on, also when its acknowledgement is lost.
+    /// A configuration with this resource limit was sent. It may be in force
+    /// from now on, even if its acknowledgement is lost.
     #[serde(rename = "ceiling_sent")]
     ResourceLimitSent {
-        /// The tenant.
+        /// Tenant that the limit applies to.
         tenant: types::TenantId,
-        /// Its resource limit.
+        /// Most resources that the tenant's runs may hold at once.
         #[serde(rename = "ceiling")]
         resource_limit: types::Resources,
     },
-    /// A tenant's resource limit was acknowledged in a configuration.
+    /// A configuration with this resource limit was acknowledged.
     #[serde(rename = "ceiling_in_force")]
     ResourceLimitInForce {
-        /// The tenant.
+        /// Tenant that the limit applies to.
         tenant: types::TenantId,
-        /// Its resource limit.
+        /// Most resources that the tenant's runs may hold at once.
         #[serde(rename = "ceiling")]
         resource_limit: types::Resources,
     },
-    /// A licence has so many seats in every configuration from now on.
+    /// A licence has this number of seats in every configuration from now on.
     SeatsInForce {
-        /// The licence.
+        /// Licence that the seats belong to.
         licence: LicenceName,
-        /// Its seats.
+        /// Number of runs that may use the licence at once.
         seats: u32,
     },
-    /// A fault was caused, or ended.
+    /// A fault was injected, or ended.
     Fault {
-        /// The fault, for people.
+        /// Description of the fault. Only for readers: no rule uses it.
         what: String,
     },
-    /// From now on nothing is broken that should stop service; within the
-    /// limit it must be back.
+    /// All faults that may interrupt service have ended; service must be
+    /// available again within [`Limits::service_after`](crate::Limits).
     Healed,
-    /// The run is over, after a calm phase in which all work could end.
+    /// The recording ended, after a phase without faults in which all work could
+    /// finish.
     Finished,
 }
 
-/// What the checker must know of a step.
+/// A step of a submitted job, as far as the rules depend on it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExpectedStep {
-    /// Its name.
+    /// Name of the step, unique within the job.
     pub name: StepName,
-    /// Steps before it.
+    /// Steps that must be done before this one starts.
     pub after: Vec<StepName>,
-    /// Its tasks.
+    /// Number of tasks in the step.
     pub tasks: u32,
-    /// Copies allowed at once.
+    /// Most runs of a task that may be open at once.
     pub max_copies: u32,
-    /// Failed runs allowed for a task.
+    /// Number of failed runs after which a task may still run again.
     pub allowed_failures: u32,
-    /// A run that was stopped after this time may count as failed; when it is
-    /// not known, any stopped run may.
+    /// Time limit of a run: a run that is stopped after it may count as failed.
+    /// None if it was not recorded: then any stopped run may count as failed.
     #[serde(default)]
     pub time_limit: Option<Milliseconds>,
-    /// Whether its tasks start together, all or none, and one done end is
-    /// the end of all.
+    /// Whether the step is a gang: its tasks start all together or not at all,
+    /// and the step is done once one of them is done.
     #[serde(default)]
     pub gang: bool,
-    /// The licence of which each run takes a seat.
+    /// Licence of which each run takes a seat. None if the step needs none.
     #[serde(default)]
     pub licence: Option<LicenceName>,
 }
 
-/// The state of a job that a caller read.
+/// State of a job in the reply to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReadState {
-    /// There is no such job.
+    /// The job does not exist.
     Unknown,
-    /// It is in this state.
+    /// The job exists and has this state.
     #[serde(untagged)]
     Known(JobState),
 }
--- a/crates/checker/src/history.rs
+++ b/crates/checker/src/history.rs
@@ -1,44 +1,45 @@
-//! Histories as JSON lines.
+//! Reads and writes histories as JSON lines.
 
 use crate::Observation;
 use std::io::{self, BufRead, Write};
 use thiserror::Error;
 
-/// Why a history could not be read or written. Lines count from 1.
+/// Error while reading or writing a history.
 #[derive(Debug, Error)]
 pub enum HistoryError {
-    /// The file could not be read.
+    /// The reader failed, or a line is not UTF-8.
     #[error("line {line} could not be read: {source}")]
     Read {
-        /// The line.
+        /// Number of the unreadable line, from 1.
         line: usize,
-        /// The cause.
+        /// Error of the reader.
         source: io::Error,
     },
-    /// A line is no event.
-    #[error("line {line} is no event: {source}")]
+    /// A line is not the JSON text of an observation.
+    #[error("line {line} is not a valid event: {source}")]
     Line {
-        /// The line.
+        /// Number of the malformed line, from 1.
         line: usize,
-        /// The cause.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
-    /// A line is dated before the one above it.
-    #[error("line {line} is dated before the line above it")]
+    /// An observation is earlier than the previous one.
+    #[error("line {line} has an earlier time than the previous event")]
     Order {
-        /// The line.
+        /// Number of the earlier observation's line, from 1.
         line: usize,
     },
-    /// The file could not be written.
+    /// The writer failed, or an observation could not be serialized.
     #[error("the history could not be written: {0}")]
     Write(#[source] io::Error),
 }
 
-/// Reads one event from each line; empty lines are passed over.
+/// Reads one observation from each line and skips blank lines.
 ///
 /// # Errors
 ///
-/// Names the first line that cannot be read or parsed.
+/// Returns the number of the first line that cannot be read, is not an
+/// observation, or is earlier than the observation before it.
 pub fn read_history(reader: impl BufRead) -> Result<Vec<Observation>, HistoryError> {
     let mut history: Vec<Observation> = Vec::new();
     for (position, text) in reader.lines().enumerate() {
@@ -57,11 +58,11 @@
     Ok(history)
 }
 
-/// Writes one event to each line.
+/// Writes one observation per line and flushes the writer.
 ///
 /// # Errors
 ///
-/// Fails if the writer fails.
+/// Returns an error if an observation cannot be serialized or the writer fails.
 pub fn write_history(mut writer: impl Write, history: &[Observation]) -> Result<(), HistoryError> {
     for observation in history {
         let text = serde_json::to_string(observation)
--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -1,8 +1,8 @@
-//! Checks an observed history against every promise.
+//! Checks a recorded history against the guarantees of the system.
 //!
-//! The history holds only what callers, operators and runners saw, plus the
-//! faults that were caused. The same checker serves the simulation, the trials
-//! with real processes, and `cypressdrum check FILE`.
+//! The history holds only what callers, operators and runners observed, and the
+//! injected faults. The simulation, the trials with real processes and
+//! `cypressdrum check FILE` use the same checker.
 
 pub mod check;
 pub mod event;
