--- a/crates/checker/src/check/started.rs
+++ b/crates/checker/src/check/started.rs
@@ -52,12 +52,12 @@
         job.map_or(1, |facts| facts.allowed_copies(self.step))
     }
 
-    /// Returns whether the start is too late after an event at `decided_at` after
-    /// which the task must not run again.
+    /// Returns whether the start is no longer allowed after an event at
+    /// `decided_at` since which the task must not run again.
     ///
-    /// A task with one copy must not start at all. An order to start a further
-    /// copy may still be in transit until the event is reported, which a fault may
-    /// delay.
+    /// With one copy, no later start is allowed. With further copies, an order to
+    /// start one may still be in transit until the event is reported, which a
+    /// fault may delay.
     pub fn is_too_late(
         &self,
         decided_at: Milliseconds,
--- a/crates/checker/tests/control.rs
+++ b/crates/checker/tests/control.rs
@@ -1,5 +1,5 @@
-//! Rules on configurations, orders and service: each planted fault is caught,
-//! each near miss passes.
+//! Rules on configurations, orders and service. Each test checks that a violation
+//! is reported and that histories just within the limits are accepted.
 
 mod support;
 
@@ -8,14 +8,14 @@
 use support::*;
 use types::*;
 
-fn taken(version: u64, digest: &str) -> Event {
+fn configuration_acknowledged(version: u64, digest: &str) -> Event {
     Event::ConfigurationAcknowledged {
         version: ConfigurationVersion(version),
         digest: digest.into(),
     }
 }
 
-fn answered(daemon: &str, asked_at: u64, version: u64) -> Event {
+fn configuration_read(daemon: &str, asked_at: u64, version: u64) -> Event {
     Event::ConfigurationRead {
         daemon: daemon.into(),
         asked_at: Milliseconds(asked_at),
@@ -25,60 +25,71 @@
 }
 
 #[test]
-fn an_acknowledged_configuration_holds_in_time() {
-    let base = |asked_at| {
+fn daemon_with_old_configuration_after_limit_is_violation() {
+    let events_for = |asked_at| {
         vec![
-            (10, taken(1, "digest-1")),
-            (1_000, taken(2, "digest-2")),
-            (3_500, answered("gateway", asked_at, 1)),
+            (10, configuration_acknowledged(1, "digest-1")),
+            (1_000, configuration_acknowledged(2, "digest-2")),
+            (3_500, configuration_read("gateway", asked_at, 1)),
         ]
     };
-    assert_clean(base(2_999));
-    assert_found(base(3_000), &[ConfigurationLate]);
+    assert_no_violations(events_for(2_999));
+    assert_violations(events_for(3_000), &[ConfigurationLate]);
 }
 
 #[test]
-fn a_daemon_never_slides_back() {
-    let base = |asked_at, daemon| {
+fn daemon_that_returns_to_older_configuration_is_violation() {
+    let events_for = |asked_at, daemon| {
         vec![
-            (20, answered("gateway", 10, 2)),
-            (40, answered(daemon, asked_at, 1)),
+            (20, configuration_read("gateway", 10, 2)),
+            (40, configuration_read(daemon, asked_at, 1)),
         ]
     };
-    assert_found(base(20, "gateway"), &[ConfigurationSlidBack]);
-    // Asked before the newer answer came, or of another daemon.
-    assert_clean(base(19, "gateway"));
-    assert_clean(base(20, "agent"));
+    assert_violations(events_for(20, "gateway"), &[ConfigurationSlidBack]);
+    // The request was sent before the newer reply arrived, or to another daemon.
+    assert_no_violations(events_for(19, "gateway"));
+    assert_no_violations(events_for(20, "agent"));
 }
 
 #[test]
-fn one_version_is_one_document() {
-    let base = |digest| vec![(10, taken(1, "one")), (20, taken(1, digest))];
-    assert_found(base("two"), &[TwoWinners]);
-    // The same order, acknowledged again.
-    assert_clean(base("one"));
+fn two_documents_with_one_version_are_violation() {
+    let events_for = |digest| {
+        vec![
+            (10, configuration_acknowledged(1, "one")),
+            (20, configuration_acknowledged(1, digest)),
+        ]
+    };
+    assert_violations(events_for("two"), &[TwoWinners]);
+    // The same configuration is acknowledged again.
+    assert_no_violations(events_for("one"));
     let rejected = Event::ConfigurationRejected {
         version: ConfigurationVersion(1),
         digest: "two".into(),
         code: "conflict".into(),
     };
-    assert_clean(vec![(10, taken(1, "one")), (20, rejected)]);
-    let read = answered("gateway", 20, 1);
-    assert_found(vec![(10, taken(1, "one")), (30, read)], &[TwoWinners]);
+    assert_no_violations(vec![
+        (10, configuration_acknowledged(1, "one")),
+        (20, rejected),
+    ]);
+    let read = configuration_read("gateway", 20, 1);
+    assert_violations(
+        vec![(10, configuration_acknowledged(1, "one")), (30, read)],
+        &[TwoWinners],
+    );
 }
 
 #[test]
-fn a_runner_takes_no_order_of_a_superseded_leader() {
+fn accepted_order_of_superseded_leader_is_violation() {
     let order = |on, term, stale| Event::OrderAccepted {
         runner: runner(on),
         term: Term(term),
         stale,
     };
     let flagged = vec![(10, order(1, 2, true))];
-    assert_found(flagged, &[StaleOrderAccepted]);
+    assert_violations(flagged, &[StaleOrderAccepted]);
     let older = vec![(10, order(1, 3, false)), (20, order(1, 2, false))];
-    assert_found(older, &[StaleOrderAccepted]);
-    assert_clean(vec![
+    assert_violations(older, &[StaleOrderAccepted]);
+    assert_no_violations(vec![
         (10, order(1, 2, false)),
         (20, order(1, 3, false)),
         (30, order(1, 3, false)),
@@ -86,69 +97,80 @@
     ]);
 }
 
-fn healed_then(events: Vec<(u64, Event)>) -> Vec<(u64, Event)> {
-    let mut all = vec![(0, fault()), (1_000, Event::Healed)];
+/// Returns events after the end of all faults at 1 000, and a new fault at 20 000,
+/// which is after the time limit of the recovery.
+fn after_faults_ended(events: Vec<(u64, Event)>) -> Vec<(u64, Event)> {
+    let mut all = vec![(0, fault_injected()), (1_000, Event::Healed)];
     all.extend(events);
-    all.push((20_000, fault()));
+    all.push((20_000, fault_injected()));
     all
 }
 
 #[test]
-fn service_answers_in_time_after_the_heal() {
-    let attempt = || sent(1, &[expected("only")]);
-    let none = healed_then(vec![(2_000, attempt())]);
-    assert_found(none, &[ServiceNotBack]);
-    let late = vec![(2_000, attempt()), (13_001, acknowledged(1))];
-    assert_found(healed_then(late), &[ServiceNotBack]);
-    let in_time = vec![(2_000, attempt()), (13_000, acknowledged(1))];
-    assert_clean(healed_then(in_time));
-    let read_only = vec![(2_000, attempt()), (9_000, unknown(1, 8_000))];
-    assert_clean(healed_then(read_only));
-    // Nobody asked, or another fault came first.
-    assert_clean(healed_then(Vec::new()));
-    let disturbed = vec![(2_000, attempt()), (5_000, fault())];
-    assert_clean(healed_then(disturbed));
-    // An answer to a question from before the heal is no service.
-    let old_answer = vec![(2_000, attempt()), (3_000, unknown(1, 900))];
-    assert_found(healed_then(old_answer), &[ServiceNotBack]);
+fn missing_reply_after_faults_ended_is_violation() {
+    let submit = || submit_sent(1, &[simple_step("only")]);
+    let no_reply = after_faults_ended(vec![(2_000, submit())]);
+    assert_violations(no_reply, &[ServiceNotBack]);
+    let late = vec![(2_000, submit()), (13_001, submit_acknowledged(1))];
+    assert_violations(after_faults_ended(late), &[ServiceNotBack]);
+    let in_time = vec![(2_000, submit()), (13_000, submit_acknowledged(1))];
+    assert_no_violations(after_faults_ended(in_time));
+    let reply_to_read = vec![(2_000, submit()), (9_000, unknown_read(1, 8_000))];
+    assert_no_violations(after_faults_ended(reply_to_read));
+    // No request was sent, or another fault occurred before the time limit.
+    assert_no_violations(after_faults_ended(Vec::new()));
+    let new_fault = vec![(2_000, submit()), (5_000, fault_injected())];
+    assert_no_violations(after_faults_ended(new_fault));
+    // The reply to a request sent before the faults ended is no evidence of
+    // service.
+    let old_reply = vec![(2_000, submit()), (3_000, unknown_read(1, 900))];
+    assert_violations(after_faults_ended(old_reply), &[ServiceNotBack]);
 }
 
 #[test]
-fn acknowledged_work_goes_on_after_the_heal() {
-    let before = || vec![(0, sent(1, &[expected("only")])), (5, acknowledged(1))];
-    let with = |events: Vec<(u64, Event)>| {
-        let mut all = before();
-        all.extend(healed_then(events));
+fn missing_progress_of_job_after_faults_ended_is_violation() {
+    let acknowledged_job = || {
+        vec![
+            (0, submit_sent(1, &[simple_step("only")])),
+            (5, submit_acknowledged(1)),
+        ]
+    };
+    let with_job_and_faults = |events: Vec<(u64, Event)>| {
+        let mut all = acknowledged_job();
+        all.extend(after_faults_ended(events));
         all
     };
-    assert_found(with(Vec::new()), &[ServiceNotBack]);
-    assert_clean(with(vec![(13_000, started(1, 1, 1, "only"))]));
+    assert_violations(with_job_and_faults(Vec::new()), &[ServiceNotBack]);
+    assert_no_violations(with_job_and_faults(vec![(
+        13_000,
+        run_started(1, 1, 1, "only"),
+    )]));
     let cancelled = vec![(2_000, Event::CancelSent { job: job(1) })];
     let answered = vec![(2_100, Event::CancelAcknowledged { job: job(1) })];
-    let mut quiet = cancelled;
-    quiet.extend(answered);
-    quiet.push((2_200, read(1, 2_150, JobState::Cancelled)));
-    assert_clean(with(quiet));
-    let lost_again = vec![
-        (9_000, started(1, 1, 1, "only")),
-        (9_100, ended(1, 1, Outcome::Stopped)),
+    let mut cancelled_job = cancelled;
+    cancelled_job.extend(answered);
+    cancelled_job.push((2_200, state_read(1, 2_150, JobState::Cancelled)));
+    assert_no_violations(with_job_and_faults(cancelled_job));
+    let stopped_again = vec![
+        (9_000, run_started(1, 1, 1, "only")),
+        (9_100, run_ended(1, 1, Outcome::Stopped)),
     ];
-    assert_clean(with(lost_again));
-    // Its cancel was sent, and service answers another question.
-    assert_clean(with(vec![
+    assert_no_violations(with_job_and_faults(stopped_again));
+    // The job's cancel was sent, and another request was answered.
+    assert_no_violations(with_job_and_faults(vec![
         (2_000, Event::CancelSent { job: job(1) }),
-        (2_100, unknown(2, 2_050)),
+        (2_100, unknown_read(2, 2_050)),
     ]));
-    let mut not_due = with(Vec::new());
+    let mut not_due = with_job_and_faults(Vec::new());
     if let Event::SubmitSent { not_before, .. } = &mut not_due[0].1 {
         *not_before = Some(Milliseconds(1_001));
     }
-    assert_clean(not_due);
-    // A long task that goes on running is progress enough.
-    let mut running = before();
-    running.push((6, started(1, 1, 1, "only")));
-    running.insert(0, (0, fault()));
+    assert_no_violations(not_due);
+    // An open run of a long task counts as progress.
+    let mut running = acknowledged_job();
+    running.push((6, run_started(1, 1, 1, "only")));
+    running.insert(0, (0, fault_injected()));
     running.push((1_000, Event::Healed));
-    running.push((20_000, fault()));
-    assert_clean(running);
+    running.push((20_000, fault_injected()));
+    assert_no_violations(running);
 }
--- a/crates/checker/tests/support/mod.rs
+++ b/crates/checker/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders of histories.
+//! Builders of events and histories, and assertions on the reported violations.
 
 #![allow(dead_code)]
 
@@ -34,8 +34,9 @@
     }
 }
 
-/// A step of one task without copies, failures or dependencies.
-pub fn expected(name: &str) -> ExpectedStep {
+/// Returns a step with one task, without further copies, allowed failures or
+/// dependencies.
+pub fn simple_step(name: &str) -> ExpectedStep {
     ExpectedStep {
         gang: false,
         licence: None,
@@ -48,7 +49,7 @@
     }
 }
 
-pub fn sent(number: u64, steps: &[ExpectedStep]) -> Event {
+pub fn submit_sent(number: u64, steps: &[ExpectedStep]) -> Event {
     Event::SubmitSent {
         job: job(number),
         steps: steps.to_vec(),
@@ -56,11 +57,13 @@
     }
 }
 
-pub fn acknowledged(number: u64) -> Event {
+pub fn submit_acknowledged(number: u64) -> Event {
     Event::SubmitAcknowledged { job: job(number) }
 }
 
-pub fn read(number: u64, asked_at: u64, state: JobState) -> Event {
+/// Returns the reply with a job's state to a request sent at `asked_at`, in
+/// milliseconds.
+pub fn state_read(number: u64, asked_at: u64, state: JobState) -> Event {
     Event::StateRead {
         job: job(number),
         asked_at: Milliseconds(asked_at),
@@ -68,7 +71,8 @@
     }
 }
 
-pub fn unknown(number: u64, asked_at: u64) -> Event {
+/// Returns the reply that job `number` does not exist.
+pub fn unknown_read(number: u64, asked_at: u64) -> Event {
     Event::StateRead {
         job: job(number),
         asked_at: Milliseconds(asked_at),
@@ -76,8 +80,9 @@
     }
 }
 
-/// Run `sequence` of the one task of `step_name` of the job, one slot.
-pub fn started(sequence: u64, on: u64, number: u64, step_name: &str) -> Event {
+/// Returns the start of run `sequence`, with one slot, on runner `on`. The run
+/// belongs to task 0 of a step of job `number`.
+pub fn run_started(sequence: u64, on: u64, number: u64, step_name: &str) -> Event {
     Event::RunStarted {
         runner: runner(on),
         incarnation: RunnerIncarnation(1),
@@ -89,7 +94,7 @@
     }
 }
 
-pub fn ended(sequence: u64, on: u64, outcome: Outcome) -> Event {
+pub fn run_ended(sequence: u64, on: u64, outcome: Outcome) -> Event {
     Event::RunEnded {
         runner: runner(on),
         run: run(sequence),
@@ -98,15 +103,16 @@
     }
 }
 
-pub fn failed() -> Outcome {
+pub fn failed_outcome() -> Outcome {
     Outcome::Failed("broken".into())
 }
 
-pub fn fault() -> Event {
+pub fn fault_injected() -> Event {
     Event::Fault { what: "cut".into() }
 }
 
-pub fn history(events: Vec<(u64, Event)>) -> Vec<Observation> {
+/// Builds a history from events with their times in milliseconds.
+pub fn observations(events: Vec<(u64, Event)>) -> Vec<Observation> {
     let events = events.into_iter();
     events
         .map(|(at, event)| Observation {
@@ -117,17 +123,23 @@
         .collect()
 }
 
-pub fn report(events: Vec<(u64, Event)>) -> Report {
-    check(&history(events), &Limits::default())
+/// Checks the events with the default limits.
+pub fn check_events(events: Vec<(u64, Event)>) -> Report {
+    check(&observations(events), &Limits::default())
 }
 
-/// Exactly these kinds were found, in order of time.
-pub fn assert_found(events: Vec<(u64, Event)>, expected: &[ViolationKind]) {
-    let report = report(events);
-    let found: Vec<ViolationKind> = report.violations.iter().map(|one| one.kind).collect();
+/// Asserts that the checker reports exactly these kinds of violation, in order of
+/// time.
+pub fn assert_violations(events: Vec<(u64, Event)>, expected: &[ViolationKind]) {
+    let report = check_events(events);
+    let found: Vec<ViolationKind> = report
+        .violations
+        .iter()
+        .map(|violation| violation.kind)
+        .collect();
     assert_eq!(found, expected, "{:#?}", report.violations);
 }
 
-pub fn assert_clean(events: Vec<(u64, Event)>) {
-    assert_found(events, &[]);
+pub fn assert_no_violations(events: Vec<(u64, Event)>) {
+    assert_violations(events, &[]);
 }
