--- a/crates/checker/src/check/repeat.rs
+++ b/crates/checker/src/check/repeat.rs
@@ -13,10 +13,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use types::{Milliseconds, RunId};
 
-/// Guarantee: a run identifier is ordered to start, and starts, at most once.
+/// Guarantee: a run starts at most once, and its start order is delivered at most
+/// once.
 ///
-/// Reports a violation also if only the order is repeated: a runner does not have
-/// to reject a repeated start.
+/// Reports a violation also if only the delivery is repeated: a runner does not
+/// have to reject a repeated order.
 #[derive(Debug, Default)]
 pub(super) struct DoubleStart {
     /// Runs whose start order reached a runner.
