--- a/crates/simulation/src/busy.rs
+++ b/crates/simulation/src/busy.rs
@@ -1,13 +1,16 @@
-//! What waits for a coordinator that is at work, and for how long it is.
+//! Processor time of a coordinator: until when it is busy, and which messages are
+//! queued for it.
 
 use crate::ids::Micros;
 use transport::Envelope;
 
-/// What waits for a coordinator, and until when it is at work.
+/// Processing state of a coordinator.
 #[derive(Debug, Default)]
-pub struct Busy {
+pub struct BusyState {
+    /// End of the current step.
     pub(crate) until: Micros,
-    pub(crate) waiting: Vec<(Micros, Envelope)>,
-    /// Scan cost of its scheduler, when it was last read.
+    /// Messages that arrived during the current step, with their times of arrival.
+    pub(crate) queued: Vec<(Micros, Envelope)>,
+    /// Scan cost of the scheduler after the last step, in tasks and runners examined.
     pub(crate) scan_cost: u64,
 }
--- a/crates/simulation/src/caller.rs
+++ b/crates/simulation/src/caller.rs
@@ -1,5 +1,5 @@
-//! Caller hosts: emulated callers that send over gateways, ask for states, and
-//! cancel when the plan says so.
+//! Emulated callers, which submit jobs over the gateways and query their states, and
+//! the open HTTP requests of callers and operators.
 
 use crate::ids::Micros;
 use emulator::caller::Caller;
@@ -7,84 +7,85 @@
 use std::collections::BTreeMap;
 use types::{JobKey, JobSpec};
 
-/// How long a caller waits for an answer.
+/// Time after which a caller's request times out, in milliseconds.
 pub const CALLER_TIMEOUT_MS: u64 = 2_000;
 
-/// A caller with its workload.
+/// An emulated caller with its workload.
 pub struct CallerHost {
-    /// Its name in the history.
+    /// Observer name in the history.
     pub name: String,
-    /// Its policy.
+    /// Client logic: submits, retries and queries.
     pub caller: Caller,
-    /// Where its jobs come from.
+    /// Generator of the jobs.
     pub workload: Workload,
-    /// Jobs sent, by key; final ones are dropped.
+    /// Specifications of the jobs that are not final yet, by key.
     pub jobs: BTreeMap<JobKey, JobSpec>,
-    /// The gateway it uses now.
+    /// Gateway to use, counted up after a failed request and taken modulo the number of
+    /// gateways.
     pub gateway: usize,
-    /// Arrivals at the ordinary load, in percent.
+    /// Rate of new jobs, in percent of the workload's normal rate.
     pub load_percent: u32,
-    /// Factor on its load.
-    pub times: u32,
-    /// Moment of the timer in the queue.
+    /// Factor on the rate of new jobs; above 1 during a burst.
+    pub load_factor: u32,
+    /// Virtual time of the timer in the event queue; `None` if none is set.
     pub timer: Option<Micros>,
 }
 
 impl CallerHost {
-    /// Mean time between two new jobs.
+    /// Returns the mean time between two new jobs.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "the quotient is positive and at most 100 s"
     )]
-    pub fn mean_gap(&self) -> Micros {
-        let percent = f64::from(self.load_percent * self.times.max(1));
+    pub fn mean_interval(&self) -> Micros {
+        let percent = f64::from(self.load_percent * self.load_factor.max(1));
         let per_second = self.workload.jobs_per_second() * percent / 100.0;
         (1_000_000.0 / per_second.max(0.01)) as Micros
     }
 }
 
-/// Who waits for an HTTP answer, and for what.
+/// An HTTP request without an answer yet: its sender and its subject.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Waiting {
-    /// A caller's submit.
+pub enum OpenRequest {
+    /// A submit of a caller.
     Submit {
-        /// The caller.
+        /// Index of the caller.
         caller: usize,
-        /// The job.
+        /// Key of the job.
         job: JobKey,
     },
-    /// A caller's question.
-    Ask {
-        /// The caller.
+    /// A query of a caller for the state of a job.
+    GetState {
+        /// Index of the caller.
         caller: usize,
-        /// The job.
+        /// Key of the job.
         job: JobKey,
-        /// When it was sent.
+        /// Virtual time at which the request was sent.
         asked_at: Micros,
     },
-    /// A caller's cancel.
+    /// A cancel of a caller.
     Cancel {
-        /// The caller.
+        /// Index of the caller.
         caller: usize,
-        /// The jobs.
+        /// Keys of the jobs to cancel.
         jobs: Vec<JobKey>,
     },
-    /// An operator's configuration.
+    /// A configuration, or changes to one, of an operator.
     Configure {
-        /// The operator.
+        /// Index of the operator.
         operator: usize,
     },
-    /// An operator's question for the version in force.
+    /// A read of the current configuration by an operator.
     ReadVersion {
-        /// The operator.
+        /// Index of the operator.
         operator: usize,
     },
-    /// The question what configuration a gateway has.
+    /// A read of the configuration at one gateway, for the checker.
     ReadConfiguration {
-        /// Its name.
+        /// Name of the gateway's machine.
         daemon: String,
-        /// When it was sent.
+        /// Virtual time at which the request was sent.
         asked_at: Micros,
     },
 }
--- a/crates/simulation/src/campaign.rs
+++ b/crates/simulation/src/campaign.rs
@@ -1,4 +1,4 @@
-//! Many seeds, side by side on the machine's cores.
+//! Campaigns: runs of many seeds in parallel threads.
 
 use crate::planner::{PlannerOptions, plan_from_seed};
 use crate::run::{Outcome, run};
@@ -8,72 +8,73 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Which seeds to run, and how.
+/// Range of seeds to run, with the options of their plans.
 #[derive(Debug, Clone)]
 pub struct Campaign {
-    /// The first seed.
+    /// First seed of the range.
     pub first_seed: u64,
-    /// How many, one after the other.
+    /// Number of consecutive seeds.
     pub seeds: u64,
-    /// Threads to run them on.
+    /// Number of threads; at least one is used.
     pub threads: usize,
-    /// What the planner may draw.
+    /// Limits for the plans.
     pub planner: PlannerOptions,
-    /// A mechanism turned off in every run.
+    /// Mechanism to disable in every run; `None` disables nothing.
     pub mutation: Option<Mutation>,
 }
 
-/// What one seed gave, in short.
+/// Result of one seed, without the history.
 #[derive(Debug, Clone)]
 pub struct SeedResult {
-    /// The plan.
+    /// Plan that was run.
     pub plan: Plan,
-    /// Jobs acknowledged, done, failed and cancelled, and runs started.
+    /// The checker's report: violations and totals.
     pub report: checker::Report,
-    /// Events handled.
+    /// Number of events handled.
     pub events: u64,
-    /// Why the run could not be made, if so.
+    /// Error that prevented the run; `None` if it took place.
     pub error: Option<String>,
 }
 
 impl SeedResult {
-    /// Returns whether no promise broke.
+    /// Returns whether the run took place without a violation.
     pub fn is_good(&self) -> bool {
         self.error.is_none() && self.report.violations.is_empty()
     }
 
-    /// Returns whether a promise of this kind broke.
+    /// Returns whether the run has a violation of this kind.
     pub fn breaks(&self, kind: ViolationKind) -> bool {
         let mut violations = self.report.violations.iter();
         violations.any(|violation| violation.kind == kind)
     }
 }
 
-/// What a campaign gave.
+/// Totals of a campaign.
 #[derive(Debug, Clone, Default)]
 pub struct Summary {
-    /// Seeds run.
+    /// Number of seeds.
     pub seeds: u64,
-    /// Events handled over all.
+    /// Number of events handled.
     pub events: u64,
-    /// Jobs acknowledged over all.
+    /// Number of acknowledged jobs.
     pub jobs: u64,
-    /// Runs started over all.
+    /// Number of started runs.
     pub runs: u64,
-    /// Of those, runs of a task whose done end could not be reported in time.
+    /// Number of runs that repeat a done task because its end could not be reported in
+    /// time.
     pub repeated_unreported: u64,
-    /// Of those, runs past the allowed failures, one of which could not be
-    /// reported in time.
+    /// Number of runs beyond the allowed failures of a task because one of the failures
+    /// could not be reported in time.
     pub retried_unreported: u64,
-    /// Seeds whose run could not be made at all.
+    /// Number of seeds whose run did not take place because of an error.
     pub not_run: u64,
-    /// Seeds in which each kind of promise broke.
+    /// Number of seeds with a violation, by its kind.
     pub broken: BTreeMap<ViolationKind, u64>,
-    /// Seeds in which some promise broke, in order.
+    /// Results of the seeds with a violation or an error, in the order of the seeds.
     pub failed: Vec<SeedResult>,
 }
 
-/// Runs one plan and keeps what a campaign needs.
+/// Runs a plan and returns its result without the history.
 pub fn run_plan(plan: &Plan) -> SeedResult {
     match run(plan) {
         Ok(Outcome { report, events, .. }) => SeedResult {
@@ -91,7 +92,7 @@
     }
 }
 
-/// Runs all seeds; `progress` is called after each, from any thread.
+/// Runs all seeds of a campaign. Calls `progress` after each one, from any thread.
 pub fn run_campaign(campaign: &Campaign, progress: impl Fn(&SeedResult) + Sync) -> Summary {
     let next = AtomicU64::new(0);
     let summary = Mutex::new(Summary::default());
@@ -120,7 +121,7 @@
 }
 
 impl Summary {
-    /// Adds what one seed gave.
+    /// Adds the result of a seed to the totals.
     pub fn add(&mut self, result: SeedResult) {
         self.seeds += 1;
         self.events += result.events;
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -1,7 +1,7 @@
-//! The cluster: machines, processes, network, and the queue of events.
+//! The simulated cluster: machines, processes, network and event queue.
 
 use crate::Mutation;
-use crate::caller::{CallerHost, Waiting};
+use crate::caller::{CallerHost, OpenRequest};
 use crate::event::{Event, Scheduled};
 use crate::ids::{DiskState, Incarnation, MachineIndex, Micros, ProcessIndex};
 use crate::machine::Machine;
@@ -19,75 +19,76 @@
 use transport::{DecisionEntry, Envelope, PeerMessage};
 use types::{Milliseconds, NodeId, Now};
 
-/// Least time between two timers of one daemon.
-const LEAST_TIMER_MICROS: Micros = 1_000;
-/// Time one sync of a coordinator's disk takes.
-const SYNC_MICROS: (Micros, Micros) = (300, 1_500);
-/// Time after which a daemon at work is looked at again.
-const BUSY_MICROS: Micros = 500;
-/// Time an unsynced write waits when disks lie about their syncs.
-const UNSYNCED_MICROS: Micros = 2_000_000;
+/// Minimum time until a timer of a daemon fires.
+const MIN_TIMER_MICROS: Micros = 1_000;
+/// Range of the duration of a sync of a coordinator's disk.
+const SYNC_DURATION_MICROS: (Micros, Micros) = (300, 1_500);
+/// Time after which an event for a busy daemon is retried.
+const BUSY_RETRY_MICROS: Micros = 500;
+/// Delay of a write that the disk has reported as synced already, with
+/// [`Mutation::AcknowledgeBeforeSync`].
+const UNSYNCED_DELAY_MICROS: Micros = 2_000_000;
 
-/// All state of one run.
+/// State of a run.
 pub struct SimulatedCluster {
-    /// Virtual time.
+    /// Current virtual time.
     pub now: Micros,
-    /// Every draw of the run.
+    /// Generator of all random numbers of the run.
     pub random: ChaCha8Rng,
-    /// Cuts and weather.
+    /// Virtual network with the network faults in force.
     pub network: Network,
-    /// Machines.
+    /// Machines, also those of replaced coordinators.
     pub machines: Vec<Machine>,
-    /// Daemons.
+    /// Daemons, also those that were replaced.
     pub processes: Vec<Process>,
-    /// Who listens where.
+    /// Daemon that listens on each socket.
     pub sockets: BTreeMap<SocketAddr, ProcessIndex>,
-    /// Gateways, in order of their names.
+    /// Gateways in the order of their names.
     pub gateways: Vec<ProcessIndex>,
-    /// Runners, one a side machine.
+    /// Runners, one on each side machine.
     pub runners: Vec<RunnerHost>,
-    /// Callers.
+    /// Emulated callers, one for each workload mix.
     pub callers: Vec<CallerHost>,
-    /// Operators.
+    /// Emulated operators. The first one sends the initial configuration.
     pub operators: Vec<OperatorHost>,
-    /// Who waits for which HTTP answer.
-    pub waiting: BTreeMap<TicketId, Waiting>,
-    /// What was seen.
+    /// Open HTTP requests of callers and operators.
+    pub open_requests: BTreeMap<TicketId, OpenRequest>,
+    /// Observations for the checker, in the order of time.
     pub history: Vec<Observation>,
-    /// The decision log of all leaders.
+    /// Decision logs of all leaders.
     pub decisions: Vec<TimedDecision>,
-    /// The mechanism turned off in this run.
+    /// Disabled mechanism; `None` disables nothing.
     pub mutation: Option<Mutation>,
-    /// When callers stop sending new jobs.
+    /// Virtual time at which callers stop sending new jobs.
     pub load_until: Micros,
-    /// Newest configuration acknowledged to any operator.
+    /// Newest configuration version acknowledged to an operator.
     pub newest_acknowledged: types::ConfigurationVersion,
-    /// What the work of coordinators costs.
+    /// Processor time that coordinators use.
     pub processing: Processing,
-    /// Longest wait of a liveness message for a coordinator at work.
+    /// Longest wait of a liveness message for a busy coordinator.
     pub(crate) max_liveness_wait: Micros,
-    /// Losses that wait for an acknowledgement.
-    pub armed: Vec<Fault>,
-    /// A daemon that could not go on, and why.
-    pub broken: Vec<String>,
-    /// Events handled.
-    pub handled: u64,
+    /// Planned losses that an acknowledgement triggers.
+    pub pending_losses: Vec<Fault>,
+    /// Failures outside the history, such as a daemon that cannot start.
+    pub failures: Vec<String>,
+    /// Number of events handled.
+    pub handled_events: u64,
     queue: BinaryHeap<Scheduled>,
     order: u64,
     next_ticket: u64,
 }
 
-/// A line of a leader's decision log, by the observer's clock.
+/// An entry of a leader's decision log with its virtual time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TimedDecision {
-    /// Observer's clock since the start of the run.
+    /// Virtual time since the start of the run.
     pub at: Milliseconds,
-    /// The line.
+    /// Entry as the leader wrote it.
     pub entry: DecisionEntry,
 }
 
 impl SimulatedCluster {
-    /// An empty cluster.
+    /// Returns a cluster without machines.
     pub fn new(random: ChaCha8Rng) -> Self {
         Self {
             now: 0,
@@ -100,24 +101,24 @@
             runners: Vec::new(),
             callers: Vec::new(),
             operators: Vec::new(),
-            waiting: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
             history: Vec::new(),
             decisions: Vec::new(),
             mutation: None,
             load_until: 0,
             newest_acknowledged: types::ConfigurationVersion(0),
-            armed: Vec::new(),
+            pending_losses: Vec::new(),
             processing: Processing::default(),
             max_liveness_wait: 0,
-            broken: Vec::new(),
-            handled: 0,
+            failures: Vec::new(),
+            handled_events: 0,
             queue: BinaryHeap::new(),
             order: 0,
             next_ticket: 0,
         }
     }
 
-    /// Puts an event into the queue.
+    /// Puts an event into the queue at the virtual time `at`, or now if that has passed.
     pub fn schedule(&mut self, at: Micros, event: Event) {
         self.order += 1;
         self.queue.push(Scheduled {
@@ -127,12 +128,12 @@
         });
     }
 
-    /// Puts an event into the queue, `delay` from now.
+    /// Puts an event into the queue after `delay`.
     pub fn schedule_in(&mut self, delay: Micros, event: Event) {
         self.schedule(self.now + delay, event);
     }
 
-    /// Writes down what was seen.
+    /// Appends an observation to the history.
     pub fn observe(&mut self, observer: impl Into<String>, event: checker::Event) {
         self.history.push(Observation {
             at: Milliseconds(self.now / 1_000),
@@ -141,7 +142,8 @@
         });
     }
 
-    /// Handles one event; false when there is none before `until`.
+    /// Handles the next event. Returns false, and advances the time to `until`, if there is
+    /// none up to `until`.
     pub fn step(&mut self, until: Micros) -> bool {
         match self.queue.peek() {
             Some(next) if next.at <= until => {}
@@ -154,7 +156,7 @@
             return false;
         };
         self.now = next.at;
-        self.handled += 1;
+        self.handled_events += 1;
         self.handle(next.event);
         true
     }
@@ -170,8 +172,10 @@
             Event::Resume(process, incarnation) => self.resume(process, incarnation),
             Event::DiskDone(process, incarnation) => self.disk_done(process, incarnation),
             Event::Start(process, disk) => self.start_process(process, disk),
-            Event::GraceOver(process, incarnation) => self.grace_over(process, incarnation),
-            Event::Wake(machine) => self.wake(machine),
+            Event::GracePeriodEnded(process, incarnation) => {
+                self.grace_period_ended(process, incarnation);
+            }
+            Event::Unfreeze(machine) => self.unfreeze(machine),
             Event::Fault(fault) => self.apply_fault(fault),
             Event::AwaitRepair {
                 fault,
@@ -179,12 +183,13 @@
                 until,
             } => self.await_repair(fault, after, until),
             Event::Heal => self.heal(),
-            Event::BurstOver(caller) => self.callers[caller].times = 1,
-            other => self.handle_outside(other),
+            Event::BurstEnded(caller) => self.callers[caller].load_factor = 1,
+            other => self.handle_host_event(other),
         }
     }
 
-    fn handle_outside(&mut self, event: Event) {
+    /// Handles an event of runners, callers, operators or HTTP requests.
+    fn handle_host_event(&mut self, event: Event) {
         match event {
             Event::RunnerTick(..)
             | Event::RunnerHeartbeat(..)
@@ -209,27 +214,28 @@
             .then_some(machine)
     }
 
-    /// What was held while a machine was frozen happens in order, at once.
-    fn wake(&mut self, machine: MachineIndex) {
+    /// Ends the freeze of a machine, unless a later freeze is in force, and reschedules the
+    /// deferred events for now, in their order.
+    fn unfreeze(&mut self, machine: MachineIndex) {
         if self.machines[machine.0].is_frozen(self.now) {
             return;
         }
         self.machines[machine.0].frozen_until = None;
-        self.observe_wake(machine);
+        self.observe_unfreeze(machine);
         for event in std::mem::take(&mut self.machines[machine.0].deferred) {
             self.schedule_in(0, event);
         }
     }
 
-    fn observe_wake(&mut self, machine: MachineIndex) {
+    fn observe_unfreeze(&mut self, machine: MachineIndex) {
         let host = self.runners.iter().find(|host| host.machine == machine);
         if let Some(id) = host.map(|host| host.id().clone()) {
-            let seen = checker::Event::RunnerWoke { runner: id.clone() };
-            self.observe(id.as_str(), seen);
+            let observed = checker::Event::RunnerWoke { runner: id.clone() };
+            self.observe(id.as_str(), observed);
         }
     }
 
-    /// Both clocks of the machine a process stands on.
+    /// Returns the readings of both clocks of a process's machine.
     pub fn clock_of(&self, process: ProcessIndex) -> Now {
         let machine = self.processes[process.0].machine;
         self.machines[machine.0].clock(self.now)
@@ -241,26 +247,26 @@
             return;
         }
         if self.is_busy(process) {
-            return self.schedule_in(BUSY_MICROS, Event::Tick(process, incarnation));
+            return self.schedule_in(BUSY_RETRY_MICROS, Event::Tick(process, incarnation));
         }
         self.processes[process.0].timer = None;
         self.input(process, Input::Tick);
     }
 
-    /// Returns whether a timer's moment has come. An event of a timer that was set
-    /// anew for another moment is dropped.
+    /// Returns whether a timer is due. The event of a timer that was set again for a later
+    /// time is dropped.
     pub(crate) fn is_due(&self, timer: Option<Micros>) -> bool {
         timer.is_some_and(|at| at <= self.now)
     }
 
-    /// Gives an input to a daemon and carries out what it wants done.
+    /// Passes an input to a daemon and applies the effects.
     pub fn input(&mut self, process: ProcessIndex, input: Input) {
         let now = self.clock_of(process);
         let effects = self.processes[process.0].handle(now, input);
         self.after_step(process, 1, effects);
     }
 
-    /// The same with inputs that are there together.
+    /// Passes several inputs to a coordinator in one step and applies the effects.
     pub(crate) fn inputs(&mut self, process: ProcessIndex, inputs: Vec<Input>) {
         let now = self.clock_of(process);
         let count = inputs.len();
@@ -271,12 +277,12 @@
     fn after_step(&mut self, process: ProcessIndex, inputs: usize, effects: Vec<Effect>) {
         self.charge(process, inputs);
         for effect in effects {
-            self.carry_out(process, effect);
+            self.apply_effect(process, effect);
         }
         self.set_timer(process);
     }
 
-    fn carry_out(&mut self, process: ProcessIndex, effect: Effect) {
+    fn apply_effect(&mut self, process: ProcessIndex, effect: Effect) {
         match effect {
             Effect::Send(to, message) => self.send(process, to, message),
             Effect::Write(write) => self.begin_write(process, write),
@@ -293,21 +299,23 @@
     fn begin_write(&mut self, process: ProcessIndex, write: Write) {
         let incarnation = self.processes[process.0].incarnation;
         let idle = self.processes[process.0].writes.is_empty();
-        let early = match &write {
+        let confirmation = match &write {
             Write::Batch { number, .. } => Input::Persisted(*number),
             Write::Identity(_) => Input::IdentitySaved,
         };
         self.processes[process.0].writes.push_back(write);
         if self.mutation == Some(Mutation::AcknowledgeBeforeSync) {
-            self.schedule_in(UNSYNCED_MICROS, Event::DiskDone(process, incarnation));
-            self.input(process, early);
+            self.schedule_in(UNSYNCED_DELAY_MICROS, Event::DiskDone(process, incarnation));
+            self.input(process, confirmation);
         } else if idle {
             self.schedule_sync(process, incarnation);
         }
     }
 
     fn schedule_sync(&mut self, process: ProcessIndex, incarnation: Incarnation) {
-        let delay = self.random.random_range(SYNC_MICROS.0..=SYNC_MICROS.1);
+        let delay = self
+            .random
+            .random_range(SYNC_DURATION_MICROS.0..=SYNC_DURATION_MICROS.1);
         self.schedule_in(delay, Event::DiskDone(process, incarnation));
     }
 
@@ -316,7 +324,7 @@
             return;
         }
         if self.is_busy(process) {
-            return self.schedule_in(BUSY_MICROS, Event::DiskDone(process, incarnation));
+            return self.schedule_in(BUSY_RETRY_MICROS, Event::DiskDone(process, incarnation));
         }
         match self.processes[process.0].finish_write() {
             None => {}
@@ -327,18 +335,18 @@
                 }
                 self.input(process, input);
             }
-            Some(Err(error)) => self.report_broken(process, &error.to_string()),
+            Some(Err(error)) => self.record_failure(process, &error.to_string()),
         }
     }
 
-    fn report_broken(&mut self, process: ProcessIndex, problem: &str) {
+    fn record_failure(&mut self, process: ProcessIndex, problem: &str) {
         let machine = self.processes[process.0].machine;
         let name = self.machines[machine.0].name.clone();
-        self.broken.push(format!("{name}: {problem}"));
+        self.failures.push(format!("{name}: {problem}"));
         self.processes[process.0].kill(&mut self.random, false);
     }
 
-    /// Sends a message over the network.
+    /// Sends a message over the network; one to an unknown socket is dropped.
     fn send(&mut self, from: ProcessIndex, to: SocketAddr, body: PeerMessage) {
         let Some(receiver) = self.sockets.get(&to).copied() else {
             return;
@@ -365,8 +373,8 @@
             return;
         };
         let machine = self.processes[process.0].machine;
-        let wanted = self.machines[machine.0].when(wakeup);
-        let at = wanted.max(self.now + LEAST_TIMER_MICROS);
+        let wakeup = self.machines[machine.0].virtual_time_of(wakeup);
+        let at = wakeup.max(self.now + MIN_TIMER_MICROS);
         let earlier = self.processes[process.0]
             .timer
             .is_none_or(|timer| at < timer);
@@ -377,7 +385,7 @@
         }
     }
 
-    /// Starts a daemon that is down.
+    /// Starts a daemon, unless it is up or was replaced.
     pub fn start_process(&mut self, process: ProcessIndex, disk: DiskState) {
         if self.processes[process.0].is_up() || self.processes[process.0].retired {
             return;
@@ -386,28 +394,28 @@
         let node = NodeId(self.random.random_range(1..u64::MAX));
         let seed = self.random.random();
         if let Err(error) = self.processes[process.0].start(now, node, seed, disk) {
-            self.report_broken(process, &error.to_string());
+            self.record_failure(process, &error.to_string());
             return;
         }
         self.input(process, Input::Tick);
     }
 
-    /// Kills a daemon.
+    /// Kills a daemon. With `power_loss` its disk loses the unsynced writes.
     pub fn kill_process(&mut self, process: ProcessIndex, power_loss: bool) {
         self.processes[process.0].kill(&mut self.random, power_loss);
     }
 
-    fn grace_over(&mut self, process: ProcessIndex, incarnation: Incarnation) {
+    fn grace_period_ended(&mut self, process: ProcessIndex, incarnation: Incarnation) {
         if self.processes[process.0].incarnation == incarnation {
             self.kill_process(process, false);
         }
     }
 
-    /// A new number for an HTTP request.
-    pub fn new_ticket(&mut self, waiting: Waiting) -> TicketId {
+    /// Registers an open HTTP request and returns its ticket.
+    pub fn new_ticket(&mut self, request: OpenRequest) -> TicketId {
         self.next_ticket += 1;
         let ticket = TicketId(self.next_ticket);
-        self.waiting.insert(ticket, waiting);
+        self.open_requests.insert(ticket, request);
         ticket
     }
 }
--- a/crates/simulation/src/cluster_busy.rs
+++ b/crates/simulation/src/cluster_busy.rs
@@ -1,8 +1,8 @@
-//! Coordinators that take time: while one is at work, what is sent to it waits.
+//! Processor time of coordinators: messages to a busy coordinator are queued.
 //!
-//! The simulation charges no processor time by default. A plan may say what a scan
-//! of the scheduler, an input and a step cost; then a leader can fall behind, and
-//! it shows whether it catches up or loses its sessions.
+//! By default a step takes no time. A plan may set the costs of a scan of the scheduler,
+//! an input and a step. A leader can then be overloaded, and the run shows whether it
+//! recovers or loses its sessions.
 
 use crate::cluster::SimulatedCluster;
 use crate::event::Event;
@@ -12,26 +12,26 @@
 use transport::{Envelope, Lane};
 use types::{Milliseconds, Role};
 
-/// Inputs that share a step, and the wait after which a request is rejected: as
-/// in the daemon's shell.
-const STEP_INPUTS: usize = 64;
-const MAX_REQUEST_WAIT: Micros = 300_000;
+/// Maximum number of inputs in one step, as in the daemon's shell.
+const MAX_STEP_INPUTS: usize = 64;
+/// Wait after which a request is rejected, as in the daemon's shell.
+const MAX_REQUEST_WAIT_MICROS: Micros = 300_000;
 
 impl SimulatedCluster {
-    /// Returns whether the process is at work.
+    /// Returns whether the process is in a step.
     pub(crate) fn is_busy(&self, process: ProcessIndex) -> bool {
         self.processes[process.0].busy.until > self.now
     }
 
-    /// A message for a process that may be at work.
+    /// Passes a message to a process, or queues it while the process is busy.
     pub(crate) fn message_arrives(&mut self, process: ProcessIndex, envelope: Envelope) {
         if !self.is_busy(process) {
             return self.input(process, Input::Message(envelope));
         }
         let now = self.now;
         let busy = &mut self.processes[process.0].busy;
-        busy.waiting.push((now, envelope));
-        if busy.waiting.len() == 1 {
+        busy.queued.push((now, envelope));
+        if busy.queued.len() == 1 {
             self.schedule_resume(process);
         }
     }
@@ -42,41 +42,42 @@
         self.schedule(until, Event::Resume(process, incarnation));
     }
 
-    /// The process has done its step: it takes what has arrived meanwhile.
+    /// Passes the queued messages to a process whose step has ended. Messages for an
+    /// earlier incarnation are dropped.
     pub(crate) fn resume(&mut self, process: ProcessIndex, incarnation: Incarnation) {
         let state = &mut self.processes[process.0];
         if state.incarnation != incarnation {
-            state.busy.waiting.clear();
+            state.busy.queued.clear();
             return;
         }
         if state.busy.until > self.now {
             return self.schedule_resume(process);
         }
-        let inputs = self.take_waiting(process);
+        let inputs = self.take_queued(process);
         self.inputs(process, inputs);
-        if !self.processes[process.0].busy.waiting.is_empty() {
+        if !self.processes[process.0].busy.queued.is_empty() {
             self.schedule_resume(process);
         }
     }
 
-    fn take_waiting(&mut self, process: ProcessIndex) -> Vec<Input> {
+    fn take_queued(&mut self, process: ProcessIndex) -> Vec<Input> {
         let now = self.now;
         let single = self.processing.single_queue;
-        let waiting = &mut self.processes[process.0].busy.waiting;
+        let queued = &mut self.processes[process.0].busy.queued;
         if !single {
-            waiting.sort_by_key(|(_, envelope)| Lane::of(&envelope.body));
+            queued.sort_by_key(|(_, envelope)| Lane::of(&envelope.body));
         }
-        let max = if single { 1 } else { STEP_INPUTS };
-        let batch = waiting.drain(..max.min(waiting.len()));
+        let max = if single { 1 } else { MAX_STEP_INPUTS };
+        let batch = queued.drain(..max.min(queued.len()));
         let mut max_wait = self.max_liveness_wait;
         let inputs = batch
-            .map(|(since, envelope)| {
-                let waited = now - since;
+            .map(|(arrival, envelope)| {
+                let waited = now - arrival;
                 let lane = Lane::of(&envelope.body);
                 if lane == Lane::Liveness {
                     max_wait = max_wait.max(waited);
                 }
-                let overdue = lane == Lane::Requests && waited > MAX_REQUEST_WAIT;
+                let overdue = lane == Lane::Requests && waited > MAX_REQUEST_WAIT_MICROS;
                 if overdue && !single {
                     Input::Overdue(envelope)
                 } else {
@@ -88,7 +89,7 @@
         inputs
     }
 
-    /// Records what a step of so many inputs cost.
+    /// Marks a coordinator as busy for the duration of a step with this many inputs.
     pub(crate) fn charge(&mut self, process: ProcessIndex, inputs: usize) {
         if self.processing == Processing::default() {
             return;
@@ -101,17 +102,17 @@
             Some(Core::Coordinator(core)) => core.scan_cost(),
             _ => 0,
         };
-        // A new leader begins anew.
-        let since = scan_cost
+        // The scan cost of a new leader counts from 0.
+        let step_scan_cost = scan_cost
             .checked_sub(state.busy.scan_cost)
             .unwrap_or(scan_cost);
         state.busy.scan_cost = scan_cost;
         let inputs = u64::try_from(inputs).unwrap_or(u64::MAX);
-        let cost = self.processing.cost_micros(since, inputs);
+        let cost = self.processing.cost_micros(step_scan_cost, inputs);
         state.busy.until = self.now + cost;
     }
 
-    /// How long a liveness message waited at most for a coordinator at work.
+    /// Returns the longest wait of a liveness message for a busy coordinator.
     pub fn max_liveness_wait(&self) -> Milliseconds {
         Milliseconds(self.max_liveness_wait / 1_000)
     }
--- a/crates/simulation/src/cluster_http.rs
+++ b/crates/simulation/src/cluster_http.rs
@@ -1,14 +1,14 @@
-//! The cluster's HTTP requests to gateways, and the callers who send most of them.
+//! HTTP requests to the gateways, and the callers that send most of them.
 
-use crate::caller::{CALLER_TIMEOUT_MS, Waiting};
+use crate::caller::{CALLER_TIMEOUT_MS, OpenRequest};
 use crate::cluster::SimulatedCluster;
 use crate::event::Event;
 use crate::ids::{Micros, ProcessIndex};
-use crate::operator::LEAST_SLOTS;
+use crate::operator::MIN_SLOTS;
 use crate::plan::Acknowledgement;
 use crate::process::Input;
 use checker::event::ExpectedStep;
-use checker::{Event as Seen, ReadState};
+use checker::{Event as HistoryEvent, ReadState};
 use emulator::caller::{CallerAction, CallerAnswer};
 use gateway::TicketId;
 use rand::Rng;
@@ -16,20 +16,20 @@
 use transport::{Operation, OperationReply, Rejection, RejectionCode};
 use types::{JobKey, JobSpec, Milliseconds, StepSpec};
 
-/// Payload of a task that fails each time.
+/// Payload of a task that fails in every run.
 const FAILING_PAYLOAD: &str = r#"{"duration_ms":80,"fail":true}"#;
-/// Payload of a gang's tasks: long enough to see that all of them are going.
+/// Payload of the tasks of a gang: long enough that the runs of all tasks overlap.
 const GANG_PAYLOAD: &str = r#"{"duration_ms":5000}"#;
-/// Payload of a gang one of whose members fails each time.
+/// Payload of the tasks of a gang of which one task fails in every run.
 const FAILING_GANG_PAYLOAD: &str = r#"{"duration_ms":5000,"fail_task":1}"#;
-/// Delay between a caller and a gateway.
-const OUTSIDE_MICROS: (Micros, Micros) = (400, 1_500);
+/// Range of the delay between a caller or operator and a gateway.
+const CLIENT_DELAY_MICROS: (Micros, Micros) = (400, 1_500);
 
-/// An HTTP answer.
+/// Result of an HTTP request.
 pub type Answer = Result<OperationReply, Rejection>;
 
 impl SimulatedCluster {
-    /// Handles an event of callers, operators and their requests.
+    /// Handles an event of callers, operators or their HTTP requests.
     pub(crate) fn handle_http_event(&mut self, event: Event) {
         match event {
             Event::Arrival(caller) => self.arrival(caller),
@@ -44,7 +44,7 @@
             }
             Event::ResponseArrives(ticket, answer) => self.response(ticket, *answer),
             Event::RequestTimeout(ticket) => self.request_timed_out(ticket),
-            Event::OperatorTimer(operator) => self.operator_acts(operator),
+            Event::OperatorTimer(operator) => self.operator_timer(operator),
             Event::ReadConfigurations => self.read_configurations(),
             _ => {}
         }
@@ -53,31 +53,31 @@
     fn caller_timer(&mut self, caller: usize) {
         if self.is_due(self.callers[caller].timer) {
             self.callers[caller].timer = None;
-            self.caller_acts(caller);
+            self.run_caller_actions(caller);
         }
     }
 
-    fn outside_delay(&mut self) -> Micros {
+    fn client_delay(&mut self) -> Micros {
         self.random
-            .random_range(OUTSIDE_MICROS.0..=OUTSIDE_MICROS.1)
+            .random_range(CLIENT_DELAY_MICROS.0..=CLIENT_DELAY_MICROS.1)
     }
 
-    /// Sends an HTTP request to a gateway; a dead or cut-off gateway says
-    /// nothing, and the sender gives up after its timeout.
+    /// Sends an HTTP request to a gateway. It times out after `timeout_ms`, or as soon as
+    /// the connection fails if the gateway is down.
     pub(crate) fn request(
         &mut self,
         gateway: usize,
         timeout_ms: u64,
-        waiting: Waiting,
+        request: OpenRequest,
         operation: Operation,
     ) -> TicketId {
-        let ticket = self.new_ticket(waiting);
+        let ticket = self.new_ticket(request);
         let process = self.gateways[gateway % self.gateways.len()];
-        let delay = self.outside_delay();
-        let reachable = self.processes[process.0].is_up();
-        if reachable {
-            let left = Milliseconds(timeout_ms);
-            let event = Event::RequestArrives(process, ticket, left, operation);
+        let delay = self.client_delay();
+        let is_up = self.processes[process.0].is_up();
+        if is_up {
+            let time_left = Milliseconds(timeout_ms);
+            let event = Event::RequestArrives(process, ticket, time_left, operation);
             self.schedule_in(delay, event);
             self.schedule_in(timeout_ms * 1_000, Event::RequestTimeout(ticket));
         } else {
@@ -86,9 +86,9 @@
         ticket
     }
 
-    /// A gateway answers a request.
+    /// Sends the answer of a gateway to the sender of the request.
     pub(crate) fn respond(&mut self, _gateway: ProcessIndex, ticket: TicketId, answer: Answer) {
-        let delay = self.outside_delay();
+        let delay = self.client_delay();
         self.schedule_in(delay, Event::ResponseArrives(ticket, Box::new(answer)));
     }
 
@@ -96,10 +96,10 @@
         if self.now >= self.load_until {
             return;
         }
-        let now = self.outside_clock();
+        let now = self.client_clock();
         let mut spec = self.callers[caller].workload.next_job();
-        self.sometimes_later(&mut spec);
-        self.sometimes_unusual(&mut spec);
+        self.vary_start_time(&mut spec);
+        self.vary_steps(&mut spec);
         let key = JobKey {
             tenant: spec.tenant.clone(),
             job: spec.job.clone(),
@@ -107,14 +107,14 @@
         let host = &mut self.callers[caller];
         host.caller.follow(key.clone(), now);
         host.jobs.insert(key, spec);
-        let mean = host.mean_gap();
-        let gap = self.random.random_range(mean / 2..=mean + mean / 2);
-        self.schedule_in(gap, Event::Arrival(caller));
-        self.caller_acts(caller);
+        let mean = host.mean_interval();
+        let interval = self.random.random_range(mean / 2..=mean + mean / 2);
+        self.schedule_in(interval, Event::Arrival(caller));
+        self.run_caller_actions(caller);
     }
 
-    /// One job in forty asks for a start time a little ahead.
-    fn sometimes_later(&mut self, spec: &mut JobSpec) {
+    /// Gives one job in 40 a start time 0.5 s to 4 s in the future.
+    fn vary_start_time(&mut self, spec: &mut JobSpec) {
         if self.random.random_range(0..40) == 0 {
             let ahead = self.random.random_range(500..4_000);
             let wall = crate::machine::WALL_START_MS + self.now / 1_000 + ahead;
@@ -122,11 +122,11 @@
         }
     }
 
-    /// One job in a hundred and twenty can never succeed, and two allow two
-    /// copies of each task. The steps of three in 480 are gangs where they can
-    /// be: a gang may take all that the least resource limit leaves its tenant for
-    /// seconds, so more would not end in the calm phase after a burst.
-    fn sometimes_unusual(&mut self, spec: &mut JobSpec) {
+    /// Makes some jobs differ from the others: of 480 jobs, 4 always fail, 8 allow two
+    /// copies of each task, and 3 have gangs as steps. A gang may use its tenant's whole
+    /// resource limit for seconds, so with more gangs the work would not end in the calm
+    /// phase after a burst.
+    fn vary_steps(&mut self, spec: &mut JobSpec) {
         match self.random.random_range(0..480) {
             0..=3 => {
                 for step in &mut spec.steps {
@@ -145,17 +145,17 @@
         }
     }
 
-    /// The clock of callers and operators.
-    fn outside_clock(&self) -> types::Monotonic {
+    /// Returns the clock of callers and operators: the virtual time.
+    fn client_clock(&self) -> types::Monotonic {
         types::Monotonic(self.now / 1_000)
     }
 
-    pub(crate) fn caller_acts(&mut self, caller: usize) {
-        let now = self.outside_clock();
+    pub(crate) fn run_caller_actions(&mut self, caller: usize) {
+        let now = self.client_clock();
         for action in self.callers[caller].caller.actions(now) {
             match action {
                 CallerAction::Submit(job) => self.send_submit(caller, job),
-                CallerAction::Ask(job) => self.send_ask(caller, job),
+                CallerAction::Ask(job) => self.send_get_job(caller, job),
             }
         }
         self.set_caller_timer(caller);
@@ -176,95 +176,95 @@
         let Some(spec) = self.callers[caller].jobs.get(&job).cloned() else {
             return;
         };
-        let seen = Seen::SubmitSent {
+        let observed = HistoryEvent::SubmitSent {
             job: job.clone(),
             steps: expected_steps(&spec),
             not_before: spec
                 .start_at
                 .map(|at| Milliseconds(at.0.saturating_sub(crate::machine::WALL_START_MS))),
         };
-        self.observe(self.callers[caller].name.clone(), seen);
+        self.observe(self.callers[caller].name.clone(), observed);
         let gateway = self.callers[caller].gateway;
-        let waiting = Waiting::Submit { caller, job };
-        self.request(gateway, CALLER_TIMEOUT_MS, waiting, Operation::Submit(spec));
+        let request = OpenRequest::Submit { caller, job };
+        self.request(gateway, CALLER_TIMEOUT_MS, request, Operation::Submit(spec));
     }
 
-    fn send_ask(&mut self, caller: usize, job: JobKey) {
+    fn send_get_job(&mut self, caller: usize, job: JobKey) {
         let gateway = self.callers[caller].gateway;
-        let waiting = Waiting::Ask {
+        let request = OpenRequest::GetState {
             caller,
             job: job.clone(),
             asked_at: self.now,
         };
-        self.request(gateway, CALLER_TIMEOUT_MS, waiting, Operation::GetJob(job));
+        self.request(gateway, CALLER_TIMEOUT_MS, request, Operation::GetJob(job));
     }
 
-    /// Cancels some unfinished jobs of all callers.
-    pub(crate) fn cancel_some(&mut self, count: u32) {
+    /// Cancels up to `count` unfinished jobs, each of a random caller.
+    pub(crate) fn cancel_random_jobs(&mut self, count: u32) {
         for _ in 0..count {
             let caller = self.random.random_range(0..self.callers.len());
-            let open = self.callers[caller].jobs.len();
-            if open == 0 {
+            let unfinished = self.callers[caller].jobs.len();
+            if unfinished == 0 {
                 continue;
             }
-            let position = self.random.random_range(0..open);
+            let position = self.random.random_range(0..unfinished);
             let Some(job) = self.callers[caller].jobs.keys().nth(position).cloned() else {
                 continue;
             };
             self.observe(
                 self.callers[caller].name.clone(),
-                Seen::CancelSent { job: job.clone() },
+                HistoryEvent::CancelSent { job: job.clone() },
             );
-            let waiting = Waiting::Cancel {
+            let request = OpenRequest::Cancel {
                 caller,
                 jobs: vec![job.clone()],
             };
             let operation = Operation::Cancel(CancelSelector::Jobs(vec![job]));
             let gateway = self.callers[caller].gateway;
-            self.request(gateway, CALLER_TIMEOUT_MS, waiting, operation);
+            self.request(gateway, CALLER_TIMEOUT_MS, request, operation);
         }
     }
 
     fn request_timed_out(&mut self, ticket: TicketId) {
-        let Some(waiting) = self.waiting.remove(&ticket) else {
+        let Some(request) = self.open_requests.remove(&ticket) else {
             return;
         };
-        match waiting {
-            Waiting::Submit { caller, job } | Waiting::Ask { caller, job, .. } => {
+        match request {
+            OpenRequest::Submit { caller, job } | OpenRequest::GetState { caller, job, .. } => {
                 self.callers[caller].gateway += 1;
                 self.answer_caller(caller, &job, CallerAnswer::TimedOut);
             }
-            Waiting::Cancel { caller, .. } => self.callers[caller].gateway += 1,
-            Waiting::Configure { operator } | Waiting::ReadVersion { operator } => {
-                self.operators[operator].waiting = false;
+            OpenRequest::Cancel { caller, .. } => self.callers[caller].gateway += 1,
+            OpenRequest::Configure { operator } | OpenRequest::ReadVersion { operator } => {
+                self.operators[operator].request_open = false;
                 self.operators[operator].gateway += 1;
             }
-            Waiting::ReadConfiguration { .. } => {}
+            OpenRequest::ReadConfiguration { .. } => {}
         }
     }
 
     fn response(&mut self, ticket: TicketId, answer: Answer) {
-        let Some(waiting) = self.waiting.remove(&ticket) else {
+        let Some(request) = self.open_requests.remove(&ticket) else {
             return;
         };
-        match waiting {
-            Waiting::Submit { caller, job } => self.submit_answered(caller, job, answer),
-            Waiting::Ask {
+        match request {
+            OpenRequest::Submit { caller, job } => self.submit_answered(caller, job, answer),
+            OpenRequest::GetState {
                 caller,
                 job,
                 asked_at,
-            } => self.ask_answered(caller, job, asked_at, answer),
-            Waiting::Cancel { caller, jobs } => self.cancel_answered(caller, jobs, &answer),
-            Waiting::Configure { operator } => self.configure_answered(operator, answer),
-            Waiting::ReadVersion { operator } => self.version_read(operator, answer),
-            Waiting::ReadConfiguration { daemon, asked_at } => {
+            } => self.state_answered(caller, job, asked_at, answer),
+            OpenRequest::Cancel { caller, jobs } => self.cancel_answered(caller, jobs, &answer),
+            OpenRequest::Configure { operator } => self.configure_answered(operator, answer),
+            OpenRequest::ReadVersion { operator } => self.version_read(operator, answer),
+            OpenRequest::ReadConfiguration { daemon, asked_at } => {
                 self.configuration_read(daemon, asked_at, answer);
             }
         }
     }
 
     fn answer_caller(&mut self, caller: usize, job: &JobKey, answer: CallerAnswer) {
-        let now = self.outside_clock();
+        let now = self.client_clock();
         let is_final = match &answer {
             CallerAnswer::State(state) => state.is_final(),
             CallerAnswer::Rejected => true,
@@ -274,24 +274,24 @@
         if is_final {
             self.callers[caller].jobs.remove(job);
         }
-        self.caller_acts(caller);
+        self.run_caller_actions(caller);
     }
 
     fn submit_answered(&mut self, caller: usize, job: JobKey, answer: Answer) {
         let name = self.callers[caller].name.clone();
         let outcome = match answer {
             Ok(_) => {
-                self.observe(name, Seen::SubmitAcknowledged { job: job.clone() });
-                self.acknowledged(Acknowledgement::Submit);
+                self.observe(name, HistoryEvent::SubmitAcknowledged { job: job.clone() });
+                self.trigger_loss(Acknowledgement::Submit);
                 CallerAnswer::Acknowledged
             }
             Err(rejection) => {
-                let seen = Seen::SubmitRejected {
+                let observed = HistoryEvent::SubmitRejected {
                     job: job.clone(),
                     code: rejection_code(&rejection),
                 };
-                self.observe(name, seen);
-                outcome_of(&rejection)
+                self.observe(name, observed);
+                caller_answer(&rejection)
             }
         };
         if outcome == CallerAnswer::TimedOut {
@@ -300,24 +300,24 @@
         self.answer_caller(caller, &job, outcome);
     }
 
-    fn ask_answered(&mut self, caller: usize, job: JobKey, asked_at: Micros, answer: Answer) {
+    fn state_answered(&mut self, caller: usize, job: JobKey, asked_at: Micros, answer: Answer) {
         let state = match &answer {
             Ok(OperationReply::Job(view)) => Some(ReadState::Known(view.state)),
             Err(rejection) if rejection.code == RejectionCode::NotFound => Some(ReadState::Unknown),
             _ => None,
         };
         if let Some(state) = state {
-            let seen = Seen::StateRead {
+            let observed = HistoryEvent::StateRead {
                 job: job.clone(),
                 asked_at: Milliseconds(asked_at / 1_000),
                 state,
             };
-            self.observe(self.callers[caller].name.clone(), seen);
+            self.observe(self.callers[caller].name.clone(), observed);
         }
         let outcome = match (state, &answer) {
             (Some(ReadState::Known(state)), _) => CallerAnswer::State(state),
             (Some(ReadState::Unknown), _) => CallerAnswer::Unknown,
-            (None, Err(rejection)) => outcome_of(rejection),
+            (None, Err(rejection)) => caller_answer(rejection),
             (None, Ok(_)) => CallerAnswer::TimedOut,
         };
         self.answer_caller(caller, &job, outcome);
@@ -327,17 +327,17 @@
         if let Ok(OperationReply::Cancelled { unknown, .. }) = answer {
             for job in jobs.into_iter().filter(|job| !unknown.contains(job)) {
                 let name = self.callers[caller].name.clone();
-                self.observe(name, Seen::CancelAcknowledged { job });
-                self.acknowledged(Acknowledgement::Cancel);
+                self.observe(name, HistoryEvent::CancelAcknowledged { job });
+                self.trigger_loss(Acknowledgement::Cancel);
             }
         }
     }
 }
 
-/// A gang that no resource limit lets start would wait for ever, as it should: those
-/// stay single tasks.
+/// Turns the steps of a job that have several tasks into gangs. Steps that do not fit the
+/// smallest resource limit stay as they are, since such a gang would never start.
 fn make_gangs(spec: &mut JobSpec, payload: &str) {
-    let may_be_gang = |step: &&mut StepSpec| (2..=LEAST_SLOTS).contains(&step.tasks);
+    let may_be_gang = |step: &&mut StepSpec| (2..=MIN_SLOTS).contains(&step.tasks);
     for step in spec.steps.iter_mut().filter(may_be_gang) {
         step.payload = payload.to_owned();
         step.rules.gang = true;
@@ -360,13 +360,13 @@
         .collect()
 }
 
-/// How a rejection is called in the history.
+/// Returns the name of a rejection's code in the history.
 pub(crate) fn rejection_code(rejection: &Rejection) -> String {
     format!("{:?}", rejection.code).to_lowercase()
 }
 
-/// What a rejection means to a caller: come back, ask again, or give up.
-fn outcome_of(rejection: &Rejection) -> CallerAnswer {
+/// Converts a rejection to an answer for a caller: retry later, retry, or give up.
+fn caller_answer(rejection: &Rejection) -> CallerAnswer {
     match (rejection.code, rejection.retry_after) {
         (_, Some(after)) => CallerAnswer::RetryAfter(after),
         (
--- a/crates/simulation/src/cluster_operator.rs
+++ b/crates/simulation/src/cluster_operator.rs
@@ -1,128 +1,134 @@
-//! The cluster's operators: the orders they send, what they conclude from the
-//! answers, and what a reader of the configuration sees meanwhile.
+//! Requests of the operators, their reactions to the answers, and reads of the
+//! configuration at all gateways.
 
-use crate::caller::Waiting;
+use crate::caller::OpenRequest;
 use crate::cluster::SimulatedCluster;
 use crate::cluster_http::{Answer, rejection_code};
 use crate::event::Event;
 use crate::ids::Micros;
 use crate::operator::{OPERATOR_INTERVAL_MS, OPERATOR_TIMEOUT_MS, digest};
 use crate::plan::Acknowledgement;
-use checker::Event as Seen;
+use checker::Event as HistoryEvent;
 use transport::{Operation, OperationReply, Rejection, RejectionCode};
 use types::Milliseconds;
 
-/// Time between two reads of the configuration at every gateway.
-const READ_MICROS: Micros = 400_000;
+/// Interval of the reads of the configuration at every gateway.
+const READ_INTERVAL_MICROS: Micros = 400_000;
+/// Time after which a read of the configuration times out, in milliseconds.
+const READ_TIMEOUT_MS: u64 = 1_000;
 
 impl SimulatedCluster {
-    /// Looks whether there is something to send, and looks again later.
-    pub(crate) fn operator_acts(&mut self, operator: usize) {
+    /// Handles the timer of an operator: schedules the next one and sends a change if one
+    /// is pending.
+    pub(crate) fn operator_timer(&mut self, operator: usize) {
         self.schedule_in(OPERATOR_INTERVAL_MS * 1_000, Event::OperatorTimer(operator));
-        self.operator_sends(operator);
+        self.send_change(operator);
     }
 
-    /// Sends the operator's open order, or its next one.
-    fn operator_sends(&mut self, operator: usize) {
-        if self.operators[operator].waiting {
+    /// Sends the operator's open change, or the next one, unless a request is open.
+    fn send_change(&mut self, operator: usize) {
+        if self.operators[operator].request_open {
             return;
         }
-        self.operators[operator].choose_order();
+        self.operators[operator].choose_change();
         let gateway = self.operators[operator].gateway;
-        let Some(order) = self.operators[operator].open_order.clone() else {
+        let Some(change) = self.operators[operator].open_change.clone() else {
             return;
         };
         let name = self.operators[operator].name.clone();
-        let seen = Seen::ConfigurationSent {
-            version: order.version,
-            digest: digest(&order.document),
+        let observed = HistoryEvent::ConfigurationSent {
+            version: change.version,
+            digest: digest(&change.document),
         };
-        self.observe(name, seen);
+        self.observe(name, observed);
         if !self.operators[operator].sends_invalid {
-            self.record_sent_resource_limits(&order.document);
+            self.observe_sent_resource_limits(&change.document);
         }
-        self.operators[operator].waiting = true;
-        let waiting = Waiting::Configure { operator };
-        self.request(gateway, OPERATOR_TIMEOUT_MS, waiting, order.operation());
+        self.operators[operator].request_open = true;
+        let request = OpenRequest::Configure { operator };
+        self.request(gateway, OPERATOR_TIMEOUT_MS, request, change.operation());
     }
 
-    /// Takes the answer to an order.
+    /// Handles the answer to a change.
     pub(crate) fn configure_answered(&mut self, operator: usize, answer: Answer) {
-        self.operators[operator].waiting = false;
-        let Some(order) = self.operators[operator].open_order.clone() else {
+        self.operators[operator].request_open = false;
+        let Some(change) = self.operators[operator].open_change.clone() else {
             return;
         };
-        let (version, document) = (order.version, order.document);
+        let (version, document) = (change.version, change.document);
         let name = self.operators[operator].name.clone();
         match answer {
             Ok(_) => {
-                self.operators[operator].open_order = None;
-                self.operators[operator].known = version;
+                self.operators[operator].open_change = None;
+                self.operators[operator].known_version = version;
                 let digest = digest(&document);
-                self.observe(name, Seen::ConfigurationAcknowledged { version, digest });
-                self.acknowledged(Acknowledgement::Configuration);
-                // An acknowledgement may come after that of a newer version.
+                self.observe(
+                    name,
+                    HistoryEvent::ConfigurationAcknowledged { version, digest },
+                );
+                self.trigger_loss(Acknowledgement::Configuration);
+                // The acknowledgement of a newer version may have arrived before.
                 if version > self.newest_acknowledged {
                     self.newest_acknowledged = version;
-                    self.record_resource_limits(&document);
+                    self.observe_resource_limits(&document);
                 }
                 if self.operators[operator].sends_invalid {
-                    let problem = format!("invalid configuration {version} was acknowledged");
-                    self.broken.push(problem);
+                    let failure = format!("invalid configuration {version} was acknowledged");
+                    self.failures.push(failure);
                 }
                 self.operators[operator].document = document;
-                self.operator_sends(operator);
+                self.send_change(operator);
             }
             Err(rejection) => {
-                let seen = Seen::ConfigurationRejected {
+                let observed = HistoryEvent::ConfigurationRejected {
                     version,
                     digest: digest(&document),
                     code: rejection_code(&rejection),
                 };
-                self.observe(name, seen);
+                self.observe(name, observed);
                 self.after_rejected_configuration(operator, &rejection);
             }
         }
     }
 
-    fn record_sent_resource_limits(&mut self, document: &configuration::ClusterConfiguration) {
+    fn observe_sent_resource_limits(&mut self, document: &configuration::ClusterConfiguration) {
         for (tenant, settings) in &document.tenants {
-            let seen = Seen::ResourceLimitSent {
+            let observed = HistoryEvent::ResourceLimitSent {
                 tenant: tenant.clone(),
                 resource_limit: settings.resource_limit,
             };
-            self.observe("operator", seen);
+            self.observe("operator", observed);
         }
     }
 
-    fn record_resource_limits(&mut self, document: &configuration::ClusterConfiguration) {
+    fn observe_resource_limits(&mut self, document: &configuration::ClusterConfiguration) {
         for (tenant, settings) in &document.tenants {
-            let seen = Seen::ResourceLimitInForce {
+            let observed = HistoryEvent::ResourceLimitInForce {
                 tenant: tenant.clone(),
                 resource_limit: settings.resource_limit,
             };
-            self.observe("operator", seen);
+            self.observe("operator", observed);
         }
         for (licence, settings) in &document.licences {
-            let seen = Seen::SeatsInForce {
+            let observed = HistoryEvent::SeatsInForce {
                 licence: licence.clone(),
                 seats: settings.seats,
             };
-            self.observe("operator", seen);
+            self.observe("operator", observed);
         }
     }
 
     fn after_rejected_configuration(&mut self, operator: usize, rejection: &Rejection) {
         match rejection.code {
             RejectionCode::Conflict | RejectionCode::Invalid => {
-                self.operators[operator].open_order = None;
-                self.operators[operator].waiting = true;
+                self.operators[operator].open_change = None;
+                self.operators[operator].request_open = true;
                 let gateway = self.operators[operator].gateway;
-                let waiting = Waiting::ReadVersion { operator };
+                let request = OpenRequest::ReadVersion { operator };
                 self.request(
                     gateway,
                     OPERATOR_TIMEOUT_MS,
-                    waiting,
+                    request,
                     Operation::GetConfiguration,
                 );
             }
@@ -130,40 +136,46 @@
         }
     }
 
-    /// Takes what is in force, after an order was rejected.
+    /// Handles the answer to a read of the current configuration, which follows a rejected
+    /// change.
     pub(crate) fn version_read(&mut self, operator: usize, answer: Answer) {
         let host = &mut self.operators[operator];
-        host.waiting = false;
+        host.request_open = false;
         if let Ok(OperationReply::Configuration { version, document }) = answer {
-            host.known = version;
+            host.known_version = version;
             host.document = document;
         }
     }
 
-    /// Has every gateway asked which configuration it knows.
+    /// Sends a read of the configuration to every gateway.
     pub(crate) fn read_configurations(&mut self) {
-        self.schedule_in(READ_MICROS, Event::ReadConfigurations);
+        self.schedule_in(READ_INTERVAL_MICROS, Event::ReadConfigurations);
         for gateway in 0..self.gateways.len() {
             let process = self.gateways[gateway];
             let machine = self.processes[process.0].machine;
-            let waiting = Waiting::ReadConfiguration {
+            let request = OpenRequest::ReadConfiguration {
                 daemon: self.machines[machine.0].name.clone(),
                 asked_at: self.now,
             };
-            self.request(gateway, 1_000, waiting, Operation::GetConfiguration);
+            self.request(
+                gateway,
+                READ_TIMEOUT_MS,
+                request,
+                Operation::GetConfiguration,
+            );
         }
     }
 
-    /// Records which configuration a gateway knows.
+    /// Records the configuration that a gateway has returned.
     pub(crate) fn configuration_read(&mut self, daemon: String, asked_at: Micros, answer: Answer) {
         if let Ok(OperationReply::Configuration { version, document }) = answer {
-            let seen = Seen::ConfigurationRead {
+            let observed = HistoryEvent::ConfigurationRead {
                 daemon: daemon.clone(),
                 asked_at: Milliseconds(asked_at / 1_000),
                 version,
                 digest: digest(&document),
             };
-            self.observe(daemon, seen);
+            self.observe(daemon, observed);
         }
     }
 }
--- a/crates/simulation/src/cluster_runner.rs
+++ b/crates/simulation/src/cluster_runner.rs
@@ -1,23 +1,23 @@
-//! The cluster's runners: heartbeats, orders and answers between a runner and
-//! the agent beside it.
+//! Runners of the cluster: heartbeats, orders and answers between a runner and its
+//! agent.
 
 use crate::cluster::SimulatedCluster;
 use crate::event::Event;
 use crate::ids::{Incarnation, Micros, ProcessIndex};
 use crate::network::per_thousand;
 use crate::process::Input;
-use checker::Event as Seen;
+use checker::Event as HistoryEvent;
 use emulator::runner::{Behaviour, Runner, RunnerEvent, RunnerInstruction};
 use rand::Rng;
 use types::{Milliseconds, OrderKind, Outcome, RunnerOrder};
 
-/// Time between a runner's heartbeats.
-pub const HEARTBEAT_MICROS: Micros = 200_000;
-/// Delay between a runner and the agent beside it.
-const LOCAL_MICROS: (Micros, Micros) = (50, 300);
+/// Interval of a runner's heartbeats.
+pub const HEARTBEAT_INTERVAL_MICROS: Micros = 200_000;
+/// Range of the delay between a runner and its agent, which are on the same machine.
+const LOCAL_DELAY_MICROS: (Micros, Micros) = (50, 300);
 
 impl SimulatedCluster {
-    /// Handles an event at a runner or between it and its agent.
+    /// Handles an event at a runner or between a runner and its agent.
     pub(crate) fn handle_runner_event(&mut self, event: Event) {
         match event {
             Event::RunnerTick(runner, incarnation) => self.runner_timer(runner, incarnation),
@@ -52,7 +52,7 @@
         if self.runners[runner].incarnation == incarnation {
             self.send_heartbeat(runner);
             self.schedule_in(
-                HEARTBEAT_MICROS,
+                HEARTBEAT_INTERVAL_MICROS,
                 Event::RunnerHeartbeat(runner, incarnation),
             );
         }
@@ -73,13 +73,13 @@
     fn runner_healthy(&mut self, runner: usize, incarnation: Incarnation) {
         let host = &mut self.runners[runner];
         if host.incarnation == incarnation
-            && let Some(inner) = &mut host.runner
+            && let Some(emulated) = &mut host.runner
         {
-            inner.behave(Behaviour::Healthy);
+            emulated.behave(Behaviour::Healthy);
         }
     }
 
-    /// Starts a runner that is down.
+    /// Starts a runner, unless it is up.
     pub fn start_runner(&mut self, runner: usize) {
         if self.runners[runner].runner.is_some() {
             return;
@@ -89,43 +89,47 @@
         let now = self.machines[machine.0].clock(self.now).monotonic;
         self.runners[runner].start(now, seed);
         let incarnation = self.runners[runner].incarnation;
-        let first = self.random.random_range(0..HEARTBEAT_MICROS);
-        self.schedule_in(first, Event::RunnerHeartbeat(runner, incarnation));
+        let first_delay = self.random.random_range(0..HEARTBEAT_INTERVAL_MICROS);
+        self.schedule_in(first_delay, Event::RunnerHeartbeat(runner, incarnation));
     }
 
-    /// Kills a runner; its runs die with it.
+    /// Kills a runner, which ends its runs.
     pub fn kill_runner(&mut self, runner: usize) {
         if self.runners[runner].runner.is_none() {
             return;
         }
         let id = self.runners[runner].id().clone();
         for run in self.runners[runner].kill() {
-            let seen = Seen::RunEnded {
+            let observed = HistoryEvent::RunEnded {
                 runner: id.clone(),
                 run,
                 outcome: Outcome::Stopped,
                 lease_until: None,
             };
-            self.observe(id.as_str(), seen);
+            self.observe(id.as_str(), observed);
         }
-        self.observe(id.as_str(), Seen::RunnerStopped { runner: id.clone() });
+        self.observe(
+            id.as_str(),
+            HistoryEvent::RunnerStopped { runner: id.clone() },
+        );
     }
 
-    /// When a runner's lease ends, on the observer's clock.
+    /// Returns the virtual time at which a runner's lease expires; `None` if the runner is
+    /// down or has no lease.
     fn lease_until(&self, runner: usize) -> Option<Milliseconds> {
         let host = &self.runners[runner];
         let until = host.runner.as_ref()?.lease_until()?;
-        let at = self.machines[host.machine.0].when(until);
+        let at = self.machines[host.machine.0].virtual_time_of(until);
         Some(Milliseconds(at / 1_000))
     }
 
     fn tick_runner(&mut self, runner: usize) {
         let machine = self.runners[runner].machine;
         let now = self.machines[machine.0].clock(self.now).monotonic;
-        let Some(inner) = &mut self.runners[runner].runner else {
+        let Some(emulated) = &mut self.runners[runner].runner else {
             return;
         };
-        let events = inner.tick(now);
+        let events = emulated.tick(now);
         let ended = events
             .iter()
             .any(|event| matches!(event, RunnerEvent::Ended { .. }));
@@ -142,7 +146,9 @@
             return;
         };
         let machine = host.machine;
-        let at = self.machines[machine.0].when(wakeup).max(self.now + 1_000);
+        let at = self.machines[machine.0]
+            .virtual_time_of(wakeup)
+            .max(self.now + 1_000);
         if host.timer.is_none_or(|timer| at < timer) {
             let incarnation = host.incarnation;
             self.runners[runner].timer = Some(at);
@@ -151,17 +157,18 @@
     }
 
     fn local_delay(&mut self) -> Micros {
-        self.random.random_range(LOCAL_MICROS.0..=LOCAL_MICROS.1)
+        self.random
+            .random_range(LOCAL_DELAY_MICROS.0..=LOCAL_DELAY_MICROS.1)
     }
 
     fn send_heartbeat(&mut self, runner: usize) {
         let machine = self.runners[runner].machine;
         let now = self.machines[machine.0].clock(self.now).monotonic;
         let incarnation = self.runners[runner].incarnation;
-        let Some(inner) = &mut self.runners[runner].runner else {
+        let Some(emulated) = &mut self.runners[runner].runner else {
             return;
         };
-        let report = inner.heartbeat(now);
+        let report = emulated.heartbeat(now);
         let delay = self.local_delay();
         self.schedule_in(delay, Event::HeartbeatArrives(runner, incarnation, report));
     }
@@ -205,22 +212,22 @@
             recorded: answer.recorded.clone(),
             stop: answer.stop.clone(),
         };
-        let Some(inner) = &mut self.runners[runner].runner else {
+        let Some(emulated) = &mut self.runners[runner].runner else {
             return;
         };
-        let events = inner.heartbeat_answered(now, &instruction);
+        let events = emulated.heartbeat_answered(now, &instruction);
         self.record_runner_events(runner, events);
         self.set_runner_timer(runner);
     }
 
-    /// An agent gives an order to its runner; with trouble it comes late or
-    /// never.
+    /// Delivers an order of an agent to its runner. With order faults in force it is
+    /// delayed or lost.
     pub(crate) fn deliver_order(&mut self, agent: ProcessIndex, order: RunnerOrder) {
-        let found = self
+        let position = self
             .runners
             .iter()
             .position(|host| host.agent == agent && *host.id() == order.runner);
-        let Some(runner) = found else {
+        let Some(runner) = position else {
             return;
         };
         if let Some(delay) = self.order_delay(runner) {
@@ -249,27 +256,27 @@
             return;
         }
         if let OrderKind::Start { run, .. } = &order.kind {
-            let seen = Seen::StartDelivered {
+            let observed = HistoryEvent::StartDelivered {
                 runner: id.clone(),
                 run: run.run,
             };
-            self.observe(id.as_str(), seen);
+            self.observe(id.as_str(), observed);
         }
-        let Some(inner) = &mut self.runners[runner].runner else {
+        let Some(emulated) = &mut self.runners[runner].runner else {
             return;
         };
-        let (answer, events) = inner.order(now, order);
+        let (answer, events) = emulated.order(now, order);
         let rejected = matches!(answer, types::OrderAnswer::Rejected(_));
         let stale = events
             .iter()
             .any(|event| matches!(event, RunnerEvent::AcceptedStale(_)));
         if !rejected {
-            let seen = Seen::OrderAccepted {
+            let observed = HistoryEvent::OrderAccepted {
                 runner: id.clone(),
                 term: order.term,
                 stale,
             };
-            self.observe(id.as_str(), seen);
+            self.observe(id.as_str(), observed);
         }
         self.record_runner_events(runner, events);
         self.set_runner_timer(runner);
@@ -285,8 +292,8 @@
         let id = self.runners[runner].id().clone();
         let incarnation = self.runners[runner].options.incarnation;
         for event in events {
-            let seen = match event {
-                RunnerEvent::Started(spec) => Seen::RunStarted {
+            let observed = match event {
+                RunnerEvent::Started(spec) => HistoryEvent::RunStarted {
                     runner: id.clone(),
                     incarnation,
                     run: spec.run,
@@ -295,19 +302,19 @@
                     task: spec.task,
                     resources: spec.resources,
                 },
-                RunnerEvent::Ended { run, outcome } => Seen::RunEnded {
+                RunnerEvent::Ended { run, outcome } => HistoryEvent::RunEnded {
                     runner: id.clone(),
                     run,
                     outcome,
                     lease_until: self.lease_until(runner),
                 },
-                RunnerEvent::EndRecorded { run } => Seen::EndRecorded {
+                RunnerEvent::EndRecorded { run } => HistoryEvent::EndRecorded {
                     runner: id.clone(),
                     run,
                 },
                 RunnerEvent::AcceptedStale(_) => continue,
             };
-            self.observe(id.as_str(), seen);
+            self.observe(id.as_str(), observed);
         }
     }
 }
--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -1,4 +1,4 @@
-//! Events of the cluster's queue.
+//! Events of the simulation and their order in the event queue.
 
 use crate::ids::{DiskState, Incarnation, MachineIndex, Micros, ProcessIndex};
 use crate::plan::Fault;
@@ -8,22 +8,22 @@
 use transport::{Envelope, Operation, OperationReply, Rejection};
 use types::{Milliseconds, OrderAnswer, RunnerOrder, RunnerReport};
 
-/// Something that happens at a moment.
+/// An event at a point of virtual time.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A daemon's own timer.
+    /// The timer of a daemon fires.
     Tick(ProcessIndex, Incarnation),
-    /// A daemon that was at work takes what has arrived meanwhile.
+    /// A coordinator ends a step and takes the messages that arrived during it.
     Resume(ProcessIndex, Incarnation),
     /// A message reaches a daemon.
     Message(ProcessIndex, Envelope),
     /// A coordinator's disk has finished its oldest write.
     DiskDone(ProcessIndex, Incarnation),
-    /// A daemon is started, with an empty disk if asked for.
+    /// A daemon is started, with the disk that it had or with an empty one.
     Start(ProcessIndex, DiskState),
-    /// A daemon past its polite stop is killed.
-    GraceOver(ProcessIndex, Incarnation),
-    /// A runner's own timer.
+    /// The grace period of a stopped daemon ends; the daemon is killed if it still runs.
+    GracePeriodEnded(ProcessIndex, Incarnation),
+    /// The timer of a runner fires.
     RunnerTick(usize, Incarnation),
     /// A runner sends a heartbeat.
     RunnerHeartbeat(usize, Incarnation),
@@ -37,44 +37,45 @@
     OrderAnswered(ProcessIndex, Incarnation, RunnerOrder, OrderAnswer),
     /// A runner is started.
     StartRunner(usize),
-    /// A runner behaves again.
+    /// The misbehaviour of a runner ends.
     RunnerHealthy(usize, Incarnation),
-    /// A caller has a new job.
+    /// A caller generates a new job.
     Arrival(usize),
-    /// A caller has something to send.
+    /// The timer of a caller fires.
     CallerTimer(usize),
     /// An HTTP request reaches a gateway.
     RequestArrives(ProcessIndex, TicketId, Milliseconds, Operation),
     /// An HTTP answer reaches its sender.
     ResponseArrives(TicketId, Box<Result<OperationReply, Rejection>>),
-    /// The sender of an HTTP request gives up.
+    /// An HTTP request times out at its sender.
     RequestTimeout(TicketId),
-    /// An operator looks what to do.
+    /// The timer of an operator fires.
     OperatorTimer(usize),
-    /// Configurations are read at all gateways.
+    /// The configuration is read at every gateway.
     ReadConfigurations,
-    /// A frozen machine wakes.
-    Wake(MachineIndex),
-    /// A planned fault.
+    /// The freeze of a machine ends.
+    Unfreeze(MachineIndex),
+    /// A fault is injected.
     Fault(Fault),
-    /// A fault that waits for a whole cluster, until the moment given.
+    /// Checks whether the cluster is healthy, in order to inject a fault some time after
+    /// that.
     AwaitRepair {
-        /// What to do then.
+        /// Fault to inject.
         fault: Fault,
-        /// How long after the repair.
+        /// Time between the repair and the fault.
         after: Micros,
-        /// When to give up.
+        /// Virtual time after which the fault is dropped.
         until: Micros,
     },
-    /// The burst of a caller is over.
-    BurstOver(usize),
-    /// All faults are healed.
+    /// The burst of a caller ends.
+    BurstEnded(usize),
+    /// All faults end.
     Heal,
 }
 
 impl Event {
-    /// Daemons and runners that stand still with their machine; what they are
-    /// sent waits for them.
+    /// Returns the daemon that handles the event; `None` if no daemon does. The event is
+    /// deferred while the daemon's machine is frozen.
     pub fn process(&self) -> Option<ProcessIndex> {
         match self {
             Self::Tick(process, _)
@@ -87,7 +88,8 @@
         }
     }
 
-    /// The runner the event happens at.
+    /// Returns the runner that handles the event; `None` if no runner does. The event is
+    /// deferred while the runner's machine is frozen.
     pub fn runner(&self) -> Option<usize> {
         match self {
             Self::RunnerTick(runner, _)
@@ -100,15 +102,15 @@
     }
 }
 
-/// An event with its moment; the queue gives them in order of time, and
-/// events of one moment in the order they were scheduled.
+/// An entry of the event queue. The queue returns events in the order of time, and those
+/// of the same time in the order in which they were scheduled.
 #[derive(Debug)]
 pub struct Scheduled {
-    /// When.
+    /// Virtual time of the event.
     pub at: Micros,
-    /// Order among events of one moment.
+    /// Sequence number, which orders events of the same time.
     pub order: u64,
-    /// What.
+    /// Event to handle.
     pub event: Event,
 }
 
@@ -126,6 +128,8 @@
     }
 }
 
+/// Reversed, since [`BinaryHeap`](std::collections::BinaryHeap) returns the greatest entry
+/// first.
 impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.order).cmp(&(self.at, self.order))
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -1,4 +1,4 @@
-//! Carrying out the faults of a plan, and healing them.
+//! Injection of the planned faults, and their end.
 
 use crate::cluster::SimulatedCluster;
 use crate::event::Event;
@@ -7,35 +7,35 @@
 use crate::plan::{Acknowledgement, Behaviour, Fault, MAX_REPAIR_MS};
 use crate::process::{Core, Input, Process};
 use crate::runner::OrderFaults;
-use checker::Event as Seen;
+use checker::Event as HistoryEvent;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use types::{Role, RunnerId};
 
-/// Time a politely stopped daemon has before it is killed.
-const GRACE_MICROS: Micros = 5_000_000;
-/// Time a draining runner keeps saying so before it is stopped.
-const DRAIN_MICROS: Micros = 8_000_000;
-/// Time between two looks whether the cluster is whole.
-const REPAIR_CHECK_MICROS: Micros = 100_000;
-/// Port of all peer listeners.
+/// Time between the stop signal to a daemon and its kill.
+const GRACE_PERIOD_MICROS: Micros = 5_000_000;
+/// Time between the start of a runner's draining and its stop.
+const DRAIN_PERIOD_MICROS: Micros = 8_000_000;
+/// Interval at which the cluster's health is checked before a second loss.
+const REPAIR_CHECK_INTERVAL_MICROS: Micros = 100_000;
+/// Port on which all daemons listen for peers.
 pub const PEER_PORT: u16 = 7_000;
 
 impl SimulatedCluster {
-    /// Carries out a planned fault.
+    /// Injects a planned fault.
     pub(crate) fn apply_fault(&mut self, fault: Fault) {
         let what = format!("{fault:?}");
-        self.observe("fault", Seen::Fault { what });
+        self.observe("fault", HistoryEvent::Fault { what });
         match fault {
             Fault::Kill { machine, down_ms } => {
-                self.kill_for(&machine, down_ms, DiskState::Retained);
+                self.kill_and_restart(&machine, down_ms, DiskState::Retained);
             }
             Fault::LoseDisk { machine, down_ms } => {
-                self.kill_for(&machine, down_ms, DiskState::Empty);
+                self.kill_and_restart(&machine, down_ms, DiskState::Empty);
             }
-            Fault::Stop { machine, down_ms } => self.stop_for(&machine, down_ms),
+            Fault::Stop { machine, down_ms } => self.stop_and_restart(&machine, down_ms),
             Fault::KillCoordinators { down_ms } => self.kill_coordinators(down_ms, false),
             Fault::PowerLoss { down_ms } => self.kill_coordinators(down_ms, true),
-            armed @ Fault::LoseAtAcknowledgement { .. } => self.armed.push(armed),
+            loss @ Fault::LoseAtAcknowledgement { .. } => self.pending_losses.push(loss),
             Fault::Replace { machine, down_ms } => self.replace(&machine, down_ms),
             Fault::KillOnceRepaired {
                 machine,
@@ -70,8 +70,8 @@
     fn apply_network_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Freeze { machine, for_ms } => self.freeze(&machine, for_ms),
-            Fault::Cut { machine, for_ms } => self.split(&[machine], for_ms),
-            Fault::Split { machines, for_ms } => self.split(&machines, for_ms),
+            Fault::Cut { machine, for_ms } => self.partition(&[machine], for_ms),
+            Fault::Split { machines, for_ms } => self.partition(&machines, for_ms),
             Fault::CutOneWay { from, to, for_ms } => {
                 if let (Some(from), Some(to)) = (self.machine_named(&from), self.machine_named(&to))
                 {
@@ -126,43 +126,43 @@
                     self.machines[machine.0].wall_offset_ms += by_ms;
                 }
             }
-            other => self.apply_user_fault(other),
+            other => self.apply_client_fault(other),
         }
     }
 
-    fn apply_user_fault(&mut self, fault: Fault) {
+    fn apply_client_fault(&mut self, fault: Fault) {
         match fault {
             Fault::RaceOperators => {
                 for operator in &mut self.operators {
-                    operator.wanted += 1;
+                    operator.pending_changes += 1;
                 }
             }
             Fault::ConfigurationStorm { count } => {
                 if let Some(operator) = self.operators.first_mut() {
-                    operator.wanted += count;
+                    operator.pending_changes += count;
                 }
             }
             Fault::InvalidConfiguration => {
                 if let Some(operator) = self.operators.last_mut() {
-                    operator.wanted_invalid += 1;
+                    operator.pending_invalid += 1;
                 }
             }
-            Fault::CancelBatch { count } => self.cancel_some(count),
+            Fault::CancelBatch { count } => self.cancel_random_jobs(count),
             Fault::Burst {
                 caller,
                 times,
                 for_ms,
             } => {
                 if let Some(host) = self.callers.get_mut(caller) {
-                    host.times = times;
-                    self.schedule_in(for_ms * 1_000, Event::BurstOver(caller));
+                    host.load_factor = times;
+                    self.schedule_in(for_ms * 1_000, Event::BurstEnded(caller));
                 }
             }
             _ => {}
         }
     }
 
-    /// The machine of this name.
+    /// Returns the machine with this name; `None` if there is none.
     pub fn machine_named(&self, name: &str) -> Option<MachineIndex> {
         self.machines
             .iter()
@@ -170,7 +170,7 @@
             .map(MachineIndex)
     }
 
-    /// The daemon on this machine that is not gone for good.
+    /// Returns the daemon on the machine with this name, without replaced ones.
     fn process_on(&self, name: &str) -> Option<ProcessIndex> {
         let machine = self.machine_named(name)?;
         self.processes
@@ -186,7 +186,7 @@
             .position(|runner| runner.machine == machine)
     }
 
-    fn kill_for(&mut self, machine: &str, down_ms: u64, disk: DiskState) {
+    fn kill_and_restart(&mut self, machine: &str, down_ms: u64, disk: DiskState) {
         let Some(process) = self.process_on(machine) else {
             return;
         };
@@ -197,15 +197,18 @@
         }
     }
 
-    fn stop_for(&mut self, machine: &str, down_ms: u64) {
+    fn stop_and_restart(&mut self, machine: &str, down_ms: u64) {
         let Some(process) = self.process_on(machine) else {
             return;
         };
         let incarnation = self.processes[process.0].incarnation;
         self.input(process, Input::Stop);
-        self.schedule_in(GRACE_MICROS, Event::GraceOver(process, incarnation));
-        let back = GRACE_MICROS + down_ms * 1_000;
-        self.schedule_in(back, Event::Start(process, DiskState::Retained));
+        self.schedule_in(
+            GRACE_PERIOD_MICROS,
+            Event::GracePeriodEnded(process, incarnation),
+        );
+        let restart_delay = GRACE_PERIOD_MICROS + down_ms * 1_000;
+        self.schedule_in(restart_delay, Event::Start(process, DiskState::Retained));
     }
 
     fn kill_coordinators(&mut self, down_ms: u64, power_loss: bool) {
@@ -215,34 +218,34 @@
             if is_coordinator && !self.processes[position].retired {
                 self.kill_process(process, power_loss);
                 let stagger = u64::try_from(position).unwrap_or(0) * 40_000;
-                let back = down_ms * 1_000 + stagger;
-                self.schedule_in(back, Event::Start(process, DiskState::Retained));
+                let restart_delay = down_ms * 1_000 + stagger;
+                self.schedule_in(restart_delay, Event::Start(process, DiskState::Retained));
             }
         }
     }
 
-    /// Something was acknowledged: the first loss that waits for it comes now.
-    pub(crate) fn acknowledged(&mut self, what: Acknowledgement) {
-        let waits =
-            |fault: &Fault| matches!(fault, Fault::LoseAtAcknowledgement { of, .. } if *of == what);
-        let Some(position) = self.armed.iter().position(waits) else {
+    /// Injects the first planned loss that this kind of acknowledgement triggers.
+    pub(crate) fn trigger_loss(&mut self, kind: Acknowledgement) {
+        let is_triggered =
+            |fault: &Fault| matches!(fault, Fault::LoseAtAcknowledgement { of, .. } if *of == kind);
+        let Some(position) = self.pending_losses.iter().position(is_triggered) else {
             return;
         };
         if let Fault::LoseAtAcknowledgement {
             machines, down_ms, ..
-        } = self.armed.remove(position)
+        } = self.pending_losses.remove(position)
         {
-            let what = format!("{what:?} acknowledged: {machines:?} lose disks, the rest power");
-            self.observe("fault", Seen::Fault { what });
+            let what = format!("{kind:?} acknowledged: {machines:?} lose disks, the rest power");
+            self.observe("fault", HistoryEvent::Fault { what });
             self.kill_coordinators(down_ms, true);
             for machine in machines {
-                self.kill_for(&machine, down_ms, DiskState::Empty);
+                self.kill_and_restart(&machine, down_ms, DiskState::Empty);
             }
         }
     }
 
-    /// Carries a fault out some time after the cluster is whole, if that is
-    /// before `until`.
+    /// Injects a fault `after` the cluster is healthy, provided that it is healthy before
+    /// `until`.
     pub(crate) fn await_repair(&mut self, fault: Fault, after: Micros, until: Micros) {
         if self.is_healthy() {
             self.schedule_in(after, Event::Fault(fault));
@@ -252,14 +255,13 @@
                 after,
                 until,
             };
-            self.schedule_in(REPAIR_CHECK_MICROS, event);
+            self.schedule_in(REPAIR_CHECK_INTERVAL_MICROS, event);
         }
     }
 
-    /// Returns whether a leader serves, every voter is up, and there are as many as
-    /// there are coordinators.
+    /// Returns whether a leader serves, all voters are up, and every coordinator is a voter.
     fn is_healthy(&self) -> bool {
-        let wanted = self.coordinators().count();
+        let expected = self.coordinators().count();
         let is_up = |node| {
             self.coordinators()
                 .any(|process| process.is_up() && process.address.node == node)
@@ -272,19 +274,19 @@
             let voters = core.status(now).map(|status| status.membership.voters);
             let voters = voters.unwrap_or_default();
             core.is_serving(now)
-                && voters.len() == wanted
+                && voters.len() == expected
                 && voters.keys().all(|voter| is_up(*voter))
         })
     }
 
-    /// Coordinators that are not gone for good.
+    /// Lists the coordinators, without replaced ones.
     fn coordinators(&self) -> impl Iterator<Item = &Process> {
         let all = self.processes.iter();
         all.filter(|process| process.role() == Role::Coordinator && !process.retired)
     }
 
-    /// Retires a coordinator and sets up an empty one at a new address, on a
-    /// new machine of the same zone that takes the name.
+    /// Replaces a coordinator by one with an empty disk and a new address, on a new machine
+    /// in the same zone. The new machine takes over the name.
     fn replace(&mut self, name: &str, down_ms: u64) {
         let (Some(process), Some(machine)) = (self.process_on(name), self.machine_named(name))
         else {
@@ -292,7 +294,7 @@
         };
         self.kill_process(process, false);
         self.processes[process.0].retired = true;
-        let successor = crate::machine::Machine {
+        let new_machine = crate::machine::Machine {
             name: name.to_owned(),
             zone: self.machines[machine.0].zone.clone(),
             monotonic_start_ms: 5_000,
@@ -302,7 +304,7 @@
         };
         let position = self.machines.len();
         self.machines[machine.0].name = format!("{name}-retired-{position}");
-        self.machines.push(successor);
+        self.machines.push(new_machine);
         let socket = socket_of(position);
         let replacement = self.processes[process.0].successor(MachineIndex(position), socket);
         let index = ProcessIndex(self.processes.len());
@@ -315,26 +317,29 @@
         if let Some(machine) = self.machine_named(name) {
             let until = self.now + for_ms * 1_000;
             self.machines[machine.0].frozen_until = Some(until);
-            self.schedule(until, Event::Wake(machine));
+            self.schedule(until, Event::Unfreeze(machine));
             if let Some(runner) = self.runner_on(name) {
                 let id = self.runners[runner].id().clone();
-                self.observe(id.as_str(), Seen::RunnerFrozen { runner: id.clone() });
+                self.observe(
+                    id.as_str(),
+                    HistoryEvent::RunnerFrozen { runner: id.clone() },
+                );
             }
         }
     }
 
-    fn split(&mut self, names: &[String], for_ms: u64) {
+    fn partition(&mut self, names: &[String], for_ms: u64) {
         let until = self.now + for_ms * 1_000;
-        let inside: Vec<MachineIndex> = names
+        let group: Vec<MachineIndex> = names
             .iter()
             .filter_map(|name| self.machine_named(name))
             .collect();
         for position in 0..self.machines.len() {
             let other = MachineIndex(position);
-            if inside.contains(&other) {
+            if group.contains(&other) {
                 continue;
             }
-            for machine in &inside {
+            for machine in &group {
                 self.network.partition(*machine, other, until);
                 self.network.partition(other, *machine, until);
             }
@@ -345,14 +350,17 @@
         let Some(runner) = self.runner_on(name) else {
             return;
         };
-        let Some(inner) = &mut self.runners[runner].runner else {
+        let Some(emulated) = &mut self.runners[runner].runner else {
             return;
         };
-        inner.drain();
+        emulated.drain();
         let id: RunnerId = self.runners[runner].id().clone();
-        self.observe(id.as_str(), Seen::RunnerDraining { runner: id.clone() });
+        self.observe(
+            id.as_str(),
+            HistoryEvent::RunnerDraining { runner: id.clone() },
+        );
         self.schedule_in(
-            DRAIN_MICROS,
+            DRAIN_PERIOD_MICROS,
             Event::Fault(Fault::KillRunner {
                 machine: name.to_owned(),
                 down_ms,
@@ -361,32 +369,32 @@
     }
 
     fn misbehave(&mut self, name: &str, behaviour: Behaviour, for_ms: u64) {
-        use emulator::runner::Behaviour as Standin;
+        use emulator::runner::Behaviour as EmulatedBehaviour;
         let Some(runner) = self.runner_on(name) else {
             return;
         };
         let incarnation = self.runners[runner].incarnation;
         let behaviour = match behaviour {
-            Behaviour::FailsHalf => Standin::Failing { per_thousand: 500 },
-            Behaviour::FailsAll => Standin::Failing {
+            Behaviour::FailsHalf => EmulatedBehaviour::Failing { per_thousand: 500 },
+            Behaviour::FailsAll => EmulatedBehaviour::Failing {
                 per_thousand: 1_000,
             },
-            Behaviour::Slow => Standin::Slow { times: 4 },
-            Behaviour::Stuck => Standin::Stuck,
+            Behaviour::Slow => EmulatedBehaviour::Slow { times: 4 },
+            Behaviour::Stuck => EmulatedBehaviour::Stuck,
         };
-        if let Some(inner) = &mut self.runners[runner].runner {
-            inner.behave(behaviour);
+        if let Some(emulated) = &mut self.runners[runner].runner {
+            emulated.behave(behaviour);
             self.schedule_in(for_ms * 1_000, Event::RunnerHealthy(runner, incarnation));
         }
     }
 
-    /// Ends every fault that still holds.
+    /// Ends all faults in force and restarts all daemons and runners that are down.
     pub(crate) fn heal(&mut self) {
         self.network.heal();
         for position in 0..self.machines.len() {
             if self.machines[position].frozen_until.is_some() {
                 self.machines[position].frozen_until = Some(self.now);
-                self.schedule_in(0, Event::Wake(MachineIndex(position)));
+                self.schedule_in(0, Event::Unfreeze(MachineIndex(position)));
             }
         }
         for position in 0..self.processes.len() {
@@ -398,15 +406,15 @@
         for runner in 0..self.runners.len() {
             self.runners[runner].order_faults = OrderFaults::default();
             self.start_runner(runner);
-            if let Some(inner) = &mut self.runners[runner].runner {
-                inner.behave(emulator::runner::Behaviour::Healthy);
+            if let Some(emulated) = &mut self.runners[runner].runner {
+                emulated.behave(emulator::runner::Behaviour::Healthy);
             }
         }
-        self.observe("fault", Seen::Healed);
+        self.observe("fault", HistoryEvent::Healed);
     }
 }
 
-/// Peer socket of a machine.
+/// Returns the peer socket of the machine with this index.
 pub fn socket_of(machine: usize) -> SocketAddr {
     let high = u8::try_from(machine / 250).unwrap_or(u8::MAX);
     let low = u8::try_from(machine % 250).unwrap_or(u8::MAX) + 1;
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Builds the fleet of a plan.
+//! Construction of the cluster that a plan describes.
 
 use crate::Mutation;
 use crate::caller::CallerHost;
@@ -26,16 +26,16 @@
     RunnerIncarnation, ZoneName,
 };
 
-/// Zones of the brief.
+/// Number of zones, as in the required deployment. Machines are assigned to them in turn.
 pub const ZONES: usize = 3;
-/// Time between keep-alives of gateways and agents.
+/// Interval of the keep-alives of gateways and agents.
 const SESSION_INTERVAL: Milliseconds = Milliseconds(300);
-/// A session ends after this much silence.
+/// Time without a keep-alive after which a session expires.
 const SESSION_LEASE: Milliseconds = Milliseconds(1_500);
-/// A configuration replica counts for this long.
+/// Time for which a replica of the configuration is valid without contact.
 const REPLICA_VALID: Milliseconds = Milliseconds(1_800);
 
-/// Builds a cluster from a plan; daemons start over the first second.
+/// Builds the cluster of a plan. Daemons start at random times within the first second.
 ///
 /// # Errors
 ///
@@ -73,7 +73,7 @@
     Ok(())
 }
 
-/// Three seeds of different roles.
+/// Returns the sockets of three seed peers, one of each role.
 fn seed_sockets(fleet: &FleetSize) -> Vec<SocketAddr> {
     let first_gateway = fleet.coordinators;
     let first_side = fleet.coordinators + fleet.gateways;
@@ -179,8 +179,8 @@
         last_identity: None,
         mutation: cluster.mutation,
     });
-    let at = cluster.random.random_range(0..1_000_000);
-    cluster.schedule(at, Event::Start(index, DiskState::Empty));
+    let start_at = cluster.random.random_range(0..1_000_000);
+    cluster.schedule(start_at, Event::Start(index, DiskState::Empty));
 }
 
 fn add_runners(cluster: &mut SimulatedCluster, plan: &Plan) -> Result<(), InvalidName> {
@@ -231,7 +231,7 @@
             jobs: std::collections::BTreeMap::new(),
             gateway: number,
             load_percent: plan.fleet.load_percent,
-            times: 1,
+            load_factor: 1,
             timer: None,
         });
     }
@@ -241,12 +241,12 @@
     for number in 0..2_u32 {
         cluster.operators.push(OperatorHost {
             name: format!("operator-{number}"),
-            known: ConfigurationVersion(0),
+            known_version: ConfigurationVersion(0),
             document: example_configuration(),
-            open_order: None,
-            waiting: false,
-            wanted: u32::from(number == 0),
-            wanted_invalid: 0,
+            open_change: None,
+            request_open: false,
+            pending_changes: u32::from(number == 0),
+            pending_invalid: 0,
             sends_invalid: false,
             marker: number,
             gateway: number as usize,
--- a/crates/simulation/src/ids.rs
+++ b/crates/simulation/src/ids.rs
@@ -3,23 +3,24 @@
 /// Virtual time in microseconds since the start of the run.
 pub type Micros = u64;
 
-/// Position of a machine in the cluster.
+/// Index of a machine in `SimulatedCluster::machines`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachineIndex(pub usize);
 
-/// Position of a daemon in the cluster.
+/// Index of a daemon in `SimulatedCluster::processes`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessIndex(pub usize);
 
-/// One incarnation of a daemon or runner; events of an earlier incarnation are dropped.
+/// Incarnation of a daemon or runner, counted up at each start and kill. Events of an
+/// earlier incarnation are dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Incarnation(pub u32);
 
-/// What a daemon finds on its disk when it is started.
+/// State of a daemon's disk at its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiskState {
-    /// What was there.
+    /// The data of the previous incarnation is kept.
     Retained,
-    /// Nothing.
+    /// The disk is empty.
     Empty,
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,10 +1,11 @@
-//! A whole fleet in one process under one seed.
+//! Deterministic simulation of a whole cluster in one process.
 //!
-//! The daemons' own cores run here, unchanged, on a virtual clock, a network
-//! that delays, loses, doubles, reorders and cuts, and disks that forget what
-//! was not synced. Emulated runners, callers and operators work against them
-//! and write down what they saw; the checker reads that history. The same seed
-//! gives the same run to the byte.
+//! The unchanged cores of the daemons run on a virtual clock, a virtual network
+//! that delays, loses, duplicates, reorders and partitions messages, and virtual
+//! disks that lose unsynced writes at a power loss. Emulated runners, callers and
+//! operators use the cluster and record their observations in a history, which
+//! the `checker` crate verifies. A plan gives the seed, the sizes and the faults
+//! of a run; the same plan produces the same history to the byte.
 
 mod busy;
 pub mod caller;
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -1,31 +1,31 @@
-//! Machines: clocks, zones, freezes.
+//! Machines of the cluster, with their clocks and freezes.
 
 use crate::event::Event;
 use crate::ids::Micros;
 use types::{Monotonic, Now, WallTime, ZoneName};
 
-/// Wall time at the start of every run.
+/// Wall time at the start of every run, in milliseconds since the Unix epoch.
 pub const WALL_START_MS: u64 = 1_700_000_000_000;
 
-/// One machine.
+/// A machine, which carries one daemon and, if it is a side machine, one runner.
 #[derive(Debug)]
 pub struct Machine {
-    /// Name, as in plans.
+    /// Name that plans use, such as `coordinator-0`.
     pub name: String,
-    /// Its zone.
+    /// Zone, which determines the network delay to other machines.
     pub zone: ZoneName,
-    /// What its monotonic clock showed at the start.
+    /// Reading of the monotonic clock at the start of the run, in milliseconds.
     pub monotonic_start_ms: u64,
-    /// How far its wall clock is off.
+    /// Deviation of the wall clock from the true time, in milliseconds.
     pub wall_offset_ms: i64,
-    /// Frozen until then.
+    /// End of the current freeze; `None` if the machine is not frozen.
     pub frozen_until: Option<Micros>,
-    /// What came while it was frozen, in order.
+    /// Events that were due during the freeze, in order.
     pub deferred: Vec<Event>,
 }
 
 impl Machine {
-    /// Both clocks at `now`; they count through a freeze.
+    /// Returns the readings of both clocks at `now`. The clocks run on during a freeze.
     pub fn clock(&self, now: Micros) -> Now {
         let elapsed_ms = now / 1_000;
         let wall = (WALL_START_MS + elapsed_ms).saturating_add_signed(self.wall_offset_ms);
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Virtual time at which the monotonic clock shows `at`.
-    pub fn when(&self, at: Monotonic) -> Micros {
+    /// Returns the virtual time at which the monotonic clock reads `at`.
+    pub fn virtual_time_of(&self, at: Monotonic) -> Micros {
         at.0.saturating_sub(self.monotonic_start_ms) * 1_000
     }
 
-    /// Returns whether it stands still.
+    /// Returns whether the machine is frozen at `now`.
     pub fn is_frozen(&self, now: Micros) -> bool {
         self.frozen_until.is_some_and(|until| now < until)
     }
--- a/crates/simulation/src/mutation.rs
+++ b/crates/simulation/src/mutation.rs
@@ -1,8 +1,9 @@
-//! Mechanisms that can be turned off, to show that the checker then notices.
+//! Mutations: mechanisms that a run can disable, to show that the checker then reports a
+//! violation.
 //!
-//! Most mutations are built into the cores, which own them; this module names
-//! them in one list and adds those of the cluster itself: its disks and its
-//! starts of processes.
+//! Most mutations are implemented in the cores of the daemons. This module lists all of
+//! them and adds those of the simulated cluster, which concern its disks and the start of
+//! processes.
 
 use agent::AgentMutation;
 use emulator::runner::RunnerMutation;
@@ -12,59 +13,60 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// A mechanism turned off in a run.
+/// A mechanism that is disabled in a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mutation {
-    /// Voters grant votes although they hear a live leader.
+    /// Voters grant votes although they have a live leader.
     VoteDespiteLeader,
-    /// The leader's lease is dated from when the answers came.
+    /// The leader's lease counts from the arrival of the replies instead of the sending of
+    /// the requests.
     LeaseFromReply,
-    /// An unanswered start is sent again, where a revocation belongs.
+    /// An unanswered start is sent again instead of revoked.
     #[serde(rename = "resend_start_instead_of_void")]
     ResendStartInsteadOfRevoke,
-    /// An unanswered start is given up without a revocation.
+    /// An unanswered start is closed without a revocation.
     CloseUnansweredStart,
-    /// The leader acts without looking at its lease.
+    /// The leader acts without a check of its lease.
     SkipLeaseCheck,
     /// A submit is acknowledged before it is committed.
     AcknowledgeBeforeCommit,
-    /// Runs of a silent runner are given up before their lease is over.
+    /// Runs of an unresponsive runner are closed before their lease expires.
     ExpireRunsEarly,
-    /// Runners keep no tombstones.
+    /// Runners keep no tombstones of revoked, rejected and recorded runs.
     NoTombstones,
-    /// Runners take orders of any term.
+    /// Runners accept orders of any term.
     NoRunnerTermFence,
-    /// Runners take starts however old their basis is.
+    /// Runners accept starts regardless of the age of the heartbeat that they are based on.
     #[serde(rename = "no_basis_check")]
     NoHeartbeatCheck,
-    /// Runners go on after their run lease.
+    /// Runners do not stop their runs when the run lease expires.
     NoSelfStop,
-    /// Disks say that a write is synced before it is written.
+    /// Disks report a write as synced before it is written.
     AcknowledgeBeforeSync,
-    /// A coordinator with an empty disk takes its old identity again.
+    /// A coordinator with an empty disk keeps its previous identity.
     KeepIdentityOnEmptyDisk,
-    /// A configuration is taken under any version.
+    /// A configuration is applied under any version.
     AnyConfigurationVersion,
-    /// A resent submit becomes a further job.
+    /// A resent submit creates another job.
     ResentSubmitIsNew,
-    /// A reservation is not checked again when it is applied.
+    /// A reservation is not validated again when it is applied.
     SkipReservationCheck,
-    /// Failed runs do not use up the allowance of their task.
+    /// Failed runs do not count towards the allowed failures of their task.
     ForgetFailures,
-    /// The end of one member does not end the rest of its gang.
+    /// The other runs of a gang continue after one has failed.
     KeepRestOfGang,
-    /// The scheduler pulls for every runner and looks into every list.
+    /// The scheduler pulls for every runner and scans every list.
     #[serde(rename = "look_at_all")]
     ScanAll,
     /// Agents deliver orders of any term.
     NoAgentTermFence,
-    /// Agents keep orders over a lost session or a freeze.
+    /// Agents keep and accept orders after a lost session or a freeze.
     AgentKeepsOrders,
 }
 
 impl Mutation {
-    /// Every mutation, in order.
+    /// All mutations in the order of their declaration.
     pub const ALL: [Self; 21] = [
         Self::VoteDespiteLeader,
         Self::LeaseFromReply,
@@ -89,7 +91,7 @@
         Self::AgentKeepsOrders,
     ];
 
-    /// The part of it that is built into consensus.
+    /// Returns the equivalent mutation of consensus; `None` if it is not implemented there.
     pub fn of_consensus(self) -> Option<consensus::Mutation> {
         match self {
             Self::VoteDespiteLeader => Some(consensus::Mutation::VoteDespiteLeader),
@@ -98,7 +100,8 @@
         }
     }
 
-    /// The part of it that is built into the coordinator.
+    /// Returns the equivalent mutation of the coordinator and its state machine; `None` if
+    /// it is not implemented there.
     pub fn of_coordinator(self) -> Option<coordinator::Mutation> {
         match self {
             Self::ResendStartInsteadOfRevoke => {
@@ -109,24 +112,27 @@
             Self::AcknowledgeBeforeCommit => Some(coordinator::Mutation::AcknowledgeBeforeCommit),
             Self::ExpireRunsEarly => Some(coordinator::Mutation::ExpireRunsEarly),
             Self::ScanAll => Some(coordinator::Mutation::ScanAll),
-            other => other.of_record().map(coordinator::Mutation::StateMachine),
+            other => other
+                .of_state_machine()
+                .map(coordinator::Mutation::StateMachine),
         }
     }
 
-    /// The part of it that is built into the record.
-    fn of_record(self) -> Option<state_machine::mutation::Mutation> {
-        use state_machine::mutation::Mutation as OfRecord;
+    /// Returns the equivalent mutation of the state machine; `None` if it is not
+    /// implemented there.
+    fn of_state_machine(self) -> Option<state_machine::mutation::Mutation> {
+        use state_machine::mutation::Mutation as StateMachineMutation;
         match self {
-            Self::AnyConfigurationVersion => Some(OfRecord::AnyConfigurationVersion),
-            Self::ResentSubmitIsNew => Some(OfRecord::ResentSubmitIsNew),
-            Self::SkipReservationCheck => Some(OfRecord::SkipReservationCheck),
-            Self::ForgetFailures => Some(OfRecord::ForgetFailures),
-            Self::KeepRestOfGang => Some(OfRecord::KeepRestOfGang),
+            Self::AnyConfigurationVersion => Some(StateMachineMutation::AnyConfigurationVersion),
+            Self::ResentSubmitIsNew => Some(StateMachineMutation::ResentSubmitIsNew),
+            Self::SkipReservationCheck => Some(StateMachineMutation::SkipReservationCheck),
+            Self::ForgetFailures => Some(StateMachineMutation::ForgetFailures),
+            Self::KeepRestOfGang => Some(StateMachineMutation::KeepRestOfGang),
             _ => None,
         }
     }
 
-    /// The part of it that is built into the agent.
+    /// Returns the equivalent mutation of the agent; `None` if it is not implemented there.
     pub fn of_agent(self) -> Option<AgentMutation> {
         match self {
             Self::NoAgentTermFence => Some(AgentMutation::NoTermFence),
@@ -135,7 +141,8 @@
         }
     }
 
-    /// The part of it that is built into the emulated runner.
+    /// Returns the equivalent mutation of the emulated runner; `None` if it is not
+    /// implemented there.
     pub fn of_runner(self) -> Option<RunnerMutation> {
         match self {
             Self::NoTombstones => Some(RunnerMutation::NoTombstones),
@@ -150,7 +157,7 @@
 impl FromStr for Mutation {
     type Err = NameError;
 
-    /// Takes the name as it stands in plans, in snake case.
+    /// Parses the name that plans use, in snake case.
     fn from_str(name: &str) -> Result<Self, NameError> {
         Self::deserialize(name.into_deserializer())
     }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,80 +1,86 @@
-//! The virtual network: who reaches whom, when, and how often.
+//! The virtual network: partitions, loss, duplication and delay of messages.
 
 use crate::ids::{MachineIndex, Micros};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// Delay within a zone.
-const NEAR_MICROS: (Micros, Micros) = (150, 400);
-/// Delay between zones, about 1 ms.
-const FAR_MICROS: (Micros, Micros) = (900, 1_400);
+/// Range of the delay within a zone.
+const SAME_ZONE_DELAY_MICROS: (Micros, Micros) = (150, 400);
+/// Range of the delay between zones, about 1 ms.
+const CROSS_ZONE_DELAY_MICROS: (Micros, Micros) = (900, 1_400);
 
-/// Loss, doubling and delay of the whole network.
+/// Loss, duplication and extra delay that apply to the whole network.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NetworkConditions {
-    /// Messages lost in a thousand.
+    /// Share of lost messages, per thousand.
     pub loss_per_thousand: u32,
-    /// Messages doubled in a thousand.
+    /// Share of duplicated messages, per thousand.
     pub double_per_thousand: u32,
-    /// Extra delay, up to this many milliseconds.
+    /// Upper bound of the random extra delay, in milliseconds.
     pub delay_ms: u64,
 }
 
-/// Links of one machine that lose packets, as connections show it: a message whose
-/// packet is lost comes later, and what follows on the same link waits for it.
+/// Packet loss on all links of one machine, as a connection with retransmission shows
+/// it: a message whose packet is lost arrives late, and so do later messages on the same
+/// link, since the order is kept.
 #[derive(Debug, Clone, Copy)]
 pub struct LossyLinks {
-    /// Messages in a thousand whose packet is lost.
+    /// Share of messages whose packet is lost, per thousand.
     pub lost_per_thousand: u32,
-    /// Time until a lost packet comes again.
+    /// Time until a lost packet is retransmitted, in milliseconds.
     pub wait_ms: u64,
-    /// When the links are whole again.
+    /// Virtual time at which the loss ends.
     pub until: Micros,
 }
 
-/// Cuts and weather.
+/// Network faults in force.
 #[derive(Debug, Default)]
 pub struct Network {
     lossy: BTreeMap<MachineIndex, LossyLinks>,
-    /// When what waits on a lossy link has come through.
-    free_at: BTreeMap<(MachineIndex, MachineIndex), Micros>,
-    cuts: BTreeMap<(MachineIndex, MachineIndex), Micros>,
+    /// Arrival time of the last retransmitted message on each lossy link.
+    retransmitted_at: BTreeMap<(MachineIndex, MachineIndex), Micros>,
+    /// End of the partition of each direction.
+    partitions: BTreeMap<(MachineIndex, MachineIndex), Micros>,
     conditions: NetworkConditions,
     conditions_until: Micros,
 }
 
 impl Network {
-    /// Cuts one direction until `until`; a longer cut stays.
+    /// Blocks all messages in one direction until `until`, or until the end of a longer
+    /// partition already in force.
     pub fn partition(&mut self, from: MachineIndex, to: MachineIndex, until: Micros) {
-        let end = self.cuts.entry((from, to)).or_default();
+        let end = self.partitions.entry((from, to)).or_default();
         *end = (*end).max(until);
     }
 
-    /// Sets the weather until `until`.
+    /// Sets the conditions of the whole network until `until`.
     pub fn set_conditions(&mut self, conditions: NetworkConditions, until: Micros) {
         self.conditions = conditions;
         self.conditions_until = until;
     }
 
-    /// Has the links of a machine lose packets.
+    /// Sets the packet loss on all links of a machine.
     pub fn set_lossy(&mut self, machine: MachineIndex, links: LossyLinks) {
         self.lossy.insert(machine, links);
     }
 
-    /// Ends all cuts and bad weather.
+    /// Ends all partitions, packet loss and network conditions.
     pub fn heal(&mut self) {
         self.lossy.clear();
-        self.cuts.clear();
+        self.partitions.clear();
         self.conditions_until = 0;
     }
 
-    /// Returns whether nothing gets through in this direction now.
+    /// Returns whether messages in this direction are blocked at `now`.
     pub fn is_partitioned(&self, from: MachineIndex, to: MachineIndex, now: Micros) -> bool {
-        self.cuts.get(&(from, to)).is_some_and(|until| now < *until)
+        self.partitions
+            .get(&(from, to))
+            .is_some_and(|until| now < *until)
     }
 
-    /// Delays of the copies of one message that arrive; empty when it is lost.
+    /// Returns the delay of each copy of a message that arrives; none if the message is
+    /// lost.
     pub fn deliveries(
         &mut self,
         random: &mut ChaCha8Rng,
@@ -102,20 +108,22 @@
             None => delays,
             Some(links) => delays
                 .into_iter()
-                .map(|delay| self.over_lossy_link(random, (from, to), now, delay, links))
+                .map(|delay| self.lossy_link_delay(random, (from, to), now, delay, links))
                 .collect(),
         }
     }
 
     fn lossy_link(&self, from: MachineIndex, to: MachineIndex, now: Micros) -> Option<LossyLinks> {
-        let ends = [from, to].into_iter();
-        ends.filter_map(|machine| self.lossy.get(&machine))
+        let endpoints = [from, to].into_iter();
+        endpoints
+            .filter_map(|machine| self.lossy.get(&machine))
             .find(|links| now < links.until)
             .copied()
     }
 
-    /// The delay of a message that would take `delay` over a whole link.
-    fn over_lossy_link(
+    /// Returns the delay of a message on a lossy link; without packet loss it would be
+    /// `delay`.
+    fn lossy_link_delay(
         &mut self,
         random: &mut ChaCha8Rng,
         link: (MachineIndex, MachineIndex),
@@ -124,13 +132,13 @@
         links: LossyLinks,
     ) -> Micros {
         let lost = per_thousand(random, links.lost_per_thousand);
-        let free_at = self.free_at.entry(link).or_default();
-        let waits = *free_at > now;
-        // What is lost while others wait comes again with them.
-        if lost && !waits {
-            *free_at = now + delay + links.wait_ms * 1_000;
+        let retransmitted_at = self.retransmitted_at.entry(link).or_default();
+        let retransmits = *retransmitted_at > now;
+        // A packet lost during a retransmission is retransmitted along with it.
+        if lost && !retransmits {
+            *retransmitted_at = now + delay + links.wait_ms * 1_000;
         }
-        (now + delay).max(*free_at) - now
+        (now + delay).max(*retransmitted_at) - now
     }
 
     fn conditions_at(&self, now: Micros) -> NetworkConditions {
@@ -142,13 +150,17 @@
     }
 }
 
-/// True in `chance` of a thousand draws. Draws nothing when it cannot happen.
+/// Returns true with probability `chance` / 1000. Draws no number if `chance` is 0.
 pub fn per_thousand(random: &mut ChaCha8Rng, chance: u32) -> bool {
     chance > 0 && random.random_range(0..1_000) < chance
 }
 
 fn delay(random: &mut ChaCha8Rng, same_zone: bool, extra_ms: u64) -> Micros {
-    let (low, high) = if same_zone { NEAR_MICROS } else { FAR_MICROS };
+    let (low, high) = if same_zone {
+        SAME_ZONE_DELAY_MICROS
+    } else {
+        CROSS_ZONE_DELAY_MICROS
+    };
     let base = random.random_range(low..=high);
     let extra = if extra_ms > 0 {
         random.random_range(0..=extra_ms * 1_000)
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -1,40 +1,45 @@
-//! Operator hosts: they send whole configuration versions and changes to named
-//! items by turns, resend those whose answer was lost, and sometimes race.
+//! Emulated operators. They send whole configurations and updates of single items
+//! alternately, resend a request whose answer was lost, and race for the same version if
+//! the plan contains that fault.
 
 use configuration::{ClusterConfiguration, ConfigurationUpdate};
 use transport::Operation;
 use types::ConfigurationVersion;
 
-/// Time between an operator's looks at what to do.
+/// Interval of an operator's timer, in milliseconds.
 pub const OPERATOR_INTERVAL_MS: u64 = 250;
-/// How long an operator waits for an answer.
+/// Time after which an operator's request times out, in milliseconds.
 pub const OPERATOR_TIMEOUT_MS: u64 = 2_000;
 
-/// One in this many documents changes a resource limit.
+/// One in this many configurations changes a resource limit.
 const LIMIT_CHANGE_EVERY: u32 = 3;
-/// Least slots of a changed resource limit: every task and gang still fits.
-pub const LEAST_SLOTS: u32 = 6;
-/// Least accelerators of a changed resource limit: every task still fits.
-const LEAST_GPUS: u32 = 2;
-/// Ceilings go up and down in strides within a range.
+/// Minimum of slots in a changed resource limit: every task and gang still fits.
+pub const MIN_SLOTS: u32 = 6;
+/// Minimum of GPUs in a changed resource limit: every task still fits.
+const MIN_GPUS: u32 = 2;
+/// Slots added from one changed resource limit to the next, modulo [`SLOTS_RANGE`], so
+/// that limits rise and fall.
 const SLOTS_STEP: u32 = 11;
+/// Size of the range of slots above the minimum.
 const SLOTS_RANGE: u32 = 30;
+/// GPUs added from one changed resource limit to the next, modulo [`GPUS_RANGE`].
 const GPUS_STEP: u32 = 5;
+/// Size of the range of GPUs above the minimum.
 const GPUS_RANGE: u32 = 11;
 
-/// An order to the cluster, with the document that it leads to.
+/// A change of the configuration, with the document that results from it.
 #[derive(Clone)]
-pub struct Order {
-    /// The version wanted.
+pub struct ConfigurationChange {
+    /// Version that the change creates.
     pub version: ConfigurationVersion,
-    /// The document that is in force if it is taken.
+    /// Document that is in force once the change is accepted.
     pub document: ClusterConfiguration,
-    /// The changes, where not the whole document is sent.
+    /// Changed items; `None` if the whole document is sent.
     update: Option<ConfigurationUpdate>,
 }
 
-impl Order {
-    /// What is sent.
+impl ConfigurationChange {
+    /// Returns the request to send.
     pub fn operation(&self) -> Operation {
         let version = self.version;
         match &self.update {
@@ -50,70 +55,78 @@
     }
 }
 
-/// An operator with the changes it still wants to make.
+/// An emulated operator with the changes that the plan has requested of it.
 pub struct OperatorHost {
-    /// Its name in the history.
+    /// Observer name in the history.
     pub name: String,
-    /// Newest version it knows.
-    pub known: ConfigurationVersion,
-    /// The document under that version, as it knows it.
+    /// Version of the last configuration acknowledged to the operator or read by it.
+    pub known_version: ConfigurationVersion,
+    /// Document of that version.
     pub document: ClusterConfiguration,
-    /// The order it has sent and has no final answer to.
-    pub open_order: Option<Order>,
-    /// Whether an HTTP request of its is under way.
-    pub waiting: bool,
-    /// Changes it still wants to make.
-    pub wanted: u32,
-    /// Documents it still wants to send that must be rejected.
-    pub wanted_invalid: u32,
-    /// The order it has sent, if that must be rejected.
+    /// Change that was sent and has no final answer yet; `None` if there is none.
+    pub open_change: Option<ConfigurationChange>,
+    /// Whether an HTTP request of the operator is open.
+    pub request_open: bool,
+    /// Number of valid changes still to send.
+    pub pending_changes: u32,
+    /// Number of invalid documents still to send, which the cluster must reject.
+    pub pending_invalid: u32,
+    /// Whether the open or last change is invalid and must be rejected.
     pub sends_invalid: bool,
-    /// Makes each of its documents differ from all others.
+    /// Counter that makes each document of this operator differ from all other documents;
+    /// even for one operator, odd for the other.
     pub marker: u32,
-    /// The gateway it uses now.
+    /// Gateway to use, counted up after a failed request and taken modulo the number of
+    /// gateways.
     pub gateway: usize,
 }
 
 impl OperatorHost {
-    /// Settles what to send next, unless an order is open.
-    pub fn choose_order(&mut self) {
-        if self.open_order.is_some() {
+    /// Chooses the next change to send, unless one is open.
+    pub fn choose_change(&mut self) {
+        if self.open_change.is_some() {
             return;
         }
-        let version = self.known.next();
-        if self.wanted > 0 {
-            self.wanted -= 1;
+        let version = self.known_version.next();
+        if self.pending_changes > 0 {
+            self.pending_changes -= 1;
             self.sends_invalid = false;
             let document = self.next_document();
-            self.open_order = Some(self.order(version, document));
-        } else if self.wanted_invalid > 0 {
-            self.wanted_invalid -= 1;
+            self.open_change = Some(self.change_to(version, document));
+        } else if self.pending_invalid > 0 {
+            self.pending_invalid -= 1;
             self.sends_invalid = true;
             let document = self.invalid_document();
-            self.open_order = Some(self.order(version, document));
+            self.open_change = Some(self.change_to(version, document));
         }
     }
 
-    /// The order that leads to a document: every other one names what changes.
-    fn order(&self, version: ConfigurationVersion, document: ClusterConfiguration) -> Order {
-        let by_update = self.known > ConfigurationVersion(0) && (self.marker / 2).is_multiple_of(2);
+    /// Returns the change that results in `document`. Every other one is sent as an update
+    /// of the changed items.
+    fn change_to(
+        &self,
+        version: ConfigurationVersion,
+        document: ClusterConfiguration,
+    ) -> ConfigurationChange {
+        let by_update =
+            self.known_version > ConfigurationVersion(0) && (self.marker / 2).is_multiple_of(2);
         if !by_update {
-            return Order {
+            return ConfigurationChange {
                 version,
                 document,
                 update: None,
             };
         }
-        let update = ConfigurationUpdate::between(self.known, &self.document, &document);
-        Order {
+        let update = ConfigurationUpdate::between(self.known_version, &self.document, &document);
+        ConfigurationChange {
             version,
             document: update.applied_to(&self.document),
             update: Some(update),
         }
     }
 
-    /// The next document: the known one with other bursts, and every third
-    /// time another resource limit for one tenant, up or down.
+    /// Returns the last known document with a new submit burst for all tenants and, every
+    /// third time, a new resource limit for one tenant.
     pub fn next_document(&mut self) -> ClusterConfiguration {
         let mut document = self.document.clone();
         document.replaces = None;
@@ -124,14 +137,15 @@
         if self.marker.is_multiple_of(LIMIT_CHANGE_EVERY) {
             let chosen = self.marker as usize % document.tenants.len().max(1);
             if let Some(tenant) = document.tenants.values_mut().nth(chosen) {
-                tenant.resource_limit.slots = LEAST_SLOTS + self.marker * SLOTS_STEP % SLOTS_RANGE;
-                tenant.resource_limit.gpus = LEAST_GPUS + self.marker * GPUS_STEP % GPUS_RANGE;
+                tenant.resource_limit.slots = MIN_SLOTS + self.marker * SLOTS_STEP % SLOTS_RANGE;
+                tenant.resource_limit.gpus = MIN_GPUS + self.marker * GPUS_STEP % GPUS_RANGE;
             }
         }
         document
     }
 
-    /// A document that must be rejected: its queues are bound to no pool.
+    /// Returns a document that the cluster must reject: the pools of its queues do not
+    /// exist.
     pub fn invalid_document(&mut self) -> ClusterConfiguration {
         let mut document = self.next_document();
         document.pools.clear();
@@ -146,7 +160,7 @@
 /// Name of the same field in the code.
 const LIMIT_NAME: &str = "resource_limit: ";
 
-/// Digest of a document, for the history.
+/// Returns the digest of a document for the history, in hex.
 pub fn digest(document: &ClusterConfiguration) -> String {
     use sha2::{Digest, Sha256};
     let text = format!("{document:?}").replace(LIMIT_NAME, RECORDED_LIMIT_NAME);
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -1,51 +1,53 @@
-//! Fault plans: data that a person can write, and the planner draws.
+//! Plans of simulated runs, which are written as TOML or drawn by the planner.
 
 use crate::Mutation;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A second loss waits this long for a repair.
+/// Time within which the cluster must be healthy for [`Fault::KillOnceRepaired`], in
+/// milliseconds; otherwise the fault is dropped.
 pub const MAX_REPAIR_MS: u64 = 15_000;
 
-/// A whole run: seed, sizes, times and faults.
+/// Plan of a run: seed, sizes, times and faults.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Seed of every draw in the run.
+    /// Seed of all random numbers of the run.
     pub seed: u64,
-    /// Machines and load.
+    /// Numbers of machines and the load.
     #[serde(default)]
     pub fleet: FleetSize,
-    /// Callers send new jobs for this long.
+    /// Duration of the load phase, in which callers send new jobs, in milliseconds.
     #[serde(default = "default_load_ms")]
     pub load_ms: u64,
-    /// Most time after the load in which all work must end.
+    /// Maximum duration of the calm phase after the load, in which all work must end, in
+    /// milliseconds.
     #[serde(default = "default_calm_ms")]
     pub calm_ms: u64,
-    /// What the work of coordinators costs; nothing unless the plan says so.
+    /// Processor time that coordinators use; none by default.
     #[serde(default)]
     pub processing: Processing,
-    /// Which mechanisms of placement decide.
+    /// Mechanisms that the scheduler uses for placement.
     #[serde(default)]
     pub policy: scheduler::Policy,
-    /// A degraded leader transfers leadership.
-    #[serde(default = "default_gives_way")]
+    /// Whether a degraded leader transfers leadership.
+    #[serde(default = "default_transfer_when_degraded")]
     #[serde(rename = "gives_way")]
     pub transfer_when_degraded: bool,
-    /// A mechanism turned off, for proofs.
+    /// Mechanism to disable, so that a test shows its necessity; `None` disables nothing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub mutation: Option<Mutation>,
-    /// Faults in order of time; times count from the fleet's first service.
+    /// Faults in order of time.
     #[serde(default)]
     pub faults: Vec<PlannedFault>,
 }
 
-/// Callers send new jobs for this long unless the plan says otherwise.
+/// Default duration of the load phase, in milliseconds.
 pub const DEFAULT_LOAD_MS: u64 = 20_000;
-/// Most time after the load in which all work must end.
+/// Default maximum duration of the calm phase, in milliseconds.
 pub const DEFAULT_CALM_MS: u64 = 120_000;
 
-fn default_gives_way() -> bool {
+fn default_transfer_when_degraded() -> bool {
     true
 }
 
@@ -57,20 +59,20 @@
     DEFAULT_CALM_MS
 }
 
-/// Machines and load of a run.
+/// Numbers of machines and the load of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSize {
-    /// Coordinators.
+    /// Number of coordinators.
     pub coordinators: usize,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Runners of the first pool, each with an agent.
+    /// Number of runners in the media pool, each on a side machine with an agent.
     #[serde(rename = "stills_runners")]
     pub media_runners: usize,
-    /// Runners of the second pool, each with an agent.
+    /// Number of runners in the documents pool, each on a side machine with an agent.
     pub documents_runners: usize,
-    /// Load in percent of the brief's.
+    /// Rate of new jobs, in percent of the workloads' normal rate.
     pub load_percent: u32,
 }
 
@@ -86,24 +88,25 @@
     }
 }
 
-/// What the work of coordinators costs.
+/// Processor time that coordinators use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Processing {
-    /// A look of the scheduler.
+    /// Cost of each task or runner that the scheduler examines, in nanoseconds.
     #[serde(rename = "nanos_per_look")]
     pub nanos_per_scan: u64,
-    /// An input of any kind.
+    /// Cost of each input, in microseconds.
     pub micros_per_input: u64,
-    /// A step, whatever it takes in.
+    /// Fixed cost of each step, in microseconds.
     pub micros_per_step: u64,
-    /// One message a step, in the order of arrival: the loop as it was before
-    /// messages had lanes. For proofs.
+    /// Whether a step takes a single message in the order of arrival, as the event loop did
+    /// before messages had lanes. Tests compare the two.
     pub single_queue: bool,
 }
 
 impl Processing {
-    /// Time that a step takes, in microseconds.
+    /// Returns the duration of a step in microseconds. `scan_cost` is the number of tasks
+    /// and runners examined in it.
     pub fn cost_micros(&self, scan_cost: u64, inputs: u64) -> u64 {
         scan_cost.saturating_mul(self.nanos_per_scan) / 1_000
             + inputs.saturating_mul(self.micros_per_input)
@@ -111,247 +114,256 @@
     }
 }
 
-/// A fault with its moment.
+/// A fault with its time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlannedFault {
-    /// Milliseconds after the fleet's first service.
+    /// Time of the fault, in milliseconds after the fleet is in service and the load
+    /// begins.
     pub at_ms: u64,
-    /// What is done.
+    /// Fault to inject.
     #[serde(flatten)]
     pub fault: Fault,
 }
 
-/// What can be done to the fleet. Machines are named `coordinator-N`,
-/// `gateway-N` and `side-N`; a side machine carries an agent and a runner.
+/// A fault to inject.
+///
+/// Machines are named `coordinator-N`, `gateway-N` and `side-N`. A side machine carries an
+/// agent and a runner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case")]
 pub enum Fault {
-    /// Hard kill of the daemon on a machine.
+    /// Kills the daemon on a machine and restarts it after `down_ms`.
     Kill {
-        /// The machine.
+        /// Name of the machine.
         machine: String,
-        /// Time until it is started again.
+        /// Time until the daemon is started again, in milliseconds.
         down_ms: u64,
     },
-    /// Polite stop of the daemon on a machine.
+    /// Stops the daemon on a machine, kills it if it still runs after a grace period of
+    /// 5 s, and restarts it after `down_ms`.
     Stop {
-        /// The machine.
+        /// Name of the machine.
         machine: String,
-        /// Time until it is started again.
+        /// Time between the end of the grace period and the restart, in milliseconds.
         down_ms: u64,
     },
-    /// Hard kill of all coordinators at once.
+    /// Kills all coordinators at the same time and restarts them after `down_ms`.
     KillCoordinators {
-        /// Time until they are started again.
+        /// Time until the coordinators are started again, in milliseconds.
         down_ms: u64,
     },
-    /// Every machine with a disk loses power: what was not synced is gone.
+    /// Cuts the power of all coordinators, which lose their unsynced writes, and restarts
+    /// them after `down_ms`.
     PowerLoss {
-        /// Time until they are started again.
+        /// Time until the coordinators are started again, in milliseconds.
         down_ms: u64,
     },
-    /// A coordinator is killed and comes back with an empty disk.
+    /// Kills a coordinator and restarts it with an empty disk after `down_ms`.
     LoseDisk {
-        /// The machine.
+        /// Name of the machine.
         machine: String,
-        /// Time until it is started again.
+        /// Time until the daemon is started again, in milliseconds.
         down_ms: u64,
     },
-    /// A coordinator is gone for good; an empty one starts elsewhere.
+    /// Removes a coordinator permanently and starts a new one with an empty disk, at a new
+    /// address, after `down_ms`.
     Replace {
-        /// The machine.
+        /// Name of the machine; the machine of the new coordinator takes it over.
         machine: String,
-        /// Time until the new one is started.
+        /// Time until the new coordinator is started, in milliseconds.
         down_ms: u64,
     },
-    /// Waits until the cluster is whole again, all its voters up, and then
-    /// takes a coordinator: the second loss right after a repair.
+    /// Kills a coordinator, with or without the loss of its disk, `after_ms` after the
+    /// cluster is healthy again, that is, has a serving leader and all voters are up. This
+    /// is the second loss right after a repair.
     KillOnceRepaired {
-        /// The machine.
+        /// Name of the machine.
         machine: String,
-        /// Time between the repair and the loss.
+        /// Time between the repair and the loss, in milliseconds.
         after_ms: u64,
-        /// Time until it is started again.
+        /// Time until the coordinator is started again, in milliseconds.
         down_ms: u64,
-        /// Whether its disk is empty then.
+        /// Whether the coordinator loses its disk.
         loses_disk: bool,
     },
-    /// As soon as something is acknowledged, some coordinators lose their disks
-    /// and, in the same moment, all others lose power.
+    /// At the next acknowledgement of a kind, wipes the disks of some coordinators and cuts
+    /// the power of all others at the same time. All are restarted after `down_ms`.
     LoseAtAcknowledgement {
-        /// Of what.
+        /// Kind of acknowledgement that triggers the loss.
         of: Acknowledgement,
-        /// The machines whose disks are lost.
+        /// Names of the machines whose disks are lost.
         machines: Vec<String>,
-        /// Time until all are started again.
+        /// Time until all coordinators are started again, in milliseconds.
         down_ms: u64,
     },
-    /// A machine stands still and wakes; its clocks have gone on.
+    /// Freezes a machine with its daemon and runner for `for_ms`. Its clocks run on.
     Freeze {
-        /// The machine.
+        /// Name of the machine.
         machine: String,
-        /// For how long.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
-    /// A machine is cut off from all others, both ways.
+    /// Partitions a machine from all others in both directions for `for_ms`.
     Cut {
-        /// The machine.
+        /// Name of the machine.
         machine: String,
-        /// For how long.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
-    /// Nothing gets from one machine to another; the way back is open.
+    /// Blocks messages from one machine to another for `for_ms`. The opposite direction
+    /// stays open.
     CutOneWay {
-        /// Sender.
+        /// Name of the sending machine.
         from: String,
-        /// Receiver.
+        /// Name of the receiving machine.
         to: String,
-        /// For how long.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
-    /// Some machines are cut off from the rest together.
+    /// Partitions a group of machines from all others in both directions for `for_ms`.
     Split {
-        /// The machines on one side.
+        /// Names of the machines in the group.
         machines: Vec<String>,
-        /// For how long.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
-    /// The links of a machine lose packets; messages come late, in order.
+    /// Makes the links of a machine lose packets for `for_ms`. Messages are delayed by the
+    /// retransmission and stay in order.
     LossyLinks {
-        /// The machine.
+        /// Name of the machine.
         machine: String,
-        /// Messages in a thousand whose packet is lost.
+        /// Share of messages whose packet is lost, per thousand.
         lost_per_thousand: u32,
-        /// Time until a lost packet comes again.
+        /// Time until a lost packet is retransmitted, in milliseconds.
         wait_ms: u64,
-        /// How long.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
-    /// The whole network loses, doubles and delays.
+    /// Makes the whole network lose, duplicate and delay messages for `for_ms`.
     Weather {
-        /// Messages lost in a thousand.
+        /// Share of lost messages, per thousand.
         loss_per_thousand: u32,
-        /// Messages doubled in a thousand.
+        /// Share of duplicated messages, per thousand.
         double_per_thousand: u32,
-        /// Extra delay, up to this.
+        /// Upper bound of the random extra delay, in milliseconds.
         delay_ms: u64,
-        /// For how long.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
-    /// Orders to one runner, and their answers, come late or never.
+    /// Delays and loses the orders to one runner and their answers for `for_ms`.
     LateOrders {
-        /// The side machine.
+        /// Name of the side machine.
         machine: String,
-        /// Extra delay, up to this.
+        /// Upper bound of the random extra delay, in milliseconds.
         delay_ms: u64,
-        /// Orders or answers lost in a thousand.
+        /// Share of lost orders and answers, per thousand.
         loss_per_thousand: u32,
-        /// For how long.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
-    /// The wall clock of a machine steps. Start times are judged by the
-    /// leader's clock: coordinators may step by little only.
+    /// Steps the wall clock of a machine by `by_ms`. The leader compares the start times of
+    /// jobs with its own clock, so the clocks of coordinators may step only a little.
     ClockStep {
-        /// The machine.
+        /// Name of the machine.
         machine: String,
-        /// By how much.
+        /// Step in milliseconds; negative steps go back.
         by_ms: i64,
     },
-    /// A runner process is killed with all its runs.
+    /// Kills a runner with all its runs and restarts it after `down_ms`.
     KillRunner {
-        /// The side machine.
+        /// Name of the side machine.
         machine: String,
-        /// Time until it is started again.
+        /// Time until the runner is started again, in milliseconds.
         down_ms: u64,
     },
-    /// A runner says that it leaves, ends its work, and comes back later.
+    /// Drains a runner, stops it after 8 s and restarts it after `down_ms`.
     DrainRunner {
-        /// The side machine.
+        /// Name of the side machine.
         machine: String,
-        /// Time until it is stopped and started again.
+        /// Time between the stop and the restart, in milliseconds.
         down_ms: u64,
     },
-    /// A runner misbehaves.
+    /// Makes a runner misbehave for `for_ms`.
     Misbehave {
-        /// The side machine.
+        /// Name of the side machine.
         machine: String,
-        /// How.
+        /// Kind of misbehaviour.
         behaviour: Behaviour,
-        /// For how long.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
-    /// Both operators send a configuration under the same version.
+    /// Makes both operators send a configuration for the same version.
     RaceOperators,
-    /// An operator sends many configurations one after the other.
+    /// Makes an operator send `count` configurations one after the other.
     ConfigurationStorm {
-        /// How many.
+        /// Number of configurations.
         count: u32,
     },
-    /// An operator sends a configuration that must be rejected.
+    /// Makes an operator send a configuration that must be rejected.
     InvalidConfiguration,
-    /// Callers cancel some of their unfinished jobs at once.
+    /// Makes callers cancel `count` of their unfinished jobs, chosen at random.
     CancelBatch {
-        /// How many.
+        /// Number of cancels.
         count: u32,
     },
-    /// One caller sends many times its usual load.
+    /// Multiplies the rate of new jobs of one caller by `times` for `for_ms`.
     Burst {
-        /// Number of the caller.
+        /// Index of the caller: 0 or 1.
         caller: usize,
-        /// Factor.
+        /// Factor on the rate.
         times: u32,
-        /// For how long.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
 }
 
-/// What is acknowledged to a caller or an operator.
+/// Kind of request that the cluster acknowledges.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Acknowledgement {
-    /// A submit.
+    /// Submit of a job, acknowledged to a caller.
     Submit,
-    /// A cancel.
+    /// Cancel of a job, acknowledged to a caller.
     Cancel,
-    /// A configuration, or changes to one.
+    /// Configuration or update of items, acknowledged to an operator.
     Configuration,
 }
 
-/// How a runner misbehaves.
+/// Misbehaviour of a runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Behaviour {
-    /// Fails half of what it starts.
+    /// Half of the runs fail.
     FailsHalf,
-    /// Fails everything.
+    /// All runs fail.
     FailsAll,
-    /// Takes four times as long.
+    /// Runs take four times as long.
     Slow,
-    /// Lets tasks stand still.
+    /// Runs do not end until they are stopped, past their time limit.
     Stuck,
 }
 
-/// A plan that cannot be read.
+/// Error of reading or writing a plan.
 #[derive(Debug, Error)]
 pub enum PlanError {
-    /// Not TOML of this shape.
+    /// The text is not TOML or does not have the fields of a plan.
     #[error("not a fault plan: {0}")]
     Parse(#[from] toml::de::Error),
-    /// Not writable as TOML.
+    /// The plan cannot be encoded as TOML.
     #[error("the plan cannot be written: {0}")]
     Write(#[from] toml::ser::Error),
-    /// A machine that the fleet does not have.
+    /// A fault names a machine that the fleet does not have.
     #[error("fault {position}: the fleet has no machine {machine}")]
     UnknownMachine {
         /// Position of the fault, from 1.
         position: usize,
-        /// The name.
+        /// Name of the unknown machine.
         machine: String,
     },
 }
 
 impl Plan {
-    /// A plan without faults.
+    /// Returns a plan without faults, with default sizes and times.
     pub fn calm(seed: u64) -> Self {
         Self {
             seed,
@@ -370,14 +382,15 @@
     ///
     /// # Errors
     ///
-    /// Names the place of the plan that cannot be read.
+    /// Fails if the text is not a plan or names an unknown machine. The error names the
+    /// place in the text or the position of the fault.
     pub fn parse(text: &str) -> Result<Self, PlanError> {
         let plan: Self = toml::from_str(text)?;
         plan.check_machines()?;
         Ok(plan)
     }
 
-    /// The plan as a person can write it.
+    /// Encodes the plan as TOML.
     ///
     /// # Errors
     ///
@@ -403,7 +416,7 @@
 }
 
 impl FleetSize {
-    /// Names of all machines.
+    /// Returns the names of all machines, in the order of their indexes.
     pub fn machine_names(&self) -> Vec<String> {
         let sides = self.media_runners + self.documents_runners;
         let coordinators = (0..self.coordinators).map(|n| format!("coordinator-{n}"));
@@ -414,7 +427,7 @@
 }
 
 impl Fault {
-    /// Machines the fault names.
+    /// Returns the machines that the fault names.
     pub fn machines(&self) -> Vec<&String> {
         match self {
             Self::Kill { machine, .. }
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -1,8 +1,8 @@
-//! Daemon processes: the roles' cores behind one shape, and the disk of a
-//! coordinator.
+//! Daemon processes: the cores of all roles behind a common interface, and the virtual
+//! disks of coordinators.
 
 use crate::Mutation;
-use crate::busy::Busy;
+use crate::busy::BusyState;
 use crate::ids::{DiskState, Incarnation, MachineIndex, Micros};
 use agent::{Agent, AgentOptions};
 use coordinator::{Coordinator, CoordinatorOptions};
@@ -15,25 +15,25 @@
 use transport::{DecisionEntry, Envelope, Operation, OperationReply, PeerMessage, Rejection};
 use types::{Address, Milliseconds, Monotonic, Now, OrderAnswer, Role, RunnerOrder, RunnerReport};
 
-/// A role's core.
+/// Core of a daemon, by role.
 pub enum Core {
-    /// A coordinator.
+    /// Core of a coordinator.
     Coordinator(Box<Coordinator>),
-    /// A gateway.
+    /// Core of a gateway.
     Gateway(Box<Gateway>),
-    /// An agent.
+    /// Core of an agent.
     Agent(Box<Agent>),
 }
 
-/// What happens to a daemon.
+/// An input to the core of a daemon.
 pub enum Input {
-    /// Time passed.
+    /// The wakeup time has come.
     Tick,
     /// A message arrived.
     Message(Envelope),
-    /// A request that waited too long for a coordinator at work.
+    /// A request waited too long for a busy coordinator, which rejects it.
     Overdue(Envelope),
-    /// A batch is synced.
+    /// The batch with this number is synced.
     Persisted(u64),
     /// The identity is synced.
     IdentitySaved,
@@ -41,11 +41,11 @@
     Stop,
     /// An HTTP request arrived at a gateway.
     Request {
-        /// Number of the request.
+        /// Identifier of the request at the gateway.
         ticket: TicketId,
-        /// How long its sender waits.
+        /// Time until the sender's timeout.
         time_left: Milliseconds,
-        /// What is asked.
+        /// Requested operation.
         operation: Operation,
     },
     /// A runner's heartbeat arrived at an agent.
@@ -54,96 +54,98 @@
     Answered(RunnerOrder, OrderAnswer),
 }
 
-/// What a daemon wants done.
+/// An action that the core of a daemon requests.
 pub enum Effect {
-    /// Send a message.
+    /// Send a message to a peer socket.
     Send(SocketAddr, PeerMessage),
-    /// Write to the disk.
+    /// Write to the coordinator's disk.
     Write(Write),
-    /// Give an order to a runner.
+    /// Deliver an order to a runner.
     Deliver(RunnerOrder),
     /// Answer an HTTP request.
     Respond(TicketId, Result<OperationReply, Rejection>),
-    /// A line of the decision log.
+    /// Append an entry to the decision log.
     Decision(Box<DecisionEntry>),
-    /// The process ends.
+    /// End the process.
     Stopped,
 }
 
-/// One write to a coordinator's disk.
+/// A write to a coordinator's disk.
 pub enum Write {
     /// A batch of the log.
     Batch {
-        /// Its number.
+        /// Number under which the core awaits the sync.
         number: u64,
-        /// Its content.
+        /// Entries, hard state and snapshot to write.
         batch: Batch,
     },
-    /// The identity.
+    /// Identity of the node.
     Identity(Identity),
 }
 
-/// Settings a process is started with.
+/// Options that a process is started with, by role.
 #[derive(Clone)]
 pub enum Settings {
-    /// A coordinator's.
+    /// Options of a coordinator.
     Coordinator(CoordinatorOptions),
-    /// A gateway's.
+    /// Options of a gateway.
     Gateway(GatewayOptions),
-    /// An agent's.
+    /// Options of an agent.
     Agent(AgentOptions),
 }
 
-/// The disk of a coordinator, open or not.
+/// Disk of a process.
 pub enum DiskSlot {
-    /// Never had one, or wiped.
+    /// No disk yet, or the disk was lost. Gateways and agents have none.
     None,
-    /// The process is down.
+    /// Disk of a coordinator that is down.
     Closed(MemoryDisk),
-    /// The process is up.
+    /// Disk of a coordinator that is up.
     Open(Box<Store<MemoryDisk>>),
 }
 
 /// A daemon process on a machine.
 pub struct Process {
-    /// Where it stands.
+    /// Machine that the process is on.
     pub machine: MachineIndex,
-    /// Who it is in its current or last incarnation.
+    /// Address in the current or last incarnation.
     pub address: Address,
-    /// Settings for its next incarnation, identity and seed replaced each time.
+    /// Options for the next incarnation; address and seed are replaced at each start.
     pub settings: Settings,
-    /// Its current incarnation.
+    /// Incarnation, counted up at each start and kill.
     pub incarnation: Incarnation,
-    /// The core, while it is up.
+    /// Core; `None` while the process is down.
     pub core: Option<Core>,
-    /// Its disk, if it is a coordinator.
+    /// Disk, used by coordinators only.
     pub disk: DiskSlot,
-    /// Writes asked for and not done.
+    /// Writes that the core has requested and the disk has not completed, oldest first.
     pub writes: VecDeque<Write>,
-    /// What waits while it is at work.
-    pub busy: Busy,
-    /// Moment of the timer in the queue.
+    /// Processing state; only coordinators become busy.
+    pub busy: BusyState,
+    /// Virtual time of the timer in the event queue; `None` if none is set.
     pub timer: Option<Micros>,
-    /// Whether it is gone for good.
+    /// Whether the process was replaced and is never started again.
     pub retired: bool,
-    /// The identity that its disk had last.
+    /// Last identity written to the disk, also after the disk was lost; `None` before the
+    /// first one.
     pub last_identity: Option<Identity>,
-    /// The mechanism turned off in it.
+    /// Disabled mechanism; `None` disables nothing.
     pub mutation: Option<Mutation>,
 }
 
 impl Process {
-    /// The role it was set up for.
+    /// Returns the role of the daemon.
     pub fn role(&self) -> Role {
         self.address.role
     }
 
-    /// Returns whether it runs.
+    /// Returns whether the process is running.
     pub fn is_up(&self) -> bool {
         self.core.is_some()
     }
 
-    /// Starts it; an unreadable disk is told in the error.
+    /// Starts the process with a new incarnation. `node` is replaced by the identity on the
+    /// disk, if there is one.
     ///
     /// # Errors
     ///
@@ -158,7 +160,7 @@
         self.incarnation = Incarnation(self.incarnation.0 + 1);
         self.timer = None;
         self.writes.clear();
-        self.busy = Busy::default();
+        self.busy = BusyState::default();
         self.address.node = node;
         let core = match self.settings.clone() {
             Settings::Gateway(mut options) => {
@@ -210,7 +212,7 @@
         Ok(Core::Coordinator(Box::new(core)))
     }
 
-    /// Ends it at once. With `power_loss` the disk forgets what was not synced.
+    /// Kills the process. With `power_loss` the disk loses its unsynced writes.
     pub fn kill(&mut self, random: &mut ChaCha8Rng, power_loss: bool) {
         self.core = None;
         self.writes.clear();
@@ -226,7 +228,8 @@
         }
     }
 
-    /// The process that takes its place on another machine, not started yet.
+    /// Returns the process that replaces this one on another machine. It is not started
+    /// yet.
     pub fn successor(&self, machine: MachineIndex, socket: SocketAddr) -> Self {
         let mut address = self.address.clone();
         address.socket = socket;
@@ -238,7 +241,7 @@
             core: None,
             disk: DiskSlot::None,
             writes: VecDeque::new(),
-            busy: Busy::default(),
+            busy: BusyState::default(),
             timer: None,
             retired: false,
             last_identity: None,
@@ -246,7 +249,7 @@
         }
     }
 
-    /// Gives an input to the core; nothing happens while it is down.
+    /// Passes an input to the core and returns its effects; none while the process is down.
     pub fn handle(&mut self, now: Now, input: Input) -> Vec<Effect> {
         match &mut self.core {
             None => Vec::new(),
@@ -256,7 +259,7 @@
         }
     }
 
-    /// Gives inputs that are there together to a coordinator, in one step.
+    /// Passes several inputs to a coordinator in one step and returns the effects.
     pub fn handle_all(&mut self, now: Now, inputs: Vec<Input>) -> Vec<Effect> {
         match &mut self.core {
             Some(Core::Coordinator(core)) => handle_coordinator(core, now, inputs),
@@ -264,7 +267,8 @@
         }
     }
 
-    /// When its core wants a tick.
+    /// Returns the time of the next tick, by the machine's monotonic clock; `None` while
+    /// the process is down.
     pub fn next_wakeup(&self) -> Option<Monotonic> {
         self.core.as_ref().map(|core| match core {
             Core::Coordinator(core) => core.next_wakeup(),
@@ -273,7 +277,7 @@
         })
     }
 
-    /// The agent's core, if this is an agent that is up.
+    /// Returns the core of an agent; `None` for other roles or while the process is down.
     pub fn agent(&mut self) -> Option<&mut Agent> {
         match &mut self.core {
             Some(Core::Agent(agent)) => Some(agent),
@@ -281,7 +285,8 @@
         }
     }
 
-    /// Does the oldest write asked for; gives what to tell the core.
+    /// Executes the oldest requested write and returns the input that confirms it; `None`
+    /// if there is no write or the disk is not open.
     pub fn finish_write(&mut self) -> Option<Result<Input, storage::StorageError>> {
         let write = self.writes.pop_front()?;
         let DiskSlot::Open(store) = &mut self.disk else {
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of a plan, from an empty fleet to the checker's report.
+//! Execution of a plan, from an empty cluster to the checker's report.
 
 use crate::cluster::{SimulatedCluster, TimedDecision};
 use crate::event::Event;
@@ -10,77 +10,78 @@
 use sha2::{Digest, Sha256};
 use types::Milliseconds;
 
-/// The fleet must be in service this long after it is started.
+/// Time within which the fleet must be in service after its start.
 const FIRST_SERVICE_MICROS: Micros = 60_000_000;
-/// Time the run goes on after the last job ended.
-const AFTERGLOW_MICROS: Micros = 3_000_000;
-/// Time between two looks whether the run is over.
-const CHECK_MICROS: Micros = 250_000;
+/// Time that the run continues after the last job has ended.
+const SETTLE_MICROS: Micros = 3_000_000;
+/// Interval at which the run checks whether a phase has ended.
+const CHECK_INTERVAL_MICROS: Micros = 250_000;
 
-/// What a run gave.
+/// Result of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcome {
-    /// The checker's findings.
+    /// The checker's report: violations and totals.
     pub report: Report,
-    /// What was seen.
+    /// Observations of the run, in the order of time.
     pub history: Vec<Observation>,
-    /// The decision log of all leaders.
+    /// Decision logs of all leaders.
     #[serde(skip)]
     pub decisions: Vec<TimedDecision>,
-    /// SHA-256 of the history, in hex: equal for equal runs.
+    /// SHA-256 of the history in hex, the same for each run of a plan.
     pub digest: String,
-    /// Events handled.
+    /// Number of events handled.
     pub events: u64,
-    /// Daemons that could not go on, and why.
+    /// Failures outside the history, such as a daemon that cannot start.
     pub broken: Vec<String>,
-    /// Virtual time of the run.
+    /// Duration of the run in virtual time.
     pub virtual_time: Milliseconds,
-    /// Longest wait of a message that keeps leases and sessions alive, where the plan
-    /// charges for the work of coordinators.
+    /// Longest wait of a message that keeps leases and sessions alive for a busy
+    /// coordinator; 0 if the plan sets no processor time.
     #[serde(rename = "longest_liveness_wait")]
     pub max_liveness_wait: Milliseconds,
 }
 
 impl Outcome {
-    /// Returns whether no promise broke and no daemon gave up.
+    /// Returns whether the run has neither violations nor failures.
     pub fn is_good(&self) -> bool {
         self.report.violations.is_empty() && self.broken.is_empty()
     }
 }
 
-/// Runs a plan.
+/// Runs a plan and checks its history.
 ///
 /// # Errors
 ///
 /// Fails if a name of the plan is not valid.
 pub fn run(plan: &Plan) -> Result<Outcome, types::InvalidName> {
     let mut cluster = build(plan)?;
-    if reach_service(&mut cluster) {
+    if wait_for_service(&mut cluster) {
         let start = cluster.now;
         let heal_at = schedule_plan(&mut cluster, plan, start);
         while cluster.step(heal_at) {}
         finish_work(&mut cluster, plan);
     } else {
         cluster
-            .broken
-            .push("the fleet never came into service".to_owned());
+            .failures
+            .push("the fleet was not in service within 60 s".to_owned());
     }
     cluster.observe("run", checker::Event::Finished);
-    Ok(conclude(cluster))
+    Ok(check_run(cluster))
 }
 
-/// Steps until the first configuration stands everywhere.
-fn reach_service(cluster: &mut SimulatedCluster) -> bool {
+/// Steps until the first configuration is acknowledged, and for 1 s more, so that it reaches
+/// all daemons. Returns false if that takes longer than [`FIRST_SERVICE_MICROS`].
+fn wait_for_service(cluster: &mut SimulatedCluster) -> bool {
     while cluster.now < FIRST_SERVICE_MICROS {
-        let until = cluster.now + CHECK_MICROS;
+        let until = cluster.now + CHECK_INTERVAL_MICROS;
         while cluster.step(until) {}
-        if cluster.operators[0].known.0 > 0 {
-            let settle = cluster.now + 1_000_000;
-            while cluster.step(settle) {}
-            let known = cluster.operators[0].known;
+        if cluster.operators[0].known_version.0 > 0 {
+            let settled_at = cluster.now + 1_000_000;
+            while cluster.step(settled_at) {}
+            let version = cluster.operators[0].known_version;
             let document = cluster.operators[0].document.clone();
             for operator in &mut cluster.operators {
-                operator.known = known;
+                operator.known_version = version;
                 operator.document = document.clone();
             }
             return true;
@@ -89,7 +90,7 @@
     false
 }
 
-/// Schedules load and faults; gives the moment at which all is healed.
+/// Schedules the load and the faults. Returns the virtual time at which all faults end.
 fn schedule_plan(cluster: &mut SimulatedCluster, plan: &Plan, start: Micros) -> Micros {
     cluster.load_until = start + plan.load_ms * 1_000;
     for caller in 0..cluster.callers.len() {
@@ -99,14 +100,15 @@
     for planned in &plan.faults {
         let at = start + planned.at_ms * 1_000;
         cluster.schedule(at, Event::Fault(planned.fault.clone()));
-        heal_at = heal_at.max(at + lasts_ms(&planned.fault) * 1_000);
+        heal_at = heal_at.max(at + fault_duration_ms(&planned.fault) * 1_000);
     }
     cluster.schedule(heal_at, Event::Heal);
     heal_at
 }
 
-/// How long a fault lasts.
-pub fn lasts_ms(fault: &Fault) -> u64 {
+/// Returns the maximum duration of a fault in milliseconds, up to the restart of the daemons
+/// or runners that it stops; 0 for a fault without a duration.
+pub fn fault_duration_ms(fault: &Fault) -> u64 {
     match fault {
         Fault::Kill { down_ms, .. }
         | Fault::KillCoordinators { down_ms }
@@ -137,36 +139,36 @@
     }
 }
 
-/// Lets all work end, in at most the plan's calm time.
+/// Steps until all work has ended, for the plan's calm phase at most.
 fn finish_work(cluster: &mut SimulatedCluster, plan: &Plan) {
-    let give_up = cluster.now + plan.calm_ms * 1_000;
-    while cluster.now < give_up {
-        let until = cluster.now + CHECK_MICROS;
+    let deadline = cluster.now + plan.calm_ms * 1_000;
+    while cluster.now < deadline {
+        let until = cluster.now + CHECK_INTERVAL_MICROS;
         while cluster.step(until) {}
-        let open: usize = cluster
+        let unfinished_jobs: usize = cluster
             .callers
             .iter()
             .map(|host| host.caller.unfinished())
             .sum();
-        let orders = cluster
+        let has_open_change = cluster
             .operators
             .iter()
-            .any(|host| host.open_order.is_some());
-        if open == 0 && !orders {
+            .any(|host| host.open_change.is_some());
+        if unfinished_jobs == 0 && !has_open_change {
             break;
         }
     }
-    let until = cluster.now + AFTERGLOW_MICROS;
+    let until = cluster.now + SETTLE_MICROS;
     while cluster.step(until) {}
 }
 
-fn conclude(cluster: SimulatedCluster) -> Outcome {
+fn check_run(cluster: SimulatedCluster) -> Outcome {
     let mut report = check(&cluster.history, &Limits::default());
-    for problem in &cluster.broken {
+    for failure in &cluster.failures {
         report.violations.push(Violation {
             kind: ViolationKind::ServiceNotBack,
             at: Milliseconds(cluster.now / 1_000),
-            detail: problem.clone(),
+            detail: failure.clone(),
         });
     }
     let mut hasher = Sha256::new();
@@ -182,8 +184,8 @@
     Outcome {
         report,
         digest,
-        events: cluster.handled,
-        broken: cluster.broken,
+        events: cluster.handled_events,
+        broken: cluster.failures,
         virtual_time: Milliseconds(cluster.now / 1_000),
         max_liveness_wait,
         decisions: cluster.decisions,
--- a/crates/simulation/src/runner.rs
+++ b/crates/simulation/src/runner.rs
@@ -1,45 +1,45 @@
-//! Runner hosts: emulated runners on side machines.
+//! Emulated runners on side machines.
 
 use crate::ids::{Incarnation, MachineIndex, Micros, ProcessIndex};
 use emulator::runner::{Behaviour, Runner, RunnerOptions};
 use types::{RunnerId, RunnerIncarnation};
 
-/// Lateness and loss of orders to one runner.
+/// Delay and loss of the orders to one runner and of their answers.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct OrderFaults {
-    /// Extra delay, up to this many milliseconds.
+    /// Upper bound of the random extra delay, in milliseconds.
     pub delay_ms: u64,
-    /// Orders or answers lost in a thousand.
+    /// Share of lost orders and answers, per thousand.
     pub loss_per_thousand: u32,
-    /// Until then.
+    /// Virtual time at which the fault ends.
     pub until: Micros,
 }
 
-/// A runner on its machine.
+/// An emulated runner with its machine and agent.
 pub struct RunnerHost {
-    /// Its side machine.
+    /// Side machine that the runner is on.
     pub machine: MachineIndex,
-    /// The agent beside it.
+    /// Agent on the same machine.
     pub agent: ProcessIndex,
-    /// Settings for its next incarnation.
+    /// Options for the next incarnation.
     pub options: RunnerOptions,
-    /// Its current incarnation.
+    /// Incarnation, counted up at each start and kill.
     pub incarnation: Incarnation,
-    /// The runner, while it is up.
+    /// Emulated runner; `None` while it is down.
     pub runner: Option<Runner>,
-    /// Moment of the timer in the queue.
+    /// Virtual time of the timer in the event queue; `None` if none is set.
     pub timer: Option<Micros>,
-    /// Lateness and loss of its orders.
+    /// Delay and loss of the orders to the runner.
     pub order_faults: OrderFaults,
 }
 
 impl RunnerHost {
-    /// Its name.
+    /// Returns the runner's identifier.
     pub fn id(&self) -> &RunnerId {
         &self.options.runner
     }
 
-    /// Starts it with a new incarnation.
+    /// Starts the runner with a new incarnation.
     pub fn start(&mut self, now: types::Monotonic, seed: u64) {
         self.incarnation = Incarnation(self.incarnation.0 + 1);
         self.timer = None;
@@ -49,7 +49,7 @@
         self.runner = Some(Runner::new(self.options.clone(), now));
     }
 
-    /// Ends it at once; gives the runs that died with it.
+    /// Kills the runner and returns the runs that were active on it.
     pub fn kill(&mut self) -> Vec<types::RunId> {
         self.incarnation = Incarnation(self.incarnation.0 + 1);
         match self.runner.take() {
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -1,17 +1,17 @@
-//! Cuts a failing plan down to the faults that matter.
+//! Reduction of a failing plan to the faults that cause the failure.
 
 use crate::plan::Plan;
 
-/// Removes faults one by one, and in halves first, while `fails` still holds.
-/// Runs `fails` at most `most_runs` times.
-pub fn shrink(plan: &Plan, most_runs: usize, mut fails: impl FnMut(&Plan) -> bool) -> Plan {
+/// Removes faults from a plan as long as `fails` returns true for the rest: halves first,
+/// then smaller chunks, then single faults. Calls `fails` at most `max_runs` times.
+pub fn shrink(plan: &Plan, max_runs: usize, mut fails: impl FnMut(&Plan) -> bool) -> Plan {
     let mut smallest = plan.clone();
     let mut runs = 0;
     let mut chunk = smallest.faults.len().div_ceil(2);
-    while chunk > 0 && runs < most_runs {
+    while chunk > 0 && runs < max_runs {
         let mut removed = false;
         let mut start = 0;
-        while start < smallest.faults.len() && runs < most_runs {
+        while start < smallest.faults.len() && runs < max_runs {
             let mut candidate = smallest.clone();
             let end = (start + chunk).min(candidate.faults.len());
             candidate.faults.drain(start..end);
