--- a/crates/simulation/tests/bad_days.rs
+++ b/crates/simulation/tests/bad_days.rs
@@ -1,13 +1,13 @@
-//! The five kinds of bad days that the users tell of, each brought about in a
-//! whole fleet under several seeds: users, runners, daemons, network, operators.
-//! No promise breaks, and jobs were done.
+//! The five kinds of failures that users reported, simulated in a whole fleet under
+//! several seeds: faults of callers, runners, daemons, network and operators. No guarantee
+//! may be violated, and jobs must be done.
 
 use simulation::{Behaviour, Fault, Plan, PlannedFault, run_plan};
 
 const SEEDS: std::ops::Range<u64> = 700..704;
 const LOAD_MS: u64 = 24_000;
 
-fn day(seed: u64, faults: &[(u64, Fault)]) -> Plan {
+fn faulty_plan(seed: u64, faults: &[(u64, Fault)]) -> Plan {
     let mut plan = Plan::calm(seed);
     plan.load_ms = LOAD_MS;
     plan.fleet.load_percent = 20;
@@ -21,9 +21,9 @@
     plan
 }
 
-fn assert_kept(kind: &str, faults: &[(u64, Fault)]) {
+fn assert_no_violation(kind: &str, faults: &[(u64, Fault)]) {
     for seed in SEEDS {
-        let result = run_plan(&day(seed, faults));
+        let result = run_plan(&faulty_plan(seed, faults));
         let violations = &result.report.violations;
         assert!(result.is_good(), "{kind}, seed {seed}: {violations:#?}");
         let jobs = result.report.done_jobs;
@@ -36,8 +36,8 @@
 }
 
 #[test]
-fn users_that_come_in_bursts_leave_early_and_cancel() {
-    assert_kept(
+fn submit_bursts_and_cancels_violate_no_guarantee() {
+    assert_no_violation(
         "users",
         &[
             (
@@ -63,13 +63,13 @@
 }
 
 #[test]
-fn runners_that_fail_stand_still_answer_late_and_leave() {
+fn failing_stuck_slow_and_draining_runners_violate_no_guarantee() {
     let misbehave = |name: &str, behaviour| Fault::Misbehave {
         machine: machine(name),
         behaviour,
         for_ms: 8_000,
     };
-    assert_kept(
+    assert_no_violation(
         "runners",
         &[
             (2_000, misbehave("side-0", Behaviour::FailsAll)),
@@ -103,8 +103,8 @@
 }
 
 #[test]
-fn daemons_that_are_killed_lose_power_or_disk_and_freeze() {
-    assert_kept(
+fn daemon_crashes_disk_losses_and_freezes_violate_no_guarantee() {
+    assert_no_violation(
         "daemons",
         &[
             (
@@ -150,8 +150,8 @@
 }
 
 #[test]
-fn a_network_that_splits_cuts_one_way_loses_and_doubles() {
-    assert_kept(
+fn partitions_message_loss_and_duplication_violate_no_guarantee() {
+    assert_no_violation(
         "network",
         &[
             (
@@ -190,12 +190,12 @@
 }
 
 #[test]
-fn operators_that_race_storm_and_err_while_leaders_go() {
+fn configuration_races_during_leader_failures_violate_no_guarantee() {
     let kill = |name: &str| Fault::Kill {
         machine: machine(name),
         down_ms: 1_000,
     };
-    assert_kept(
+    assert_no_violation(
         "operators",
         &[
             (2_000, Fault::RaceOperators),
--- a/crates/simulation/tests/behind.rs
+++ b/crates/simulation/tests/behind.rs
@@ -1,14 +1,15 @@
-//! A leader whose work takes time, at many times the load that its runners hold: what
-//! keeps leases and sessions alive does not wait, and all work ends.
+//! A leader on a slow processor, under a load that exceeds the capacity of its runners many
+//! times. Guards against messages that renew leases and sessions waiting behind other work,
+//! which makes an overloaded leader lose its sessions. All work must end.
 
 use simulation::{Fault, Mutation, Outcome, Plan, PlannedFault, Processing, run};
 use types::Milliseconds;
 
-/// A session of the simulated fleet lasts this long.
+/// Session lease of the simulated fleet.
 const SESSION_LEASE: Milliseconds = Milliseconds(1_500);
 
-/// A large fleet under a burst; the leader's processor is slow.
-fn day(seed: u64) -> Plan {
+/// Returns a plan of a large fleet under a burst, with a slow processor of the leader.
+fn overload_plan(seed: u64) -> Plan {
     let mut plan = Plan::calm(seed);
     plan.load_ms = 8_000;
     plan.calm_ms = 240_000;
@@ -33,9 +34,9 @@
     plan
 }
 
-fn show(name: &str, outcome: &Outcome) {
+fn print_result(name: &str, outcome: &Outcome) {
     println!(
-        "{name}: liveness waited {}, {} jobs done, {} violations",
+        "{name}: longest liveness wait {}, {} jobs done, {} violations",
         outcome.max_liveness_wait,
         outcome.report.done_jobs,
         outcome.report.violations.len()
@@ -43,27 +44,27 @@
 }
 
 #[test]
-fn a_leader_behind_its_work_keeps_its_sessions() {
+fn overloaded_leader_renews_sessions_in_time() {
     for seed in [61, 62] {
-        let outcome = run(&day(seed)).unwrap();
-        show("as it is", &outcome);
+        let outcome = run(&overload_plan(seed)).unwrap();
+        print_result("lanes and bounded scans", &outcome);
         assert!(outcome.is_good(), "{:#?}", outcome.report.violations);
         let waited = outcome.max_liveness_wait;
         assert!(waited.0 * 5 < SESSION_LEASE.0, "seed {seed}: {waited}");
     }
 }
 
-// Seeds in which the mutated day breaks a promise, and so 8 of the 12 from 61 to 72 do;
-// the wait shows in each.
+// The plan violates a guarantee under these two seeds and under 8 of the 12 seeds from 61
+// to 72. The long wait occurs under each of them.
 #[test]
-fn with_one_queue_and_a_look_at_everything_promises_break() {
+fn overloaded_leader_with_single_queue_and_full_scans_violates_guarantees() {
     for seed in [63, 64] {
-        let mut plan = day(seed);
+        let mut plan = overload_plan(seed);
         plan.processing.single_queue = true;
         plan.mutation = Some(Mutation::ScanAll);
         let outcome = run(&plan).unwrap();
-        show("one queue, all looked at", &outcome);
-        assert!(!outcome.is_good(), "seed {seed}: nothing broke");
+        print_result("single queue, full scans", &outcome);
+        assert!(!outcome.is_good(), "seed {seed}: no violation");
         let waited = outcome.max_liveness_wait;
         assert!(waited.0 * 3 > SESSION_LEASE.0, "seed {seed}: {waited}");
     }
--- a/crates/simulation/tests/core_cuts.rs
+++ b/crates/simulation/tests/core_cuts.rs
@@ -1,16 +1,17 @@
-//! The core cut into halves, and a minority that missed what was acknowledged while
-//! the others are lost or dark: nothing acknowledged is shown in an older state.
+//! Partitions between the coordinators. Guards against a minority that missed acknowledged
+//! changes and answers with an older state, also while the other coordinators are down or
+//! lose a disk.
 
 use simulation::{Fault, Plan, PlannedFault, run_plan};
 
 const SEEDS: std::ops::Range<u64> = 5_200..5_206;
 
-fn names(numbers: &[usize]) -> Vec<String> {
+fn coordinator_names(numbers: &[usize]) -> Vec<String> {
     let names = numbers.iter().map(|number| format!("coordinator-{number}"));
     names.collect()
 }
 
-fn day(seed: u64, faults: Vec<(u64, Fault)>) -> Plan {
+fn faulty_plan(seed: u64, faults: Vec<(u64, Fault)>) -> Plan {
     let mut plan = Plan::calm(seed);
     plan.load_ms = 20_000;
     plan.calm_ms = 60_000;
@@ -21,10 +22,10 @@
     plan
 }
 
-fn assert_kept(faults: impl Fn(usize) -> Vec<(u64, Fault)>) {
+fn assert_no_violation(faults: impl Fn(usize) -> Vec<(u64, Fault)>) {
     for seed in SEEDS {
         let first = usize::try_from(seed % 5).unwrap();
-        let result = run_plan(&day(seed, faults(first)));
+        let result = run_plan(&faulty_plan(seed, faults(first)));
         let violations = &result.report.violations;
         assert!(result.is_good(), "seed {seed}: {violations:#?}");
         assert!(result.report.done_jobs > 20, "seed {seed}");
@@ -32,14 +33,14 @@
 }
 
 #[test]
-fn halves_of_the_core_cut_apart_while_operators_race() {
-    assert_kept(|first| {
-        let half = names(&[first, (first + 1) % 5]);
+fn partitioned_coordinators_violate_no_guarantee_while_operators_race() {
+    assert_no_violation(|first| {
+        let minority = coordinator_names(&[first, (first + 1) % 5]);
         vec![
             (
                 5_000,
                 Fault::Split {
-                    machines: half,
+                    machines: minority,
                     for_ms: 5_000,
                 },
             ),
@@ -51,11 +52,11 @@
 }
 
 #[test]
-fn a_minority_that_missed_changes_does_not_serve_while_the_others_are_lost_or_dark() {
-    assert_kept(|first| {
-        let behind = names(&[first, (first + 1) % 5]);
-        let others = names(&[(first + 2) % 5, (first + 3) % 5, (first + 4) % 5]);
-        let dark = |machine: &String| Fault::Kill {
+fn outdated_minority_does_not_serve_while_other_coordinators_are_down() {
+    assert_no_violation(|first| {
+        let outdated = coordinator_names(&[first, (first + 1) % 5]);
+        let others = coordinator_names(&[(first + 2) % 5, (first + 3) % 5, (first + 4) % 5]);
+        let kill = |machine: &String| Fault::Kill {
             machine: machine.clone(),
             down_ms: 5_000,
         };
@@ -63,7 +64,7 @@
             (
                 5_000,
                 Fault::Split {
-                    machines: behind,
+                    machines: outdated,
                     for_ms: 5_000,
                 },
             ),
@@ -76,8 +77,8 @@
                     down_ms: 600,
                 },
             ),
-            (9_000, dark(&others[1])),
-            (9_000, dark(&others[2])),
+            (9_000, kill(&others[1])),
+            (9_000, kill(&others[2])),
         ]
     });
 }
--- a/crates/simulation/tests/golden_totals.rs
+++ b/crates/simulation/tests/golden_totals.rs
@@ -1,10 +1,9 @@
-//! A change of the code that is to leave the behaviour alone leaves these figures
-//! alone: the same seeds give the same totals, and the same history to the byte.
-//!
-//! The totals are those of `lab simulate --seeds 8 --first-seed 5000000
-//! --load-percent 100 --output json`; the history is what its `--history FILE`
-//! writes. A change that is meant to alter decisions, messages or the format of
-//! the history records new figures here and says so in its commit.
+//! Guards against unintended changes of behaviour: fixed seeds must produce the recorded
+//! totals, and the first one the recorded history to the byte. The totals are those of
+//! `lab simulate --seeds 8 --first-seed 5000000 --load-percent 100 --output json`, the
+//! history is the one that its `--history FILE` writes. A change that alters decisions,
+//! messages or the format of the history on purpose updates the figures here and states
+//! this in its commit.
 
 use checker::write_history;
 use sha2::{Digest, Sha256};
@@ -13,7 +12,7 @@
 const FIRST_SEED: u64 = 5_000_000;
 const SEEDS: u64 = 8;
 const LOAD_PERCENT: u32 = 100;
-/// The totals do not depend on it.
+/// Number of threads, which does not affect the totals.
 const THREADS: usize = 4;
 
 const EXPECTED_TOTALS: Totals = Totals {
@@ -24,17 +23,18 @@
     repeated_unreported: 14,
     retried_unreported: 0,
     not_run: 0,
-    broken_promises: 0,
+    violated_guarantees: 0,
     failed_seeds: 0,
 };
 
-/// The history of the first seed: the counts say, when the digest differs, whether events are missing
-/// or only written in another way.
+/// Observations in the history of the first seed. If only the digest differs, this number
+/// and the number of bytes show whether observations are missing or have another format.
 const EXPECTED_OBSERVATIONS: usize = 34_858;
 const EXPECTED_BYTES: usize = 5_355_622;
 const EXPECTED_SHA256: &str = "33f64d9d371136bfc0a8499bdfc7b0ddd70e1fe9b02fbc8f252ed693c41ffd10";
 
-/// All numbers of a campaign's summary.
+/// Figures of a campaign's summary. `violated_guarantees` counts each kind of
+/// violation once per seed.
 #[derive(Debug, PartialEq, Eq)]
 struct Totals {
     seeds: u64,
@@ -44,7 +44,7 @@
     repeated_unreported: u64,
     retried_unreported: u64,
     not_run: u64,
-    broken_promises: u64,
+    violated_guarantees: u64,
     failed_seeds: usize,
 }
 
@@ -58,13 +58,13 @@
             repeated_unreported: summary.repeated_unreported,
             retried_unreported: summary.retried_unreported,
             not_run: summary.not_run,
-            broken_promises: summary.broken.values().sum(),
+            violated_guarantees: summary.broken.values().sum(),
             failed_seeds: summary.failed.len(),
         }
     }
 }
 
-fn planner() -> PlannerOptions {
+fn planner_options() -> PlannerOptions {
     PlannerOptions {
         fleet: FleetSize {
             load_percent: LOAD_PERCENT,
@@ -79,12 +79,12 @@
 }
 
 #[test]
-fn the_seeds_give_the_recorded_totals() {
+fn seeds_produce_recorded_totals() {
     let campaign = Campaign {
         first_seed: FIRST_SEED,
         seeds: SEEDS,
         threads: THREADS,
-        planner: planner(),
+        planner: planner_options(),
         mutation: None,
     };
     let summary = run_campaign(&campaign, |_| {});
@@ -92,8 +92,8 @@
 }
 
 #[test]
-fn the_first_seed_gives_the_recorded_history_to_the_byte() {
-    let plan = plan_from_seed(FIRST_SEED, &planner());
+fn first_seed_produces_recorded_history_to_the_byte() {
+    let plan = plan_from_seed(FIRST_SEED, &planner_options());
     let outcome = run(&plan).unwrap();
     let mut written = Vec::new();
     write_history(&mut written, &outcome.history).unwrap();
--- a/crates/simulation/tests/lossy_links.rs
+++ b/crates/simulation/tests/lossy_links.rs
@@ -1,5 +1,6 @@
-//! The links of one coordinator lose packets, each one's in a run of its own: a leader
-//! there transfers leadership, fewer submits are late for it, and no promise breaks.
+//! Packet loss on all links of one coordinator, with one run for each coordinator. Guards
+//! against a leader that stays on such a machine and delays submits. With the transfer of
+//! leadership fewer submits are late, and no guarantee is violated.
 
 use checker::Event;
 use simulation::{Fault, Outcome, Plan, PlannedFault, run};
@@ -7,16 +8,17 @@
 
 const SEEDS: std::ops::Range<u64> = 40..43;
 const COORDINATORS: usize = 5;
-/// The links are bad for so long.
-const SPELL_MS: u64 = 12_000;
-/// An acknowledgement that takes longer is late: a lost packet takes 250 ms.
+/// Duration of the packet loss.
+const LOSS_MS: u64 = 12_000;
+/// Wait for an acknowledgement from which on a submit counts as late. A lost packet delays
+/// it by 250 ms.
 const LATE_MS: u64 = 200;
 
-fn day(seed: u64, lossy: usize, transfer_when_degraded: bool) -> Plan {
+fn lossy_plan(seed: u64, lossy: usize, transfer_when_degraded: bool) -> Plan {
     let mut plan = Plan::calm(seed);
     plan.transfer_when_degraded = transfer_when_degraded;
     plan.fleet.coordinators = COORDINATORS;
-    plan.load_ms = 2_000 + SPELL_MS;
+    plan.load_ms = 2_000 + LOSS_MS;
     plan.fleet.load_percent = 40;
     plan.faults = vec![PlannedFault {
         at_ms: 2_000,
@@ -24,14 +26,15 @@
             machine: format!("coordinator-{lossy}"),
             lost_per_thousand: 30,
             wait_ms: 250,
-            for_ms: SPELL_MS,
+            for_ms: LOSS_MS,
         },
     }];
     plan
 }
 
-/// Times from the first sending of a job to its acknowledgement, in milliseconds.
-fn waits(outcome: &Outcome) -> Vec<u64> {
+/// Returns the times from the first submit of each job to its acknowledgement, in
+/// milliseconds.
+fn submit_waits(outcome: &Outcome) -> Vec<u64> {
     let mut sent = BTreeMap::new();
     let mut waits = Vec::new();
     for observation in &outcome.history {
@@ -40,8 +43,8 @@
                 sent.entry(job.clone()).or_insert(observation.at.0);
             }
             Event::SubmitAcknowledged { job } => {
-                let begun = sent.get(job).copied().unwrap_or(observation.at.0);
-                waits.push(observation.at.0 - begun);
+                let first_sent = sent.get(job).copied().unwrap_or(observation.at.0);
+                waits.push(observation.at.0 - first_sent);
             }
             _ => {}
         }
@@ -49,14 +52,15 @@
     waits
 }
 
-fn late_in_hundred(transfer_when_degraded: bool) -> f64 {
+/// Returns the share of late submits over all runs, in percent.
+fn late_percent(transfer_when_degraded: bool) -> f64 {
     let (mut late, mut all) = (0, 0);
     for seed in SEEDS {
         for lossy in 0..COORDINATORS {
-            let outcome = run(&day(seed, lossy, transfer_when_degraded)).unwrap();
+            let outcome = run(&lossy_plan(seed, lossy, transfer_when_degraded)).unwrap();
             let violations = &outcome.report.violations;
             assert!(outcome.is_good(), "seed {seed}, {lossy}: {violations:#?}");
-            let waits = waits(&outcome);
+            let waits = submit_waits(&outcome);
             late += waits.iter().filter(|wait| **wait >= LATE_MS).count();
             all += waits.len();
         }
@@ -65,9 +69,9 @@
 }
 
 #[test]
-fn fewer_submits_are_late_where_a_badly_placed_leader_gives_way() {
-    let with = late_in_hundred(true);
-    let without = late_in_hundred(false);
-    println!("late in a hundred: {with:.2} with, {without:.2} without");
+fn leadership_transfer_halves_late_submits_on_lossy_links() {
+    let with = late_percent(true);
+    let without = late_percent(false);
+    println!("late submits: {with:.2} % with transfer, {without:.2} % without");
     assert!(with * 2.0 < without, "{with:.2} with, {without:.2} without");
 }
--- a/crates/simulation/tests/mutations.rs
+++ b/crates/simulation/tests/mutations.rs
@@ -1,32 +1,38 @@
-//! Each mechanism is needed: with it off the checker finds the promise that
-//! it keeps broken, with it on the same plan breaks none.
+//! Necessity of each mechanism: when it is disabled, the checker reports a violation of the
+//! guarantee that depends on it; when it is enabled, the same plan has no violation. Guards
+//! against mechanisms and checks that have no effect.
 
 use checker::ViolationKind;
 use simulation::{Mutation, Plan, run_plan};
 
-/// Seeds tried from the plan's own on. A message more or less shifts every
-/// draw after it, so that a plan meets its moment under one seed or the next.
+/// Number of consecutive seeds to try, from the plan's seed on. A changed number of messages
+/// shifts all later random draws, so the same plan may need another seed to hit the critical
+/// moment.
 const SEEDS: u64 = 40;
 
-/// With the mechanism no seed tried breaks anything; without it one of them
-/// breaks the promise.
-fn assert_needed(plan: &str, mutation: Mutation, promise: ViolationKind) {
+/// Asserts that under one of the seeds the mutation causes the `expected` violation, and
+/// that without the mutation no seed tried causes any.
+fn assert_needed(plan: &str, mutation: Mutation, expected: ViolationKind) {
     let mut plan = Plan::parse(plan).unwrap();
     let first = plan.seed;
     let mut found = Vec::new();
     for seed in first..first + SEEDS {
         plan.seed = seed;
         plan.mutation = None;
-        let kept = run_plan(&plan);
-        assert!(kept.is_good(), "{seed}: {:#?}", kept.report.violations);
+        let unmutated = run_plan(&plan);
+        assert!(
+            unmutated.is_good(),
+            "{seed}: {:#?}",
+            unmutated.report.violations
+        );
         plan.mutation = Some(mutation);
-        let broken = run_plan(&plan);
-        if broken.breaks(promise) {
+        let mutated = run_plan(&plan);
+        if mutated.breaks(expected) {
             return;
         }
-        found.extend(broken.report.violations);
+        found.extend(mutated.report.violations);
     }
-    panic!("not noticed under {SEEDS} seeds: {found:#?}");
+    panic!("no {expected:?} under {SEEDS} seeds: {found:#?}");
 }
 
 macro_rules! plan {
@@ -36,7 +42,7 @@
 }
 
 #[test]
-fn without_a_void_before_a_second_try_the_checker_finds_a_start_sent_twice() {
+fn resend_without_revocation_causes_double_start() {
     assert_needed(
         plan!("resend_start_instead_of_void"),
         Mutation::ResendStartInsteadOfRevoke,
@@ -45,7 +51,7 @@
 }
 
 #[test]
-fn without_waiting_for_the_void_the_checker_finds_overlapping_runs() {
+fn close_of_unanswered_start_without_revocation_causes_overlapping_runs() {
     assert_needed(
         plan!("close_unanswered_start"),
         Mutation::CloseUnansweredStart,
@@ -54,7 +60,7 @@
 }
 
 #[test]
-fn without_the_lease_check_the_checker_finds_overlapping_runs() {
+fn missing_lease_check_causes_overlapping_runs() {
     assert_needed(
         plan!("skip_lease_check"),
         Mutation::SkipLeaseCheck,
@@ -63,7 +69,7 @@
 }
 
 #[test]
-fn without_the_commit_before_the_acknowledgement_the_checker_finds_a_lost_job() {
+fn acknowledgement_before_commit_causes_lost_job() {
     assert_needed(
         plan!("acknowledge_before_commit"),
         Mutation::AcknowledgeBeforeCommit,
@@ -72,7 +78,7 @@
 }
 
 #[test]
-fn without_the_wait_for_a_silent_runner_the_checker_finds_a_repeated_task() {
+fn early_expiry_of_runs_causes_repeated_task() {
     assert_needed(
         plan!("expire_runs_early"),
         Mutation::ExpireRunsEarly,
@@ -81,7 +87,7 @@
 }
 
 #[test]
-fn without_tombstones_the_checker_finds_a_repeated_task() {
+fn missing_tombstones_cause_repeated_task() {
     assert_needed(
         plan!("no_tombstones"),
         Mutation::NoTombstones,
@@ -90,7 +96,7 @@
 }
 
 #[test]
-fn without_the_term_fence_of_runners_the_checker_finds_a_stale_order() {
+fn missing_term_fence_of_runner_causes_stale_order() {
     assert_needed(
         plan!("no_runner_term_fence"),
         Mutation::NoRunnerTermFence,
@@ -99,7 +105,7 @@
 }
 
 #[test]
-fn without_the_basis_check_the_checker_finds_a_repeated_task() {
+fn missing_heartbeat_check_causes_repeated_task() {
     assert_needed(
         plan!("no_basis_check"),
         Mutation::NoHeartbeatCheck,
@@ -108,7 +114,7 @@
 }
 
 #[test]
-fn without_the_self_stop_of_runners_the_checker_finds_overlapping_runs() {
+fn missing_self_stop_of_runner_causes_overlapping_runs() {
     assert_needed(
         plan!("no_self_stop"),
         Mutation::NoSelfStop,
@@ -117,7 +123,7 @@
 }
 
 #[test]
-fn without_the_sync_before_the_acknowledgement_the_checker_finds_a_lost_job() {
+fn acknowledgement_before_sync_causes_lost_job() {
     assert_needed(
         plan!("acknowledge_before_sync"),
         Mutation::AcknowledgeBeforeSync,
@@ -126,7 +132,7 @@
 }
 
 #[test]
-fn without_a_new_identity_for_an_empty_disk_the_checker_finds_a_lost_job() {
+fn old_identity_on_empty_disk_causes_lost_job() {
     assert_needed(
         plan!("keep_identity_on_empty_disk"),
         Mutation::KeepIdentityOnEmptyDisk,
@@ -135,7 +141,7 @@
 }
 
 #[test]
-fn without_compare_and_set_the_checker_finds_two_winners() {
+fn missing_version_check_causes_two_winners() {
     assert_needed(
         plan!("any_configuration_version"),
         Mutation::AnyConfigurationVersion,
@@ -144,7 +150,7 @@
 }
 
 #[test]
-fn without_counting_failures_the_checker_finds_a_task_retried_past_its_allowance() {
+fn uncounted_failures_cause_retry_past_allowed() {
     assert_needed(
         plan!("forget_failures"),
         Mutation::ForgetFailures,
@@ -153,7 +159,7 @@
 }
 
 #[test]
-fn without_stopping_the_rest_of_a_gang_the_checker_finds_it_apart() {
+fn missing_stop_of_gang_causes_gang_violation() {
     assert_needed(
         plan!("keep_rest_of_gang"),
         Mutation::KeepRestOfGang,
@@ -162,7 +168,7 @@
 }
 
 #[test]
-fn without_one_job_for_each_identifier_the_checker_finds_overlapping_runs() {
+fn duplicate_job_of_resent_submit_causes_overlapping_runs() {
     assert_needed(
         plan!("resent_submit_is_new"),
         Mutation::ResentSubmitIsNew,
--- a/crates/simulation/tests/plans.rs
+++ b/crates/simulation/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Plans as text, and cutting them down.
+//! Plans: encoding as text, errors of parsing, and shrinking.
 
 use checker::ViolationKind;
 use simulation::{
@@ -7,7 +7,7 @@
 };
 
 #[test]
-fn a_plan_is_the_same_after_its_text() {
+fn plan_survives_round_trip_through_text() {
     for seed in 0..200 {
         let mut plan = plan_from_seed(seed, &PlannerOptions::default());
         plan.mutation = Mutation::ALL.get(usize::try_from(seed).unwrap()).copied();
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_mutation_is_read_by_the_name_it_shows() {
+fn mutation_parses_from_its_displayed_name() {
     for mutation in Mutation::ALL {
         assert_eq!(mutation.to_string().parse(), Ok(mutation));
     }
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_machine_that_the_fleet_lacks_is_named() {
+fn unknown_machine_is_named_in_error() {
     let text =
         "seed = 1\n[[faults]]\nat_ms = 5\nfault = \"freeze\"\nmachine = \"side-99\"\nfor_ms = 1\n";
     let error = Plan::parse(text).unwrap_err();
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn a_text_that_is_no_plan_is_refused_with_its_place() {
-    for (text, named) in [
+fn invalid_plan_is_rejected_with_offending_name() {
+    for (text, expected) in [
         ("seed = 1\nload = 3\n", "load"),
         (
             "seed = 1\n[[faults]]\nat_ms = 5\nfault = \"melt\"\n",
@@ -51,22 +51,22 @@
         ("load_ms = 3\n", "seed"),
     ] {
         let error = Plan::parse(text).unwrap_err().to_string();
-        assert!(error.contains(named), "{error}");
+        assert!(error.contains(expected), "{error}");
     }
 }
 
-fn harmless(at_ms: u64) -> PlannedFault {
+fn irrelevant_fault(at_ms: u64) -> PlannedFault {
     let fault = Fault::CancelBatch { count: 1 };
     PlannedFault { at_ms, fault }
 }
 
 #[test]
-fn shrinking_leaves_the_fault_that_matters() {
+fn shrink_keeps_only_fault_that_causes_violation() {
     let text = include_str!("plans/any_configuration_version.toml");
     let mut plan = Plan::parse(text).unwrap();
     plan.mutation = Some(Mutation::AnyConfigurationVersion);
     for at_ms in [500, 700, 2_500, 3_500] {
-        plan.faults.push(harmless(at_ms));
+        plan.faults.push(irrelevant_fault(at_ms));
     }
     plan.faults.sort_by_key(|planned| planned.at_ms);
     let fails = |plan: &Plan| run_plan(plan).breaks(ViolationKind::TwoWinners);
--- a/crates/simulation/tests/runs.rs
+++ b/crates/simulation/tests/runs.rs
@@ -1,11 +1,11 @@
-//! Runs repeat to the byte, and no promise breaks over a fixed set of seeds.
+//! Determinism of runs, and a fixed set of seeds under which no guarantee may be violated.
 
 use simulation::{FleetSize, Plan, PlannerOptions, plan_from_seed, run, run_plan};
 
-/// Seeds run in every test run.
+/// Seeds of the plans that must not violate a guarantee.
 const SEEDS: std::ops::Range<u64> = 5_000..5_016;
 
-fn options() -> PlannerOptions {
+fn planner_options() -> PlannerOptions {
     PlannerOptions {
         fleet: FleetSize {
             load_percent: 8,
@@ -17,13 +17,13 @@
 }
 
 fn faulty_plan(seed: u64) -> Plan {
-    let mut plan = plan_from_seed(seed, &options());
+    let mut plan = plan_from_seed(seed, &planner_options());
     plan.load_ms = 8_000;
     plan
 }
 
 #[test]
-fn the_same_plan_gives_the_same_history() {
+fn same_plan_produces_same_history() {
     for seed in [1, 2, 3, 4] {
         let plan = faulty_plan(seed);
         let first = run(&plan).unwrap();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn other_seeds_give_other_histories() {
+fn different_seeds_produce_different_histories() {
     let first = run(&Plan {
         seed: 1,
         ..faulty_plan(1)
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn no_promise_breaks_over_the_fixed_seeds() {
+fn fixed_seeds_violate_no_guarantee() {
     for seed in SEEDS {
-        let result = run_plan(&plan_from_seed(seed, &options()));
+        let result = run_plan(&plan_from_seed(seed, &planner_options()));
         assert!(
             result.is_good(),
             "seed {seed}: {:?} {:#?}\n{}",
