--- a/crates/emulator/examples/runner.rs
+++ b/crates/emulator/examples/runner.rs
@@ -1,12 +1,12 @@
-//! One emulated runner beside a running agent, for trying a fleet by hand:
+//! Runs one emulated runner against a running agent, to try out a fleet by hand:
 //!
 //! ```text
-//! cargo run --release -p standin --example runner -- stills-1 stills http://127.0.0.1:7480
+//! cargo run --release -p emulator --example runner -- stills-1 stills http://127.0.0.1:7480
 //! ```
 //!
-//! The arguments are its name, its pool, the URL of its agent and, where keys
-//! are in force, a file with the bearer token of a runner. It takes orders on a
-//! loopback port of the system's choice, and prints what happens in it.
+//! The arguments are the name of the runner, its pool, the URL of its agent and,
+//! if keys are in use, a file with the bearer token of a runner. The runner
+//! accepts orders on a free loopback port, and prints its events.
 
 use emulator::runner::{Behaviour, RunnerEvent, RunnerOptions};
 use emulator::shell::RunnerServer;
@@ -15,7 +15,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use types::{Labels, PoolName, RackName, Resources, RunnerId, RunnerIncarnation};
 
-/// All that the runner has.
+/// Total resources of the runner.
 const CAPACITY: Resources = Resources {
     slots: 8,
     cpu_milli: 16_000,
@@ -45,7 +45,8 @@
     Ok(())
 }
 
-/// Each start is another incarnation, so its number is the time of the start.
+/// Returns the options of the runner. Each start of the program must be a new
+/// incarnation, so its number is the start time in milliseconds.
 fn options(name: &str, pool: &str) -> Result<RunnerOptions, Box<dyn Error>> {
     let started = SystemTime::now().duration_since(UNIX_EPOCH)?;
     let incarnation = u64::try_from(started.as_millis())?;
@@ -66,7 +67,7 @@
     match event {
         RunnerEvent::Started(run) => println!("started {} of job {}", run.run, run.job.job),
         RunnerEvent::Ended { run, outcome } => println!("ended {run}: {outcome:?}"),
-        RunnerEvent::EndRecorded { run } => println!("the record has the end of {run}"),
-        RunnerEvent::AcceptedStale(order) => println!("took an order of term {}", order.term),
+        RunnerEvent::EndRecorded { run } => println!("end of {run} is recorded"),
+        RunnerEvent::AcceptedStale(order) => println!("accepted stale term {}", order.term),
     }
 }
--- a/crates/emulator/src/caller.rs
+++ b/crates/emulator/src/caller.rs
@@ -1,59 +1,62 @@
-//! An emulated caller: sends a job until it is acknowledged or rejected for
-//! good, asks for its state until it is final, and waits when told when to
-//! come back.
+//! Emulated caller.
+//!
+//! It submits each job until the job is acknowledged or finally rejected, then
+//! polls its state until that is final. A rejection with a retry delay is
+//! honoured.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use types::{JobKey, JobState, Milliseconds, Monotonic};
 
-/// Minimum time without an answer after which a request is sent again.
+/// Minimum time without an answer before a request is sent again.
 const RESEND_AFTER: Milliseconds = Milliseconds(1_000);
-/// Most that a draw adds to [`RESEND_AFTER`].
+/// Maximum random time added to [`RESEND_AFTER`], in milliseconds.
 const RESEND_JITTER_MS: u64 = 1_000;
-/// Most that a draw adds to a time to come back, beyond a quarter of it.
+/// Maximum random time added to a retry, in milliseconds. A retry delay given
+/// by the server adds up to a quarter of its length on top.
 const RETRY_JITTER_MS: u64 = 50;
-/// First wait between an acknowledgement and the question for the state.
+/// Delay between an acknowledgement and the first poll of the state.
 const FIRST_POLL: Milliseconds = Milliseconds(200);
-/// Longest wait between two questions for the state.
+/// Maximum delay between two polls of the state.
 const MAX_POLL: Milliseconds = Milliseconds(2_000);
 
-/// What the caller wants sent now.
+/// Request that the caller has to send now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallerAction {
-    /// Send, or send again, the submit.
+    /// Submit the job, for the first time or again.
     Submit(JobKey),
-    /// Ask for the state.
+    /// Poll the state of the job.
     Ask(JobKey),
 }
 
-/// The answer that the caller received.
+/// Answer to a request of the caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallerAnswer {
     /// The submit is acknowledged.
     Acknowledged,
-    /// Rejected; come back after this time.
+    /// The request is rejected and may be retried after this delay.
     RetryAfter(Milliseconds),
-    /// Rejected for good.
+    /// The submit is rejected and must not be retried.
     Rejected,
-    /// The job's state.
+    /// Current state of the job.
     State(JobState),
-    /// No such job.
+    /// The server has no such job.
     Unknown,
-    /// No answer in time.
+    /// The request timed out without an answer.
     TimedOut,
 }
 
-/// How far a job has come.
+/// Progress of a job at the caller.
 #[derive(Debug, Clone, Copy)]
 enum Phase {
     Submitting,
-    /// Acknowledged; the wait before the next question.
+    /// The submit is acknowledged. Holds the current poll interval.
     Polling(Milliseconds),
 }
 
 #[derive(Debug)]
-struct Followed {
+struct TrackedJob {
     phase: Phase,
     next: Monotonic,
 }
@@ -62,7 +65,7 @@
 #[derive(Debug)]
 pub struct Caller {
     random: ChaCha8Rng,
-    jobs: BTreeMap<JobKey, Followed>,
+    jobs: BTreeMap<JobKey, TrackedJob>,
     schedule: BTreeSet<(Monotonic, JobKey)>,
 }
 
@@ -73,7 +76,7 @@
 }
 
 impl Caller {
-    /// A caller without jobs.
+    /// Creates a caller without jobs. `seed` determines the jitter of resends.
     pub fn new(seed: u64) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -82,16 +85,17 @@
         }
     }
 
-    /// Begins to follow a job; one that is followed already stays as it is.
+    /// Starts to follow a job. Has no effect on a job that is already followed.
     pub fn follow(&mut self, job: JobKey, now: Monotonic) {
         if self.jobs.contains_key(&job) {
             return;
         }
-        self.plan(job, Phase::Submitting, now);
+        self.reschedule(job, Phase::Submitting, now);
     }
 
-    /// What to send now. Each request is due again after a time-out, so an
-    /// answer that never comes needs no call of [`Caller::answered`].
+    /// Returns the requests that are due, and schedules each to be sent again
+    /// after one to two seconds. A lost answer therefore needs no call of
+    /// [`Caller::answered`].
     pub fn actions(&mut self, now: Monotonic) -> Vec<CallerAction> {
         let mut actions = Vec::new();
         while let Some((at, _)) = self.schedule.first()
@@ -100,72 +104,73 @@
             let Some((_, job)) = self.schedule.pop_first() else {
                 break;
             };
-            let Some(phase) = self.jobs.get(&job).map(|followed| followed.phase) else {
+            let Some(phase) = self.jobs.get(&job).map(|tracked| tracked.phase) else {
                 continue;
             };
             actions.push(match phase {
                 Phase::Submitting => CallerAction::Submit(job.clone()),
                 Phase::Polling(_) => CallerAction::Ask(job.clone()),
             });
-            let again = now + RESEND_AFTER + self.draw(RESEND_JITTER_MS);
-            self.plan(job, phase, again);
+            let resend_at = now + RESEND_AFTER + self.draw(RESEND_JITTER_MS);
+            self.reschedule(job, phase, resend_at);
         }
         actions
     }
 
-    /// Takes an answer about a job. Answers that came late change nothing
-    /// that a newer one has settled.
+    /// Processes an answer about a job. It is ignored if the job is no longer
+    /// followed, and a late answer never moves a job back to an earlier phase.
     pub fn answered(&mut self, job: &JobKey, answer: CallerAnswer, now: Monotonic) {
-        let Some(phase) = self.jobs.get(job).map(|followed| followed.phase) else {
+        let Some(phase) = self.jobs.get(job).map(|tracked| tracked.phase) else {
             return;
         };
         match (answer, phase) {
-            (CallerAnswer::Rejected, _) => self.forget(job),
-            (CallerAnswer::State(state), _) if state.is_final() => self.forget(job),
+            (CallerAnswer::Rejected, _) => self.untrack(job),
+            (CallerAnswer::State(state), _) if state.is_final() => self.untrack(job),
             (CallerAnswer::Acknowledged | CallerAnswer::State(_), Phase::Submitting) => {
-                self.plan(job.clone(), Phase::Polling(FIRST_POLL), now + FIRST_POLL);
+                self.reschedule(job.clone(), Phase::Polling(FIRST_POLL), now + FIRST_POLL);
             }
             (CallerAnswer::Acknowledged, Phase::Polling(_)) => {}
             (CallerAnswer::State(_) | CallerAnswer::Unknown, Phase::Polling(wait)) => {
-                let longer = Milliseconds(wait.0 * 3 / 2).min(MAX_POLL);
-                self.plan(job.clone(), Phase::Polling(longer), now + longer);
+                let next_wait = Milliseconds(wait.0 * 3 / 2).min(MAX_POLL);
+                self.reschedule(job.clone(), Phase::Polling(next_wait), now + next_wait);
             }
             (CallerAnswer::RetryAfter(wait), _) => {
                 let jitter = self.draw(wait.0 / 4 + RETRY_JITTER_MS);
-                self.plan(job.clone(), phase, now + wait + jitter);
+                self.reschedule(job.clone(), phase, now + wait + jitter);
             }
             (CallerAnswer::TimedOut, _) | (CallerAnswer::Unknown, Phase::Submitting) => {
-                let again = now + self.draw(RETRY_JITTER_MS);
-                self.plan(job.clone(), phase, again);
+                let retry_at = now + self.draw(RETRY_JITTER_MS);
+                self.reschedule(job.clone(), phase, retry_at);
             }
         }
     }
 
-    /// Jobs not final yet.
+    /// Returns the number of jobs that are not final yet.
     pub fn unfinished(&self) -> usize {
         self.jobs.len()
     }
 
-    /// When [`Caller::actions`] has something next.
+    /// Returns when [`Caller::actions`] next has a request to send. `None` when no
+    /// job is followed.
     pub fn next_wakeup(&self) -> Option<Monotonic> {
         self.schedule.first().map(|(at, _)| *at)
     }
 
-    fn draw(&mut self, most: u64) -> Milliseconds {
-        Milliseconds(self.random.random_range(0..=most))
+    fn draw(&mut self, max_ms: u64) -> Milliseconds {
+        Milliseconds(self.random.random_range(0..=max_ms))
     }
 
-    fn plan(&mut self, job: JobKey, phase: Phase, next: Monotonic) {
-        let followed = Followed { phase, next };
-        if let Some(before) = self.jobs.insert(job.clone(), followed) {
-            self.schedule.remove(&(before.next, job.clone()));
+    fn reschedule(&mut self, job: JobKey, phase: Phase, next: Monotonic) {
+        let tracked = TrackedJob { phase, next };
+        if let Some(previous) = self.jobs.insert(job.clone(), tracked) {
+            self.schedule.remove(&(previous.next, job.clone()));
         }
         self.schedule.insert((next, job));
     }
 
-    fn forget(&mut self, job: &JobKey) {
-        if let Some(followed) = self.jobs.remove(job) {
-            self.schedule.remove(&(followed.next, job.clone()));
+    fn untrack(&mut self, job: &JobKey) {
+        if let Some(tracked) = self.jobs.remove(job) {
+            self.schedule.remove(&(tracked.next, job.clone()));
         }
     }
 }
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The runners and the configuration that the two mixes are made for.
+//! Runners and cluster configuration that the two mixes are sized for.
 
 use crate::mix::{DOCUMENTS_POOL, MEDIA_POOL, Mix};
 use configuration::{
@@ -9,15 +9,17 @@
 use std::str::FromStr;
 use types::{InvalidName, Labels, Milliseconds, PoolName, RackName, Resources};
 
-/// Label that runners with accelerators carry.
+/// Key of the label on runners with accelerators.
 pub const ACCELERATOR_LABEL: &str = "gpu";
-/// Value of [`ACCELERATOR_LABEL`].
+/// Value of [`ACCELERATOR_LABEL`] on runners with accelerators.
 pub const ACCELERATOR_VALUE: &str = "true";
 
-/// The licence that accelerated work needs.
+/// Licence that every accelerated task needs.
 pub const ACCELERATED_LICENCE: &str = "accelerated";
-/// Its seats: fewer than there are accelerators, so that they bind at times,
-/// but more than both mixes take on average (11.5), so that no backlog grows.
+/// Seats of [`ACCELERATED_LICENCE`].
+///
+/// Fewer than the accelerators, so that the seats run out at times, but more
+/// than the mean use of both mixes together (11.5), so that no backlog grows.
 pub const ACCELERATED_SEATS: u32 = 14;
 
 const SLOTS: u32 = 8;
@@ -25,7 +27,7 @@
 const MEMORY_MIB_PER_CORE: u32 = 4_096;
 const LARGEST_CORES: u32 = 128;
 const RACKS: [&str; 3] = ["rack-1", "rack-2", "rack-3"];
-/// Cores of each runner, and whether it has accelerators.
+/// Cores of each runner of the media mix, and whether it has accelerators.
 const MEDIA_RUNNERS: [(u32, bool); 5] = [
     (16, false),
     (32, false),
@@ -33,6 +35,7 @@
     (64, false),
     (128, true),
 ];
+/// Cores of each runner of the documents mix, and whether it has accelerators.
 const DOCUMENTS_RUNNERS: [(u32, bool); 6] = [
     (16, false),
     (16, false),
@@ -42,21 +45,22 @@
     (128, true),
 ];
 
-/// What a runner of the fleet is like, all but its name.
+/// Properties of a runner of the fleet, without its name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunnerTemplate {
-    /// Its pool.
+    /// Pool that the runner belongs to.
     pub pool: PoolName,
-    /// Its rack.
+    /// Rack that the runner is in.
     pub rack: RackName,
-    /// Its labels.
+    /// Labels that a task may ask for; accelerated runners carry [`ACCELERATOR_LABEL`].
     pub labels: Labels,
-    /// All it has.
+    /// Total resources of the runner.
     pub capacity: Resources,
 }
 
-/// The runners of a mix: 5 or 6 with 8 slots each, 16 to 128 cores, two of
-/// them with 8 accelerators.
+/// Returns the runners of a mix: 5 for media and 6 for documents.
+///
+/// Each has 8 slots and 16 to 128 cores; two of them have 8 accelerators.
 pub fn pool_runners(mix: Mix) -> Vec<RunnerTemplate> {
     let sizes: &[(u32, bool)] = match mix {
         Mix::Media => &MEDIA_RUNNERS,
@@ -92,8 +96,8 @@
     }
 }
 
-/// The configuration both mixes need: two pools of 5 and 6 runners, their
-/// queues, six tenants, no keys.
+/// Returns the configuration that both mixes need: two pools of 5 and 6
+/// runners, their queues, six tenants and no keys.
 pub fn example_configuration() -> ClusterConfiguration {
     ClusterConfiguration {
         replaces: None,
@@ -168,14 +172,17 @@
     }
 }
 
-/// A name that this crate's own texts spell; a wrong one is a fault of the
-/// trial itself, so it ends it.
+/// Parses a name that this crate spells out.
+///
+/// # Panics
+///
+/// Panics if the name is not valid, which is a fault of the trial itself.
 pub(crate) fn checked_name<Name>(text: &str) -> Name
 where
     Name: FromStr<Err = InvalidName> + Debug,
 {
     match Name::from_str(text) {
         Ok(name) => name,
-        Err(problem) => panic!("{text:?} is no name: {problem}"),
+        Err(problem) => panic!("{text:?} is not a valid name: {problem}"),
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,5 +1,7 @@
-//! Emulated runners and callers for simulation and lab: cores without I/O,
-//! and a tokio shell that makes a runner a server of its own.
+//! Emulated runners, callers and workloads for the simulation and the lab.
+//!
+//! Runners and callers are cores without I/O. [`shell`] wraps a runner core in
+//! a tokio server that speaks HTTP.
 
 pub mod caller;
 pub mod fleet;
--- a/crates/emulator/src/mix.rs
+++ b/crates/emulator/src/mix.rs
@@ -1,23 +1,23 @@
-//! The job mixes of the two example deployments, and their pools.
+//! Job mixes of the two example deployments, and their pools.
 
-/// Pool of the media mix.
+/// Name of the pool that runs the media mix.
 pub const MEDIA_POOL: &str = "stills";
-/// Pool of the documents mix.
+/// Name of the pool that runs the documents mix.
 pub const DOCUMENTS_POOL: &str = "documents";
 
-/// Which mix to draw from.
+/// Job mix that a [`Workload`](crate::workload::Workload) draws from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mix {
     /// Contact sheets, catalogue strips, upscale and colour passes, and mostly
-    /// hover frames: about 43 jobs a second over three tenants.
+    /// hover frames. About 43 jobs per second from three tenants.
     Media,
     /// Completeness checks, price comparisons, document scans, and mostly
-    /// status lookups: about 52 jobs a second over three tenants.
+    /// status lookups. About 52 jobs per second from three tenants.
     Documents,
 }
 
 impl Mix {
-    /// The pool its queues are bound to.
+    /// Returns the name of the pool that the queues of the mix are bound to.
     pub fn pool(self) -> &'static str {
         match self {
             Self::Media => MEDIA_POOL,
--- a/crates/emulator/src/runner.rs
+++ b/crates/emulator/src/runner.rs
@@ -1,5 +1,7 @@
-//! An emulated runner: it keeps tombstones, leases and ended runs as the
-//! runner's side of the protocol asks, and can be configured to misbehave.
+//! Emulated runner.
+//!
+//! It keeps tombstones, the run lease and ended runs as the runner's side of
+//! the protocol requires, and can be configured to misbehave.
 
 pub mod heartbeats;
 pub mod options;
@@ -20,51 +22,53 @@
 };
 use work::Work;
 
-/// What happened inside a runner, for the history.
+/// Event inside a runner, for the history of a trial.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunnerEvent {
-    /// A run began.
+    /// A run started.
     Started(RunSpec),
     /// A run ended.
     Ended {
-        /// The run.
+        /// Run that ended.
         run: RunId,
-        /// How.
+        /// Outcome that the runner reports for it.
         outcome: Outcome,
     },
-    /// The record has the end of this run.
+    /// An answer to a heartbeat confirmed that the end of a run is recorded.
     EndRecorded {
-        /// The run.
+        /// Run whose end is recorded.
         run: RunId,
     },
-    /// An order was taken although a higher term had been seen before. Never
-    /// happens unless fencing is off.
+    /// An order was accepted although the runner had seen a higher term. Happens
+    /// only under [`RunnerMutation::NoTermFence`].
     AcceptedStale(RunnerOrder),
 }
 
-/// The answer to a heartbeat.
+/// Agent's answer to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RunnerInstruction {
     /// Highest term the agent has seen.
     pub term: Term,
-    /// Newest heartbeat of this incarnation the leader confirmed.
+    /// Newest heartbeat of the incarnation that the leader confirmed. `None` while
+    /// it has confirmed none.
     pub confirmed: Option<HeartbeatSequence>,
-    /// The incarnation the confirmation is for.
+    /// Incarnation that the confirmation is for.
     pub incarnation: RunnerIncarnation,
-    /// Run lease, from when the confirmed heartbeat was sent.
+    /// Length of the run lease, counted from when the confirmed heartbeat was sent.
     pub lease: Milliseconds,
-    /// Ended runs the record has.
+    /// Runs whose end is recorded in the cluster state.
     pub recorded: Vec<RunId>,
-    /// Active runs the record closed.
+    /// Active runs that the cluster has closed and that must stop.
     pub stop: Vec<RunId>,
 }
 
-/// An emulated runner. The payload of a run is JSON with `duration_ms` and,
-/// where wanted, `fail: true`, or `fail_task` with the position of one task
-/// that fails.
+/// Core of an emulated runner.
+///
+/// The payload of a run is JSON with `duration_ms` and, optionally, `fail: true`,
+/// or `fail_task` with the position of one task that fails.
 ///
 /// Every entry point checks the run lease first, so that a runner that was
-/// frozen ends what it held before it takes or says anything.
+/// frozen stops its active runs before it accepts an order or sends a report.
 #[derive(Debug)]
 pub struct Runner {
     options: RunnerOptions,
@@ -75,13 +79,14 @@
     active: BTreeMap<RunId, Work>,
     ended: BTreeMap<RunId, Outcome>,
     tombstones: Tombstones,
-    /// Events of a heartbeat, which has no way to give them back.
-    waiting_events: Vec<RunnerEvent>,
+    /// Events that occurred in [`Runner::heartbeat`], returned by the next call of
+    /// [`Runner::tick`].
+    pending_events: Vec<RunnerEvent>,
     random: ChaCha8Rng,
 }
 
 impl Runner {
-    /// A fresh runner that holds nothing.
+    /// Creates a runner without runs.
     pub fn new(options: RunnerOptions, _now: Monotonic) -> Self {
         Self {
             draining: false,
@@ -91,23 +96,24 @@
             active: BTreeMap::new(),
             ended: BTreeMap::new(),
             tombstones: Tombstones::default(),
-            waiting_events: Vec::new(),
+            pending_events: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(options.seed ^ options.incarnation.0),
             options,
         }
     }
 
-    /// Ends runs whose time has come, and all runs whose lease is over.
+    /// Stops all runs if the run lease has expired, then ends the runs that have
+    /// reached their planned end.
     pub fn tick(&mut self, now: Monotonic) -> Vec<RunnerEvent> {
-        let mut events = std::mem::take(&mut self.waiting_events);
-        self.end_unleased(now, &mut events);
-        self.end_due(now, &mut events);
+        let mut events = std::mem::take(&mut self.pending_events);
+        self.stop_without_lease(now, &mut events);
+        self.end_completed(now, &mut events);
         events
     }
 
-    /// The next heartbeat.
+    /// Returns the report of the next heartbeat, and records it as sent at `now`.
     pub fn heartbeat(&mut self, now: Monotonic) -> RunnerReport {
-        self.waiting_events = self.tick(now);
+        self.pending_events = self.tick(now);
         let sequence = self.heartbeats.record(now);
         self.tombstones.forget_before(self.heartbeats.oldest());
         let options = &self.options;
@@ -129,9 +135,8 @@
         }
     }
 
-    /// Takes the agent's answer to a heartbeat. `confirmed` is the newest
-    /// heartbeat of this incarnation that the leader confirmed. An answer for another
-    /// incarnation, or under a lower term than one seen, changes nothing.
+    /// Processes the agent's answer to a heartbeat. An answer for another
+    /// incarnation, or of a lower term than the highest seen, is ignored.
     pub fn heartbeat_answered(
         &mut self,
         now: Monotonic,
@@ -148,18 +153,19 @@
         for run in &answer.recorded {
             if self.ended.remove(run).is_some() {
                 events.push(RunnerEvent::EndRecorded { run: *run });
-                self.bury(*run);
+                self.add_tombstone(*run);
             }
         }
         for run in &answer.stop {
             self.end(*run, Outcome::Stopped, &mut events);
         }
-        self.end_unleased(now, &mut events);
+        self.stop_without_lease(now, &mut events);
         events
     }
 
-    /// Takes an order. Rejections are looked for in this order: other incarnation,
-    /// lower term, and for a start: known run, draining, no capacity, stale heartbeat.
+    /// Processes an order. Reasons to reject it are checked in this sequence: other
+    /// incarnation, lower term, and for a start: known run, draining, no capacity,
+    /// stale heartbeat.
     pub fn order(
         &mut self,
         now: Monotonic,
@@ -170,7 +176,7 @@
             return rejected(RejectionReason::OtherIncarnation, events);
         }
         if order.term < self.highest_term {
-            if !self.mutated(RunnerMutation::NoTermFence) {
+            if !self.has_mutation(RunnerMutation::NoTermFence) {
                 return rejected(RejectionReason::StaleTerm, events);
             }
             events.push(RunnerEvent::AcceptedStale(order.clone()));
@@ -188,30 +194,31 @@
         (answer, events)
     }
 
-    /// Says in heartbeats that it leaves, from now on.
+    /// Starts to drain: heartbeats report it, and starts are rejected from now on.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Changes how it behaves towards runs that start from now on.
+    /// Changes the behaviour for runs that start from now on.
     pub fn behave(&mut self, behaviour: Behaviour) {
         self.options.behaviour = behaviour;
     }
 
-    /// Runs it holds.
+    /// Returns the active runs, in ascending order.
     pub fn active(&self) -> Vec<RunId> {
         self.active.keys().copied().collect()
     }
 
-    /// When its run lease ends if no further heartbeat is confirmed.
+    /// Returns when the run lease expires if no further heartbeat is confirmed.
+    /// `None` before the first lease.
     pub fn lease_until(&self) -> Option<Monotonic> {
         self.lease.map(|lease| lease.ends())
     }
 
-    /// When [`Runner::tick`] wants to be called next; none when idle.
+    /// Returns when [`Runner::tick`] must be called next. `None` when idle.
     pub fn next_wakeup(&self) -> Option<Monotonic> {
         let due = self.active.values().filter_map(Work::ends_at).min();
-        if self.active.is_empty() || self.mutated(RunnerMutation::NoSelfStop) {
+        if self.active.is_empty() || self.has_mutation(RunnerMutation::NoSelfStop) {
             return due;
         }
         let lease_end = self.lease.map(|lease| lease.ends());
@@ -226,16 +233,16 @@
         lease: Milliseconds,
         events: &mut Vec<RunnerEvent>,
     ) -> OrderAnswer {
-        if let Some(reason) = self.reason_against(now, run, based_on, lease) {
-            // The leader closes a rejected run. The same order delivered again
-            // must not start it after all, when capacity is free again.
+        if let Some(reason) = self.rejection_reason(now, run, based_on, lease) {
+            // The leader closes a rejected run. If the same order is delivered
+            // again, it must not start the run even when capacity is free by then.
             if reason != RejectionReason::KnownRun {
-                self.bury(run.run);
+                self.add_tombstone(run.run);
             }
             return OrderAnswer::Rejected(reason);
         }
-        // The leader received the basis, so it counts as confirmed: every held
-        // run stands under a lease from its first moment.
+        // The leader received the heartbeat that the order is based on, so it
+        // counts as confirmed. Every run has a lease from its start.
         self.renew_lease(based_on, lease);
         let work = Work::begin(run, now, self.options.behaviour, &mut self.random);
         self.active.insert(run.run, work);
@@ -243,7 +250,7 @@
         OrderAnswer::Started
     }
 
-    fn reason_against(
+    fn rejection_reason(
         &self,
         now: Monotonic,
         run: &RunSpec,
@@ -261,7 +268,7 @@
         }
         let sent_at = self.heartbeats.sent_at(based_on);
         let fresh = sent_at.is_some_and(|sent_at| now < sent_at + lease);
-        if !fresh && !self.mutated(RunnerMutation::NoHeartbeatCheck) {
+        if !fresh && !self.has_mutation(RunnerMutation::NoHeartbeatCheck) {
             return Some(RejectionReason::StaleHeartbeat);
         }
         None
@@ -281,7 +288,7 @@
         if self.ended.contains_key(&run) {
             return OrderAnswer::Ended;
         }
-        self.bury(run);
+        self.add_tombstone(run);
         OrderAnswer::Revoked
     }
 
@@ -291,9 +298,9 @@
             || self.tombstones.contains(run)
     }
 
-    /// From now on no start of this run is taken.
-    fn bury(&mut self, run: RunId) {
-        if !self.mutated(RunnerMutation::NoTombstones) {
+    /// Sets a tombstone, so that every later start of this run is rejected.
+    fn add_tombstone(&mut self, run: RunId) {
+        if !self.has_mutation(RunnerMutation::NoTombstones) {
             self.tombstones.add(run, self.heartbeats.newest());
         }
     }
@@ -314,9 +321,9 @@
         }
     }
 
-    fn end_unleased(&mut self, now: Monotonic, events: &mut Vec<RunnerEvent>) {
-        let over = self.lease.is_none_or(|lease| now >= lease.ends());
-        if !over || self.mutated(RunnerMutation::NoSelfStop) {
+    fn stop_without_lease(&mut self, now: Monotonic, events: &mut Vec<RunnerEvent>) {
+        let expired = self.lease.is_none_or(|lease| now >= lease.ends());
+        if !expired || self.has_mutation(RunnerMutation::NoSelfStop) {
             return;
         }
         for run in self.active() {
@@ -324,7 +331,7 @@
         }
     }
 
-    fn end_due(&mut self, now: Monotonic, events: &mut Vec<RunnerEvent>) {
+    fn end_completed(&mut self, now: Monotonic, events: &mut Vec<RunnerEvent>) {
         let due: Vec<(RunId, Outcome)> = self
             .active
             .iter()
@@ -375,7 +382,7 @@
             .collect()
     }
 
-    fn mutated(&self, mutation: RunnerMutation) -> bool {
+    fn has_mutation(&self, mutation: RunnerMutation) -> bool {
         self.options.mutation == Some(mutation)
     }
 }
--- a/crates/emulator/src/runner/options.rs
+++ b/crates/emulator/src/runner/options.rs
@@ -2,31 +2,32 @@
 
 use types::{Labels, PoolName, RackName, Resources, RunnerId, RunnerIncarnation};
 
-/// Settings of an emulated runner.
+/// Identity, capacity and behaviour of an emulated runner.
 #[derive(Debug, Clone)]
 pub struct RunnerOptions {
-    /// Its name.
+    /// Name of the runner.
     pub runner: RunnerId,
-    /// This incarnation.
+    /// Incarnation that heartbeats carry; a restart takes the next one.
     pub incarnation: RunnerIncarnation,
-    /// Its pool.
+    /// Pool that the runner belongs to.
     pub pool: PoolName,
-    /// Its rack.
+    /// Rack that the runner reports.
     pub rack: RackName,
-    /// Its labels.
+    /// Labels that a task may ask for.
     pub labels: Labels,
-    /// All it has.
+    /// Total resources of the runner.
     pub capacity: Resources,
-    /// How it behaves.
+    /// Behaviour at the start; [`Runner::behave`](super::Runner::behave) changes it.
     pub behaviour: Behaviour,
-    /// A guard left out, to prove that a checker notices; none outside proofs.
+    /// Guard to leave out, to show that a checker detects it. `None` outside such
+    /// proofs.
     pub mutation: Option<RunnerMutation>,
-    /// Seed of draws.
+    /// Seed of random failures.
     pub seed: u64,
 }
 
 impl RunnerOptions {
-    /// The same runner in its next incarnation.
+    /// Returns the options of the same runner in its next incarnation.
     pub fn restarted(&self) -> Self {
         Self {
             incarnation: self.incarnation.next(),
@@ -35,35 +36,36 @@
     }
 }
 
-/// How an emulated runner behaves.
+/// Behaviour of an emulated runner towards its runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Behaviour {
-    /// Does its work.
+    /// Ends every run as its payload asks.
     #[default]
     Healthy,
-    /// Fails this many runs in a thousand, while its health check is good.
+    /// Fails a share of the runs while the runner reports itself as healthy.
     Failing {
-        /// Failed runs in a thousand.
+        /// Failed runs per thousand.
         per_thousand: u32,
     },
-    /// Takes this many times as long.
+    /// Takes longer for each run than its payload asks.
     Slow {
-        /// Factor.
+        /// Factor by which the duration is multiplied.
         times: u32,
     },
-    /// Lets every run stand still until it is stopped, past its time limit.
+    /// Never ends a run, not even at its time limit; a run ends only when it is
+    /// stopped.
     Stuck,
 }
 
-/// A guard of the runner's side left out.
+/// Guard of the runner's side of the protocol that is left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunnerMutation {
-    /// Revoked, rejected and recorded runs may start after all.
+    /// Runs that were revoked, rejected or recorded as ended may still start.
     NoTombstones,
-    /// Orders of lower terms are taken.
+    /// Orders of lower terms are accepted.
     NoTermFence,
-    /// Starts are taken however old their basis is.
+    /// Starts are accepted however old the heartbeat is that they are based on.
     NoHeartbeatCheck,
-    /// Runs go on after the run lease.
+    /// Runs continue after the run lease has expired.
     NoSelfStop,
 }
--- a/crates/emulator/src/runner/tombstones.rs
+++ b/crates/emulator/src/runner/tombstones.rs
@@ -1,19 +1,19 @@
-//! Runs that must never start here any more.
+//! Tombstones of runs that must not start on this runner any more.
 
 use std::collections::BTreeMap;
 use types::{HeartbeatSequence, RunId};
 
 /// Tombstones of runs that were revoked, rejected, or ended and recorded.
 ///
-/// How long one is kept: a leader makes the one start order of a run from a
-/// heartbeat it has received (the basis), before it can revoke or close the
-/// run. So the basis of any start still on its way is at most the newest
-/// heartbeat sent when the tombstone was set. Once the runner has forgotten
-/// that heartbeat and all before it, every such start is rejected for its
-/// unknown basis, and the tombstone is no longer needed. No clock and no
-/// length of a lease enters this argument.
+/// A leader bases the one start order of a run on a heartbeat that it has
+/// received, before it can revoke or close the run. A start that is still in
+/// transit when the tombstone is set is therefore based on a heartbeat sent by
+/// then. Once the runner no longer keeps the send time of any of these
+/// heartbeats, it rejects such a start as stale, and the tombstone can be
+/// dropped. The rule depends neither on a clock nor on the length of a lease.
 #[derive(Debug, Default)]
 pub struct Tombstones {
+    /// Newest heartbeat sent when each tombstone was set.
     newest_heartbeat: BTreeMap<RunId, HeartbeatSequence>,
 }
 
@@ -28,8 +28,8 @@
         self.newest_heartbeat.contains_key(&run)
     }
 
-    /// Drops tombstones that a start could only reach with a basis older than
-    /// `oldest`, the oldest heartbeat remembered.
+    /// Drops the tombstones of runs whose start could only be based on a heartbeat
+    /// before `oldest`, the oldest whose send time is kept.
     pub fn forget_before(&mut self, oldest: HeartbeatSequence) {
         self.newest_heartbeat.retain(|_, newest| *newest >= oldest);
     }
--- a/crates/emulator/src/runner/work.rs
+++ b/crates/emulator/src/runner/work.rs
@@ -1,25 +1,25 @@
-//! A run's make-believe work.
+//! Simulated work of a run.
 
 use super::Behaviour;
 use rand::Rng;
 use serde::Deserialize;
 use types::{Milliseconds, Monotonic, Outcome, Resources, RunSpec};
 
-/// Length of work whose payload gives none.
+/// Duration of a run whose payload gives none.
 const DEFAULT_DURATION_MS: u64 = 100;
-/// Draws are in thousandths.
+/// Number of runs that the rate of [`Behaviour::Failing`] refers to.
 const PER_THOUSAND: u32 = 1_000;
 
-/// A run of the task that a payload names as the failing one takes so long.
+/// Maximum duration of a run of the task that `fail_task` names, in milliseconds.
 const FAIL_TASK_AFTER_MS: u64 = 200;
 
-/// What an emulated runner reads in a payload; other fields are left alone.
+/// Fields of a payload that an emulated runner reads; others are ignored.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
 struct Payload {
     duration_ms: u64,
     fail: bool,
-    /// Position of the task that fails soon, while the others of its step go on.
+    /// Position of the task that fails early while the others of its step continue.
     fail_task: Option<u32>,
 }
 
@@ -33,17 +33,17 @@
     }
 }
 
-/// A run that is going.
+/// Active run with its planned end.
 #[derive(Debug)]
 pub struct Work {
     started_at: Monotonic,
     resources: Resources,
-    /// When and how it ends by itself; none if it is stalled.
+    /// Time and outcome of the planned end. `None` under [`Behaviour::Stuck`].
     end: Option<(Monotonic, Outcome)>,
 }
 
 impl Work {
-    /// Begins a run, and settles how it will end unless it is stopped.
+    /// Starts a run, and plans its end for the case that it is not stopped.
     pub fn begin(
         run: &RunSpec,
         now: Monotonic,
@@ -57,12 +57,12 @@
         }
     }
 
-    /// When it ends by itself.
+    /// Returns the time of the planned end. `None` if the run never ends by itself.
     pub fn ends_at(&self) -> Option<Monotonic> {
         self.end.as_ref().map(|(at, _)| *at)
     }
 
-    /// How it has ended by itself by now.
+    /// Returns the outcome if the planned end has been reached at `now`.
     pub fn outcome(&self, now: Monotonic) -> Option<Outcome> {
         self.end
             .as_ref()
@@ -70,12 +70,12 @@
             .map(|(_, outcome)| outcome.clone())
     }
 
-    /// How long it has been going.
+    /// Returns the time since the run started.
     pub fn age(&self, now: Monotonic) -> Milliseconds {
         now.since(self.started_at)
     }
 
-    /// What it holds.
+    /// Returns the resources that the run occupies.
     pub fn resources(&self) -> Resources {
         self.resources
     }
--- a/crates/emulator/src/shell.rs
+++ b/crates/emulator/src/shell.rs
@@ -1,5 +1,6 @@
-//! An emulated runner as a server: it sends heartbeats to its agent and takes
-//! orders, both as JSON over HTTP.
+//! Server around an emulated runner.
+//!
+//! It sends heartbeats to its agent and accepts orders, both as JSON over HTTP.
 
 mod driver;
 mod heartbeat;
@@ -17,29 +18,29 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-/// Commands that may wait for the runner.
+/// Capacity of the command channel of a runner.
 const MAX_COMMANDS: usize = 16;
 
-/// Why a runner could not start.
+/// Error that prevents a runner from starting.
 #[derive(Debug, Error)]
 pub enum RunnerServerError {
-    /// The socket for orders cannot be listened on.
+    /// The listener for orders cannot be opened.
     #[error("cannot listen on {listen}: {source}")]
     Listen {
-        /// The socket.
+        /// Socket address that was requested.
         listen: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// No agent could send orders to this socket.
-    #[error("cannot take orders there: {0}")]
+    /// The URL of the bound socket is not valid for orders.
+    #[error("the URL for orders is not valid: {0}")]
     OrdersUrl(#[from] OrdersUrlError),
-    /// The HTTP client for heartbeats cannot be made.
-    #[error("cannot make the client for heartbeats: {0}")]
+    /// The HTTP client for heartbeats cannot be created.
+    #[error("cannot create the HTTP client for heartbeats: {0}")]
     Client(#[from] reqwest::Error),
 }
 
-/// Commands to a running server.
+/// Command from a [`RunnerHandle`] to the task of its runner.
 #[derive(Debug)]
 enum Command {
     Drain,
@@ -47,20 +48,20 @@
     Kill,
 }
 
-/// Starts runners.
+/// Entry point that starts emulated runners as servers.
 #[derive(Debug)]
 pub struct RunnerServer;
 
 impl RunnerServer {
-    /// Starts a runner that takes orders on `listen` (port 0 for any) and
-    /// sends heartbeats to the agent at `agent_url`, such as
-    /// `http://127.0.0.1:7400`, with `key` as its bearer token. The receiver
-    /// gets everything that happens inside the runner, for the history; it
-    /// ends with the runner.
+    /// Starts a runner that accepts orders on `listen` (port 0 for any) and sends
+    /// heartbeats to the agent at `agent_url`, such as `http://127.0.0.1:7400`,
+    /// with `key` as bearer token. The receiver yields every event inside the
+    /// runner, for the history, and is closed when the runner ends.
     ///
     /// # Errors
     ///
-    /// Fails if the socket for orders cannot be bound.
+    /// Fails if the socket for orders cannot be bound, if its URL is not valid for
+    /// orders, or if the HTTP client cannot be created.
     pub async fn start(
         options: RunnerOptions,
         agent_url: &str,
@@ -74,15 +75,15 @@
         let orders_url = OrdersUrl::new(&format!("http://{socket}{}", orders::PATH))?;
         let agent = AgentClient::new(agent_url, &options.runner, key, orders_url)?;
 
-        let (commands, commanded) = mpsc::channel(MAX_COMMANDS);
+        let (commands, command_receiver) = mpsc::channel(MAX_COMMANDS);
         let (events, history) = mpsc::unbounded_channel();
-        let (orders, ordered) = orders::channel();
+        let (orders, order_receiver) = orders::channel();
         let lease = LeaseClock::default();
         let driver = Driver::new(options, agent, events, lease.clone());
         let task = tokio::spawn(async move {
             tokio::select! {
                 () = orders::serve(listener, orders) => {}
-                () = driver.run(commanded, ordered) => {}
+                () = driver.run(command_receiver, order_receiver) => {}
             }
         });
         let handle = RunnerHandle {
@@ -95,8 +96,8 @@
     }
 }
 
-/// A running runner. Dropping it leaves the runner running until it is killed
-/// or the runtime ends.
+/// Handle of a running runner. The runner keeps running after the handle is
+/// dropped, until the runtime ends.
 #[derive(Debug)]
 pub struct RunnerHandle {
     commands: mpsc::Sender<Command>,
@@ -106,36 +107,36 @@
 }
 
 impl RunnerHandle {
-    /// Where it takes orders.
+    /// Returns the bound socket address for orders.
     pub fn socket(&self) -> SocketAddr {
         self.socket
     }
 
-    /// Its run lease, for the history.
+    /// Returns a clock of the run lease, for the history.
     pub fn lease(&self) -> LeaseClock {
         self.lease.clone()
     }
 
-    /// Makes it say that it leaves; what it holds goes on.
+    /// Puts the runner into draining. Active runs continue.
     pub async fn drain(&self) {
         self.command(Command::Drain).await;
     }
 
-    /// Changes how it behaves towards runs that start from now on.
+    /// Changes the behaviour for runs that start from now on.
     pub async fn behave(&self, behaviour: Behaviour) {
         self.command(Command::Behave(behaviour)).await;
     }
 
-    /// Ends it without a goodbye. Its runs die with it and are reported in the
-    /// history as stopped. No order is taken after this returns.
+    /// Ends the runner without a graceful shutdown. Its active runs end with it, and
+    /// the history reports them as stopped. No order is accepted after this returns.
     pub async fn kill(self) {
         self.command(Command::Kill).await;
-        // It ends by the command; an error means that it had ended before.
+        // The command ends the task. An error means that it had already ended.
         let _ = self.task.await;
     }
 
     async fn command(&self, command: Command) {
-        // A runner that has ended takes no commands, which is no error.
+        // Sending fails only if the runner has already ended, which is no error.
         let _ = self.commands.send(command).await;
     }
 }
--- a/crates/emulator/src/shell/driver.rs
+++ b/crates/emulator/src/shell/driver.rs
@@ -1,4 +1,4 @@
-//! The task that owns the runner's core.
+//! Task that owns the core of a runner.
 
 use super::Command;
 use super::heartbeat::AgentClient;
@@ -10,26 +10,28 @@
 use tokio::task::JoinSet;
 use types::{Milliseconds, Monotonic, Outcome};
 
-/// Time between heartbeats.
+/// Interval between heartbeats.
 const HEARTBEAT_INTERVAL: Milliseconds = Milliseconds(200);
-/// Least time between two heartbeats when runs end one after another.
+/// Minimum time between heartbeats while changes are waiting to be reported.
 const HEARTBEAT_SPACING: Milliseconds = Milliseconds(20);
 
-/// The core with everything around it.
+/// Core of a runner with its agent client, lease clock and history.
 pub struct Driver {
     runner: Runner,
     agent: AgentClient,
     events: mpsc::UnboundedSender<RunnerEvent>,
     lease: LeaseClock,
-    /// At most one heartbeat waits for its answer, so answers keep their order.
+    /// Heartbeat that awaits its answer. At most one, so that answers arrive in
+    /// order.
     sending: JoinSet<Option<RunnerInstruction>>,
     last_heartbeat: Option<Monotonic>,
-    /// A run ended or the runner drains: the agent should know at once.
+    /// Whether a run has ended or draining has begun since the last heartbeat, so
+    /// that the next one is sent early.
     report_due: bool,
 }
 
 impl Driver {
-    /// A driver of a fresh runner.
+    /// Creates a driver with a runner without runs.
     pub fn new(
         options: RunnerOptions,
         agent: AgentClient,
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Runs until it is killed, or its handle is gone and nothing can order it.
+    /// Runs until [`Command::Kill`] arrives.
     pub async fn run(
         mut self,
         mut commands: mpsc::Receiver<Command>,
@@ -60,16 +62,16 @@
                 Some(command) = commands.recv() => match command {
                     Command::Drain => self.drain(),
                     Command::Behave(behaviour) => self.runner.behave(behaviour),
-                    Command::Kill => return self.die(),
+                    Command::Kill => return self.kill(),
                 },
                 Some(received) = orders.recv() => {
-                    let (given, events) = self.runner.order(now(), &received.order);
+                    let (answer, events) = self.runner.order(now(), &received.order);
                     self.handle_events(events);
-                    // An agent that went away gets no answer.
-                    let _ = received.answer.send(given);
+                    // Sending fails if the agent has closed its request.
+                    let _ = received.answer.send(answer);
                 }
-                Some(answered) = self.sending.join_next() => {
-                    if let Ok(Some(instruction)) = answered {
+                Some(joined) = self.sending.join_next() => {
+                    if let Ok(Some(instruction)) = joined {
                         let events = self.runner.heartbeat_answered(now(), &instruction);
                         self.handle_events(events);
                     }
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Checks leases and work first, then sends a heartbeat if one is due.
+    /// Ends the runs that are due, then sends a heartbeat if one is due.
     fn advance(&mut self) {
         let events = self.runner.tick(now());
         self.handle_events(events);
@@ -95,7 +97,7 @@
         self.sending.spawn(async move { agent.send(report).await });
     }
 
-    /// When the next heartbeat is due; none while one is on its way.
+    /// Returns when the next heartbeat is due. `None` while one awaits its answer.
     fn next_heartbeat(&self) -> Option<Monotonic> {
         if !self.sending.is_empty() {
             return None;
@@ -121,7 +123,7 @@
         self.report_due = true;
     }
 
-    fn die(&mut self) {
+    fn kill(&mut self) {
         let events = self.runner.tick(now());
         self.handle_events(events);
         for run in self.runner.active() {
@@ -134,7 +136,7 @@
         self.lease.set(self.runner.lease_until());
         for event in events {
             self.report_due |= matches!(event, RunnerEvent::Ended { .. });
-            // Nobody has to listen to the history.
+            // Sending fails if the receiver of the history was dropped, which is allowed.
             let _ = self.events.send(event);
         }
     }
--- a/crates/emulator/src/shell/heartbeat.rs
+++ b/crates/emulator/src/shell/heartbeat.rs
@@ -1,4 +1,4 @@
-//! The runner's HTTP client towards its agent.
+//! HTTP client that sends heartbeats to the agent.
 
 use crate::runner::RunnerInstruction;
 use api::runner::{HEARTBEAT_ROUTE, HeartbeatAnswerBody, HeartbeatBody, OrdersUrl, RunText};
@@ -8,10 +8,10 @@
     HeartbeatSequence, Milliseconds, RunId, RunnerId, RunnerIncarnation, RunnerReport, Term,
 };
 
-/// Longest wait for an agent's answer.
+/// Timeout of a heartbeat request.
 const TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Sends heartbeats.
+/// Client of one agent for the heartbeats of one runner.
 #[derive(Debug, Clone)]
 pub struct AgentClient {
     client: Client,
@@ -21,7 +21,8 @@
 }
 
 impl AgentClient {
-    /// A client of the agent at `agent_url`.
+    /// Creates a client of the agent at `agent_url`. `key` is the bearer token, if
+    /// keys are in use.
     pub fn new(
         agent_url: &str,
         runner: &RunnerId,
@@ -42,7 +43,8 @@
         })
     }
 
-    /// Sends one heartbeat; none when it got no answer that counts.
+    /// Sends one heartbeat. Returns `None` if the request fails, or if its answer
+    /// has another status than 200 or cannot be read.
     pub async fn send(&self, report: RunnerReport) -> Option<RunnerInstruction> {
         let body = HeartbeatBody::from_report(&report, &self.orders_url);
         let mut request = self.client.post(&self.url).json(&body);
--- a/crates/emulator/src/shell/orders.rs
+++ b/crates/emulator/src/shell/orders.rs
@@ -1,4 +1,4 @@
-//! The runner's HTTP listener for orders.
+//! HTTP server that accepts orders.
 
 use api::runner::{OrderAnswerBody, OrderBody, RunnerBodyError};
 use axum::body::Bytes;
@@ -10,34 +10,34 @@
 use tokio::sync::{mpsc, oneshot};
 use types::{OrderAnswer, RunnerOrder};
 
-/// Where orders are posted.
+/// Path that orders are posted to.
 pub const PATH: &str = "/orders";
-/// Longest order, in bytes.
+/// Maximum length of the body of an order, in bytes.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// Orders that may wait for the runner.
+/// Capacity of the order channel.
 const MAX_WAITING: usize = 256;
 
-/// An order that arrived, and where its answer goes.
+/// Order that was received, with the channel for its answer.
 #[derive(Debug)]
 pub struct ReceivedOrder {
-    /// The order.
+    /// Order as read from the request.
     pub order: RunnerOrder,
-    /// Takes the answer.
+    /// Sender for the runner's answer.
     pub answer: oneshot::Sender<OrderAnswer>,
 }
 
-/// Both ends of the way from the listener to the runner.
+/// Creates the channel from the server to the runner.
 pub fn channel() -> (mpsc::Sender<ReceivedOrder>, mpsc::Receiver<ReceivedOrder>) {
     mpsc::channel(MAX_WAITING)
 }
 
-/// Serves until it is dropped.
+/// Serves orders until the future is dropped.
 pub async fn serve(listener: TcpListener, orders: mpsc::Sender<ReceivedOrder>) {
     let router = Router::new()
         .route(PATH, post(take_order))
         .layer(DefaultBodyLimit::max(MAX_BODY_BYTES))
         .with_state(orders);
-    // Accept errors are retried inside; nothing else ends it.
+    // `axum::serve` retries accept errors and ends for no other reason.
     let _ = axum::serve(listener, router).await;
 }
 
@@ -47,11 +47,11 @@
 ) -> Result<Json<OrderAnswerBody>, (StatusCode, String)> {
     let rejected = |error: RunnerBodyError| (StatusCode::BAD_REQUEST, error.to_string());
     let order = read_order(&body).map_err(rejected)?;
-    let (answer, answered) = oneshot::channel();
+    let (answer, answer_receiver) = oneshot::channel();
     let stopped = || (StatusCode::SERVICE_UNAVAILABLE, "stopped".to_owned());
     let received = ReceivedOrder { order, answer };
     orders.send(received).await.map_err(|_| stopped())?;
-    let answer = answered.await.map_err(|_| stopped())?;
+    let answer = answer_receiver.await.map_err(|_| stopped())?;
     let body = OrderAnswerBody::from_answer(&answer).ok_or_else(stopped)?;
     Ok(Json(body))
 }
--- a/crates/emulator/src/workload.rs
+++ b/crates/emulator/src/workload.rs
@@ -1,5 +1,6 @@
-//! Job mixes of the two deployments, drawn from a seed, and the fleet and
-//! configuration they are made for.
+//! Job mixes of the two example deployments, drawn from a seed.
+//!
+//! Re-exports the fleet and the configuration that the mixes are sized for.
 
 use crate::fleet::{ACCELERATED_LICENCE, ACCELERATOR_LABEL, ACCELERATOR_VALUE, checked_name};
 use rand::{Rng, SeedableRng};
@@ -10,30 +11,30 @@
 pub use crate::fleet::{RunnerTemplate, example_configuration, pool_runners};
 pub use crate::mix::Mix;
 
-/// Longest a run of the mixes may take before it is stopped.
+/// Time limit of every run of the mixes.
 const TIME_LIMIT: Milliseconds = Milliseconds(30_000);
-/// Failed runs each task may have.
+/// Failed runs that each task may have without failing its job.
 const ALLOWED_FAILURES: u32 = 3;
 
-/// The kinds of job that a mix draws from.
-fn kinds_of(mix: Mix) -> &'static [JobKind] {
+/// Returns the kinds of job that a mix draws from.
+fn job_kinds(mix: Mix) -> &'static [JobKind] {
     match mix {
         Mix::Media => MEDIA_JOBS,
-        Mix::Documents => DOCUMENTS,
+        Mix::Documents => DOCUMENTS_JOBS,
     }
 }
 
-/// One kind of job in a mix.
+/// Kind of job in a mix.
 struct JobKind {
     jobs_per_second: f64,
     queue: &'static str,
     urgency: Urgency,
-    /// Tenants that submit it, each as likely as its weight.
+    /// Tenants that submit this kind, with their relative weights.
     tenants: &'static [(&'static str, u32)],
     steps: &'static [StepKind],
 }
 
-/// One step of a kind of job; it waits for the step before it.
+/// Step of a kind of job. Starts after the previous step is done.
 struct StepKind {
     name: &'static str,
     tasks: RangeInclusive<u32>,
@@ -71,7 +72,8 @@
     }
 }
 
-/// About 17 of the pool's 40 slots at the ordinary load.
+/// Kinds of the media mix. At the ordinary load they occupy about 17 of the
+/// pool's 40 slots.
 const MEDIA_JOBS: &[JobKind] = &[
     JobKind {
         jobs_per_second: 36.0,
@@ -113,8 +115,9 @@
     },
 ];
 
-/// About 21 of the pool's 48 slots at the ordinary load.
-const DOCUMENTS: &[JobKind] = &[
+/// Kinds of the documents mix. At the ordinary load they occupy about 21 of the
+/// pool's 48 slots.
+const DOCUMENTS_JOBS: &[JobKind] = &[
     JobKind {
         jobs_per_second: 44.0,
         queue: "lookup",
@@ -156,44 +159,45 @@
     },
 ];
 
-/// Draws jobs of a mix, the same for the same seed.
+/// Generator of the jobs of a mix. Equal seeds give equal jobs.
 #[derive(Debug)]
 pub struct Workload {
     mix: Mix,
     prefix: String,
     random: ChaCha8Rng,
-    drawn: u64,
+    jobs_drawn: u64,
 }
 
 impl Workload {
-    /// A workload; `prefix` starts every job identifier.
+    /// Creates a workload. `prefix` starts every job identifier.
     ///
     /// # Panics
-    /// [`Workload::next_job`] panics when the prefix cannot start a name.
+    ///
+    /// [`Workload::next_job`] panics if `prefix` cannot start a valid name.
     pub fn new(mix: Mix, prefix: &str, seed: u64) -> Self {
         Self {
             mix,
             prefix: prefix.to_owned(),
             random: ChaCha8Rng::seed_from_u64(seed),
-            drawn: 0,
+            jobs_drawn: 0,
         }
     }
 
-    /// Jobs a second at the ordinary load.
+    /// Returns the mean number of jobs per second at the ordinary load.
     pub fn jobs_per_second(&self) -> f64 {
-        let kinds = kinds_of(self.mix).iter();
+        let kinds = job_kinds(self.mix).iter();
         kinds.map(|kind| kind.jobs_per_second).sum()
     }
 
-    /// The next job.
+    /// Draws a job. Its identifier is the prefix and a number that counts up from 1.
     pub fn next_job(&mut self) -> JobSpec {
         let kind = self.draw_kind();
         let tenant = self.draw_tenant(kind);
-        self.drawn += 1;
+        self.jobs_drawn += 1;
         JobSpec {
             payload: String::new(),
             tenant: checked_name(tenant),
-            job: checked_name(&format!("{}-{}", self.prefix, self.drawn)),
+            job: checked_name(&format!("{}-{}", self.prefix, self.jobs_drawn)),
             queue: checked_name(kind.queue),
             urgency: kind.urgency,
             start_at: None,
@@ -202,7 +206,7 @@
     }
 
     fn draw_kind(&mut self) -> &'static JobKind {
-        let kinds = kinds_of(self.mix);
+        let kinds = job_kinds(self.mix);
         let mut drawn = self.random.random_range(0.0..self.jobs_per_second());
         for kind in kinds {
             if drawn < kind.jobs_per_second {
@@ -228,7 +232,7 @@
     fn draw_steps(&mut self, kind: &JobKind) -> Vec<StepSpec> {
         let mut steps: Vec<StepSpec> = Vec::with_capacity(kind.steps.len());
         for step in kind.steps {
-            let after = steps.last().map(|before| before.name.clone());
+            let after = steps.last().map(|previous| previous.name.clone());
             let duration = self.random.random_range(step.duration_ms.clone());
             steps.push(StepSpec {
                 rules: StepRules {
@@ -250,7 +254,7 @@
     }
 }
 
-/// Accelerated work needs a licence of which there are few seats.
+/// Returns [`ACCELERATED_LICENCE`] for a task with accelerators, otherwise `None`.
 fn licence_for(resources: Resources) -> Option<LicenceName> {
     (resources.gpus > 0).then(|| checked_name(ACCELERATED_LICENCE))
 }
