--- a/crates/emulator/tests/caller.rs
+++ b/crates/emulator/tests/caller.rs
@@ -1,4 +1,4 @@
-//! The caller: it sends again after silence, comes back when told, and stops
+//! Emulated caller: resends without an answer, honours retry delays, and stops
 //! at a final state.
 
 use emulator::caller::{Caller, CallerAction, CallerAnswer};
@@ -11,15 +11,15 @@
     }
 }
 
-fn following(job: &str) -> (Caller, JobKey) {
+fn caller_with_job(job: &str) -> (Caller, JobKey) {
     let mut caller = Caller::new(1);
     caller.follow(key(job), Monotonic(0));
     (caller, key(job))
 }
 
 #[test]
-fn a_submit_is_sent_again_after_one_to_two_seconds_of_silence() {
-    let (mut caller, job) = following("a");
+fn unanswered_submit_is_resent_after_one_to_two_seconds() {
+    let (mut caller, job) = caller_with_job("a");
     assert_eq!(
         caller.actions(Monotonic(0)),
         [CallerAction::Submit(job.clone())]
@@ -31,8 +31,8 @@
 }
 
 #[test]
-fn it_comes_back_when_told_and_not_before() {
-    let (mut caller, job) = following("a");
+fn rejected_submit_is_retried_only_after_its_retry_delay() {
+    let (mut caller, job) = caller_with_job("a");
     caller.actions(Monotonic(0));
     let wait = Milliseconds(3_000);
     caller.answered(&job, CallerAnswer::RetryAfter(wait), Monotonic(10));
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn it_asks_ever_more_seldom_until_the_state_is_final() {
-    let (mut caller, job) = following("a");
+fn poll_interval_grows_until_state_is_final() {
+    let (mut caller, job) = caller_with_job("a");
     caller.actions(Monotonic(0));
     let mut now = Monotonic(5);
     caller.answered(&job, CallerAnswer::Acknowledged, now);
@@ -64,16 +64,16 @@
 }
 
 #[test]
-fn a_refusal_for_good_ends_the_job() {
-    let (mut caller, job) = following("a");
+fn final_rejection_ends_job() {
+    let (mut caller, job) = caller_with_job("a");
     caller.answered(&job, CallerAnswer::Rejected, Monotonic(1));
     assert_eq!(caller.unfinished(), 0);
     assert!(caller.actions(Monotonic(10_000)).is_empty());
 }
 
 #[test]
-fn late_answers_reopen_nothing() {
-    let (mut caller, job) = following("a");
+fn late_answers_do_not_reopen_finished_job() {
+    let (mut caller, job) = caller_with_job("a");
     caller.answered(&job, CallerAnswer::State(JobState::Cancelled), Monotonic(1));
     caller.answered(&job, CallerAnswer::Acknowledged, Monotonic(2));
     caller.answered(&job, CallerAnswer::TimedOut, Monotonic(3));
@@ -82,8 +82,8 @@
 }
 
 #[test]
-fn an_acknowledged_job_that_is_unknown_is_asked_for_and_not_sent_again() {
-    let (mut caller, job) = following("a");
+fn acknowledged_job_reported_unknown_is_polled_and_not_resubmitted() {
+    let (mut caller, job) = caller_with_job("a");
     caller.answered(&job, CallerAnswer::Acknowledged, Monotonic(1));
     caller.answered(&job, CallerAnswer::Unknown, Monotonic(2));
     let next = caller.next_wakeup().unwrap();
@@ -91,15 +91,15 @@
 }
 
 #[test]
-fn a_job_is_followed_once() {
-    let (mut caller, job) = following("a");
+fn job_followed_twice_is_submitted_once() {
+    let (mut caller, job) = caller_with_job("a");
     caller.follow(job, Monotonic(0));
     assert_eq!(caller.unfinished(), 1);
     assert_eq!(caller.actions(Monotonic(0)).len(), 1);
 }
 
 #[test]
-fn the_same_seed_gives_the_same_waits() {
+fn equal_seeds_give_equal_waits() {
     let waits = |seed| {
         let mut caller = Caller::new(seed);
         for number in 0..20 {
--- a/crates/emulator/tests/runner/bench.rs
+++ b/crates/emulator/tests/runner/bench.rs
@@ -1,4 +1,4 @@
-//! A runner with two slots and the orders it is given.
+//! Test support: a runner with two slots, and orders for it.
 
 use emulator::runner::{Behaviour, Runner, RunnerInstruction, RunnerMutation, RunnerOptions};
 use types::{
@@ -7,13 +7,15 @@
     StepName, TenantId, Term,
 };
 
-pub const LEASE: u64 = 10_000;
-pub const LIFE: RunnerIncarnation = RunnerIncarnation(4);
+/// Length of the run lease in orders and answers, in milliseconds.
+pub const LEASE_MS: u64 = 10_000;
+/// Incarnation of the runner, which orders and answers name.
+pub const INCARNATION: RunnerIncarnation = RunnerIncarnation(4);
 
 pub fn options() -> RunnerOptions {
     RunnerOptions {
         runner: RunnerId::new("runner-1").unwrap(),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         pool: PoolName::new("stills").unwrap(),
         rack: RackName::new("rack-1").unwrap(),
         labels: Labels::new(),
@@ -31,7 +33,7 @@
     }
 }
 
-/// A runner that has sent heartbeat 1 at time 0.
+/// Returns a runner that has sent heartbeat 1 at time 0.
 pub fn runner_with(options: RunnerOptions) -> Runner {
     let mut runner = Runner::new(options, Monotonic(0));
     runner.heartbeat(Monotonic(0));
@@ -42,7 +44,8 @@
     runner_with(options())
 }
 
-pub fn mutated(mutation: RunnerMutation) -> Runner {
+/// Returns a runner with one guard left out.
+pub fn runner_with_mutation(mutation: RunnerMutation) -> Runner {
     runner_with(RunnerOptions {
         mutation: Some(mutation),
         ..options()
@@ -79,22 +82,23 @@
         term: Term(term),
         sequence: OrderSequence(1),
         runner: RunnerId::new("runner-1").unwrap(),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         kind,
     }
 }
 
-/// A start of term 2 from heartbeat 1, of half an hour's work.
+/// Returns a start order of term 2, based on heartbeat 1, for a run of 30 minutes.
 pub fn start(sequence: u64) -> RunnerOrder {
     start_of(run(sequence, r#"{"duration_ms": 1800000}"#), 1)
 }
 
+/// Returns a start order of term 2 for `run`, based on heartbeat `based_on`.
 pub fn start_of(mut run: RunSpec, based_on: u64) -> RunnerOrder {
     run.time_limit = Milliseconds(run.time_limit.0.max(20_000));
     let kind = OrderKind::Start {
         run,
         based_on: HeartbeatSequence(based_on),
-        lease: Milliseconds(LEASE),
+        lease: Milliseconds(LEASE_MS),
     };
     order(2, kind)
 }
@@ -109,12 +113,13 @@
     order(2, OrderKind::Stop { run })
 }
 
+/// Returns an answer that confirms heartbeat `sequence`.
 pub fn confirm(sequence: u64) -> RunnerInstruction {
     RunnerInstruction {
         term: Term(2),
         confirmed: Some(HeartbeatSequence(sequence)),
-        incarnation: LIFE,
-        lease: Milliseconds(LEASE),
+        incarnation: INCARNATION,
+        lease: Milliseconds(LEASE_MS),
         ..RunnerInstruction::default()
     }
 }
--- a/crates/emulator/tests/runner/lease.rs
+++ b/crates/emulator/tests/runner/lease.rs
@@ -1,4 +1,4 @@
-//! The run lease.
+//! Renewal and expiry of the run lease, also over a freeze of the runner.
 
 use crate::bench::{confirm, order, run_id, runner, start};
 use emulator::runner::{RunnerEvent, RunnerInstruction};
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_silent_leader_ends_all_runs_at_lease_end() {
+fn runs_stop_at_lease_end_without_confirmation() {
     let mut runner = runner();
     runner.order(Monotonic(10), &start(1));
     runner.order(Monotonic(20), &start(2));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_confirmed_heartbeat_renews_from_when_it_was_sent() {
+fn confirmation_renews_lease_from_send_time_of_heartbeat() {
     let mut runner = runner();
     runner.order(Monotonic(10), &start(1));
     runner.heartbeat(Monotonic(3_000));
@@ -40,22 +40,22 @@
 }
 
 #[test]
-fn answers_of_other_lives_lower_terms_or_unsent_heartbeats_renew_nothing() {
+fn answer_of_other_incarnation_lower_term_or_unsent_heartbeat_renews_no_lease() {
     let mut runner = runner();
     runner.order(Monotonic(10), &start(1));
     runner.heartbeat(Monotonic(3_000));
-    let mut other_life = confirm(2);
-    other_life.incarnation = types::RunnerIncarnation(1);
+    let mut other_incarnation = confirm(2);
+    other_incarnation.incarnation = types::RunnerIncarnation(1);
     let mut lower_term = confirm(2);
     lower_term.term = Term(1);
-    for answer in [other_life, lower_term, confirm(3)] {
+    for answer in [other_incarnation, lower_term, confirm(3)] {
         runner.heartbeat_answered(Monotonic(4_000), &answer);
         assert_eq!(runner.next_wakeup(), Some(Monotonic(10_000)));
     }
 }
 
 #[test]
-fn a_newer_confirmation_may_shorten_the_lease() {
+fn newer_confirmation_may_shorten_lease() {
     let mut runner = runner();
     runner.order(Monotonic(10), &start(1));
     runner.heartbeat(Monotonic(1_000));
@@ -68,27 +68,30 @@
 }
 
 #[test]
-fn a_frozen_runner_ends_its_runs_before_it_says_or_takes_anything() {
-    let wakes = Monotonic(60_000);
-    let mut by_heartbeat = runner();
-    by_heartbeat.order(Monotonic(10), &start(1));
-    let report = by_heartbeat.heartbeat(wakes);
+fn resumed_runner_stops_expired_runs_before_it_reports_or_accepts_anything() {
+    let resumed_at = Monotonic(60_000);
+    let mut checked_at_heartbeat = runner();
+    checked_at_heartbeat.order(Monotonic(10), &start(1));
+    let report = checked_at_heartbeat.heartbeat(resumed_at);
     assert!(report.active.is_empty());
-    assert_eq!(by_heartbeat.tick(wakes), vec![stopped(1)]);
+    assert_eq!(checked_at_heartbeat.tick(resumed_at), vec![stopped(1)]);
 
-    let mut by_answer = runner();
-    by_answer.order(Monotonic(10), &start(1));
-    let events = by_answer.heartbeat_answered(wakes, &confirm(1));
+    let mut checked_at_answer = runner();
+    checked_at_answer.order(Monotonic(10), &start(1));
+    let events = checked_at_answer.heartbeat_answered(resumed_at, &confirm(1));
     assert_eq!(events, vec![stopped(1)]);
 
-    let mut by_order = runner();
-    by_order.order(Monotonic(10), &start(1));
+    let mut checked_at_order = runner();
+    checked_at_order.order(Monotonic(10), &start(1));
     let revoke = order(2, OrderKind::Revoke { run: run_id(8) });
-    assert_eq!(by_order.order(wakes, &revoke).1, vec![stopped(1)]);
+    assert_eq!(
+        checked_at_order.order(resumed_at, &revoke).1,
+        vec![stopped(1)]
+    );
 }
 
 #[test]
-fn a_run_that_should_have_ended_in_a_freeze_counts_as_stopped() {
+fn run_whose_end_and_lease_passed_during_freeze_counts_as_stopped() {
     let mut runner = runner();
     let run = crate::bench::run(1, r#"{"duration_ms": 5000}"#);
     runner.order(Monotonic(10), &crate::bench::start_of(run, 1));
@@ -96,7 +99,7 @@
 }
 
 #[test]
-fn the_record_can_close_a_held_run() {
+fn heartbeat_answer_can_stop_active_run() {
     let mut runner = runner();
     runner.order(Monotonic(10), &start(1));
     let answer = RunnerInstruction {
@@ -108,7 +111,7 @@
 }
 
 #[test]
-fn heartbeats_are_remembered_for_the_default_lease_even_at_fifty_a_second() {
+fn send_times_are_kept_for_default_lease_at_fifty_heartbeats_per_second() {
     let lease = configuration::Timings::default().run_lease;
     let mut runner = runner();
     let mut now = 0;
@@ -120,13 +123,13 @@
     if let OrderKind::Start { lease: granted, .. } = &mut order.kind {
         *granted = lease;
     }
-    // Its basis is the first heartbeat, sent at time 0.
+    // The order is based on the first heartbeat, sent at time 0.
     let (answer, _) = runner.order(Monotonic(lease.0 - 1), &order);
     assert_eq!(answer, OrderAnswer::Started);
 }
 
 #[test]
-fn heartbeats_are_numbered_from_one() {
+fn heartbeats_are_numbered_consecutively_from_one() {
     let mut runner = runner();
     let report = runner.heartbeat(Monotonic(5));
     assert_eq!(report.sequence, HeartbeatSequence(2));
--- a/crates/emulator/tests/runner/main.rs
+++ b/crates/emulator/tests/runner/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the emulated runner's core.
+//! Core of the emulated runner.
 
 mod bench;
 mod lease;
--- a/crates/emulator/tests/runner/work.rs
+++ b/crates/emulator/tests/runner/work.rs
@@ -1,10 +1,12 @@
-//! How runs end by themselves, and what heartbeats tell of them.
+//! Planned ends of runs, and the runs and resources that heartbeats report.
 
 use crate::bench::{options, run, run_id, runner, runner_with, slots, start_of};
 use emulator::runner::{Behaviour, Runner, RunnerEvent};
 use types::{Monotonic, Outcome};
 
-fn ends(runner: &mut Runner, payload: &str) -> Option<(u64, Outcome)> {
+/// Starts a run with this payload at time 0, and returns the time and outcome of its
+/// end.
+fn end_of_run(runner: &mut Runner, payload: &str) -> Option<(u64, Outcome)> {
     runner.order(Monotonic(0), &start_of(run(1, payload), 1));
     let at = runner.next_wakeup()?;
     match runner.tick(at).as_slice() {
@@ -13,38 +15,38 @@
     }
 }
 
-fn behaving(behaviour: Behaviour) -> Runner {
+fn runner_with_behaviour(behaviour: Behaviour) -> Runner {
     let mut runner = runner();
     runner.behave(behaviour);
     runner
 }
 
 #[test]
-fn work_takes_the_payloads_time_and_fails_when_told() {
-    let done = ends(&mut runner(), r#"{"duration_ms": 250, "other": 1}"#);
+fn payload_sets_duration_and_failure_of_run() {
+    let done = end_of_run(&mut runner(), r#"{"duration_ms": 250, "other": 1}"#);
     assert_eq!(done, Some((250, Outcome::Done)));
-    let failed = ends(&mut runner(), r#"{"duration_ms": 250, "fail": true}"#);
+    let failed = end_of_run(&mut runner(), r#"{"duration_ms": 250, "fail": true}"#);
     assert!(matches!(failed, Some((250, Outcome::Failed(_)))));
-    assert_eq!(ends(&mut runner(), ""), Some((100, Outcome::Done)));
+    assert_eq!(end_of_run(&mut runner(), ""), Some((100, Outcome::Done)));
 }
 
 #[test]
-fn the_task_that_a_payload_names_fails_soon() {
+fn task_named_by_fail_task_fails_early() {
     let payload = |task: u32| format!(r#"{{"duration_ms": 5000, "fail_task": {task}}}"#);
-    let failed = ends(&mut runner(), &payload(0));
+    let failed = end_of_run(&mut runner(), &payload(0));
     assert!(matches!(failed, Some((200, Outcome::Failed(_)))));
-    let other = ends(&mut runner(), &payload(1));
+    let other = end_of_run(&mut runner(), &payload(1));
     assert_eq!(other, Some((5_000, Outcome::Done)));
 }
 
 #[test]
-fn an_unreadable_payload_fails_at_once() {
-    let ended = ends(&mut runner(), "{nonsense");
+fn unreadable_payload_fails_run_at_once() {
+    let ended = end_of_run(&mut runner(), "{nonsense");
     assert!(matches!(ended, Some((0, Outcome::Failed(_)))));
 }
 
 #[test]
-fn a_time_limit_ends_a_run_as_failed() {
+fn run_over_time_limit_ends_as_failed() {
     let mut options = options();
     options.behaviour = Behaviour::Slow { times: 1_000 };
     let mut runner = runner_with(options);
@@ -61,19 +63,22 @@
 }
 
 #[test]
-fn behaviours() {
+fn slow_failing_and_stuck_runners_end_runs_accordingly() {
     let payload = r#"{"duration_ms": 250}"#;
-    let slow = ends(&mut behaving(Behaviour::Slow { times: 4 }), payload);
+    let slow = end_of_run(
+        &mut runner_with_behaviour(Behaviour::Slow { times: 4 }),
+        payload,
+    );
     assert_eq!(slow, Some((1_000, Outcome::Done)));
     let failing = Behaviour::Failing { per_thousand: 1000 };
-    let failed = ends(&mut behaving(failing), payload);
+    let failed = end_of_run(&mut runner_with_behaviour(failing), payload);
     assert!(matches!(failed, Some((250, Outcome::Failed(_)))));
-    let stuck = ends(&mut behaving(Behaviour::Stuck), payload);
+    let stuck = end_of_run(&mut runner_with_behaviour(Behaviour::Stuck), payload);
     assert_eq!(stuck, Some((10_000, Outcome::Stopped)), "at lease end only");
 }
 
 #[test]
-fn heartbeats_tell_room_held_and_ended() {
+fn heartbeat_reports_free_resources_active_runs_ended_runs_and_draining() {
     let mut runner = runner();
     runner.order(Monotonic(100), &start_of(run(1, ""), 1));
     let report = runner.heartbeat(Monotonic(150));
--- a/crates/emulator/tests/shell.rs
+++ b/crates/emulator/tests/shell.rs
@@ -1,4 +1,4 @@
-//! The emulated runner as a server, between a hand-made agent and orders.
+//! Server of an emulated runner, against a fake agent and orders sent by the test.
 
 use api::runner::{
     AnswerName, HeartbeatAnswerBody, HeartbeatBody, OrderAnswerBody, OrderBody, OrderName,
@@ -18,45 +18,51 @@
     Labels, Outcome, PoolName, RackName, Resources, RunId, RunnerId, RunnerIncarnation, Term,
 };
 
-/// Ends a test that hangs; no verdict depends on it otherwise.
-const HANG_GUARD: Duration = Duration::from_secs(60);
+/// Timeout that ends a test that hangs. No other result depends on it.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-async fn guarded<T>(work: impl Future<Output = T>) -> T {
-    tokio::time::timeout(HANG_GUARD, work)
+async fn with_timeout<T>(work: impl Future<Output = T>) -> T {
+    tokio::time::timeout(HANG_TIMEOUT, work)
         .await
         .expect("the test hangs")
 }
 
-struct Heard {
+/// Heartbeat as the fake agent received it.
+struct ReceivedHeartbeat {
     runner: String,
+    /// Value of the `authorization` header.
     key: Option<String>,
     body: HeartbeatBody,
 }
 
-/// An agent that confirms every heartbeat and records every ended run.
-struct HandMadeAgent {
+/// Agent that confirms every heartbeat and reports every ended run as recorded.
+struct FakeAgent {
     url: String,
-    heard: mpsc::UnboundedReceiver<Heard>,
+    received: mpsc::UnboundedReceiver<ReceivedHeartbeat>,
 }
 
-impl HandMadeAgent {
+impl FakeAgent {
     async fn start() -> Self {
         let listener = TcpListener::bind(loopback()).await.unwrap();
         let url = format!("http://{}", listener.local_addr().unwrap());
-        let (tell, heard) = mpsc::unbounded_channel();
+        let (sender, received) = mpsc::unbounded_channel();
         let router = Router::new()
             .route(api::runner::HEARTBEAT_ROUTE, post(answer))
-            .with_state(tell);
+            .with_state(sender);
         tokio::spawn(async move { axum::serve(listener, router).await });
-        Self { url, heard }
+        Self { url, received }
     }
 
-    async fn until(&mut self, wanted: impl Fn(&HeartbeatBody) -> bool) -> Heard {
-        guarded(async {
+    /// Waits for a heartbeat for which `matches` is true.
+    async fn wait_for_heartbeat(
+        &mut self,
+        matches: impl Fn(&HeartbeatBody) -> bool,
+    ) -> ReceivedHeartbeat {
+        with_timeout(async {
             loop {
-                let heard = self.heard.recv().await.expect("a heartbeat");
-                if wanted(&heard.body) {
-                    return heard;
+                let received = self.received.recv().await.expect("a heartbeat");
+                if matches(&received.body) {
+                    return received;
                 }
             }
         })
@@ -65,7 +71,7 @@
 }
 
 async fn answer(
-    State(tell): State<mpsc::UnboundedSender<Heard>>,
+    State(sender): State<mpsc::UnboundedSender<ReceivedHeartbeat>>,
     Path(runner): Path<String>,
     headers: HeaderMap,
     Json(body): Json<HeartbeatBody>,
@@ -81,8 +87,8 @@
     let key = headers
         .get("authorization")
         .map(|value| value.to_str().unwrap().to_owned());
-    // A test that has seen enough no longer listens.
-    let _ = tell.send(Heard { runner, key, body });
+    // Sending fails if the test has already dropped the receiver.
+    let _ = sender.send(ReceivedHeartbeat { runner, key, body });
     Json(answer)
 }
 
@@ -144,20 +150,20 @@
 
 async fn post_order(url: &str, order: &OrderBody) -> reqwest::Result<reqwest::Response> {
     let client = reqwest::Client::builder().no_proxy().build()?;
-    guarded(client.post(url).json(order).send()).await
+    with_timeout(client.post(url).json(order).send()).await
 }
 
-async fn answer_to(url: &str, order: &OrderBody) -> OrderAnswerBody {
+async fn send_order(url: &str, order: &OrderBody) -> OrderAnswerBody {
     let response = post_order(url, order).await.expect("an answer");
     response.json().await.expect("the body of an answer")
 }
 
-async fn running() -> (
-    HandMadeAgent,
+async fn start_runner() -> (
+    FakeAgent,
     RunnerHandle,
     mpsc::UnboundedReceiver<RunnerEvent>,
 ) {
-    let agent = HandMadeAgent::start().await;
+    let agent = FakeAgent::start().await;
     let key = Some("runner.secret".to_owned());
     let (runner, history) = RunnerServer::start(options(), &agent.url, key, loopback())
         .await
@@ -166,64 +172,66 @@
 }
 
 #[tokio::test]
-async fn sends_heartbeats_with_its_key_and_takes_orders_at_its_url() {
-    let (mut agent, _runner, mut history) = running().await;
-    let heard = agent.until(|_| true).await;
-    assert_eq!(heard.runner, "runner-1");
-    assert_eq!(heard.key.as_deref(), Some("Bearer runner.secret"));
-    let url = heard.body.orders_url;
-    let order = start(heard.body.sequence, 10);
-    assert_eq!(answer_to(&url, &order).await.answer, AnswerName::Started);
-    let again = answer_to(&url, &order).await;
+async fn heartbeats_carry_key_and_orders_are_accepted_at_reported_url() {
+    let (mut agent, _runner, mut history) = start_runner().await;
+    let received = agent.wait_for_heartbeat(|_| true).await;
+    assert_eq!(received.runner, "runner-1");
+    assert_eq!(received.key.as_deref(), Some("Bearer runner.secret"));
+    let url = received.body.orders_url;
+    let order = start(received.body.sequence, 10);
+    assert_eq!(send_order(&url, &order).await.answer, AnswerName::Started);
+    let again = send_order(&url, &order).await;
     assert_eq!(again.reason, Some(ReasonName::KnownRun));
 
-    let ended = agent.until(|body| !body.ended.is_empty()).await;
+    let ended = agent
+        .wait_for_heartbeat(|body| !body.ended.is_empty())
+        .await;
     assert_eq!(ended.body.ended[0].run, RunText(run_id()));
-    agent.until(|body| body.ended.is_empty()).await;
-    let started = guarded(history.recv()).await;
+    agent.wait_for_heartbeat(|body| body.ended.is_empty()).await;
+    let started = with_timeout(history.recv()).await;
     assert!(matches!(started, Some(RunnerEvent::Started(_))));
     let ended = RunnerEvent::Ended {
         run: run_id(),
         outcome: Outcome::Done,
     };
-    assert_eq!(guarded(history.recv()).await, Some(ended));
+    assert_eq!(with_timeout(history.recv()).await, Some(ended));
 }
 
 #[tokio::test]
-async fn says_that_it_drains() {
-    let (mut agent, runner, _history) = running().await;
-    let heard = agent.until(|body| !body.draining).await;
+async fn drain_is_reported_and_starts_are_rejected() {
+    let (mut agent, runner, _history) = start_runner().await;
+    let received = agent.wait_for_heartbeat(|body| !body.draining).await;
     runner.drain().await;
-    let drained = agent.until(|body| body.draining).await;
+    let drained = agent.wait_for_heartbeat(|body| body.draining).await;
     let order = start(drained.body.sequence, 10);
-    let answer = answer_to(&heard.body.orders_url, &order).await;
+    let answer = send_order(&received.body.orders_url, &order).await;
     assert_eq!(answer.reason, Some(ReasonName::Draining));
 }
 
 #[tokio::test]
-async fn a_killed_runner_takes_its_runs_with_it() {
-    let (mut agent, runner, mut history) = running().await;
-    let heard = agent.until(|_| true).await;
-    let url = heard.body.orders_url;
+async fn killed_runner_ends_its_runs_and_accepts_no_order() {
+    let (mut agent, runner, mut history) = start_runner().await;
+    let received = agent.wait_for_heartbeat(|_| true).await;
+    let url = received.body.orders_url;
     runner.behave(Behaviour::Stuck).await;
-    answer_to(&url, &start(heard.body.sequence, 10)).await;
+    send_order(&url, &start(received.body.sequence, 10)).await;
     runner.kill().await;
-    let started = guarded(history.recv()).await;
+    let started = with_timeout(history.recv()).await;
     assert!(matches!(started, Some(RunnerEvent::Started(_))));
     let stopped = RunnerEvent::Ended {
         run: run_id(),
         outcome: Outcome::Stopped,
     };
-    assert_eq!(guarded(history.recv()).await, Some(stopped));
-    assert_eq!(guarded(history.recv()).await, None);
+    assert_eq!(with_timeout(history.recv()).await, Some(stopped));
+    assert_eq!(with_timeout(history.recv()).await, None);
     let rejected = post_order(&url, &start(1, 10)).await;
     assert!(rejected.is_err());
 }
 
 #[tokio::test]
-async fn a_body_that_is_no_order_is_refused() {
-    let (mut agent, _runner, _history) = running().await;
-    let url = agent.until(|_| true).await.body.orders_url;
+async fn start_order_without_start_body_is_rejected() {
+    let (mut agent, _runner, _history) = start_runner().await;
+    let url = agent.wait_for_heartbeat(|_| true).await.body.orders_url;
     let mut contradictory = start(1, 10);
     contradictory.start = None;
     let response = post_order(&url, &contradictory).await.expect("an answer");
--- a/crates/emulator/tests/workload.rs
+++ b/crates/emulator/tests/workload.rs
@@ -1,4 +1,4 @@
-//! The mixes: what they draw, and that the fleet carries them.
+//! Job mixes: the jobs they draw, and that the fleet has capacity for them.
 
 use api::configuration::ConfigurationBody;
 use emulator::fleet::ACCELERATED_SEATS;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_same_seed_draws_the_same_jobs() {
+fn equal_seeds_draw_equal_jobs() {
     for mix in MIXES {
         assert_eq!(draw(mix, 3), draw(mix, 3));
         assert_ne!(draw(mix, 3), draw(mix, 4));
@@ -37,38 +37,38 @@
 }
 
 #[test]
-fn rates_are_those_of_the_deployments() {
+fn rates_match_the_example_deployments() {
     let rate = |mix| Workload::new(mix, "trial", 1).jobs_per_second();
     assert!((rate(Mix::Media) - 43.0).abs() < 0.5);
     assert!((rate(Mix::Documents) - 52.0).abs() < 0.5);
 }
 
 #[test]
-fn most_jobs_are_urgent_and_short_and_three_tenants_send_them() {
+fn most_jobs_are_urgent_and_three_tenants_submit_them() {
     for mix in MIXES {
         let jobs = draw(mix, 1);
         let urgent = jobs.iter().filter(|job| job.urgency == Urgency::Urgent);
         assert!(urgent.count() > DRAWS * 3 / 4);
         let tenants: BTreeSet<_> = jobs.iter().map(|job| &job.tenant).collect();
         assert_eq!(tenants.len(), 3);
-        let names: BTreeSet<_> = jobs.iter().map(|job| &job.job).collect();
-        assert_eq!(names.len(), DRAWS);
+        let job_ids: BTreeSet<_> = jobs.iter().map(|job| &job.job).collect();
+        assert_eq!(job_ids.len(), DRAWS);
     }
 }
 
 #[test]
-fn the_mean_load_takes_about_half_of_the_slots() {
+fn mean_load_uses_about_half_of_the_slots() {
     for mix in MIXES {
         let jobs = draw(mix, 1);
         let mean = jobs.iter().map(slot_seconds).sum::<f64>() / DRAWS as f64;
-        let busy = mean * Workload::new(mix, "trial", 1).jobs_per_second();
+        let busy_slots = mean * Workload::new(mix, "trial", 1).jobs_per_second();
         let slots = pool_runners(mix).len() as f64 * 8.0;
-        let used = busy / slots;
+        let used = busy_slots / slots;
         assert!((0.4..0.6).contains(&used), "{mix:?} uses {used:.2}");
     }
 }
 
-/// Seats that a mix holds on average.
+/// Returns the mean number of seats that a mix uses.
 fn mean_seats(mix: Mix) -> f64 {
     let jobs = draw(mix, 1);
     let steps = jobs.iter().flat_map(|job| &job.steps);
@@ -83,9 +83,9 @@
 #[test]
 fn the_mean_load_leaves_seats_free_yet_they_bind_at_times() {
     let seats = f64::from(ACCELERATED_SEATS);
-    let active: f64 = MIXES.into_iter().map(mean_seats).sum();
-    let used = active / seats;
-    assert!((0.7..0.9).contains(&used), "{active:.1} of {seats} seats");
+    let mean: f64 = MIXES.into_iter().map(mean_seats).sum();
+    let used = mean / seats;
+    assert!((0.7..0.9).contains(&used), "{mean:.1} of {seats} seats");
 
     let runners = MIXES.into_iter().flat_map(pool_runners);
     let accelerators: u32 = runners.map(|runner| runner.capacity.gpus).sum();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_fleet_has_the_sizes_asked_for() {
+fn fleet_has_the_specified_sizes() {
     for (mix, runners) in MIXES.into_iter().zip([5, 6]) {
         let fleet = pool_runners(mix);
         assert_eq!(fleet.len(), runners);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn every_job_fits_the_configuration_and_a_runner() {
+fn every_job_matches_the_configuration_and_fits_a_runner() {
     let configuration = example_configuration();
     for mix in MIXES {
         let fleet = pool_runners(mix);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn shares_of_a_pool_add_up_and_a_full_slot_load_fits_every_runner() {
+fn shares_of_a_pool_add_up_to_100_and_every_runner_fits_eight_strip_tasks() {
     let configuration = example_configuration();
     assert_eq!(configuration.pools.len(), 2);
     assert_eq!(configuration.tenants.len(), 6);
@@ -142,19 +142,19 @@
         let largest = &configuration.pools.values().next().unwrap().largest_runner;
         for runner in pool_runners(mix) {
             assert!(runner.capacity.fits_in(largest));
-            let eight_strips = Resources {
+            let eight_strip_tasks = Resources {
                 slots: 8,
                 cpu_milli: 16_000,
                 memory_mib: 8_192,
                 gpus: 0,
             };
-            assert!(eight_strips.fits_in(&runner.capacity));
+            assert!(eight_strip_tasks.fits_in(&runner.capacity));
         }
     }
 }
 
 #[test]
-fn the_example_files_hold_the_example_configuration() {
+fn example_files_contain_the_example_configuration() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     let json = std::fs::read(folder.join("configuration.json")).unwrap();
     let toml = std::fs::read_to_string(folder.join("configuration.toml")).unwrap();
@@ -166,11 +166,11 @@
 }
 
 #[test]
-fn the_record_takes_the_example_configuration_and_every_job() {
+fn state_machine_accepts_the_example_configuration_and_every_job() {
     let configuration = example_configuration();
     assert_eq!(configuration::validate(&configuration), []);
-    let mut record = StateMachine::new();
-    record.apply(&Command::PutConfiguration {
+    let mut state_machine = StateMachine::new();
+    state_machine.apply(&Command::PutConfiguration {
         version: ConfigurationVersion(1),
         document: configuration,
         at: WallTime(0),
@@ -181,9 +181,9 @@
                 spec,
                 at: WallTime(1),
             };
-            let reply = record.apply(&submit).reply;
-            let taken = matches!(reply, CommandReply::Submitted { known: false, .. });
-            assert!(taken, "{reply:?}");
+            let reply = state_machine.apply(&submit).reply;
+            let accepted = matches!(reply, CommandReply::Submitted { known: false, .. });
+            assert!(accepted, "{reply:?}");
         }
     }
 }
