--- a/crates/replay/src/cluster.rs
+++ b/crates/replay/src/cluster.rs
@@ -1,4 +1,5 @@
-//! The core as a cluster of one voter: its identity, its clock, its writes.
+//! Cluster of one voter around a coordinator core, with its identity, virtual
+//! clock and confirmed writes.
 
 use consensus::{Membership, Recovered};
 use coordinator::{Coordinator, CoordinatorOptions, Effect, Input};
@@ -10,27 +11,29 @@
     Address, ClusterId, InvalidName, Milliseconds, Monotonic, NodeId, Now, Role, WallTime, ZoneName,
 };
 
-/// Virtual time before the first line: election, and the wait for runners.
+/// Virtual time before the first line. It covers the election and the wait for
+/// runners.
 const WARM_UP: Milliseconds = Milliseconds(10_000);
-/// Ticks at one moment at most; what is left comes a millisecond later.
+/// Maximum number of ticks at one virtual time. Remaining work is done a
+/// millisecond later.
 const MAX_TICKS_AT_ONCE: usize = 64;
 const OWN_NODE: NodeId = NodeId(1);
 const CLUSTER: ClusterId = ClusterId(1);
 const ZONE: &str = "replay";
-/// Peer port of every process that is played.
+/// Peer port of every emulated process.
 const PORT: u16 = 7_000;
 const OWN_IP: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 1);
 
-/// What the core did that the driver must see.
+/// Event of the core that the driver has to process.
 #[derive(Debug)]
-pub enum Seen {
-    /// It sent a message.
+pub enum CoreEvent {
+    /// The core sent a message.
     Sent(PeerMessage),
-    /// It let out a decision.
+    /// The core published a decision.
     Decided(Box<DecisionEntry>),
 }
 
-/// One core with its clock.
+/// Coordinator core with its virtual clocks.
 pub struct Cluster {
     core: Coordinator,
     monotonic: Monotonic,
@@ -38,11 +41,12 @@
 }
 
 impl Cluster {
-    /// A core that leads and has waited for runners, at this wall time.
+    /// Creates a core that leads and has finished the wait for runners at the wall
+    /// time `wall`.
     ///
     /// # Errors
     ///
-    /// Fails if a name made for the cluster is not valid.
+    /// Fails if a name generated for the cluster is not valid.
     pub fn new(seed: u64, wall: WallTime) -> Result<Self, InvalidName> {
         let address = address(OWN_NODE, Role::Coordinator, OWN_IP)?;
         let voters = BTreeMap::from([(address.node, address.socket)]);
@@ -67,18 +71,18 @@
         Ok(cluster)
     }
 
-    /// Lets the monotonic clock alone run, so that the first line finds a
-    /// leader at its own wall time. There is nothing to see before it.
+    /// Advances only the monotonic clock, so that the core leads by the wall time
+    /// of the first line. Events before that line are discarded.
     fn warm_up(&mut self) {
         while self.monotonic < Monotonic(0) + WARM_UP {
-            let mut seen = Vec::new();
+            let mut events = Vec::new();
             let next = self.core.next_wakeup().0.max(self.monotonic.0 + 1);
             self.monotonic = Monotonic(next.min(WARM_UP.0));
-            self.handle(Input::Tick, &mut seen);
+            self.handle(Input::Tick, &mut events);
         }
     }
 
-    /// Both clocks.
+    /// Returns the time of both clocks.
     pub fn now(&self) -> Now {
         Now {
             monotonic: self.monotonic,
@@ -86,42 +90,42 @@
         }
     }
 
-    /// Returns whether it leads and may act.
+    /// Returns whether the core leads and serves requests.
     pub fn is_serving(&self) -> bool {
         self.core.is_serving(self.now())
     }
 
-    /// When it is to be woken next, on the wall clock; always in the future.
+    /// Returns the wall time of the core's next wakeup, at least 1 ms from now.
     pub fn next_wakeup(&self) -> WallTime {
         let wait = self.core.next_wakeup().since(self.monotonic);
         self.wall + wait.max(Milliseconds(1))
     }
 
-    /// Moves both clocks on.
+    /// Advances both clocks to the wall time `to`. Has no effect if `to` has passed.
     pub fn advance(&mut self, to: WallTime) {
         let passed = Milliseconds(to.0.saturating_sub(self.wall.0));
         self.monotonic = self.monotonic + passed;
         self.wall = self.wall + passed;
     }
 
-    /// Wakes the core, and again while it has more to do at this moment.
-    pub fn tick(&mut self, seen: &mut Vec<Seen>) {
+    /// Ticks the core until it has no more work at the current time, at most 64 times.
+    pub fn tick(&mut self, events: &mut Vec<CoreEvent>) {
         for _ in 0..MAX_TICKS_AT_ONCE {
-            self.handle(Input::Tick, seen);
+            self.handle(Input::Tick, events);
             if self.core.next_wakeup() > self.monotonic {
                 return;
             }
         }
     }
 
-    /// Gives the core a message.
-    pub fn deliver(&mut self, from: Address, body: PeerMessage, seen: &mut Vec<Seen>) {
+    /// Delivers a message to the core.
+    pub fn deliver(&mut self, from: Address, body: PeerMessage, events: &mut Vec<CoreEvent>) {
         let via = None;
-        self.handle(Input::Peer(Envelope { from, via, body }), seen);
+        self.handle(Input::Peer(Envelope { from, via, body }), events);
     }
 
-    /// Gives an input; writes are synced at once.
-    fn handle(&mut self, input: Input, seen: &mut Vec<Seen>) {
+    /// Passes an input to the core, and confirms its writes at once.
+    fn handle(&mut self, input: Input, events: &mut Vec<CoreEvent>) {
         let now = self.now();
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
@@ -129,8 +133,8 @@
             self.core.handle(now, input, &mut effects);
             for effect in effects {
                 match effect {
-                    Effect::Send { message, .. } => seen.push(Seen::Sent(message)),
-                    Effect::Decision(entry) => seen.push(Seen::Decided(entry)),
+                    Effect::Send { message, .. } => events.push(CoreEvent::Sent(message)),
+                    Effect::Decision(entry) => events.push(CoreEvent::Decided(entry)),
                     Effect::Persist { number, .. } => inputs.push_back(Input::Persisted { number }),
                     Effect::SaveIdentity(_) => inputs.push_back(Input::IdentitySaved),
                     Effect::Ready(_) | Effect::Stopped => {}
@@ -140,7 +144,7 @@
     }
 }
 
-/// Address of a played process.
+/// Returns the address of an emulated process.
 ///
 /// # Errors
 ///
@@ -154,7 +158,7 @@
     })
 }
 
-/// What a daemon has without settings of its own.
+/// Returns the options that a daemon has with default settings.
 fn options(address: Address, seed: u64) -> CoordinatorOptions {
     CoordinatorOptions {
         address,
--- a/crates/replay/src/input.rs
+++ b/crates/replay/src/input.rs
@@ -1,4 +1,4 @@
-//! One line of input.
+//! Lines of input and their checks.
 
 use api::BodyError;
 use api::cancel::CancelBody;
@@ -10,59 +10,59 @@
 use transport::Operation;
 use types::{ConfigurationVersion, OrderAnswer, RunnerId, RunnerReport, WallTime};
 
-/// How a field is named that was not read to its end.
+/// Path that the JSON reader gives to a field that was not read completely.
 const UNNAMED: &str = "?";
 
-/// Why a line cannot be taken.
+/// Error that prevents a line from being applied.
 #[derive(Debug, Error)]
 pub enum LineError {
-    /// A body or field is wrong.
+    /// A body or field of the line is not valid.
     #[error(transparent)]
     Body(#[from] BodyError),
-    /// A heartbeat or an answer is wrong.
+    /// A heartbeat or an answer to an order is not valid.
     #[error(transparent)]
     Runner(#[from] RunnerBodyError),
-    /// More than one input on a line.
+    /// The line holds more than one input.
     #[error(
         "a line holds at most one of submit, cancel, configuration, update, heartbeat and answer, not {found}"
     )]
     Several {
-        /// How many it holds.
+        /// Number of inputs on the line.
         found: usize,
     },
-    /// A runner's input without the runner, or the reverse.
+    /// A heartbeat or an answer lacks its runner, or a runner is given without them.
     #[error("runner must be given with heartbeat or answer, and with nothing else")]
-    Runnerless,
-    /// Time goes back.
-    #[error("at_ms: {at} lies before {last}, the time of the line before")]
+    RunnerMismatch,
+    /// The line is earlier than the previous one.
+    #[error("at_ms: {at} lies before {last}, the time of the previous line")]
     TimeGoesBack {
-        /// Time of this line.
+        /// Time of this line, in milliseconds.
         at: u64,
-        /// Time of the line before.
+        /// Time of the previous line, in milliseconds.
         last: u64,
     },
-    /// Time jumps further than is walked.
-    #[error("at_ms: {at} lies more than {max} ms after {last}, the time of the line before")]
+    /// The line is later than the previous one by more than the longest gap.
+    #[error("at_ms: {at} lies more than {max} ms after {last}, the time of the previous line")]
     Gap {
-        /// Time of this line.
+        /// Time of this line, in milliseconds.
         at: u64,
-        /// Time of the line before.
+        /// Time of the previous line, in milliseconds.
         last: u64,
-        /// Longest gap.
+        /// Maximum time between two lines, in milliseconds.
         max: u64,
     },
-    /// The line is too long.
+    /// The line exceeds the maximum length.
     #[error("the line is longer than {max} bytes")]
     TooLong {
-        /// Longest line.
+        /// Maximum length of a line, in bytes.
         max: u64,
     },
-    /// The core would not lead: a fault of the program, not of the line.
-    #[error("the coordinator did not come into service")]
+    /// The core does not lead. This is a fault of the program, not of the line.
+    #[error("the coordinator did not start serving")]
     NotServing,
 }
 
-/// A version and its document.
+/// Configuration document with its version.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ConfigurationInput {
@@ -70,7 +70,7 @@
     document: ConfigurationBody,
 }
 
-/// A version and the changes that make it.
+/// Changes to a configuration, with the version that they create.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct UpdateInput {
@@ -78,7 +78,7 @@
     changes: ConfigurationUpdateBody,
 }
 
-/// A line as it is in the input.
+/// Line as read, with its fields not checked yet.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawLine {
@@ -92,39 +92,39 @@
     answer: Option<OrderAnswerBody>,
 }
 
-/// What a line asks for.
+/// Input that a line holds.
 #[derive(Debug, Clone, PartialEq)]
 pub enum InputKind {
-    /// A request of a caller or operator.
+    /// Request of a caller or operator.
     Request(Box<Operation>),
-    /// A runner's heartbeat.
+    /// Heartbeat of a runner.
     Heartbeat(Box<RunnerReport>),
-    /// The runner's answer to the next order it gets.
+    /// Answer that a runner gives to its next order without one.
     Answer {
-        /// The runner.
+        /// Runner that gives the answer.
         runner: RunnerId,
-        /// What it will say.
+        /// Answer to give.
         answer: OrderAnswer,
     },
-    /// Only time passes.
+    /// No input: only the clock advances.
     Advance,
 }
 
-/// A line, checked by itself.
+/// Line that is valid on its own, regardless of earlier lines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InputLine {
-    /// When, on the wall clock.
+    /// Wall time at which the line is applied.
     pub at: WallTime,
-    /// What.
+    /// Input to apply.
     pub kind: InputKind,
 }
 
 impl InputLine {
-    /// Reads a line.
+    /// Parses a line.
     ///
     /// # Errors
     ///
-    /// Names the field of the line that cannot be read.
+    /// Fails if the line is not valid. The error names the field.
     pub fn parse(bytes: &[u8]) -> Result<Self, LineError> {
         let raw: RawLine = api::parse_json(bytes).map_err(name_truncated)?;
         let at = WallTime(raw.at_ms);
@@ -180,7 +180,7 @@
             return Err(LineError::Several { found });
         }
         if self.runner.is_some() != of_runner.contains(&true) {
-            return Err(LineError::Runnerless);
+            return Err(LineError::RunnerMismatch);
         }
         Ok(())
     }
@@ -190,7 +190,8 @@
     InputKind::Request(Box::new(operation))
 }
 
-/// A line cut short within an object has no field to name.
+/// Replaces the path [`UNNAMED`] by `body`, because a line that ends within an object
+/// has no complete field to name.
 fn name_truncated(error: BodyError) -> BodyError {
     match error.path.as_str() {
         UNNAMED => BodyError::new("body", error.message),
@@ -198,7 +199,7 @@
     }
 }
 
-/// Puts the field of the line before the place within its body.
+/// Prefixes the path of an error with the field of the line that holds the body.
 fn in_field<T>(field: &str, result: Result<T, BodyError>) -> Result<T, BodyError> {
     result.map_err(|error| BodyError::new(format!("{field}.{}", error.path), error.message))
 }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,9 +1,9 @@
 //! Drives one coordinator core through a stream of inputs in virtual time.
 //!
-//! The core is the daemon's own, as a cluster of one voter. The driver plays
-//! the gateway and the agents as messages, and answers its writes at once. One
-//! clock, one seed and no other source of chance: the same input and seed give
-//! the same output, to the byte.
+//! The core is the one of the daemon, run as a cluster of one voter. The driver
+//! emulates the gateway and the agents as messages, and confirms each write of
+//! the core at once. All times come from one virtual clock and all draws from
+//! one seed, so equal input and seed give the same output, to the byte.
 
 pub mod cluster;
 pub mod input;
--- a/crates/replay/src/output.rs
+++ b/crates/replay/src/output.rs
@@ -1,4 +1,4 @@
-//! Lines of output, in the forms of the outer interface.
+//! Lines of output, in the formats of the HTTP interface.
 
 use api::cancel::{CancelledBody, JobKeyBody};
 use api::decision::DecisionLine;
@@ -9,95 +9,97 @@
 use serde::Serialize;
 use transport::{OperationReply, Rejection, RunnerUpdate};
 
-/// A line of output.
+/// Line of output, written as one JSON object.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum OutputLine {
-    /// A decision, as `GET /v1/decisions` gives it.
+    /// Decision, in the format of `GET /v1/decisions`.
     Decision(Box<DecisionLine>),
-    /// Anything else.
+    /// Any other event of the replay.
     Event(Box<EventLine>),
 }
 
-/// A line that is no decision.
+/// Line of output for an event other than a decision.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum EventLine {
-    /// A line of input was taken.
+    /// A line of input was accepted.
     Accepted {
-        /// Its number, from 1.
+        /// Number of the line of input, from 1.
         line: u64,
-        /// Virtual time of the answer.
+        /// Virtual wall time of the answer, in milliseconds.
         at_ms: u64,
-        /// What the interface answers with; none where it answers nothing.
+        /// Body that the HTTP interface answers with. `None` if it answers without one.
         #[serde(skip_serializing_if = "Option::is_none")]
         answer: Option<AnswerBody>,
     },
     /// A line of input was rejected by the coordinator.
     #[serde(rename = "refused")]
     Rejected {
-        /// Its number, from 1.
+        /// Number of the line of input, from 1.
         line: u64,
-        /// Virtual time of the answer.
+        /// Virtual wall time of the answer, in milliseconds.
         at_ms: u64,
-        /// Code and message.
+        /// Code and message of the rejection.
         #[serde(flatten)]
         rejection: RejectionBody,
     },
-    /// An order went to a runner, which answered at once.
+    /// An order was sent to a runner, which answered at once.
     Order {
-        /// Virtual time of the order.
+        /// Virtual wall time of the order, in milliseconds.
         at_ms: u64,
-        /// The order.
+        /// Order as its runner receives it.
         order: OrderBody,
-        /// What the runner said.
+        /// Answer of the runner. `None` if the runner is unknown or its answer has no
+        /// body.
         #[serde(skip_serializing_if = "Option::is_none")]
         answer: Option<OrderAnswerBody>,
     },
-    /// The last line.
+    /// Counts over the whole input, as the last line.
     Summary(Summary),
 }
 
-/// What the interface answers with.
+/// Body of an answer of the HTTP interface.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(untagged)]
 pub enum AnswerBody {
-    /// To a submit.
+    /// Answer to a submit.
     Submitted(SubmittedBody),
-    /// To a cancel.
+    /// Answer to a cancel.
     Cancelled(CancelledBody),
-    /// To a configuration.
+    /// Answer to a configuration or a configuration update.
     Configured(ConfiguredBody),
-    /// To a heartbeat.
+    /// Answer to a heartbeat.
     Heartbeat(HeartbeatAnswerBody),
 }
 
 /// Counts over the whole input.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
 pub struct Summary {
-    /// Lines of input.
+    /// Lines of input that were processed.
     pub lines: u64,
-    /// Jobs taken; one sent again counts once.
+    /// Jobs accepted. A job that is submitted again counts once.
     pub jobs: u64,
     /// Jobs that reached a final state.
     pub ended: u64,
-    /// Tasks placed to be started.
+    /// Tasks placed on a runner in order to start.
     pub placed: u64,
     /// Tasks placed in shadow queues.
     pub placed_in_shadow: u64,
-    /// Orders to runners.
+    /// Orders sent to runners.
     pub orders: u64,
-    /// Lines rejected.
+    /// Lines of input rejected by the coordinator.
     #[serde(rename = "refused")]
     pub rejected: u64,
     /// Requests without an answer at the end of the input.
     pub unanswered: u64,
-    /// Answers to orders given in the input that no order came for.
+    /// Answers to orders in the input that were not used by any order.
     pub unused_answers: u64,
 }
 
 impl AnswerBody {
-    /// The answer to a request; none for replies no line asks for.
+    /// Converts the reply to a request. Returns `None` for replies to operations that
+    /// no line of input can hold.
     pub(crate) fn from_reply(reply: OperationReply) -> Option<Self> {
         match reply {
             OperationReply::Submitted { number, known } => Some(Self::Submitted(SubmittedBody {
@@ -123,7 +125,7 @@
         }
     }
 
-    /// The answer to a heartbeat.
+    /// Converts the update that answers a heartbeat.
     pub(crate) fn from_update(update: RunnerUpdate) -> Self {
         Self::Heartbeat(HeartbeatAnswerBody {
             term: update.term.0,
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -1,4 +1,4 @@
-//! A whole replay over a reader and a writer.
+//! Replay of a whole input from a reader to a writer.
 
 use crate::Replay;
 use crate::input::{InputLine, LineError};
@@ -6,18 +6,19 @@
 use std::io::{self, BufRead, Read, Write};
 use thiserror::Error;
 
-/// Maximum length of a line: a body of the interface and its envelope.
+/// Maximum length of a line. It leaves room for the largest body of the HTTP
+/// interface and the fields around it.
 const MAX_LINE_BYTES: u64 = 5 * 1024 * 1024;
 
-/// Why a replay ended early.
+/// Error that ends a replay early.
 #[derive(Debug, Error)]
 pub enum ReplayError {
-    /// A line cannot be taken; neither it nor any after it is applied.
+    /// A line cannot be applied. Neither it nor any later line is.
     #[error("line {line}: {problem}")]
     Line {
-        /// Its number, from 1.
+        /// Number of the line, from 1.
         line: u64,
-        /// What is wrong.
+        /// Reason that the line cannot be applied.
         problem: LineError,
     },
     /// The input cannot be read.
@@ -28,12 +29,14 @@
     Write(io::Error),
 }
 
-/// Replays the input line by line: what a line leads to is written and flushed
-/// before the next is read, so that a program may drive it as a stream.
+/// Replays the input line by line. The output of each line is written and flushed
+/// before the next line is read, so that a program can drive the replay as a
+/// stream.
 ///
 /// # Errors
 ///
-/// Names the line that cannot be applied, or fails if reading or writing fails.
+/// Fails if a line cannot be applied, and names its number, or if reading or
+/// writing fails.
 pub fn run(
     mut input: impl BufRead,
     mut output: impl Write,
@@ -43,20 +46,20 @@
     let mut number = 0;
     loop {
         number += 1;
-        let wrong = |problem| ReplayError::Line {
+        let line_error = |problem| ReplayError::Line {
             line: number,
             problem,
         };
         let Some(bytes) = read_line(&mut input)? else {
             break;
         };
-        if count(&bytes) > MAX_LINE_BYTES {
+        if byte_count(&bytes) > MAX_LINE_BYTES {
             let max = MAX_LINE_BYTES;
-            return Err(wrong(LineError::TooLong { max }));
+            return Err(line_error(LineError::TooLong { max }));
         }
-        let line = InputLine::parse(&bytes).map_err(wrong)?;
+        let line = InputLine::parse(&bytes).map_err(line_error)?;
         let mut lines = Vec::new();
-        replay.apply(line, &mut lines).map_err(wrong)?;
+        replay.apply(line, &mut lines).map_err(line_error)?;
         write_lines(&mut output, &lines)?;
     }
     let summary = replay.finish();
@@ -64,7 +67,8 @@
     Ok(summary)
 }
 
-/// The next line without its end; none at the end of the input.
+/// Reads the next line without its line break, and at most one byte more than
+/// [`MAX_LINE_BYTES`]. Returns `None` at the end of the input.
 fn read_line(input: &mut impl BufRead) -> Result<Option<Vec<u8>>, ReplayError> {
     let mut bytes = Vec::new();
     let mut bounded = input.by_ref().take(MAX_LINE_BYTES + 1);
@@ -88,6 +92,6 @@
     output.flush().map_err(ReplayError::Write)
 }
 
-fn count(bytes: &[u8]) -> u64 {
+fn byte_count(bytes: &[u8]) -> u64 {
     u64::try_from(bytes.len()).unwrap_or(u64::MAX)
 }
--- a/crates/replay/src/runners.rs
+++ b/crates/replay/src/runners.rs
@@ -1,4 +1,4 @@
-//! The runners of the input, each with an agent of its own.
+//! Runners of the input, each with its own emulated agent.
 
 use crate::cluster::address;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -8,36 +8,37 @@
     RunnerReport,
 };
 
-/// Identities of agents count up from here.
+/// Node identity of the first agent; others count up from it.
 const FIRST_NODE: u64 = 1_000;
-/// IPs of agents count up from here: 127.1.0.0.
+/// IP address of the first agent, 127.1.0.0; others count up from it.
 const FIRST_IP: u32 = 0x7F01_0000;
 
-/// One runner and its agent.
+/// State of a runner, with the address of its agent.
 #[derive(Debug)]
 pub struct Runner {
-    /// The agent.
+    /// Address of the runner's agent.
     pub agent: Address,
-    /// Runs it holds: those of its last heartbeat, and those started since.
+    /// Active runs: those of the last heartbeat, and those started since.
     active: BTreeSet<RunId>,
-    /// Ended runs its last heartbeat named.
+    /// Ended runs that the last heartbeat reported.
     ended: BTreeSet<RunId>,
 }
 
-/// All runners that have sent a heartbeat, by name.
+/// All runners that have sent a heartbeat, and the answers that the input gives.
 #[derive(Debug, Default)]
 pub struct Runners {
     runners: BTreeMap<RunnerId, Runner>,
-    /// Answers given in the input, for the next orders.
+    /// Answers given in the input that await the next orders of their runner.
     answers: BTreeMap<RunnerId, VecDeque<OrderAnswer>>,
 }
 
 impl Runners {
-    /// Takes a heartbeat; gives the agent it goes by, new or known.
+    /// Records a heartbeat. Returns the address of the runner's agent, which is
+    /// assigned at the first heartbeat.
     ///
     /// # Errors
     ///
-    /// Fails if the name made for the runner's agent is not valid.
+    /// Fails if a name generated for the agent's address is not valid.
     pub fn record_heartbeat(&mut self, report: &RunnerReport) -> Result<Address, InvalidName> {
         let active = report.active.iter().map(|run| run.run).collect();
         let ended = report.ended.iter().map(|run| run.run).collect();
@@ -54,30 +55,31 @@
         Ok(agent)
     }
 
-    /// Runners with their agents, by name.
+    /// Returns the runners in order of their names.
     pub fn iter(&self) -> impl Iterator<Item = (&RunnerId, &Runner)> {
         self.runners.iter()
     }
 
-    /// Keeps an answer for the runner's next order.
-    pub fn give_answer(&mut self, runner: RunnerId, answer: OrderAnswer) {
+    /// Queues an answer for the runner's next order.
+    pub fn queue_answer(&mut self, runner: RunnerId, answer: OrderAnswer) {
         self.answers.entry(runner).or_default().push_back(answer);
     }
 
-    /// Answers that no order came for.
+    /// Returns the number of answers that no order has used.
     pub fn unused_answers(&self) -> usize {
         self.answers.values().map(VecDeque::len).sum()
     }
 
-    /// Carries out an order: the answer of the input, or that of a runner
-    /// where every start lands. Gives the agent it came by as well.
-    pub fn carry_out(&mut self, order: &RunnerOrder) -> Option<(Address, OrderAnswer)> {
-        let given = self
+    /// Answers an order with the next queued answer of the input, or else as a runner
+    /// that accepts every start. Returns the address of the runner's agent with the
+    /// answer, or `None` if the runner has sent no heartbeat.
+    pub fn answer_order(&mut self, order: &RunnerOrder) -> Option<(Address, OrderAnswer)> {
+        let queued = self
             .answers
             .get_mut(&order.runner)
             .and_then(VecDeque::pop_front);
         let runner = self.runners.get_mut(&order.runner)?;
-        let answer = given.unwrap_or_else(|| runner.default_answer(&order.kind));
+        let answer = queued.unwrap_or_else(|| runner.default_answer(&order.kind));
         let run = order.kind.run();
         if matches!(answer, OrderAnswer::Started | OrderAnswer::Active) {
             runner.active.insert(run);
--- a/crates/replay/src/session.rs
+++ b/crates/replay/src/session.rs
@@ -1,6 +1,6 @@
-//! A replay under way: lines in, lines out.
+//! State of a replay in progress, which turns lines of input into lines of output.
 
-use crate::cluster::{Cluster, Seen, address};
+use crate::cluster::{Cluster, CoreEvent, address};
 use crate::input::{InputKind, InputLine, LineError};
 use crate::output::{AnswerBody, EventLine, OutputLine, Summary};
 use crate::runners::Runners;
@@ -18,32 +18,33 @@
     RunnerReport, WallTime,
 };
 
-/// Longest time between two lines: a week.
+/// Maximum time between two lines: one week.
 pub const MAX_GAP: Milliseconds = Milliseconds::from_seconds(7 * 24 * 60 * 60);
-/// Time between keep-alives of an agent.
+/// Interval between keep-alives of an agent.
 const KEEP_ALIVE_INTERVAL: Milliseconds = Milliseconds(400);
-/// How long a request may wait for its answer.
-const REQUEST_TIME: Milliseconds = Milliseconds(30_000);
+/// Time that the coordinator has to answer a request.
+const REQUEST_TIMEOUT: Milliseconds = Milliseconds(30_000);
 const GATEWAY_NODE: NodeId = NodeId(2);
 const GATEWAY_IP: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
 
-/// A replay under way.
+/// Replay in progress.
 pub struct Replay {
     seed: u64,
-    /// Built at the time of the first line.
+    /// `None` until the first line, whose time the cluster starts at.
     cluster: Option<Cluster>,
     runners: Runners,
     next_keep_alive: WallTime,
     keep_alive_sequence: u64,
-    /// Lines whose request has no answer yet; requests bear their numbers.
-    waiting: BTreeMap<RequestId, u64>,
-    /// The line whose heartbeat is being handled.
-    heartbeat: Option<u64>,
+    /// Line numbers of the requests without an answer. A request's identifier is its
+    /// line number.
+    pending_requests: BTreeMap<RequestId, u64>,
+    /// Line number of the heartbeat that is being processed and has no answer yet.
+    pending_heartbeat: Option<u64>,
     summary: Summary,
 }
 
 impl Replay {
-    /// A replay with this seed.
+    /// Creates a replay. `seed` determines all draws of the core.
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -51,18 +52,19 @@
             runners: Runners::default(),
             next_keep_alive: WallTime(0),
             keep_alive_sequence: 0,
-            waiting: BTreeMap::new(),
-            heartbeat: None,
+            pending_requests: BTreeMap::new(),
+            pending_heartbeat: None,
             summary: Summary::default(),
         }
     }
 
-    /// Lets time pass up to the line, and applies it. After an error nothing
-    /// of the line is applied.
+    /// Advances the clock to the time of the line, and applies the line. After an error
+    /// nothing of the line is applied.
     ///
     /// # Errors
     ///
-    /// Fails if the line does not fit those before it.
+    /// Fails if the line is earlier than the previous one or more than [`MAX_GAP`]
+    /// later, or if the core does not lead.
     pub fn apply(
         &mut self,
         input: InputLine,
@@ -70,7 +72,7 @@
     ) -> Result<(), LineError> {
         let mut cluster = match self.cluster.take() {
             Some(cluster) => cluster,
-            None => Cluster::new(self.seed, input.at).map_err(wrong_name)?,
+            None => Cluster::new(self.seed, input.at).map_err(name_error)?,
         };
         let applied = self.apply_to(&mut cluster, input, output);
         self.cluster = Some(cluster);
@@ -84,52 +86,53 @@
         output: &mut Vec<OutputLine>,
     ) -> Result<(), LineError> {
         check_time(cluster.now().wall, input.at)?;
-        self.walk(cluster, input.at, output);
+        self.advance_to(cluster, input.at, output);
         if !cluster.is_serving() {
             return Err(LineError::NotServing);
         }
         self.summary.lines += 1;
         let line = self.summary.lines;
-        let mut seen = Vec::new();
+        let mut events = Vec::new();
         match input.kind {
-            InputKind::Request(operation) => self.request(cluster, line, *operation, &mut seen)?,
-            InputKind::Heartbeat(report) => self.report(cluster, line, *report, &mut seen)?,
+            InputKind::Request(request) => self.request(cluster, line, *request, &mut events)?,
+            InputKind::Heartbeat(report) => self.heartbeat(cluster, line, *report, &mut events)?,
             InputKind::Answer { runner, answer } => {
-                self.runners.give_answer(runner, answer);
+                self.runners.queue_answer(runner, answer);
                 output.push(accepted(line, input.at, None));
             }
             InputKind::Advance => output.push(accepted(line, input.at, None)),
         }
-        self.follow(cluster, &mut seen, output);
-        self.end_heartbeat(input.at, output);
-        cluster.tick(&mut seen);
-        self.follow(cluster, &mut seen, output);
+        self.process_events(cluster, &mut events, output);
+        self.reject_ignored_heartbeat(input.at, output);
+        cluster.tick(&mut events);
+        self.process_events(cluster, &mut events, output);
         Ok(())
     }
 
-    /// The last line.
+    /// Ends the replay, and returns its counts for the last line of output.
     pub fn finish(mut self) -> Summary {
-        self.summary.unanswered = count(self.waiting.len());
+        self.summary.unanswered = count(self.pending_requests.len());
         self.summary.unused_answers = count(self.runners.unused_answers());
         self.summary
     }
 
-    /// Wakes the core whenever it asks for it, up to this time.
-    fn walk(&mut self, cluster: &mut Cluster, to: WallTime, output: &mut Vec<OutputLine>) {
-        let mut seen = Vec::new();
+    /// Advances the clock to `to`, and ticks the core at each of its wakeups on the way.
+    fn advance_to(&mut self, cluster: &mut Cluster, to: WallTime, output: &mut Vec<OutputLine>) {
+        let mut events = Vec::new();
         while cluster.next_wakeup() < to {
             cluster.advance(cluster.next_wakeup());
-            self.send_keep_alive(cluster, &mut seen);
-            cluster.tick(&mut seen);
-            self.follow(cluster, &mut seen, output);
+            self.send_keep_alive(cluster, &mut events);
+            cluster.tick(&mut events);
+            self.process_events(cluster, &mut events, output);
         }
         cluster.advance(to);
-        self.send_keep_alive(cluster, &mut seen);
-        self.follow(cluster, &mut seen, output);
+        self.send_keep_alive(cluster, &mut events);
+        self.process_events(cluster, &mut events, output);
     }
 
-    /// Renews the sessions of all agents when it is time.
-    fn send_keep_alive(&mut self, cluster: &mut Cluster, seen: &mut Vec<Seen>) {
+    /// Sends a keep-alive from each agent if [`KEEP_ALIVE_INTERVAL`] has passed since
+    /// the last.
+    fn send_keep_alive(&mut self, cluster: &mut Cluster, events: &mut Vec<CoreEvent>) {
         let now = cluster.now().wall;
         if now < self.next_keep_alive {
             return;
@@ -138,7 +141,7 @@
         self.keep_alive_sequence += 1;
         for (runner, state) in self.runners.iter() {
             let keep_alive = keep_alive(self.keep_alive_sequence, runner);
-            cluster.deliver(state.agent.clone(), keep_alive, seen);
+            cluster.deliver(state.agent.clone(), keep_alive, events);
         }
     }
 
@@ -147,46 +150,46 @@
         cluster: &mut Cluster,
         line: u64,
         operation: Operation,
-        seen: &mut Vec<Seen>,
+        events: &mut Vec<CoreEvent>,
     ) -> Result<(), LineError> {
         let id = RequestId(line);
-        self.waiting.insert(id, line);
+        self.pending_requests.insert(id, line);
         let request = Request {
             id,
-            time_left: REQUEST_TIME,
+            time_left: REQUEST_TIMEOUT,
             operation,
         };
-        let gateway = gateway().map_err(wrong_name)?;
-        cluster.deliver(gateway, PeerMessage::Request(request), seen);
+        let gateway = gateway().map_err(name_error)?;
+        cluster.deliver(gateway, PeerMessage::Request(request), events);
         Ok(())
     }
 
-    /// Carries a heartbeat to the core, after the keep-alive without which it would
-    /// be passed over.
-    fn report(
+    /// Delivers a heartbeat to the core, after a keep-alive of its agent. Without a
+    /// session of the agent, the core would ignore the heartbeat.
+    fn heartbeat(
         &mut self,
         cluster: &mut Cluster,
         line: u64,
         report: RunnerReport,
-        seen: &mut Vec<Seen>,
+        events: &mut Vec<CoreEvent>,
     ) -> Result<(), LineError> {
-        let agent = self.runners.record_heartbeat(&report).map_err(wrong_name)?;
+        let agent = self.runners.record_heartbeat(&report).map_err(name_error)?;
         self.keep_alive_sequence += 1;
         let keep_alive = keep_alive(self.keep_alive_sequence, &report.runner);
-        cluster.deliver(agent.clone(), keep_alive, seen);
-        self.heartbeat = Some(line);
+        cluster.deliver(agent.clone(), keep_alive, events);
+        self.pending_heartbeat = Some(line);
         let reports = vec![report];
         cluster.deliver(
             agent,
             PeerMessage::AgentReport(AgentReport { reports }),
-            seen,
+            events,
         );
         Ok(())
     }
 
-    /// A heartbeat that the core passed over is rejected.
-    fn end_heartbeat(&mut self, at: WallTime, output: &mut Vec<OutputLine>) {
-        let Some(line) = self.heartbeat.take() else {
+    /// Writes a rejection if the core has ignored the heartbeat of the current line.
+    fn reject_ignored_heartbeat(&mut self, at: WallTime, output: &mut Vec<OutputLine>) {
+        let Some(line) = self.pending_heartbeat.take() else {
             return;
         };
         self.summary.rejected += 1;
@@ -199,39 +202,39 @@
         output.push(EventLine::rejected(line, at.0, rejection).into());
     }
 
-    /// Writes down what the core did, and answers its orders, until it is
-    /// silent.
-    fn follow(
+    /// Writes the events of the core to the output and answers its orders, until no
+    /// events are left.
+    fn process_events(
         &mut self,
         cluster: &mut Cluster,
-        seen: &mut Vec<Seen>,
+        events: &mut Vec<CoreEvent>,
         output: &mut Vec<OutputLine>,
     ) {
-        while !seen.is_empty() {
-            for one in std::mem::take(seen) {
-                match one {
-                    Seen::Decided(entry) => self.decided((*entry).into(), output),
-                    Seen::Sent(PeerMessage::Reply(reply)) => {
-                        self.replied(cluster.now().wall, reply, output);
+        while !events.is_empty() {
+            for event in std::mem::take(events) {
+                match event {
+                    CoreEvent::Decided(entry) => self.write_decision((*entry).into(), output),
+                    CoreEvent::Sent(PeerMessage::Reply(reply)) => {
+                        self.write_reply(cluster.now().wall, reply, output);
                     }
-                    Seen::Sent(PeerMessage::RunnerUpdate(update)) => {
-                        if let Some(line) = self.heartbeat.take() {
+                    CoreEvent::Sent(PeerMessage::RunnerUpdate(update)) => {
+                        if let Some(line) = self.pending_heartbeat.take() {
                             let answer = AnswerBody::from_update(update);
                             output.push(accepted(line, cluster.now().wall, Some(answer)));
                         }
                     }
-                    Seen::Sent(PeerMessage::Orders { orders, .. }) => {
+                    CoreEvent::Sent(PeerMessage::Orders { orders, .. }) => {
                         for order in orders {
-                            self.ordered(cluster, order, seen, output);
+                            self.process_order(cluster, order, events, output);
                         }
                     }
-                    Seen::Sent(_) => {}
+                    CoreEvent::Sent(_) => {}
                 }
             }
         }
     }
 
-    fn decided(&mut self, line: DecisionLine, output: &mut Vec<OutputLine>) {
+    fn write_decision(&mut self, line: DecisionLine, output: &mut Vec<OutputLine>) {
         match &line.event {
             EventBody::Placed { shadow: false, .. } => self.summary.placed += 1,
             EventBody::Placed { shadow: true, .. } => self.summary.placed_in_shadow += 1,
@@ -241,8 +244,8 @@
         output.push(OutputLine::Decision(Box::new(line)));
     }
 
-    fn replied(&mut self, at: WallTime, reply: Reply, output: &mut Vec<OutputLine>) {
-        let Some(line) = self.waiting.remove(&reply.id) else {
+    fn write_reply(&mut self, at: WallTime, reply: Reply, output: &mut Vec<OutputLine>) {
+        let Some(line) = self.pending_requests.remove(&reply.id) else {
             return;
         };
         match reply.result {
@@ -259,16 +262,16 @@
         }
     }
 
-    fn ordered(
+    fn process_order(
         &mut self,
         cluster: &mut Cluster,
         order: RunnerOrder,
-        seen: &mut Vec<Seen>,
+        events: &mut Vec<CoreEvent>,
         output: &mut Vec<OutputLine>,
     ) {
         self.summary.orders += 1;
-        let carried_out = self.runners.carry_out(&order);
-        let answer = carried_out
+        let answered = self.runners.answer_order(&order);
+        let answer = answered
             .as_ref()
             .and_then(|(_, answer)| OrderAnswerBody::from_answer(answer));
         let line = EventLine::Order {
@@ -277,9 +280,9 @@
             answer,
         };
         output.push(line.into());
-        if let Some((agent, answer)) = carried_out {
+        if let Some((agent, answer)) = answered {
             let results = vec![OrderResult { order, answer }];
-            cluster.deliver(agent, PeerMessage::OrderResults { results }, seen);
+            cluster.deliver(agent, PeerMessage::OrderResults { results }, events);
         }
     }
 }
@@ -309,7 +312,7 @@
 fn keep_alive(sequence: u64, runner: &RunnerId) -> PeerMessage {
     PeerMessage::KeepAlive(KeepAlive {
         sequence,
-        // The driver needs no document: none is sent to it.
+        // The highest version, so that the core sends no configuration document.
         configuration: ConfigurationVersion(u64::MAX),
         runners: vec![runner.clone()],
         leaving: false,
@@ -321,7 +324,7 @@
     address(GATEWAY_NODE, Role::Gateway, GATEWAY_IP)
 }
 
-fn wrong_name(error: InvalidName) -> LineError {
+fn name_error(error: InvalidName) -> LineError {
     BodyError::new("name", error).into()
 }
 
