--- a/crates/replay/tests/bad_lines.rs
+++ b/crates/replay/tests/bad_lines.rs
@@ -1,13 +1,14 @@
-//! A bad line is told with its number; neither it nor any after it is applied.
+//! A line that is not valid ends the replay with an error that names its number.
+//! Neither it nor any later line is applied.
 
 mod common;
 
-use common::{START, events, heartbeat, line, replay, served, submit};
+use common::{START, configuration_and_runner, events, heartbeat, line, replay, submit};
 use serde_json::json;
 
-/// Puts a bad line after the third, and gives the error.
-fn problem(bad: &str) -> String {
-    let mut lines = served();
+/// Replays an input whose line 4 is not valid, and returns the error.
+fn error_at_line_4(bad: &str) -> String {
+    let mut lines = configuration_and_runner();
     lines.push(bad.to_owned());
     lines.push(submit(400, "after", "batch", 1));
     let (result, output) = replay(&lines);
@@ -18,7 +19,7 @@
 }
 
 #[test]
-fn every_bad_line_is_told_with_its_number_and_place() {
+fn error_names_number_and_field_of_invalid_line() {
     let cancel_both = json!({"cancel": {"jobs": [], "tenant": "poster"}});
     let two = json!({"cancel": {"tenant": "poster"}, "configuration":
         {"version": 1, "document": {}}});
@@ -75,20 +76,20 @@
         (format!("{{\"at_ms\":-{START}}}"), "at_ms: "),
     ];
     for (bad, expected) in cases {
-        let error = problem(&bad);
+        let error = error_at_line_4(&bad);
         assert!(error.starts_with("line 4: "), "{bad}: {error}");
         assert!(error.contains(expected), "{bad}: {error}");
     }
 }
 
 #[test]
-fn a_line_without_end_is_not_read_for_ever() {
-    let error = problem(&" ".repeat(6 * 1024 * 1024));
+fn line_over_maximum_length_is_rejected() {
+    let error = error_at_line_4(&" ".repeat(6 * 1024 * 1024));
     assert_eq!(error, "line 4: the line is longer than 5242880 bytes");
 }
 
 #[test]
-fn an_empty_input_gives_a_summary_of_nothing() {
+fn empty_input_gives_only_a_default_summary() {
     let (result, output) = replay(&[]);
     assert_eq!(result.unwrap(), replay::Summary::default());
     assert_eq!(output.len(), 1);
--- a/crates/replay/tests/determinism.rs
+++ b/crates/replay/tests/determinism.rs
@@ -1,4 +1,4 @@
-//! The same input and seed give the same output; the example's is fixed.
+//! Equal input and seed give equal output, and the output of the example is fixed.
 
 mod common;
 
@@ -6,13 +6,14 @@
 use serde_json::{Value, json};
 use std::path::PathBuf;
 
+/// Reads a file of the replay example.
 fn example(name: &str) -> String {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../examples/replay");
     std::fs::read_to_string(folder.join(name)).unwrap()
 }
 
 #[test]
-fn equal_input_and_seed_give_equal_bytes() {
+fn equal_input_and_seed_give_equal_output() {
     let input = example("day.jsonl");
     for seed in [0, 1, u64::MAX] {
         let (result, first) = replay_bytes(&input, seed);
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn the_output_of_the_example_is_fixed() {
+fn example_output_matches_the_stored_file() {
     let (result, output) = replay_bytes(&example("day.jsonl"), 0);
     result.unwrap();
     let output = String::from_utf8(output).unwrap();
@@ -34,33 +35,38 @@
     assert_eq!(output, expected);
 }
 
-/// What the example is there to show, read from its fixed output.
+/// Guards against an example that no longer demonstrates its cases: a resource
+/// limit, dependent steps, a start time, a shadow queue, a cancel, rejections and a
+/// draining runner.
 #[test]
-fn the_example_shows_what_it_is_for() {
+fn example_output_covers_its_intended_cases() {
     let expected = example("day.output.jsonl");
     let lines: Vec<Value> = expected
         .lines()
         .map(|line| serde_json::from_str(line).unwrap())
         .collect();
-    let place = |wanted: Value| {
-        let holds = |line: &Value| {
+    let position_of = |wanted: Value| {
+        let has_fields = |line: &Value| {
             let mut fields = wanted.as_object().unwrap().iter();
             fields.all(|(field, value)| line[field] == *value)
         };
-        lines.iter().position(holds)
+        lines.iter().position(has_fields)
     };
     let resource_limit =
         json!({"event": "not_placed", "task": "1.0.2", "reason": "tenant_at_ceiling"});
     let released = json!({"event": "closed", "run": "1-1", "outcome": "done"});
     let third = json!({"event": "placed", "task": "1.0.2"});
-    assert!(place(resource_limit) < place(released.clone()) && place(released) < place(third));
+    assert!(
+        position_of(resource_limit) < position_of(released.clone())
+            && position_of(released) < position_of(third)
+    );
 
     let before = json!({"event": "closed", "task": "1.0.2", "outcome": "done"});
     let after = json!({"event": "placed", "task": "1.1.0"});
-    assert!(place(before.clone()).is_some() && place(before) < place(after));
+    assert!(position_of(before.clone()).is_some() && position_of(before) < position_of(after));
 
-    let night = place(json!({"event": "placed", "task": "2.0.0"})).unwrap();
-    assert_eq!(lines[night]["at_ms"], common::START + 5_000);
+    let delayed_start = position_of(json!({"event": "placed", "task": "2.0.0"})).unwrap();
+    assert_eq!(lines[delayed_start]["at_ms"], common::START + 5_000);
 
     for wanted in [
         json!({"event": "placed", "queue": "trial", "shadow": true}),
@@ -69,8 +75,8 @@
         json!({"event": "refused", "code": "conflict"}),
         json!({"event": "refused", "code": "invalid"}),
     ] {
-        assert!(place(wanted.clone()).is_some(), "{wanted}");
+        assert!(position_of(wanted.clone()).is_some(), "{wanted}");
     }
-    let to_the_draining = json!({"event": "placed", "runner": "stills-2"});
-    assert_eq!(place(to_the_draining), None);
+    let on_draining_runner = json!({"event": "placed", "runner": "stills-2"});
+    assert_eq!(position_of(on_draining_runner), None);
 }
--- a/crates/replay/tests/inputs.rs
+++ b/crates/replay/tests/inputs.rs
@@ -1,24 +1,24 @@
-//! Each kind of input does what its sender would see.
+//! Each kind of input has the effect that it has on a real coordinator.
 
 mod common;
 
-use common::{events, heartbeat, line, replay, replayed, served, submit};
+use common::{configuration_and_runner, events, heartbeat, line, replay, replay_valid, submit};
 use serde_json::json;
 
-/// Served, with a job of one task that runs: its run and the lines.
-fn running() -> (String, Vec<String>) {
-    let mut lines = served();
+/// Returns the run of a started job of one task, and the lines that lead to it.
+fn with_active_run() -> (String, Vec<String>) {
+    let mut lines = configuration_and_runner();
     lines.push(submit(300, "sheet-1", "batch", 1));
     lines.push(line(400, json!({})));
-    let output = replayed(&lines);
+    let output = replay_valid(&lines);
     let run = events(&output, "ordered")[0]["run"].as_str().unwrap();
     (run.to_owned(), lines)
 }
 
 #[test]
-fn a_job_is_taken_placed_ordered_and_started() {
-    let (run, lines) = running();
-    let output = replayed(&lines);
+fn submitted_job_is_placed_and_started() {
+    let (run, lines) = with_active_run();
+    let output = replay_valid(&lines);
     let accepted = events(&output, "accepted");
     assert_eq!(accepted.len(), 5);
     assert_eq!(accepted[0]["answer"], json!({"version": 1, "known": false}));
@@ -39,12 +39,12 @@
 }
 
 #[test]
-fn an_ended_run_in_a_heartbeat_ends_the_job() {
-    let (run, mut lines) = running();
+fn ended_run_in_heartbeat_ends_job() {
+    let (run, mut lines) = with_active_run();
     let ended = json!({"ended": [{"run": run, "outcome": "done"}]});
     lines.push(heartbeat(500, 2, ended.clone()));
     lines.push(heartbeat(600, 3, ended));
-    let output = replayed(&lines);
+    let output = replay_valid(&lines);
     assert_eq!(events(&output, "closed")[0]["outcome"], "done");
     assert_eq!(events(&output, "job_ended")[0]["state"], "done");
     let last = events(&output, "accepted").pop().unwrap();
@@ -52,25 +52,25 @@
 }
 
 #[test]
-fn a_failed_run_keeps_the_reason_of_the_runner() {
-    let (run, mut lines) = running();
+fn failed_run_keeps_reason_given_by_runner() {
+    let (run, mut lines) = with_active_run();
     let failed = json!([{"run": run, "outcome": "failed", "reason": "out of paper"}]);
     lines.push(heartbeat(500, 2, json!({"ended": failed})));
     lines.push(line(600, json!({})));
-    let output = replayed(&lines);
+    let output = replay_valid(&lines);
     assert_eq!(events(&output, "closed")[0]["message"], "out of paper");
     assert_eq!(events(&output, "job_ended")[0]["state"], "failed");
 }
 
 #[test]
-fn a_held_run_goes_on_and_a_cancel_stops_it() {
-    let (run, mut lines) = running();
+fn active_run_in_heartbeat_continues_until_cancel_stops_it() {
+    let (run, mut lines) = with_active_run();
     let hold = |age: u64| json!({"free": {"slots": 3}, "hold": [{"run": run, "age_ms": age}]});
     lines.push(heartbeat(500, 2, hold(100)));
     let key = json!({"tenant": "poster", "job": "sheet-1"});
     lines.push(line(600, json!({"cancel": {"jobs": [key]}})));
     lines.push(line(900, json!({})));
-    let output = replayed(&lines);
+    let output = replay_valid(&lines);
     let accepted = events(&output, "accepted");
     assert_eq!(accepted[6]["answer"]["cancelled"], 1);
     let stop = events(&output, "order").pop().unwrap();
@@ -80,12 +80,12 @@
 }
 
 #[test]
-fn a_run_that_a_heartbeat_leaves_out_is_voided_and_starts_anew() {
-    let (run, mut lines) = running();
+fn run_missing_from_heartbeat_is_revoked_and_its_task_starts_again() {
+    let (run, mut lines) = with_active_run();
     lines.push(heartbeat(500, 2, json!({})));
     lines.push(heartbeat(1_500, 3, json!({})));
     lines.push(line(2_000, json!({})));
-    let output = replayed(&lines);
+    let output = replay_valid(&lines);
     let orders = events(&output, "order");
     assert_eq!(orders[1]["order"]["order"], "void");
     assert_eq!(orders[1]["answer"], json!({"answer": "voided"}));
@@ -96,8 +96,8 @@
 }
 
 #[test]
-fn an_answer_in_the_input_takes_the_place_of_the_default() {
-    let mut lines = served();
+fn answer_in_input_replaces_default_answer() {
+    let mut lines = configuration_and_runner();
     let rejected = json!({"answer": "refused", "reason": "no_room"});
     let answer = |after| line(after, json!({"runner": "stills-1", "answer": rejected}));
     lines.push(answer(250));
@@ -105,7 +105,7 @@
     lines.push(heartbeat(1_200, 2, json!({})));
     lines.push(line(2_000, json!({})));
     lines.push(answer(2_100));
-    let output = replayed(&lines);
+    let output = replay_valid(&lines);
     let orders = events(&output, "order");
     assert_eq!(orders[0]["answer"], rejected);
     assert_eq!(orders[1]["answer"], json!({"answer": "started"}));
@@ -114,11 +114,11 @@
 }
 
 #[test]
-fn a_draining_runner_and_a_ceiling_are_given_as_reasons() {
-    let mut lines = served();
+fn resource_limit_or_draining_runner_prevents_placement() {
+    let mut lines = configuration_and_runner();
     lines.push(submit(300, "sheet-1", "batch", 3));
     lines.push(line(500, json!({})));
-    let output = replayed(&lines);
+    let output = replay_valid(&lines);
     assert_eq!(events(&output, "placed").len(), 2);
     let reasons = events(&output, "not_placed");
     assert!(
@@ -127,21 +127,21 @@
             .any(|line| line["reason"] == "tenant_at_ceiling")
     );
 
-    let mut lines = vec![served()[0].clone()];
+    let mut lines = vec![configuration_and_runner()[0].clone()];
     lines.push(heartbeat(100, 1, json!({"draining": true})));
     lines.push(submit(300, "sheet-1", "batch", 1));
     lines.push(line(500, json!({})));
-    let output = replayed(&lines);
+    let output = replay_valid(&lines);
     assert!(events(&output, "placed").is_empty());
     assert!(!events(&output, "not_placed").is_empty());
 }
 
 #[test]
-fn a_shadow_queue_places_and_orders_nothing() {
-    let mut lines = served();
+fn shadow_queue_reports_placements_and_sends_no_orders() {
+    let mut lines = configuration_and_runner();
     lines.push(submit(300, "sheet-1", "trial", 1));
     lines.push(line(500, json!({})));
-    let output = replayed(&lines);
+    let output = replay_valid(&lines);
     let placed = events(&output, "placed");
     assert!(!placed.is_empty() && placed.iter().all(|line| line["shadow"] == true));
     assert!(events(&output, "order").is_empty());
@@ -149,8 +149,8 @@
 }
 
 #[test]
-fn refusals_carry_code_and_message_and_the_replay_goes_on() {
-    let mut lines = served();
+fn rejections_have_code_and_message_and_replay_continues() {
+    let mut lines = configuration_and_runner();
     lines.push(submit(300, "sheet-1", "batch", 1));
     lines.push(submit(310, "sheet-1", "batch", 2));
     lines.push(submit(320, "sheet-2", "nowhere", 1));
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn an_update_changes_named_items_of_the_version_it_builds_on() {
+fn update_changes_named_items_of_the_version_it_replaces() {
     let update = |at: u64, version: u64, replaces: u64, seats: u32| {
         let upsert = json!({"licences": {"renderer": {"seats": seats}}});
         let changes = json!({"replaces": replaces, "upsert": upsert});
@@ -180,12 +180,12 @@
             json!({"update": {"version": version, "changes": changes}}),
         )
     };
-    let mut lines = served();
+    let mut lines = configuration_and_runner();
     lines.push(update(300, 4, 1, 2));
     lines.push(update(310, 4, 1, 2));
     lines.push(update(320, 5, 1, 3));
     lines.push(update(330, 5, 4, 3));
-    let output = replayed(&lines);
+    let output = replay_valid(&lines);
     let answers: Vec<_> = events(&output, "accepted")
         .into_iter()
         .filter(|line| line["answer"]["version"].is_u64())
@@ -201,22 +201,22 @@
 }
 
 #[test]
-fn a_long_gap_is_walked_and_a_silent_runner_loses_its_run() {
-    let (run, mut lines) = running();
+fn run_of_unresponsive_runner_is_lost_during_long_gap() {
+    let (run, mut lines) = with_active_run();
     lines.push(line(60_000, json!({})));
-    let output = replayed(&lines);
+    let output = replay_valid(&lines);
     let closed = events(&output, "closed");
     assert_eq!(closed[0]["run"], json!(run));
     assert_eq!(closed[0]["outcome"], "lost");
     let at = closed[0]["at_ms"].as_u64().unwrap() - common::START;
     let timings = configuration::Timings::default();
-    let given_up = (timings.run_lease + timings.run_lease_margin).0;
-    assert!((given_up..given_up + 2_000).contains(&at), "{at}");
+    let lost_after = (timings.run_lease + timings.run_lease_margin).0;
+    assert!((lost_after..lost_after + 2_000).contains(&at), "{at}");
 }
 
 #[test]
-fn a_job_starts_at_its_time_and_no_earlier() {
-    let mut lines = served();
+fn job_starts_at_its_start_time_and_not_before() {
+    let mut lines = configuration_and_runner();
     let start = common::START + 1_000;
     let steps = json!([{"name": "cells"}]);
     let job = json!({"tenant": "poster", "job": "late", "queue": "batch",
@@ -224,7 +224,7 @@
     lines.push(line(300, json!({"submit": job})));
     lines.push(heartbeat(900, 2, json!({})));
     lines.push(line(1_500, json!({})));
-    let output = replayed(&lines);
+    let output = replay_valid(&lines);
     let ordered = events(&output, "ordered");
     assert_eq!(ordered.len(), 1);
     let at = ordered[0]["at_ms"].as_u64().unwrap();
