--- a/crates/consensus/examples/commit_rate.rs
+++ b/crates/consensus/examples/commit_rate.rs
@@ -1,8 +1,12 @@
-//! Measures how many commands a second one group of three nodes proposes,
-//! replicates and commits on one core, with disks and network left out.
+//! Measures how many commands per second a group of three nodes proposes,
+//! replicates and commits on one core, without disks and network.
 //!
-//! `cargo run --release -p consensus --example commit_rate -- 200000 10`:
-//! the number of commands, and how many are proposed between two batches.
+//! The arguments are the number of commands, and the number that is proposed
+//! before messages are delivered:
+//!
+//! ```text
+//! cargo run --release -p consensus --example commit_rate -- 200000 10
+//! ```
 
 use consensus::{Membership, Node, Options, Outgoing, Recovered};
 use std::collections::{BTreeMap, VecDeque};
@@ -10,12 +14,13 @@
 use std::time::Instant;
 use types::{Monotonic, NodeId};
 
-/// Bytes of one command, about those of a reservation.
+/// Size of a command, in bytes. About the size of a reservation.
 const COMMAND_BYTES: usize = 200;
 
+/// Three nodes with an in-memory network.
 struct Group {
     nodes: BTreeMap<NodeId, Node>,
-    wire: VecDeque<(NodeId, Outgoing)>,
+    in_flight: VecDeque<(NodeId, Outgoing)>,
     committed: u64,
     messages: u64,
 }
@@ -35,28 +40,29 @@
         };
         Self {
             nodes: (1..=3).map(|id| (NodeId(id), node(id))).collect(),
-            wire: VecDeque::new(),
+            in_flight: VecDeque::new(),
             committed: 0,
             messages: 0,
         }
     }
 
-    /// Carries all messages until none is left; every write is synced at once.
-    fn settle(&mut self, now: Monotonic) {
+    /// Delivers messages until none is left. Every write counts as synced at once.
+    fn deliver_all(&mut self, now: Monotonic) {
         loop {
             for (id, node) in &mut self.nodes {
                 while let Some(ready) = node.ready() {
                     node.persisted(now, ready.number);
                     self.committed += ready.committed.len() as u64;
-                    let all = ready.messages.into_iter();
-                    let all = all.chain(ready.messages_after_persist);
-                    self.wire.extend(all.map(|outgoing| (*id, outgoing)));
+                    let messages = ready.messages.into_iter();
+                    let messages = messages.chain(ready.messages_after_persist);
+                    self.in_flight
+                        .extend(messages.map(|outgoing| (*id, outgoing)));
                 }
             }
-            if self.wire.is_empty() {
+            if self.in_flight.is_empty() {
                 return;
             }
-            for (from, outgoing) in std::mem::take(&mut self.wire) {
+            for (from, outgoing) in std::mem::take(&mut self.in_flight) {
                 self.messages += 1;
                 if let Some(node) = self.nodes.get_mut(&outgoing.to) {
                     node.step(now, from, outgoing.message);
@@ -66,6 +72,8 @@
     }
 }
 
+/// Returns a command-line argument as a number, or `default` if it is missing or not a
+/// number.
 fn argument(position: usize, default: u64) -> u64 {
     let text = std::env::args().nth(position);
     text.and_then(|text| text.parse().ok()).unwrap_or(default)
@@ -80,17 +88,17 @@
     if let Some(node) = group.nodes.get_mut(&leader) {
         node.tick(now);
     }
-    group.settle(now);
-    let begun = Instant::now();
+    group.deliver_all(now);
+    let started_at = Instant::now();
     for first in (0..commands).step_by(usize::try_from(burst).unwrap_or(usize::MAX)) {
         for _ in first..commands.min(first + burst) {
             if let Some(node) = group.nodes.get_mut(&leader) {
                 node.propose(now, vec![7; COMMAND_BYTES]).ok();
             }
         }
-        group.settle(now);
+        group.deliver_all(now);
     }
-    let seconds = begun.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     println!("commands {commands}, burst {burst}, seconds {seconds:.3}");
     println!("commits a second {:.0}", commands as f64 / seconds);
     println!("entries applied by the three nodes {}", group.committed);
--- a/crates/scheduler/examples/reserve_rate.rs
+++ b/crates/scheduler/examples/reserve_rate.rs
@@ -1,8 +1,9 @@
 //! Measures how the cost of a reserve grows with the number of waiting jobs.
 //!
-//! 200 tenants with equal backlogs, jobs in turn, 64 runners of 16 slots. One
-//! thread reserves, lets the run end, and removes it. Arguments: numbers of
-//! waiting jobs (200000 and 2000000 unless given). Prints one line a trial.
+//! Sets up 64 runners of 16 slots, and 200 tenants with equal backlogs whose jobs
+//! alternate. One thread reserves runs and removes each again 512 reserves later.
+//! The arguments are the numbers of waiting jobs to measure, by default 200000 and
+//! 2000000. Prints one line per trial and number.
 
 use configuration::{
     ClusterConfiguration, ErrorBudget, PoolSettings, QueueMode, QueueSettings, TenantSettings,
@@ -18,27 +19,28 @@
 
 const TENANTS: u64 = 200;
 const RUNNERS: usize = 64;
+/// Reserves per measurement.
 const CYCLES: u64 = 150_000;
 const TRIALS: usize = 5;
 
-const RUNNER: Resources = Resources {
+const RUNNER_CAPACITY: Resources = Resources {
     slots: 16,
     cpu_milli: 16_000,
     memory_mib: 65_536,
     gpus: 0,
 };
 
-const TASK: Resources = Resources {
+const TASK_RESOURCES: Resources = Resources {
     slots: 1,
     cpu_milli: 1_000,
     memory_mib: 2_048,
     gpus: 0,
 };
 
-fn document() -> Result<ClusterConfiguration, InvalidName> {
+fn configuration_document() -> Result<ClusterConfiguration, InvalidName> {
     let mut document = ClusterConfiguration::default();
     let pool = PoolName::new("pool")?;
-    let largest_runner = RUNNER;
+    let largest_runner = RUNNER_CAPACITY;
     let settings = PoolSettings { largest_runner };
     document.pools.insert(pool.clone(), settings);
     let settings = QueueSettings {
@@ -84,8 +86,8 @@
         pool: PoolName::new("pool")?,
         rack: RackName::new("rack")?,
         labels: Labels::new(),
-        capacity: RUNNER,
-        free: RUNNER,
+        capacity: RUNNER_CAPACITY,
+        free: RUNNER_CAPACITY,
         draining: false,
         self_stop: true,
         active: Vec::new(),
@@ -93,10 +95,11 @@
     })
 }
 
-fn filled(jobs: u64, seed: u64) -> Result<Scheduler, Box<dyn Error>> {
+/// Returns a scheduler with `jobs` waiting jobs of one task and all runners.
+fn scheduler_with_backlog(jobs: u64, seed: u64) -> Result<Scheduler, Box<dyn Error>> {
     let now = Now::default();
     let mut scheduler = Scheduler::new(SchedulerOptions::default(), Term(1), seed);
-    scheduler.configure(&document()?);
+    scheduler.configure(&configuration_document()?);
     let queue = QueueName::new("queue")?;
     let tenants: Vec<TenantId> = (0..TENANTS).map(tenant_name).collect::<Result<_, _>>()?;
     for (job, tenant) in (0..jobs).zip(tenants.iter().cycle()) {
@@ -112,7 +115,7 @@
             tenant: tenant.clone(),
             queue: queue.clone(),
             urgency: Urgency::Normal,
-            resources: TASK,
+            resources: TASK_RESOURCES,
             labels: Labels::new(),
             max_copies: 1,
             not_before: None,
@@ -125,24 +128,24 @@
     Ok(scheduler)
 }
 
-/// Reserves a second over `CYCLES` cycles of reserve and remove.
+/// Returns the reserves per second over [`CYCLES`] cycles of reserve and remove.
 fn measure(scheduler: &mut Scheduler) -> Result<f64, Box<dyn Error>> {
     let runners: Vec<RunnerId> = (0..RUNNERS).map(runner_name).collect::<Result<_, _>>()?;
     let mut open: Vec<Option<RunId>> = vec![None; RUNNERS * 8];
-    let places = open.len();
-    let begun = Instant::now();
+    let max_open = open.len();
+    let started_at = Instant::now();
     for cycle in 0..usize::try_from(CYCLES).unwrap_or(usize::MAX) {
-        if let Some(run) = open[cycle % places].take() {
+        if let Some(run) = open[cycle % max_open].take() {
             scheduler.remove_run(run);
         }
         let decision = scheduler.reserve(&runners[cycle % RUNNERS], Now::default());
         let kind = decision.map(|decision| decision.kind);
         let Some(DecisionKind::Placed { reservation, .. }) = kind else {
-            return Err("a reserve found nothing to start".into());
+            return Err("a reserve returned no task to start".into());
         };
-        open[cycle % places] = Some(reservation.run);
+        open[cycle % max_open] = Some(reservation.run);
     }
-    Ok(CYCLES as f64 / begun.elapsed().as_secs_f64())
+    Ok(CYCLES as f64 / started_at.elapsed().as_secs_f64())
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -155,9 +158,9 @@
     }
     for trial in 0..TRIALS {
         for jobs in &sizes {
-            let begun = Instant::now();
-            let mut scheduler = filled(*jobs, trial as u64)?;
-            let publishes = *jobs as f64 / begun.elapsed().as_secs_f64();
+            let started_at = Instant::now();
+            let mut scheduler = scheduler_with_backlog(*jobs, trial as u64)?;
+            let publishes = *jobs as f64 / started_at.elapsed().as_secs_f64();
             let reserves = measure(&mut scheduler)?;
             println!(
                 "trial {trial}: {jobs} jobs, {publishes:.0} publishes/s, {reserves:.0} reserves/s"
