--- a/crates/lab/src/callers.rs
+++ b/crates/lab/src/callers.rs
@@ -1,4 +1,5 @@
-//! Emulated callers: both job mixes, sent open loop to all gateways in turn.
+//! Emulated callers. Each submits a job mix as open-loop load to the gateways in
+//! round robin.
 
 mod client;
 
@@ -16,42 +17,42 @@
 use tokio::task::JoinHandle;
 use types::{JobKey, JobSpec, Monotonic};
 
-/// Longest sleep of a caller that has nothing to do.
+/// Longest sleep of a caller while nothing is due.
 const IDLE_SLEEP: Duration = Duration::from_millis(200);
 
-/// Counts for the progress line.
+/// Job counts of all callers of a trial.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Jobs drawn and sent at least once.
+    /// Jobs drawn from the mix for submission.
     pub submitted: AtomicU64,
-    /// Jobs acknowledged.
+    /// Jobs whose submit was acknowledged.
     pub acknowledged: AtomicU64,
-    /// Jobs seen in a final state, or rejected for good.
+    /// Jobs read in a final state, or rejected with an error that is not retried.
     pub ended: AtomicU64,
 }
 
 impl Progress {
-    /// Jobs that are not over yet.
+    /// Returns the number of submitted jobs that have not ended.
     pub fn unfinished(&self) -> u64 {
         let submitted = self.submitted.load(Ordering::Relaxed);
         submitted.saturating_sub(self.ended.load(Ordering::Relaxed))
     }
 }
 
-/// What one emulated caller sends.
+/// Load of one emulated caller.
 #[derive(Debug, Clone)]
 pub struct CallerPlan {
-    /// Its name in the history.
+    /// Name of the caller as an observer in the history.
     pub name: String,
-    /// Which jobs.
+    /// Job mix that the caller draws from.
     pub mix: Mix,
-    /// Times the ordinary load.
+    /// Factor on the submit rate of the mix.
     pub load: f64,
-    /// Seed of jobs and times.
+    /// Seed of the drawn jobs and of their submit times.
     pub seed: u64,
 }
 
-/// Running emulated callers.
+/// Running emulated callers; dropping them aborts their tasks.
 pub struct Callers {
     progress: Arc<Progress>,
     sending: watch::Sender<bool>,
@@ -59,7 +60,7 @@
 }
 
 impl Callers {
-    /// Starts callers that send until [`Callers::stop_sending`].
+    /// Starts callers that submit jobs until [`Callers::stop_sending`].
     ///
     /// # Errors
     ///
@@ -74,8 +75,8 @@
         let mut tasks = Vec::new();
         for plan in plans {
             let client = JobClient::new(&plan.name, gateways, history.clone())?;
-            let session = Session::new(plan, client, history.clone(), progress.clone());
-            tasks.push(tokio::spawn(session.run(is_sending.clone())));
+            let caller = CallerTask::new(plan, client, history.clone(), progress.clone());
+            tasks.push(tokio::spawn(caller.run(is_sending.clone())));
         }
         Ok(Self {
             progress,
@@ -84,12 +85,12 @@
         })
     }
 
-    /// Counts so far.
+    /// Returns the job counts so far.
     pub fn progress(&self) -> &Progress {
         &self.progress
     }
 
-    /// No new jobs from now on; those on their way are followed to their end.
+    /// Stops submitting new jobs. Submitted jobs are polled until they end.
     pub fn stop_sending(&self) {
         self.sending.send_replace(false);
     }
@@ -101,25 +102,25 @@
     }
 }
 
-/// A job that is not over yet.
-struct FollowedJob {
+/// Submitted job that has not ended.
+struct OpenJob {
     spec: Arc<JobSpec>,
     is_acknowledged: bool,
 }
 
-/// One caller with its jobs.
-struct Session {
+/// Task of one caller, with the caller's open jobs.
+struct CallerTask {
     workload: Workload,
     jobs_per_second: f64,
     random: ChaCha8Rng,
     caller: Caller,
-    jobs: BTreeMap<JobKey, FollowedJob>,
+    jobs: BTreeMap<JobKey, OpenJob>,
     client: JobClient,
     history: History,
     progress: Arc<Progress>,
 }
 
-impl Session {
+impl CallerTask {
     fn new(plan: CallerPlan, client: JobClient, history: History, progress: Arc<Progress>) -> Self {
         let workload = Workload::new(plan.mix, &plan.name, plan.seed);
         Self {
@@ -141,11 +142,11 @@
             if !*is_sending.borrow_and_update() {
                 next_job = None;
             }
-            next_job = next_job.map(|due| self.draw_due(due));
-            self.act(&answers);
+            next_job = next_job.map(|due| self.draw_due_jobs(due));
+            self.send_due_requests(&answers);
             let sleep = self.sleep_length(next_job);
             tokio::select! {
-                Some((job, answer)) = answered.recv() => self.take(&job, answer),
+                Some((job, answer)) = answered.recv() => self.handle_answer(&job, answer),
                 () = tokio::time::sleep(sleep) => {}
             }
             if next_job.is_none() && self.caller.unfinished() == 0 {
@@ -154,20 +155,20 @@
         }
     }
 
-    /// Draws every job that is due, and gives the time of the next. Times do
-    /// not depend on answers: the load is open.
-    fn draw_due(&mut self, mut due: Monotonic) -> Monotonic {
+    /// Draws every job that is due and returns the time of the next one. The
+    /// times do not depend on answers, so the load is open-loop.
+    fn draw_due_jobs(&mut self, mut due: Monotonic) -> Monotonic {
         while due <= self.history.monotonic() {
             let job = self.workload.next_job();
             let key = JobKey {
                 tenant: job.tenant.clone(),
                 job: job.job.clone(),
             };
-            let followed = FollowedJob {
+            let open_job = OpenJob {
                 spec: Arc::new(job),
                 is_acknowledged: false,
             };
-            self.jobs.insert(key.clone(), followed);
+            self.jobs.insert(key.clone(), open_job);
             self.caller.follow(key, self.history.monotonic());
             self.progress.submitted.fetch_add(1, Ordering::Relaxed);
             due = due + self.draw_gap();
@@ -175,7 +176,7 @@
         due
     }
 
-    /// Time to the next job of a Poisson process.
+    /// Draws the time to the next job of a Poisson process.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -187,8 +188,8 @@
         types::Milliseconds((seconds * 1_000.0).round() as u64)
     }
 
-    /// Sends what the caller wants sent now.
-    fn act(&mut self, answers: &mpsc::UnboundedSender<(JobKey, CallerAnswer)>) {
+    /// Starts the requests that the caller has due now.
+    fn send_due_requests(&mut self, answers: &mpsc::UnboundedSender<(JobKey, CallerAnswer)>) {
         for action in self.caller.actions(self.history.monotonic()) {
             let (CallerAction::Submit(key) | CallerAction::Ask(key)) = &action;
             let Some(job) = self.jobs.get(key).map(|job| job.spec.clone()) else {
@@ -201,18 +202,18 @@
                     CallerAction::Submit(key) => (key, client.submit(&job).await),
                     CallerAction::Ask(key) => (key.clone(), client.ask(&key).await),
                 };
-                // The receiver is gone only when the trial is over.
+                // The receiver is dropped only when the caller's task has ended.
                 let _ = answers.send((key, answer));
             });
         }
     }
 
-    fn take(&mut self, job: &JobKey, answer: CallerAnswer) {
+    fn handle_answer(&mut self, job: &JobKey, answer: CallerAnswer) {
         if answer == CallerAnswer::Acknowledged
-            && let Some(followed) = self.jobs.get_mut(job)
-            && !followed.is_acknowledged
+            && let Some(open_job) = self.jobs.get_mut(job)
+            && !open_job.is_acknowledged
         {
-            followed.is_acknowledged = true;
+            open_job.is_acknowledged = true;
             self.progress.acknowledged.fetch_add(1, Ordering::Relaxed);
         }
         let before = self.caller.unfinished();
--- a/crates/lab/src/callers/client.rs
+++ b/crates/lab/src/callers/client.rs
@@ -1,4 +1,4 @@
-//! Requests of one caller, and what they leave in the history.
+//! HTTP requests of one caller, and the events that they record in the history.
 
 use crate::{History, LabError};
 use api::job::JobBody;
@@ -14,16 +14,17 @@
 use tokio::sync::Semaphore;
 use types::{JobKey, JobSpec, JobState, Milliseconds};
 
-/// How long a caller waits for an answer.
+/// Deadline that a caller sets for a request, in milliseconds.
 const DEADLINE_MS: u64 = 2_000;
-/// What the answer may take on top of the deadline.
+/// Time that the HTTP client waits beyond the deadline, in milliseconds.
 const ANSWER_MARGIN_MS: u64 = 500;
-/// Requests of one caller at the same time.
+/// Concurrent requests of one caller.
 const MAX_REQUESTS: usize = 256;
-/// When to come back where a rejection does not say it.
-const DEFAULT_RETRY: Milliseconds = Milliseconds(500);
+/// Delay before a retry if the rejection has no `retry_after_ms`.
+const DEFAULT_RETRY_DELAY: Milliseconds = Milliseconds(500);
 
-/// Sends a caller's requests to its gateways in turn. Clones share all.
+/// Sends a caller's requests to the gateways in round robin. Clones share the
+/// connections, the request limit and the history.
 #[derive(Clone)]
 pub struct JobClient {
     shared: Arc<Shared>,
@@ -38,7 +39,7 @@
     history: History,
 }
 
-/// How a request ended.
+/// Result of a request.
 enum Answer {
     Success(Response),
     Rejected(RejectionBody),
@@ -46,7 +47,7 @@
 }
 
 impl JobClient {
-    /// A client with its own connections.
+    /// Builds a client with its own connections.
     pub fn new(name: &str, gateways: &[String], history: History) -> Result<Self, LabError> {
         let timeout = Duration::from_millis(DEADLINE_MS + ANSWER_MARGIN_MS);
         let shared = Shared {
@@ -62,7 +63,7 @@
         })
     }
 
-    /// Sends a submit, first or again.
+    /// Submits a job, for the first time or as a retry.
     pub async fn submit(&self, job: &JobSpec) -> CallerAnswer {
         let key = JobKey {
             tenant: job.tenant.clone(),
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Asks for a job's state.
+    /// Reads the state of a job.
     pub async fn ask(&self, key: &JobKey) -> CallerAnswer {
         let _permit = self.shared.requests.acquire().await;
         let asked_at = self.shared.history.now();
@@ -107,7 +108,7 @@
                 });
                 CallerAnswer::Unknown
             }
-            Answer::Rejected(rejection) => self.come_back("status", &rejection),
+            Answer::Rejected(rejection) => self.status_rejected("status", &rejection),
             Answer::TimedOut => self.timed_out("status"),
         }
     }
@@ -138,7 +139,7 @@
         }
     }
 
-    fn come_back(&self, operation: &str, rejection: &RejectionBody) -> CallerAnswer {
+    fn status_rejected(&self, operation: &str, rejection: &RejectionBody) -> CallerAnswer {
         match rejection.code {
             Code::TimedOut => self.timed_out(operation),
             _ => CallerAnswer::RetryAfter(retry_after(rejection)),
@@ -156,7 +157,7 @@
         self.shared.history.record(&self.shared.name, event);
     }
 
-    /// The gateway whose turn it is.
+    /// Returns the URL of the next gateway in round robin.
     fn gateway(&self) -> &str {
         let turn = self.shared.next_gateway.fetch_add(1, Ordering::Relaxed);
         let gateways = &self.shared.gateways;
@@ -181,7 +182,7 @@
     }
 }
 
-/// What a 503 without a body says.
+/// Returns the rejection that a 503 without a readable body stands for.
 fn unavailable() -> RejectionBody {
     RejectionBody {
         code: Code::Unavailable,
@@ -192,7 +193,9 @@
 }
 
 fn retry_after(rejection: &RejectionBody) -> Milliseconds {
-    rejection.retry_after_ms.map_or(DEFAULT_RETRY, Milliseconds)
+    rejection
+        .retry_after_ms
+        .map_or(DEFAULT_RETRY_DELAY, Milliseconds)
 }
 
 fn expected_steps(job: &JobSpec) -> Vec<ExpectedStep> {
--- a/crates/lab/src/capacity/trial.rs
+++ b/crates/lab/src/capacity/trial.rs
@@ -255,7 +255,7 @@
     };
     let plans = fleet
         .of_role(Role::Agent)
-        .map(|agent| RunnerPlan::beside(agent, template.clone(), 1));
+        .map(|agent| RunnerPlan::for_agent(agent, template.clone(), 1));
     Runners::start(plans.collect(), history).await
 }
 
--- a/crates/lab/src/daemon.rs
+++ b/crates/lab/src/daemon.rs
@@ -1,13 +1,13 @@
-//! The hidden subcommand that makes the lab's executable a daemon.
+//! Hidden subcommand that runs a daemon inside the lab's executable.
 
 use clap::Args;
 use cypressdrum::{Arguments, Command, Exit};
 use std::io::Read;
 
-/// Name of the subcommand.
+/// Name of the hidden subcommand on the command line.
 pub const SUBCOMMAND: &str = "daemon";
 
-/// What the `cypressdrum` program would be called with.
+/// Arguments of the `cypressdrum` program.
 #[derive(Debug, Args)]
 pub struct DaemonArguments {
     /// The daemon.
@@ -15,18 +15,18 @@
     pub command: Command,
 }
 
-/// Runs the daemon as the `cypressdrum` program would. When the lab is gone,
-/// the daemon ends as well.
+/// Runs the daemon as the `cypressdrum` program would. The daemon exits when the
+/// lab process exits.
 pub fn run(arguments: DaemonArguments) -> Exit {
-    std::thread::spawn(end_with_the_lab);
+    std::thread::spawn(exit_when_lab_exits);
     cypressdrum::run(Arguments {
         command: arguments.command,
     })
 }
 
-fn end_with_the_lab() {
-    let mut rest = Vec::new();
-    // Ends with the pipe's other end; an error says the same.
-    let _ = std::io::stdin().read_to_end(&mut rest);
+fn exit_when_lab_exits() {
+    let mut input = Vec::new();
+    // End of file or an error: in both cases the lab has closed the pipe.
+    let _ = std::io::stdin().read_to_end(&mut input);
     std::process::exit(i32::from(Exit::Unavailable.code()));
 }
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -6,10 +6,10 @@
 use cypressdrum::Exit;
 use std::time::Duration;
 
-/// The killed leader comes back after this, if the demonstration lasts so long.
+/// Downtime of the killed leader; at most a third of the demonstration.
 const RESTART_AFTER: Duration = Duration::from_secs(5);
 
-/// What to show.
+/// Arguments of `lab demo`.
 #[derive(Debug, Clone, Args)]
 pub struct DemoArguments {
     /// How long to send jobs.
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -1,79 +1,79 @@
-//! What can go wrong with a trial itself.
+//! Errors of the lab itself.
 
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// What can go wrong with a trial itself, rather than with what it tries out.
+/// Errors of the lab itself, as opposed to violations found in a tested fleet.
 #[derive(Debug, Error)]
 pub enum LabError {
-    /// A file or folder of the trial.
+    /// A file operation failed.
     #[error("{path}: {source}", path = path.display())]
     File {
-        /// The file.
+        /// Path of the file or folder; a description where there is no path.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A policy cannot be read.
     #[error("{path}: {message}", path = path.display())]
     Policy {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// What is wrong.
+        /// Message of the TOML parser.
         message: String,
     },
     /// No free loopback address.
     #[error("no free loopback address: {0}")]
     Address(std::io::Error),
-    /// A daemon cannot be started.
+    /// The process of a daemon cannot be started.
     #[error("cannot start {program}: {source}", program = program.display())]
     Spawn {
-        /// The program.
+        /// Path of the executable.
         program: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A signal cannot be sent.
     #[error("cannot signal process {process}: {source}")]
     Signal {
-        /// Its id.
+        /// Process id.
         process: u32,
-        /// Why.
+        /// Error of the system call.
         source: nix::Error,
     },
-    /// A daemon is asked for that is not part of the fleet, or not running.
+    /// The daemon is not part of the fleet, or has no process.
     #[error("{0} is not running")]
     NotRunning(String),
-    /// Something did not come about in its time.
-    #[error("gave up after {seconds} s waiting for {what}")]
+    /// A condition was not met before its timeout.
+    #[error("timed out after {seconds} s waiting for {what}")]
     TimedOut {
-        /// What was waited for.
+        /// Awaited condition, as in "coordinator-1 to be ready".
         what: String,
-        /// How long.
+        /// Timeout in seconds.
         seconds: u64,
     },
-    /// A daemon ended by itself.
-    #[error("{member} ended by itself ({status}); see {log}", log = log.display())]
+    /// A daemon exited although the lab did not stop it.
+    #[error("{member} exited unexpectedly ({status}); see {log}", log = log.display())]
     Ended {
-        /// The daemon.
+        /// Id of the daemon, such as `gateway-2`.
         member: String,
-        /// How.
+        /// Exit status of the process.
         status: String,
-        /// Its log.
+        /// Path of the daemon's log file.
         log: PathBuf,
     },
     /// A command to the fleet failed.
     #[error(transparent)]
     Client(#[from] cypressdrum::client::ClientError),
-    /// The HTTP client cannot start.
+    /// The HTTP client cannot be built.
     #[error("cannot start the HTTP client: {0}")]
     Http(#[from] reqwest::Error),
-    /// An emulated runner cannot listen.
+    /// An emulated runner cannot be started.
     #[error("cannot start runner {runner}: {message}")]
     Runner {
-        /// The runner.
+        /// Name of the runner.
         runner: String,
-        /// Why.
+        /// Reason as text.
         message: String,
     },
     /// A fault plan cannot be read.
@@ -91,7 +91,7 @@
 }
 
 impl LabError {
-    /// An error of a file.
+    /// Returns a function that wraps an I/O error with the path that it concerns.
     pub fn file(path: impl Into<PathBuf>) -> impl FnOnce(std::io::Error) -> Self {
         let path = path.into();
         move |source| Self::File { path, source }
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of real daemons on this machine.
+//! Fleet of real daemons on the local machine.
 
 mod member;
 mod plan;
@@ -18,14 +18,15 @@
 use std::time::{Duration, Instant};
 use types::Role;
 
-/// Time between two looks at something that is waited for.
+/// Interval at which an awaited condition is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest wait of one command to the fleet.
+/// Timeout of one request to a gateway, in milliseconds.
 const COMMAND_TIMEOUT_MS: u64 = 3_000;
-/// The secret of a trial's cluster; it guards nothing beyond one machine.
+/// Cluster secret of every trial. It is public: the daemons listen on loopback
+/// addresses only.
 const CLUSTER_SECRET: &str = "a-secret-for-trials-on-one-machine-only";
 
-/// A fleet of real daemons on this machine.
+/// Fleet of real daemons on the local machine; dropping it kills them.
 #[derive(Debug)]
 pub struct Fleet {
     program: Program,
@@ -37,7 +38,8 @@
 }
 
 impl Fleet {
-    /// Lays out folders, addresses and settings; starts nothing yet.
+    /// Creates the folder, assigns addresses and writes settings files. Starts no
+    /// daemon.
     ///
     /// # Errors
     ///
@@ -62,8 +64,8 @@
         })
     }
 
-    /// Lays out one more daemon of a role, at an address of its own and with
-    /// an empty data folder; it is not started yet.
+    /// Adds a daemon of a role with its own address and an empty data folder.
+    /// Does not start it.
     ///
     /// # Errors
     ///
@@ -78,34 +80,34 @@
         Ok(id)
     }
 
-    /// The folder that holds everything of this fleet.
+    /// Returns the folder with the fleet's settings, data and logs.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// All daemons.
+    /// Returns all daemons, running or not.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// The daemons of a role, in order.
+    /// Returns the daemons of a role, ordered by ordinal.
     pub fn of_role(&self, role: Role) -> impl Iterator<Item = &Member> {
         self.members
             .iter()
             .filter(move |member| member.id.role == role)
     }
 
-    /// Which daemons a role has.
+    /// Returns the ids of a role's daemons, ordered by ordinal.
     pub fn ids_of_role(&self, role: Role) -> Vec<MemberId> {
         self.of_role(role).map(|member| member.id).collect()
     }
 
-    /// URLs of all gateways.
+    /// Returns the base URLs of all gateways.
     pub fn gateway_urls(&self) -> Vec<String> {
         self.of_role(Role::Gateway).map(Member::http_url).collect()
     }
 
-    /// A client of all gateways.
+    /// Builds a client that can use every gateway.
     ///
     /// # Errors
     ///
@@ -120,7 +122,7 @@
         Ok(GatewayClient::connect(&connection)?)
     }
 
-    /// Starts every daemon that is not running.
+    /// Starts every daemon that has no process.
     ///
     /// # Errors
     ///
@@ -130,7 +132,7 @@
         ids.into_iter().try_for_each(|id| self.start(id))
     }
 
-    /// Starts one daemon, with whatever its data folder holds.
+    /// Starts one daemon on the current content of its data folder.
     ///
     /// # Errors
     ///
@@ -140,7 +142,8 @@
         self.start_with(id, &program)
     }
 
-    /// The same with a program other than the fleet's, for this one start.
+    /// Starts one daemon like [`Fleet::start`], but with another program. Later
+    /// starts use the fleet's program again.
     ///
     /// # Errors
     ///
@@ -155,7 +158,7 @@
         Ok(())
     }
 
-    /// Ends one daemon at once, as a power cut of its process would.
+    /// Kills one daemon with SIGKILL.
     ///
     /// # Errors
     ///
@@ -171,29 +174,30 @@
         }
     }
 
-    /// Asks one daemon to drain and end, and waits until it has.
+    /// Requests a graceful shutdown of one daemon with SIGTERM and waits until it
+    /// has exited.
     ///
     /// # Errors
     ///
-    /// Fails if the signal cannot be sent or the daemon does not end in time.
-    pub async fn terminate(&mut self, id: MemberId, longest: Duration) -> Result<(), LabError> {
+    /// Fails if the signal cannot be sent or the daemon does not exit in time.
+    pub async fn terminate(&mut self, id: MemberId, timeout: Duration) -> Result<(), LabError> {
         self.signal(id, Signal::SIGTERM)?;
         let started = Instant::now();
         loop {
             let member = self.member_mut(id)?;
-            let ended = member.process.as_mut().and_then(Process::ended);
-            if ended.is_some() {
+            let exit_status = member.process.as_mut().and_then(Process::exit_status);
+            if exit_status.is_some() {
                 member.process = None;
                 return Ok(());
             }
-            if started.elapsed() > longest {
-                return Err(timed_out(format!("{id} to drain"), longest));
+            if started.elapsed() > timeout {
+                return Err(timed_out(format!("{id} to drain"), timeout));
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Stops one daemon's clock, as a frozen machine would.
+    /// Freezes one daemon with SIGSTOP, as a frozen machine would.
     ///
     /// # Errors
     ///
@@ -202,16 +206,16 @@
         self.signal(id, Signal::SIGSTOP)
     }
 
-    /// Wakes a frozen daemon.
+    /// Resumes a frozen daemon with SIGCONT.
     ///
     /// # Errors
     ///
     /// Fails if there is no such member or the signal cannot be sent.
-    pub fn wake(&self, id: MemberId) -> Result<(), LabError> {
+    pub fn resume(&self, id: MemberId) -> Result<(), LabError> {
         self.signal(id, Signal::SIGCONT)
     }
 
-    /// Empties the data folder of a daemon that is not running.
+    /// Removes the data folder of a daemon, which must not be running.
     ///
     /// # Errors
     ///
@@ -224,12 +228,12 @@
         Ok(())
     }
 
-    /// Waits until the daemon says that it is ready.
+    /// Waits until the daemon's readiness check succeeds.
     ///
     /// # Errors
     ///
     /// Fails if the daemon ends or is not ready in time.
-    pub async fn wait_ready(&mut self, id: MemberId, longest: Duration) -> Result<(), LabError> {
+    pub async fn wait_ready(&mut self, id: MemberId, timeout: Duration) -> Result<(), LabError> {
         let url = self.member(id)?.ready_url();
         let started = Instant::now();
         loop {
@@ -237,46 +241,47 @@
             if is_ready(&url).await {
                 return Ok(());
             }
-            if started.elapsed() > longest {
-                return Err(timed_out(format!("{id} to be ready"), longest));
+            if started.elapsed() > timeout {
+                return Err(timed_out(format!("{id} to be ready"), timeout));
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until all daemons say that they are ready.
+    /// Waits until the readiness checks of all daemons succeed. The timeout is for
+    /// all together.
     ///
     /// # Errors
     ///
     /// Fails if a daemon ends or is not ready in time.
-    pub async fn wait_all_ready(&mut self, longest: Duration) -> Result<(), LabError> {
+    pub async fn wait_all_ready(&mut self, timeout: Duration) -> Result<(), LabError> {
         let started = Instant::now();
         let ids: Vec<_> = self.members.iter().map(|member| member.id).collect();
         for id in ids {
-            let left = longest.saturating_sub(started.elapsed());
+            let left = timeout.saturating_sub(started.elapsed());
             self.wait_ready(id, left).await?;
         }
         Ok(())
     }
 
-    /// Ends all daemons at once.
+    /// Kills all daemons with SIGKILL.
     pub fn kill_all(&mut self) {
         for member in &mut self.members {
             member.process = None;
         }
     }
 
-    /// An error when a daemon that should run has ended by itself.
+    /// Returns an error if a daemon that should run has exited.
     ///
     /// # Errors
     ///
-    /// Fails if the daemon has ended.
+    /// Fails if the daemon was not started or has exited.
     pub fn check_alive(&mut self, id: MemberId) -> Result<(), LabError> {
         let member = self.member_mut(id)?;
         let Some(process) = &mut member.process else {
             return Err(LabError::NotRunning(id.to_string()));
         };
-        match process.ended() {
+        match process.exit_status() {
             None => Ok(()),
             Some(status) => Err(LabError::Ended {
                 member: id.to_string(),
@@ -304,11 +309,11 @@
     }
 }
 
-/// The error of a wait that was given up.
-pub fn timed_out(what: impl Into<String>, longest: Duration) -> LabError {
+/// Returns the error of a condition that was not met before its timeout.
+pub fn timed_out(what: impl Into<String>, timeout: Duration) -> LabError {
     LabError::TimedOut {
         what: what.into(),
-        seconds: longest.as_secs(),
+        seconds: timeout.as_secs(),
     }
 }
 
--- a/crates/lab/src/fleet/member.rs
+++ b/crates/lab/src/fleet/member.rs
@@ -1,4 +1,4 @@
-//! One daemon of a fleet.
+//! Daemon of a fleet: its id, sockets, files and process.
 
 use crate::LabError;
 use crate::process::Process;
@@ -8,12 +8,12 @@
 use std::path::{Path, PathBuf};
 use types::{Role, ZoneName};
 
-/// Which daemon of a fleet.
+/// Id of a daemon in a fleet, printed as `<role>-<ordinal>`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId {
-    /// Its role.
+    /// Role of the daemon.
     pub role: Role,
-    /// Its place among those of the role, from 1.
+    /// Number of the daemon among those of its role, from 1.
     pub ordinal: u8,
 }
 
@@ -23,27 +23,28 @@
     }
 }
 
-/// One daemon of a fleet.
+/// Daemon of a fleet, running or not.
 #[derive(Debug)]
 pub struct Member {
-    /// Which one.
+    /// Id of the daemon in the fleet.
     pub id: MemberId,
-    /// Its zone.
+    /// Zone in the daemon's settings.
     pub zone: ZoneName,
-    /// Its socket for other daemons.
+    /// Socket for other daemons.
     pub peer: SocketAddr,
-    /// Its HTTP socket: admin, callers or runners, by role.
+    /// HTTP socket: for admin at a coordinator, callers at a gateway, runners at
+    /// an agent.
     pub http: SocketAddr,
-    /// Its settings file.
+    /// Path of the settings file.
     pub settings: PathBuf,
-    /// Its data folder; coordinators alone use it.
+    /// Path of the data folder; only coordinators use one.
     pub data: PathBuf,
-    /// Its log file.
+    /// Path of the log file.
     pub log: PathBuf,
     pub(super) process: Option<Process>,
 }
 
-/// The settings file of a daemon.
+/// Content of a daemon's settings file.
 #[derive(Serialize)]
 struct SettingsFile<'a> {
     zone: &'a ZoneName,
@@ -59,22 +60,22 @@
 }
 
 impl Member {
-    /// Base URL of its HTTP socket.
+    /// Returns the base URL of the HTTP socket.
     pub fn http_url(&self) -> String {
         format!("http://{}", self.http)
     }
 
-    /// Where it says whether it is ready.
+    /// Returns the URL of the readiness check.
     pub fn ready_url(&self) -> String {
         format!("http://{}/readyz", self.http)
     }
 
-    /// Process id, while it runs.
+    /// Returns the process id, or `None` while the daemon is not started.
     pub fn process_id(&self) -> Option<u32> {
         self.process.as_ref().map(Process::id)
     }
 
-    /// Arguments of the program for this daemon.
+    /// Returns the program's arguments for this daemon.
     pub(super) fn arguments(&self) -> Vec<String> {
         vec![
             self.id.role.to_string(),
--- a/crates/lab/src/fleet/plan.rs
+++ b/crates/lab/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! How many daemons a fleet has, and where they stand.
+//! Size of a fleet, and the zones and addresses of its daemons.
 
 use super::{Member, MemberId};
 use crate::LabError;
@@ -7,19 +7,19 @@
 use std::path::Path;
 use types::{Role, ZoneName};
 
-/// Zones of a fleet; daemons of a role are spread over them in turn.
+/// Zones of a fleet; the daemons of a role are assigned to them in round robin.
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
-/// Seeds each daemon is given.
-const SEEDS: usize = 3;
+/// Number of seeds in each daemon's settings.
+const SEED_COUNT: usize = 3;
 
-/// How many daemons a fleet has.
+/// Number of daemons of each role in a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetPlan {
-    /// Coordinators; 3 start a cluster.
+    /// Number of coordinators; a cluster starts with 3.
     pub coordinators: u8,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: u8,
-    /// Agents, one for each runner.
+    /// Number of agents, one for each runner.
     pub agents: u8,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Third byte of the addresses of a role.
+/// Returns the third byte of the addresses of a role.
 fn address_group(role: Role) -> u8 {
     match role {
         Role::Coordinator => 1,
@@ -59,7 +59,7 @@
     }
 }
 
-/// A daemon with a machine, and so an address, of its own.
+/// Returns a daemon with its own address and two free sockets on it.
 pub(super) fn member(
     id: MemberId,
     addresses: &Addresses,
@@ -81,8 +81,8 @@
     })
 }
 
-/// Peer sockets every daemon is given: the first of each role, so that each
-/// role is found through any of the others.
+/// Returns the peer sockets in every daemon's settings: those of the first daemon
+/// of each role, so that each role can be discovered through any other.
 pub(super) fn seeds(members: &[Member]) -> Vec<SocketAddr> {
     let mut first: Vec<_> = members
         .iter()
@@ -90,5 +90,9 @@
         .collect();
     let others = members.iter().filter(|member| member.id.ordinal != 1);
     first.extend(others);
-    first.iter().take(SEEDS).map(|member| member.peer).collect()
+    first
+        .iter()
+        .take(SEED_COUNT)
+        .map(|member| member.peer)
+        .collect()
 }
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -1,4 +1,4 @@
-//! The history of a trial, dated by one clock.
+//! History of a trial, with the timestamps of one clock.
 
 use crate::LabError;
 use checker::{Event, Observation};
@@ -8,7 +8,8 @@
 use std::time::Instant;
 use types::{Milliseconds, Monotonic};
 
-/// What callers, runners and the lab saw, in order of time. Clones share it.
+/// Events observed by callers, runners and the lab, ordered by time. Clones share
+/// the same events.
 #[derive(Debug, Clone)]
 pub struct History {
     started: Instant,
@@ -25,19 +26,19 @@
 }
 
 impl History {
-    /// Time since the trial began.
+    /// Returns the time since the history was created.
     pub fn now(&self) -> Milliseconds {
         let elapsed = self.started.elapsed().as_millis();
         Milliseconds(u64::try_from(elapsed).unwrap_or(u64::MAX))
     }
 
-    /// The same clock for the emulators.
+    /// Returns [`History::now`] in the type that the emulators use.
     pub fn monotonic(&self) -> Monotonic {
         Monotonic(self.now().0)
     }
 
-    /// Adds an event, dated now. The clock is read under the lock, so the
-    /// history is in order of time.
+    /// Appends an event with the current time. The clock is read under the lock,
+    /// so that the events are ordered by time.
     pub fn record(&self, observer: &str, event: Event) {
         let mut observations = self.lock();
         let observation = Observation {
@@ -48,12 +49,12 @@
         observations.push(observation);
     }
 
-    /// All events so far.
+    /// Returns a copy of all events recorded so far.
     pub fn observations(&self) -> Vec<Observation> {
         self.lock().clone()
     }
 
-    /// Writes all events to a file, one JSON line each.
+    /// Writes all events to a file, one line of JSON for each.
     ///
     /// # Errors
     ///
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,8 +1,9 @@
 //! Trials on one machine: fleets of real processes, emulators, load and reports.
 //!
-//! The daemons are child processes of the lab, each with a loopback address of
-//! its own; runners and callers are emulators inside the lab process. All that
-//! callers and runners see goes into one history, which the checker judges.
+//! The daemons are child processes of the lab, each on its own loopback address.
+//! Runners and callers are emulators inside the lab process. Every event that
+//! callers and runners observe is recorded in one history, which the checker
+//! verifies.
 
 pub mod callers;
 pub mod capacity;
--- a/crates/lab/src/losses.rs
+++ b/crates/lab/src/losses.rs
@@ -1,5 +1,5 @@
-//! `losses`: simulated fleets over several seeds under a policy, and what their jobs
-//! lose to what, from the product's own decision stream.
+//! `losses`: simulates a fleet under several seeds and policies, and attributes the
+//! delays of its jobs to causes by the scheduler's decision stream.
 
 pub mod account;
 pub mod table;
@@ -13,13 +13,13 @@
 use std::path::{Path, PathBuf};
 use table::{Losses, SeedLosses, render};
 
-/// Seeds when none are asked for.
+/// Default number of seeds.
 const DEFAULT_SEEDS: u64 = 5;
-/// Switches of a settings file's policy that are no placement's.
+/// Keys of a settings file's policy section that are no part of [`Policy`].
 const TRANSFER_WHEN_DEGRADED: &str = "gives_way";
 const MOVE_SLOW: &str = "move_slow";
 
-/// What to account for.
+/// Arguments of `lab losses`.
 #[derive(Debug, Clone, Args)]
 pub struct LossesArguments {
     /// How many seeds, one after the other.
@@ -43,15 +43,15 @@
     pub json: bool,
 }
 
-/// A policy with its name.
+/// Policy with the name under which its losses are printed.
 #[derive(Debug, Clone)]
-struct Chosen {
+struct NamedPolicy {
     name: String,
     placement: Policy,
     transfer_when_degraded: bool,
 }
 
-/// Plays the seeds and prints the tables.
+/// Simulates the seeds under each policy and prints the losses.
 pub fn run(arguments: LossesArguments) -> Exit {
     match losses(&arguments) {
         Ok(all) => {
@@ -70,7 +70,8 @@
     }
 }
 
-/// Lost credit under each policy, seed by seed. Equal arguments give equal sums.
+/// Returns the lost credit under each policy and seed. Equal arguments give equal
+/// sums.
 ///
 /// # Errors
 ///
@@ -108,9 +109,9 @@
     Ok(Plan::parse(&text)?)
 }
 
-fn read_policies(paths: &[PathBuf]) -> Result<Vec<Chosen>, LabError> {
+fn read_policies(paths: &[PathBuf]) -> Result<Vec<NamedPolicy>, LabError> {
     if paths.is_empty() {
-        return Ok(vec![Chosen {
+        return Ok(vec![NamedPolicy {
             name: "shipped".to_owned(),
             placement: Policy::default(),
             transfer_when_degraded: true,
@@ -119,14 +120,15 @@
     paths.iter().map(|path| read_policy(path)).collect()
 }
 
-/// The `policy` section of a settings file; what it does not name is as it ships.
-fn read_policy(path: &Path) -> Result<Chosen, LabError> {
+/// Reads the `policy` section of a settings file. Keys that it omits keep their
+/// defaults.
+fn read_policy(path: &Path) -> Result<NamedPolicy, LabError> {
     let text = std::fs::read_to_string(path).map_err(LabError::file(path))?;
-    let wrong = |message: toml::de::Error| LabError::Policy {
+    let invalid = |message: toml::de::Error| LabError::Policy {
         path: path.to_owned(),
         message: message.to_string(),
     };
-    let mut file: toml::Table = toml::from_str(&text).map_err(wrong)?;
+    let mut file: toml::Table = toml::from_str(&text).map_err(invalid)?;
     let section = file.remove("policy");
     let mut section = match section {
         Some(toml::Value::Table(section)) => section,
@@ -134,11 +136,11 @@
     };
     section.remove(MOVE_SLOW);
     let transfer_when_degraded = section.remove(TRANSFER_WHEN_DEGRADED);
-    Ok(Chosen {
+    Ok(NamedPolicy {
         name: path.display().to_string(),
         transfer_when_degraded: transfer_when_degraded
             .and_then(|on| on.as_bool())
             .unwrap_or(true),
-        placement: section.try_into().map_err(wrong)?,
+        placement: section.try_into().map_err(invalid)?,
     })
 }
--- a/crates/lab/src/losses/account.rs
+++ b/crates/lab/src/losses/account.rs
@@ -1,9 +1,10 @@
-//! What a job loses, and to what.
+//! Lost credit of a job, attributed to causes.
 //!
-//! A job that is done is worth 1. It keeps the part of its time, from the first
-//! sending to its end in the record, in which a run of it worked that ended done.
-//! The rest is lost, to whatever stood in the way at that moment: the product's own
-//! decision stream says what.
+//! A job that is done has a credit of 1. Its time extends from the first submit
+//! until its end is recorded. The job keeps the fraction of this time in which one
+//! of its runs that ended as done was executing. The rest is lost, and each part of
+//! it is attributed to the cause that delayed the job at that time, as given by the
+//! scheduler's decision stream.
 
 use checker::{Event, Observation};
 use scheduler::{DecisionKind, NotPlacedReason};
@@ -12,85 +13,85 @@
 use transport::DecisionEvent;
 use types::{JobKey, JobState, Milliseconds, QueueName, RunId, TenantId};
 
-/// What stood in the way of a job.
+/// Cause that delayed a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// The submit was not acknowledged: gateway, leader, log.
+    /// The submit was not yet acknowledged, which takes gateway, leader and log.
     Acceptance,
     /// The tenant was at its resource limit.
     #[serde(rename = "ceiling")]
     ResourceLimit,
-    /// What was left of the resource limit is kept for more urgent work.
+    /// The rest of the tenant's resource limit was reserved for more urgent work.
     #[serde(rename = "ceiling_kept")]
     UrgentHeadroom,
-    /// The tenant was above its share.
+    /// The tenant used more than its share.
     Share,
     /// No seat of a licence was free.
     Seat,
-    /// No runner had room.
+    /// No runner had enough free capacity.
     #[serde(rename = "room")]
     Capacity,
-    /// No runner with room carries the labels.
+    /// No runner with enough free capacity has the labels.
     Labels,
-    /// The runners that could take it leave or are silent.
+    /// The suitable runners were leaving or unresponsive.
     RunnersAway,
-    /// The only room was on a runner on probation.
+    /// Only a runner on probation had enough free capacity.
     Probation,
-    /// A runner was kept free for a larger task.
+    /// The capacity was reserved for a larger task.
     #[serde(rename = "held")]
     ReservedForLargerTask,
-    /// The leader did not know its runners yet.
+    /// No runner had yet registered with the leader.
     NewLeader,
-    /// Nothing stood against it, or for a moment only: the draw, the log, the
-    /// placement's interval.
+    /// No decision explains the delay, or the wait was too short for one: the
+    /// scheduler's draw, log latency or the placement interval.
     Draw,
-    /// A run was reserved, and its start had not come to the runner.
+    /// A run was reserved, but its start order had not reached the runner.
     Order,
-    /// Only runs were at work that did not end done.
+    /// Only runs that did not end as done were executing.
     RepeatedWork,
-    /// All runs had ended, and the record did not know it.
+    /// A run had ended, but its end was not yet recorded.
     Report,
 }
 
-/// One job that is done, and what it lost.
+/// Lost credit of one job that is done.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Account {
-    /// The job.
+    /// Key of the job.
     pub job: JobKey,
-    /// Its queue.
+    /// Queue that the scheduler placed the job from.
     pub queue: QueueName,
-    /// When it was first sent, on the observer's clock.
+    /// Time of the first submit, on the observer's clock.
     pub sent: Milliseconds,
-    /// What it lost to each cause, as parts of its worth of 1.
+    /// Lost credit by cause, each from 0 to 1.
     pub lost: BTreeMap<Cause, f64>,
 }
 
-/// What was lost in one run of a plan.
+/// Lost credit of all jobs in one simulation of a plan.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Accounts {
-    /// Jobs that are done.
+    /// Accounts of the jobs that are done.
     pub jobs: Vec<Account>,
-    /// Jobs acknowledged that are not done: failed, cancelled or unfinished.
+    /// Number of acknowledged jobs that are not done: failed, cancelled or unfinished.
     pub not_done: usize,
 }
 
-/// A span of time.
+/// Half-open time interval: `from` is included, `to` is not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Span {
+struct TimeInterval {
     from: Milliseconds,
     to: Milliseconds,
 }
 
-impl Span {
+impl TimeInterval {
     fn contains(&self, at: Milliseconds) -> bool {
         self.from <= at && at < self.to
     }
 }
 
-/// A run as it was seen.
+/// First observed time of each state of a run; `None` if not observed.
 #[derive(Debug, Clone, Copy, Default)]
-struct SeenRun {
+struct RunTimes {
     placed: Option<Milliseconds>,
     started: Option<Milliseconds>,
     ended: Option<Milliseconds>,
@@ -98,9 +99,9 @@
     done: bool,
 }
 
-/// A job as it was seen.
+/// First observed times of a job, with its queue and runs; `None` if not observed.
 #[derive(Debug, Clone, Default)]
-struct SeenJob {
+struct JobTimes {
     sent: Option<Milliseconds>,
     acknowledged: Option<Milliseconds>,
     ended: Option<Milliseconds>,
@@ -108,36 +109,38 @@
     runs: BTreeSet<RunId>,
 }
 
-/// A shorter wait is that of the log and of the placement's interval. For a longer
-/// one the last reason told for the list holds: a reason is told when it changes.
-const UNEXPLAINED: Milliseconds = Milliseconds(100);
+/// Wait that is attributed to the log and the placement interval. A longer one is
+/// attributed to the last reason reported for the tenant and queue, since a reason
+/// is reported only when it changes.
+const MIN_EXPLAINED_WAIT: Milliseconds = Milliseconds(100);
 
-/// Reasons told for one tenant's work in one queue.
+/// Reported reasons with their times, by tenant and queue.
 type Reasons = BTreeMap<(TenantId, QueueName), Vec<(Milliseconds, Option<Cause>)>>;
 
+/// Jobs, runs and reasons of one simulation, from its history and decisions.
 #[derive(Debug, Default)]
-struct Seen {
-    jobs: BTreeMap<JobKey, SeenJob>,
-    runs: BTreeMap<RunId, SeenRun>,
+struct Timeline {
+    jobs: BTreeMap<JobKey, JobTimes>,
+    runs: BTreeMap<RunId, RunTimes>,
     reasons: Reasons,
 }
 
-/// Accounts for all jobs of a run.
+/// Computes the lost credit of all jobs of a simulation.
 pub fn account(outcome: &Outcome) -> Accounts {
-    let mut seen = Seen::default();
+    let mut timeline = Timeline::default();
     for observation in &outcome.history {
-        seen.observe(observation);
+        timeline.add_observation(observation);
     }
     for decision in &outcome.decisions {
-        seen.decided(decision);
+        timeline.add_decision(decision);
     }
-    let acknowledged = seen
+    let acknowledged = timeline
         .jobs
         .iter()
         .filter(|(_, job)| job.acknowledged.is_some());
     let mut accounts = Accounts::default();
     for (key, job) in acknowledged {
-        match seen.account_of(key, job) {
+        match timeline.account_of(key, job) {
             Some(account) => accounts.jobs.push(account),
             None => accounts.not_done += 1,
         }
@@ -145,8 +148,8 @@
     accounts
 }
 
-impl Seen {
-    fn observe(&mut self, observation: &Observation) {
+impl Timeline {
+    fn add_observation(&mut self, observation: &Observation) {
         let at = observation.at;
         match &observation.event {
             Event::SubmitSent { job, .. } => {
@@ -165,15 +168,15 @@
                 self.jobs.entry(job.clone()).or_default().runs.insert(*run);
             }
             Event::RunEnded { run, outcome, .. } => {
-                let seen = self.runs.entry(*run).or_default();
-                seen.ended.get_or_insert(at);
-                seen.done = *outcome == types::Outcome::Done;
+                let times = self.runs.entry(*run).or_default();
+                times.ended.get_or_insert(at);
+                times.done = *outcome == types::Outcome::Done;
             }
             _ => {}
         }
     }
 
-    fn decided(&mut self, decision: &TimedDecision) {
+    fn add_decision(&mut self, decision: &TimedDecision) {
         let at = decision.at;
         let key = decision.entry.job.as_ref();
         match &decision.entry.event {
@@ -211,24 +214,25 @@
         }
     }
 
-    /// None for a job that is not done, or that no decision names.
-    fn account_of(&self, key: &JobKey, job: &SeenJob) -> Option<Account> {
+    /// Returns the account of a job, or `None` if it is not done or no decision names
+    /// it.
+    fn account_of(&self, key: &JobKey, job: &JobTimes) -> Option<Account> {
         let queue = job.queue.clone()?;
-        let span = Span {
+        let interval = TimeInterval {
             from: job.sent?,
             to: job.ended?,
         };
-        let runs: Vec<SeenRun> = job
+        let runs: Vec<RunTimes> = job
             .runs
             .iter()
             .filter_map(|run| self.runs.get(run))
             .copied()
             .collect();
         let reasons = self.reasons.get(&(key.tenant.clone(), queue.clone()));
-        let moments = moments_of(span, job, &runs, reasons.map_or(&[], Vec::as_slice));
-        let total = span.to.0.saturating_sub(span.from.0).max(1) as f64;
+        let boundaries = boundaries_of(interval, job, &runs, reasons.map_or(&[], Vec::as_slice));
+        let total = interval.to.0.saturating_sub(interval.from.0).max(1) as f64;
         let mut lost = BTreeMap::new();
-        for pair in moments.windows(2) {
+        for pair in boundaries.windows(2) {
             let cause = cause_at(pair[0], job, &runs, reasons.map_or(&[], Vec::as_slice));
             if let Some(cause) = cause {
                 let part = pair[1].0.saturating_sub(pair[0].0) as f64 / total;
@@ -238,53 +242,54 @@
         Some(Account {
             job: key.clone(),
             queue,
-            sent: span.from,
+            sent: interval.from,
             lost,
         })
     }
 }
 
-/// The moments within a job's time at which something changes, in order, with both
-/// ends.
-fn moments_of(
-    span: Span,
-    job: &SeenJob,
-    runs: &[SeenRun],
+/// Returns the sorted times within a job's time at which its cause of delay can
+/// change, including the start and the end.
+fn boundaries_of(
+    interval: TimeInterval,
+    job: &JobTimes,
+    runs: &[RunTimes],
     reasons: &[(Milliseconds, Option<Cause>)],
 ) -> Vec<Milliseconds> {
     let of_runs = runs
         .iter()
         .flat_map(|run| [run.placed, run.started, run.ended, run.closed]);
-    let moments = of_runs.chain([job.acknowledged]).flatten();
-    let explained = waits_from(job, runs).map(|from| from + UNEXPLAINED);
-    let moments = moments.chain(explained);
-    let moments = moments.chain(reasons.iter().map(|(at, _)| *at));
-    let within: BTreeSet<Milliseconds> = moments
-        .filter(|at| span.contains(*at))
-        .chain([span.from, span.to])
+    let times = of_runs.chain([job.acknowledged]).flatten();
+    let explained = wait_starts(job, runs).map(|from| from + MIN_EXPLAINED_WAIT);
+    let times = times.chain(explained);
+    let times = times.chain(reasons.iter().map(|(at, _)| *at));
+    let within: BTreeSet<Milliseconds> = times
+        .filter(|at| interval.contains(*at))
+        .chain([interval.from, interval.to])
         .collect();
     within.into_iter().collect()
 }
 
-/// Moments from which some task of a job may have waited.
-fn waits_from(job: &SeenJob, runs: &[SeenRun]) -> impl Iterator<Item = Milliseconds> {
+/// Returns the times at which a task of a job may have started to wait.
+fn wait_starts(job: &JobTimes, runs: &[RunTimes]) -> impl Iterator<Item = Milliseconds> {
     let closed = runs.iter().filter_map(|run| run.closed);
     closed.chain(job.acknowledged)
 }
 
-/// What stands in the way of a job from this moment on; none while it gets on.
+/// Returns the cause that delays a job from this time on, or `None` while a run
+/// that ends as done is executing.
 fn cause_at(
     at: Milliseconds,
-    job: &SeenJob,
-    runs: &[SeenRun],
+    job: &JobTimes,
+    runs: &[RunTimes],
     reasons: &[(Milliseconds, Option<Cause>)],
 ) -> Option<Cause> {
     let within = |from: Option<Milliseconds>, to: Option<Milliseconds>| {
         let to = to.unwrap_or(Milliseconds(u64::MAX));
-        from.is_some_and(|from| Span { from, to }.contains(at))
+        from.is_some_and(|from| TimeInterval { from, to }.contains(at))
     };
-    let at_work = |run: &&SeenRun| within(run.started, run.ended);
-    if runs.iter().filter(at_work).any(|run| run.done) {
+    let is_executing = |run: &&RunTimes| within(run.started, run.ended);
+    if runs.iter().filter(is_executing).any(|run| run.done) {
         return None;
     }
     if job
@@ -293,25 +298,27 @@
     {
         return Some(Cause::Acceptance);
     }
-    if runs.iter().any(|run| at_work(&run)) {
+    if runs.iter().any(|run| is_executing(&run)) {
         return Some(Cause::RepeatedWork);
     }
-    let ordered = |run: &SeenRun| within(run.placed, run.started.or(run.closed));
-    if runs.iter().any(ordered) {
+    let is_ordered = |run: &RunTimes| within(run.placed, run.started.or(run.closed));
+    if runs.iter().any(is_ordered) {
         return Some(Cause::Order);
     }
     if runs.iter().any(|run| within(run.ended, run.closed)) {
         return Some(Cause::Report);
     }
-    let waits_from = waits_from(job, runs).filter(|from| *from <= at).max();
-    if waits_from.is_none_or(|from| at < from + UNEXPLAINED) {
+    let wait_start = wait_starts(job, runs).filter(|from| *from <= at).max();
+    if wait_start.is_none_or(|from| at < from + MIN_EXPLAINED_WAIT) {
         return Some(Cause::Draw);
     }
-    let known = reasons.partition_point(|(known, _)| *known <= at);
-    let reason = known.checked_sub(1).and_then(|last| reasons[last].1);
+    let reported = reasons.partition_point(|(reported_at, _)| *reported_at <= at);
+    let reason = reported.checked_sub(1).and_then(|last| reasons[last].1);
     Some(reason.unwrap_or(Cause::Draw))
 }
 
+/// Returns the cause that a reason stands for, or `None` for reasons that are no
+/// loss of their own.
 fn cause_of(reason: &NotPlacedReason) -> Option<Cause> {
     match reason {
         NotPlacedReason::TenantAtLimit => Some(Cause::ResourceLimit),
--- a/crates/lab/src/losses/table.rs
+++ b/crates/lab/src/losses/table.rs
@@ -1,45 +1,45 @@
-//! Lost credit over several seeds, drawn by cause, queue, tenant and window.
+//! Tables of lost credit over several seeds, by cause, queue, tenant and window.
 
 use super::account::{Accounts, Cause};
 use cypressdrum::output::Table;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Length of a window, in milliseconds of a run.
+/// Length of a window, in milliseconds of simulated time.
 const WINDOW_MS: u64 = 2_000;
-/// Tenants and windows shown.
-const SHOWN: usize = 6;
+/// Maximum number of rows in the tables of tenants and windows.
+const MAX_ROWS: usize = 6;
 
-/// What was lost under one policy, seed by seed.
+/// Lost credit under one policy, by seed.
 #[derive(Debug, Clone, Serialize)]
 pub struct Losses {
-    /// Name of the policy: its file, or `shipped`.
+    /// Path of the policy's settings file, or `shipped` for the default policy.
     pub policy: String,
-    /// One a seed, in order.
+    /// One entry for each seed, in ascending order.
     pub seeds: Vec<SeedLosses>,
 }
 
-/// What was lost under one seed, in jobs of worth 1.
+/// Lost credit under one seed. A job that is done has a credit of 1.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct SeedLosses {
-    /// The seed.
+    /// Seed of the simulation.
     pub seed: u64,
-    /// Jobs done.
+    /// Number of jobs that are done.
     pub done: usize,
-    /// Jobs acknowledged and not done.
+    /// Number of acknowledged jobs that are not done.
     pub not_done: usize,
-    /// By cause.
+    /// Lost credit by cause.
     pub causes: BTreeMap<Cause, f64>,
-    /// By queue.
+    /// Lost credit by queue.
     pub queues: BTreeMap<String, f64>,
-    /// By tenant.
+    /// Lost credit by tenant.
     pub tenants: BTreeMap<String, f64>,
-    /// By window, numbered from the run's start.
+    /// Lost credit by the 2 s window of the job's first submit, numbered from 0.
     pub windows: BTreeMap<u64, f64>,
 }
 
 impl SeedLosses {
-    /// Adds up the accounts of one run.
+    /// Sums the accounts of one simulation.
     pub fn new(seed: u64, accounts: &Accounts) -> Self {
         let mut sums = Self {
             seed,
@@ -59,7 +59,7 @@
         sums
     }
 
-    /// Lost in all, for each hundred jobs done.
+    /// Returns the total lost credit for each 100 jobs that are done.
     pub fn lost_per_hundred(&self) -> f64 {
         self.per_hundred(self.causes.values().sum())
     }
@@ -69,22 +69,23 @@
     }
 }
 
-/// Mean and spread over seeds.
-fn mean_and_spread(values: &[f64]) -> (f64, f64) {
+/// Returns the mean, and the difference between maximum and minimum.
+fn mean_and_range(values: &[f64]) -> (f64, f64) {
     let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
     let max = values.iter().copied().fold(f64::MIN, f64::max);
-    let least = values.iter().copied().fold(f64::MAX, f64::min);
-    (mean, if values.is_empty() { 0.0 } else { max - least })
+    let min = values.iter().copied().fold(f64::MAX, f64::min);
+    (mean, if values.is_empty() { 0.0 } else { max - min })
 }
 
-/// All policies as text: each one's tables, then all side by side.
+/// Renders the tables of each policy; for several policies also a table that
+/// compares them by seed.
 pub fn render(all: &[Losses]) -> String {
     let mut text = String::new();
     for losses in all {
         text.push_str(&render_one(losses));
     }
     if all.len() > 1 {
-        text.push_str(&render_side_by_side(all));
+        text.push_str(&render_comparison(all));
     }
     text
 }
@@ -100,14 +101,14 @@
     );
     let by = |heading: &str, rows: Vec<(String, f64, f64)>| {
         let mut table = Table::new(&[heading, "MEAN", "SPREAD"]);
-        for (name, mean, spread) in rows {
-            table.row([name, format!("{mean:.2}"), format!("{spread:.2}")]);
+        for (name, mean, range) in rows {
+            table.row([name, format!("{mean:.2}"), format!("{range:.2}")]);
         }
         format!("{}\n", table.render())
     };
     text.push_str(&by(
         "CAUSE",
-        rows(seeds, |seed| named(&seed.causes), usize::MAX),
+        rows(seeds, |seed| by_cause_name(&seed.causes), usize::MAX),
     ));
     text.push_str(&by(
         "QUEUE",
@@ -115,7 +116,7 @@
     ));
     text.push_str(&by(
         "TENANT",
-        rows(seeds, |seed| seed.tenants.clone(), SHOWN),
+        rows(seeds, |seed| seed.tenants.clone(), MAX_ROWS),
     ));
     let window = |seed: &SeedLosses| {
         let windows = seed.windows.iter();
@@ -123,11 +124,11 @@
             .map(|(window, lost)| (format!("from {:>3} s", window * WINDOW_MS / 1_000), *lost))
             .collect()
     };
-    text.push_str(&by("WINDOW", rows(seeds, window, SHOWN)));
+    text.push_str(&by("WINDOW", rows(seeds, window, MAX_ROWS)));
     text
 }
 
-fn named(causes: &BTreeMap<Cause, f64>) -> BTreeMap<String, f64> {
+fn by_cause_name(causes: &BTreeMap<Cause, f64>) -> BTreeMap<String, f64> {
     let text = |cause: &Cause| {
         let value = serde_json::to_value(cause).unwrap_or_default();
         value.as_str().unwrap_or_default().to_owned()
@@ -138,7 +139,8 @@
         .collect()
 }
 
-/// The largest first; a name that a seed does not have counts as 0 there.
+/// Returns name, mean and range over the seeds, sorted by descending mean. A name
+/// that is missing under a seed counts as 0 there.
 fn rows(
     seeds: &[SeedLosses],
     of: impl Fn(&SeedLosses) -> BTreeMap<String, f64>,
@@ -154,8 +156,8 @@
                 .zip(&sums)
                 .map(|(seed, sums)| seed.per_hundred(sums.get(name).copied().unwrap_or(0.0)))
                 .collect();
-            let (mean, spread) = mean_and_spread(&values);
-            (name.clone(), mean, spread)
+            let (mean, range) = mean_and_range(&values);
+            (name.clone(), mean, range)
         })
         .collect();
     rows.sort_by(|one, other| other.1.total_cmp(&one.1).then_with(|| one.0.cmp(&other.0)));
@@ -163,7 +165,7 @@
     rows
 }
 
-fn render_side_by_side(all: &[Losses]) -> String {
+fn render_comparison(all: &[Losses]) -> String {
     let mut headings = vec!["SEED"];
     headings.extend(all.iter().map(|losses| losses.policy.as_str()));
     let mut table = Table::new(&headings);
--- a/crates/lab/src/ports.rs
+++ b/crates/lab/src/ports.rs
@@ -1,14 +1,14 @@
-//! Loopback addresses: one for each machine of a fleet, with free ports.
+//! Loopback addresses and free ports: one address for each machine of a fleet.
 
 use crate::LabError;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 
-/// First second-byte used, so that common loopback addresses stay free.
+/// Lowest second byte of the addresses, above that of the commonly used 127.0.0.1.
 const FIRST_BLOCK: u32 = 16;
-/// Blocks to share among lab processes.
+/// Number of second bytes; a lab process takes one by its process id.
 const BLOCKS: u32 = 200;
 
-/// Gives each machine of one fleet a loopback address of its own.
+/// Allocator of loopback addresses, one for each machine of a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
     block: u8,
@@ -21,7 +21,8 @@
 }
 
 impl Addresses {
-    /// Addresses of one lab process; another process most likely has others.
+    /// Returns the allocator of one lab process. Process ids that differ by a
+    /// multiple of 200 share their addresses.
     pub fn of_process(process: u32) -> Self {
         let block = FIRST_BLOCK + process % BLOCKS;
         Self {
@@ -29,13 +30,14 @@
         }
     }
 
-    /// `127.<block>.<group>.<machine>`.
+    /// Returns `127.<block>.<group>.<machine>`.
     pub fn machine(&self, group: u8, machine: u8) -> IpAddr {
         IpAddr::V4(Ipv4Addr::new(127, self.block, group, machine))
     }
 }
 
-/// Several different free ports on this address.
+/// Returns different free ports on the address. They are found by binding, so
+/// another process can take one before it is used.
 ///
 /// # Errors
 ///
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -1,4 +1,4 @@
-//! One daemon as a child process, ended by its id when it is dropped.
+//! Child process of a daemon, killed by its id on drop.
 
 use crate::LabError;
 use nix::sys::signal::{Signal, kill};
@@ -8,17 +8,18 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-/// The program that runs daemons, and what goes before its arguments.
+/// Program that runs daemons, with the arguments that precede the daemon's own.
 #[derive(Debug, Clone)]
 pub struct Program {
-    /// The executable.
+    /// Path of the executable.
     pub path: PathBuf,
-    /// First arguments.
+    /// Arguments before those of the daemon.
     pub arguments: Vec<String>,
 }
 
 impl Program {
-    /// The lab itself, with its hidden subcommand for daemons.
+    /// Returns the lab's executable at this path, with its hidden subcommand for
+    /// daemons.
     pub fn lab(path: impl Into<PathBuf>) -> Self {
         Self {
             path: path.into(),
@@ -26,13 +27,13 @@
         }
     }
 
-    /// A built `cypressdrum` program; the path may be relative. Its daemons end with
-    /// the trial, but not when the lab itself is killed by SIGKILL: that program
-    /// does not watch its standard input.
+    /// Returns a built `cypressdrum` program; the path may be relative. Its daemons
+    /// are killed when the trial ends, but they survive a SIGKILL of the lab: this
+    /// program does not watch its standard input.
     ///
     /// # Errors
     ///
-    /// Fails if there is no such program.
+    /// Fails if the path does not exist.
     pub fn cypressdrum(path: &Path) -> Result<Self, LabError> {
         let path = path.canonicalize().map_err(LabError::file(path))?;
         Ok(Self {
@@ -41,7 +42,7 @@
         })
     }
 
-    /// The executable that is running now.
+    /// Returns the executable of the current process, as [`Program::lab`].
     ///
     /// # Errors
     ///
@@ -52,15 +53,15 @@
     }
 }
 
-/// A running child. Its standard input is a pipe held by the lab: when the lab
-/// is gone, however it went, the child sees the pipe end and stops.
+/// Running child process. Its standard input is a pipe held by the lab: when the
+/// lab exits for any reason, the child reads end of file and exits.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
 }
 
 impl Process {
-    /// Starts the program; its logs are added to a file.
+    /// Starts the program; its standard error is appended to a log file.
     ///
     /// # Errors
     ///
@@ -77,7 +78,7 @@
             .stdin(Stdio::piped())
             .stdout(Stdio::null())
             .stderr(log_file)
-            // A Ctrl-C at the terminal is the lab's to handle, not the child's.
+            // Ctrl-C at the terminal signals the lab alone, which stops its children.
             .process_group(0)
             .spawn()
             .map_err(|source| LabError::Spawn {
@@ -87,7 +88,7 @@
         Ok(Self { child })
     }
 
-    /// The process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -104,14 +105,14 @@
         kill(pid, signal).map_err(|source| LabError::Signal { process, source })
     }
 
-    /// How it ended, if it has.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// Returns the exit status, or `None` while the process runs.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Ends it the hard way and waits until it is gone.
+    /// Sends SIGKILL and waits until the process has exited.
     pub fn kill(&mut self) {
-        // Both fail only when it has ended already.
+        // Both calls fail only if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! What a trial showed, computed from its history alone.
+//! Summary of a trial, computed from its history and the checker's report.
 
 use checker::{Event, Observation, ReadState, Report, ViolationKind};
 use cypressdrum::output::Table;
@@ -6,47 +6,49 @@
 use std::collections::{BTreeMap, BTreeSet};
 use types::{JobKey, JobState, Milliseconds, TenantId, Term};
 
-/// Digits of a histogram that count.
+/// Significant decimal digits of the histograms of queue waits.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Shown where nothing was measured.
-const NONE: &str = "-";
+/// Printed for a value that is absent.
+const ABSENT: &str = "-";
 
-/// Queue wait: from a job's acknowledgement to its first start, nothing when
-/// the start was seen first.
+/// Queue wait of one tenant's jobs: from the acknowledgement of a job to its first
+/// start, 0 if the start was observed first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Wait {
-    /// Jobs measured.
+    /// Number of jobs that were acknowledged and started.
     pub jobs: u64,
-    /// Half of them waited at most this long.
+    /// Median.
     pub p50: Milliseconds,
-    /// All but one in a hundred waited at most this long.
+    /// 99th percentile.
     pub p99: Milliseconds,
 }
 
-/// What a trial showed.
+/// Results of a trial.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Summary {
-    /// Jobs sent at least once.
+    /// Number of jobs submitted; retries of a submit are not counted.
     pub submitted: u64,
-    /// Jobs acknowledged.
+    /// Number of jobs acknowledged.
     pub acknowledged: u64,
-    /// Jobs seen done.
+    /// Number of jobs read as done.
     pub done: u64,
-    /// Jobs seen failed.
+    /// Number of jobs read as failed.
     pub failed: u64,
-    /// Runs or tasks that started twice.
+    /// Violations in which a run or a task started twice, or its runs overlapped.
     pub double_starts: u64,
-    /// Acknowledged jobs that were lost or never ended.
+    /// Violations in which an acknowledged job was lost or never ended.
     pub lost: u64,
-    /// Broken promises of all kinds.
+    /// Violations of all kinds.
     pub broken: u64,
-    /// Queue wait by tenant.
+    /// Queue waits by tenant; tenants without a started job are absent.
     pub waits: BTreeMap<TenantId, Wait>,
-    /// From the kill of the leader to the first start ordered by a later one.
+    /// Time from the kill of the leader to the first start under a later leader;
+    /// `None` without a kill or without such a start.
     pub first_start_after_kill: Option<Milliseconds>,
 }
 
-/// Computes the summary.
+/// Computes the summary of a trial. `killed_at` is the time of the leader's kill, if
+/// there was one.
 pub fn summarise(
     history: &[Observation],
     report: &Report,
@@ -87,11 +89,11 @@
     jobs.len() as u64
 }
 
-fn ended(history: &[Observation], wanted: JobState) -> u64 {
+fn ended(history: &[Observation], final_state: JobState) -> u64 {
     let mut jobs = BTreeSet::new();
     for observation in history {
         if let Event::StateRead { job, state, .. } = &observation.event
-            && *state == ReadState::Known(wanted)
+            && *state == ReadState::Known(final_state)
         {
             jobs.insert(job);
         }
@@ -128,8 +130,8 @@
             by_tenant.entry(job.tenant.clone()).or_default().push(wait);
         }
     }
-    let measured = by_tenant.into_iter();
-    measured
+    let by_tenant = by_tenant.into_iter();
+    by_tenant
         .filter_map(|(tenant, waits)| Some((tenant, wait_of(&waits)?)))
         .collect()
 }
@@ -146,8 +148,8 @@
     })
 }
 
-/// Time from the kill to the first start of a term above all seen before it:
-/// an order of the dead leader that was still on its way does not count.
+/// Returns the time from the kill to the first start in a term higher than every
+/// term before it. Orders of the killed leader that arrive late do not count.
 fn first_start_after(history: &[Observation], killed_at: Milliseconds) -> Option<Milliseconds> {
     let mut highest_before = Term::default();
     for observation in history {
@@ -164,11 +166,11 @@
 }
 
 impl Summary {
-    /// The closing table.
+    /// Renders the totals and the queue waits as tables.
     pub fn render(&self) -> String {
         let mut totals = Table::new(&["RESULT", ""]);
         let first_start = self.first_start_after_kill;
-        let first_start = first_start.map_or(NONE.to_owned(), |time| time.to_string());
+        let first_start = first_start.map_or(ABSENT.to_owned(), |time| time.to_string());
         for (name, value) in [
             ("jobs submitted", self.submitted.to_string()),
             ("jobs acknowledged", self.acknowledged.to_string()),
--- a/crates/lab/src/rolling_change.rs
+++ b/crates/lab/src/rolling_change.rs
@@ -1,11 +1,11 @@
-//! `rolling-change`: a fleet under load goes from one program to another and back,
-//! one daemon after the other, as operators roll out a version.
+//! `rolling-change`: changes a fleet under load from one program to another and
+//! back, daemon by daemon, as operators roll out a version.
 //!
-//! For a while both programs serve in one fleet: they must read each other's
-//! messages, and each must read the data folders that the other wrote.
+//! During the change the fleet runs both programs. Each must read the messages and
+//! the data folders that the other has written.
 
 use crate::process::Program;
-use crate::trial::{self, READY_TIME, Trial, TrialArguments, TrialPlan};
+use crate::trial::{self, READY_TIMEOUT, Trial, TrialArguments, TrialPlan};
 use crate::{LabError, MemberId};
 use clap::Args;
 use cypressdrum::Exit;
@@ -13,15 +13,15 @@
 use std::time::{Duration, Instant};
 use types::Role;
 
-/// How long the fleet works before and between the steps, unless given.
+/// Default time before the first step and between two steps, in seconds.
 const DEFAULT_MIXED_SECONDS: u64 = 5;
-/// How long the fleet works after each direction, unless given: longer than the
-/// time in which the checker wants service back.
+/// Default time after each direction, in seconds. Longer than the time within
+/// which the checker requires service after a fault.
 const DEFAULT_AFTER_SECONDS: u64 = 15;
-/// Between two daemons of a role that is replaced as one step.
+/// Pause between two daemons of a role that is changed in one step.
 const BETWEEN_DAEMONS: Duration = Duration::from_millis(500);
 
-/// Which programs to change between.
+/// Arguments of `lab rolling-change`.
 #[derive(Debug, Clone, Args)]
 pub struct RollingChangeArguments {
     /// The built `cypressdrum` program that the fleet starts and ends with; the
@@ -40,7 +40,7 @@
     pub trial: TrialArguments,
 }
 
-/// How long the fleet works between the steps of a change.
+/// Durations between the steps of a change.
 #[derive(Debug, Clone, Copy, Args)]
 pub struct Pace {
     /// Work before the first change, and of the mixed fleet after each coordinator
@@ -63,7 +63,7 @@
     }
 }
 
-/// The two programs of a change.
+/// Programs of a change: the initial one and its replacement.
 #[derive(Debug)]
 struct Programs {
     from: Program,
@@ -86,10 +86,10 @@
     }
 }
 
-/// Changes the programs of a fleet there and back.
+/// Changes the program of a fleet and changes it back.
 pub fn run(arguments: RollingChangeArguments) -> Exit {
     match Programs::find(&arguments) {
-        Ok(programs) => trial::run(there_and_back(programs, arguments)),
+        Ok(programs) => trial::run(change_and_revert(programs, arguments)),
         Err(error) => {
             eprintln!("{error}");
             Exit::Usage
@@ -97,7 +97,7 @@
     }
 }
 
-async fn there_and_back(
+async fn change_and_revert(
     programs: Programs,
     arguments: RollingChangeArguments,
 ) -> Result<Exit, LabError> {
@@ -111,16 +111,16 @@
     trial.finish().await
 }
 
-/// Replaces every daemon of the fleet by the same one of another program:
-/// coordinators, then gateways, then agents.
+/// Restarts every daemon of the fleet with another program: coordinators, then
+/// gateways, then agents.
 ///
 /// # Errors
 ///
-/// Fails if a daemon cannot be replaced in time.
+/// Fails if a daemon cannot be restarted in time.
 pub async fn change_all(trial: &mut Trial, to: &Program, pace: Pace) -> Result<(), LabError> {
     let started = Instant::now();
     println!("all daemons change to {}", to.path.display());
-    for id in leader_last(trial).await? {
+    for id in coordinators_leader_last(trial).await? {
         change(trial, id, to).await?;
         trial.work_for(pace.mixed()).await;
     }
@@ -142,24 +142,29 @@
     Ok(())
 }
 
-/// The order for operators: followers first, so that leadership moves once, and the
-/// leader of one program has followers of the other for as long as can be.
-async fn leader_last(trial: &Trial) -> Result<Vec<MemberId>, LabError> {
-    let leader = trial.fleet.wait_leader(READY_TIME).await?;
+/// Returns the coordinators with the leader last, which is the order for operators:
+/// leadership moves once, and a leader of one program has followers of the other
+/// for as long as possible.
+async fn coordinators_leader_last(trial: &Trial) -> Result<Vec<MemberId>, LabError> {
+    let leader = trial.fleet.wait_leader(READY_TIMEOUT).await?;
     let mut coordinators = trial.fleet.ids_of_role(Role::Coordinator);
     coordinators.sort_by_key(|id| *id == leader);
     Ok(coordinators)
 }
 
-/// Ends one daemon politely, starts it with the other program on the same settings
-/// and data folder, and waits until it is ready and the leader has seen it again.
+/// Restarts one daemon with the other program on the same settings and data folder:
+/// shuts it down gracefully, starts it, and waits until it is ready and the leader
+/// has received a message from it.
 async fn change(trial: &mut Trial, id: MemberId, to: &Program) -> Result<(), LabError> {
-    trial.fleet.terminate(id, READY_TIME).await?;
+    trial.fleet.terminate(id, READY_TIMEOUT).await?;
     trial.record_tolerated_fault(format!("{id} ended, to be replaced"));
     let started = Instant::now();
     trial.fleet.start_with(id, to)?;
-    trial.fleet.wait_ready(id, READY_TIME).await?;
-    trial.fleet.wait_seen(id, started, READY_TIME).await?;
+    trial.fleet.wait_ready(id, READY_TIMEOUT).await?;
+    trial
+        .fleet
+        .wait_leader_contact(id, started, READY_TIMEOUT)
+        .await?;
     println!("{id} is back after {} ms", started.elapsed().as_millis());
     Ok(())
 }
--- a/crates/lab/src/runners.rs
+++ b/crates/lab/src/runners.rs
@@ -1,4 +1,4 @@
-//! Emulated runners inside the lab process, each beside its agent.
+//! Emulated runners inside the lab process, each on the address of its agent.
 
 use crate::fleet::Member;
 use crate::{History, LabError};
@@ -11,24 +11,24 @@
 use tokio::task::JoinHandle;
 use types::{RunnerId, RunnerIncarnation};
 
-/// One emulated runner and the agent it reports to.
+/// Settings of one emulated runner.
 #[derive(Debug, Clone)]
 pub struct RunnerPlan {
-    /// Its name.
+    /// Id of the runner, `runner-<ordinal of its agent>`.
     pub name: String,
-    /// URL of its agent.
+    /// Base URL of the agent that the runner reports to.
     pub agent_url: String,
-    /// Where it takes orders; port 0 for any.
+    /// Socket on which the runner accepts orders; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// What it is like.
+    /// Pool, rack, labels and capacity.
     pub template: RunnerTemplate,
-    /// Seed of its draws.
+    /// Seed of the runner's random draws.
     pub seed: u64,
 }
 
 impl RunnerPlan {
-    /// A runner on the machine of this agent.
-    pub fn beside(agent: &Member, template: RunnerTemplate, seed: u64) -> Self {
+    /// Returns the settings of a runner on the address of this agent.
+    pub fn for_agent(agent: &Member, template: RunnerTemplate, seed: u64) -> Self {
         let ordinal = agent.id.ordinal;
         Self {
             name: format!("runner-{ordinal}"),
@@ -75,7 +75,7 @@
 }
 
 impl Runners {
-    /// Starts the runners; all that happens in them goes into the history.
+    /// Starts the runners; their events are recorded in the history.
     ///
     /// # Errors
     ///
@@ -88,16 +88,16 @@
         Ok(runners)
     }
 
-    /// Runners that run.
+    /// Returns the number of running runners.
     pub fn count(&self) -> usize {
         self.running.len()
     }
 
-    /// Ends all of them, and waits until the history has all they did.
+    /// Kills all runners and waits until their events are in the history.
     pub async fn stop(self) {
         for runner in self.running {
             runner.handle.kill().await;
-            // It ends with the runner's events; an error would be its panic.
+            // The task ends with the runner's events; it fails only by a panic.
             let _ = runner.recorder.await;
         }
     }
@@ -121,7 +121,7 @@
     }
 }
 
-/// Writes what happens in one runner into the history.
+/// Records the events of one runner in the history.
 struct Recorder {
     runner: RunnerId,
     incarnation: RunnerIncarnation,
@@ -132,7 +132,7 @@
 impl Recorder {
     async fn run(self, mut events: mpsc::UnboundedReceiver<RunnerEvent>) {
         while let Some(event) = events.recv().await {
-            self.record(self.translate(event));
+            self.record(self.to_event(event));
         }
         let runner = self.runner.clone();
         self.record(Event::RunnerStopped { runner });
@@ -142,7 +142,7 @@
         self.history.record(self.runner.as_str(), event);
     }
 
-    fn translate(&self, event: RunnerEvent) -> Event {
+    fn to_event(&self, event: RunnerEvent) -> Event {
         let runner = self.runner.clone();
         match event {
             RunnerEvent::Started(spec) => Event::RunStarted {
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,24 +1,25 @@
-//! `trial NAME`: today's fleet under both job mixes while parts of it fail.
+//! `trial NAME`: today's fleet under both job mixes, with the faults of a scenario.
 
-use crate::trial::{self, READY_TIME, Trial, TrialArguments};
+use crate::trial::{self, READY_TIMEOUT, Trial, TrialArguments};
 use crate::{LabError, MemberId};
 use clap::{Args, ValueEnum};
 use cypressdrum::Exit;
 use std::time::{Duration, Instant};
 use types::Role;
 
-/// Work before the first fault, and after the last.
-const CALM: Duration = Duration::from_secs(8);
-/// How long a killed daemon stays down.
-const DOWN: Duration = Duration::from_secs(5);
-/// How long a machine is frozen: longer than every lease.
-const FROZEN: Duration = Duration::from_secs(25);
-/// After the last fault: longer than the time in which service must be back.
-const AFTER: Duration = Duration::from_secs(15);
-/// Between the restarts of a rolling restart.
+/// Time under load before the first fault.
+const BEFORE_FAULT: Duration = Duration::from_secs(8);
+/// Time between the kill of a daemon and its restart.
+const DOWNTIME: Duration = Duration::from_secs(5);
+/// Duration of a freeze; longer than every lease.
+const FREEZE_LENGTH: Duration = Duration::from_secs(25);
+/// Time under load after the last fault; longer than the time within which the
+/// checker requires service after a fault.
+const AFTER_FAULT: Duration = Duration::from_secs(15);
+/// Pause between two restarts of a rolling restart.
 const BETWEEN_RESTARTS: Duration = Duration::from_millis(500);
 
-/// What is done to the fleet.
+/// Faults that a trial injects into the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Scenario {
     /// The leader is killed and comes back with its disk.
@@ -42,7 +43,7 @@
     RollingRestart,
 }
 
-/// Which trial to run.
+/// Arguments of `lab trial`.
 #[derive(Debug, Clone, Args)]
 pub struct ScenarioArguments {
     /// What is done to the fleet.
@@ -52,14 +53,14 @@
     pub trial: TrialArguments,
 }
 
-/// Runs one trial.
+/// Runs one scenario.
 pub fn run(arguments: ScenarioArguments) -> Exit {
-    trial::run(play(arguments))
+    trial::run(run_scenario(arguments))
 }
 
-async fn play(arguments: ScenarioArguments) -> Result<Exit, LabError> {
+async fn run_scenario(arguments: ScenarioArguments) -> Result<Exit, LabError> {
     let mut trial = Trial::start(arguments.trial).await?;
-    trial.work_for(CALM).await;
+    trial.work_for(BEFORE_FAULT).await;
     match arguments.scenario {
         Scenario::KillLeader => kill_leader(&mut trial).await?,
         Scenario::KillGateway => kill_and_restart(&mut trial, first(Role::Gateway)).await?,
@@ -71,7 +72,7 @@
         Scenario::ReplaceFollower => replace_follower(&mut trial).await?,
         Scenario::RollingRestart => rolling_restart(&mut trial).await?,
     }
-    trial.work_for(AFTER).await;
+    trial.work_for(AFTER_FAULT).await;
     trial.finish().await
 }
 
@@ -81,21 +82,21 @@
 
 async fn kill_leader(trial: &mut Trial) -> Result<(), LabError> {
     let leader = trial.kill_leader().await?;
-    trial.work_for(DOWN).await;
+    trial.work_for(DOWNTIME).await;
     restart(trial, leader).await
 }
 
 async fn kill_and_restart(trial: &mut Trial, id: MemberId) -> Result<(), LabError> {
     trial.fleet.kill(id)?;
     trial.record_tolerated_fault(format!("killed {id}"));
-    trial.work_for(DOWN).await;
+    trial.work_for(DOWNTIME).await;
     restart(trial, id).await
 }
 
 async fn restart(trial: &mut Trial, id: MemberId) -> Result<(), LabError> {
     println!("{id} starts again");
     trial.fleet.start(id)?;
-    trial.fleet.wait_ready(id, READY_TIME).await
+    trial.fleet.wait_ready(id, READY_TIMEOUT).await
 }
 
 async fn kill_all_coordinators(trial: &mut Trial) -> Result<(), LabError> {
@@ -104,52 +105,52 @@
         trial.fleet.kill(*id)?;
     }
     trial.record_fault("killed all coordinators".to_owned());
-    trial.work_for(DOWN).await;
+    trial.work_for(DOWNTIME).await;
     println!("all coordinators start again");
     for id in &coordinators {
         trial.fleet.start(*id)?;
     }
     trial.record_healed();
     for id in coordinators {
-        trial.fleet.wait_ready(id, READY_TIME).await?;
+        trial.fleet.wait_ready(id, READY_TIMEOUT).await?;
     }
     Ok(())
 }
 
 async fn freeze_leader(trial: &mut Trial) -> Result<(), LabError> {
-    let leader = trial.fleet.wait_leader(READY_TIME).await?;
+    let leader = trial.fleet.wait_leader(READY_TIMEOUT).await?;
     freeze(trial, leader).await
 }
 
 async fn freeze(trial: &mut Trial, id: MemberId) -> Result<(), LabError> {
     trial.fleet.freeze(id)?;
     trial.record_tolerated_fault(format!("froze {id}"));
-    trial.work_for(FROZEN).await;
-    trial.fleet.wake(id)?;
+    trial.work_for(FREEZE_LENGTH).await;
+    trial.fleet.resume(id)?;
     println!("woke {id}");
-    trial.fleet.wait_ready(id, READY_TIME).await
+    trial.fleet.wait_ready(id, READY_TIMEOUT).await
 }
 
 async fn wipe_follower(trial: &mut Trial) -> Result<(), LabError> {
-    let follower = trial.fleet.wait_follower(READY_TIME).await?;
-    let departed = identity(trial, follower).await?;
+    let follower = trial.fleet.wait_follower(READY_TIMEOUT).await?;
+    let old_identity = identity(trial, follower).await?;
     trial.fleet.kill(follower)?;
     trial.fleet.wipe(follower)?;
     trial.record_tolerated_fault(format!("{follower} lost its disk"));
     trial.fleet.start(follower)?;
-    kill_leader_after_repair(trial, &departed, follower).await
+    kill_leader_after_repair(trial, &old_identity, follower).await
 }
 
 async fn replace_follower(trial: &mut Trial) -> Result<(), LabError> {
-    let follower = trial.fleet.wait_follower(READY_TIME).await?;
-    let departed = identity(trial, follower).await?;
+    let follower = trial.fleet.wait_follower(READY_TIMEOUT).await?;
+    let old_identity = identity(trial, follower).await?;
     trial.fleet.kill(follower)?;
     let replacement = trial.fleet.add(Role::Coordinator)?;
     trial.record_tolerated_fault(format!(
         "{replacement}, empty, takes the place of {follower}"
     ));
     trial.fleet.start(replacement)?;
-    kill_leader_after_repair(trial, &departed, replacement).await
+    kill_leader_after_repair(trial, &old_identity, replacement).await
 }
 
 async fn identity(trial: &Trial, id: MemberId) -> Result<String, LabError> {
@@ -157,15 +158,22 @@
     identity.ok_or_else(|| LabError::NotRunning(format!("{id} as a voter")))
 }
 
-/// The second loss comes the moment the first is repaired.
+/// Waits until the follower is replaced, and kills the leader at once: a second
+/// fault immediately after the repair of the first.
 async fn kill_leader_after_repair(
     trial: &mut Trial,
-    departed: &str,
-    by: MemberId,
+    old_identity: &str,
+    replacement: MemberId,
 ) -> Result<(), LabError> {
     let started = Instant::now();
-    trial.fleet.wait_replaced(departed, by, READY_TIME).await?;
-    println!("{by} votes, {} ms later", started.elapsed().as_millis());
+    trial
+        .fleet
+        .wait_voter_replaced(old_identity, replacement, READY_TIMEOUT)
+        .await?;
+    println!(
+        "{replacement} votes, {} ms later",
+        started.elapsed().as_millis()
+    );
     kill_leader(trial).await
 }
 
@@ -177,7 +185,7 @@
         .map(|member| member.id)
         .collect();
     for id in ids {
-        trial.fleet.terminate(id, READY_TIME).await?;
+        trial.fleet.terminate(id, READY_TIMEOUT).await?;
         trial.record_tolerated_fault(format!("{id} restarts"));
         restart(trial, id).await?;
         trial.work_for(BETWEEN_RESTARTS).await;
--- a/crates/lab/src/setup.rs
+++ b/crates/lab/src/setup.rs
@@ -1,4 +1,4 @@
-//! Steps that every trial begins with.
+//! Setup that every trial shares: folder, first configuration, known runners.
 
 use crate::fleet::timed_out;
 use crate::{Fleet, History, LabError};
@@ -14,14 +14,14 @@
 use std::time::{Duration, Instant};
 use types::ConfigurationVersion;
 
-/// Name of the operator in the history.
+/// Name of the operator as an observer in the history.
 const OPERATOR: &str = "operator";
-/// Longest wait for a configuration to be taken.
-const PUT_TIME: Duration = Duration::from_secs(20);
-/// Time between two tries.
-const TRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout until the first configuration is accepted.
+const PUT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Delay before a retry.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A fresh folder that is removed at the end, unless it is to be kept.
+/// Folder of a trial, removed on drop unless it is kept.
 #[derive(Debug)]
 pub struct TrialFolder {
     path: PathBuf,
@@ -29,7 +29,7 @@
 }
 
 impl TrialFolder {
-    /// Makes the folder among the system's temporary ones.
+    /// Creates a folder with a random name in the system's temporary folder.
     ///
     /// # Errors
     ///
@@ -43,7 +43,7 @@
         Self::create_at(std::env::temp_dir().join(name), keep)
     }
 
-    /// Makes the folder at a given place.
+    /// Creates the folder at this path.
     ///
     /// # Errors
     ///
@@ -53,7 +53,7 @@
         Ok(Self { path, keep })
     }
 
-    /// Where it is.
+    /// Returns the path of the folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -62,13 +62,14 @@
 impl Drop for TrialFolder {
     fn drop(&mut self) {
         if !self.keep {
-            // What stays behind is only a temporary folder.
+            // A failure leaves only a temporary folder behind.
             let _ = std::fs::remove_dir_all(&self.path);
         }
     }
 }
 
-/// Puts the first configuration through any gateway, again until it is taken.
+/// Puts the first configuration through the gateways, with retries until it is
+/// accepted, and records it in the history.
 ///
 /// # Errors
 ///
@@ -129,19 +130,19 @@
         let answer = client.send::<_, ConfiguredBody>(Method::PUT, &path, Some(&body));
         match answer.await {
             Ok(_) => return Ok(()),
-            Err(ClientError::Unavailable(_)) if started.elapsed() < PUT_TIME => {
-                tokio::time::sleep(TRY_INTERVAL).await;
+            Err(ClientError::Unavailable(_)) if started.elapsed() < PUT_TIMEOUT => {
+                tokio::time::sleep(RETRY_INTERVAL).await;
             }
             Err(error) => return Err(error.into()),
         }
     }
 }
 
-/// Waits until the leader knows this many runners.
+/// Waits until at least this many runners are registered with the leader.
 ///
 /// # Errors
 ///
-/// Fails if the runners are not known to the leader in time.
+/// Fails if the runners are not registered in time.
 pub async fn wait_for_runners(
     fleet: &Fleet,
     count: usize,
@@ -154,7 +155,7 @@
         match known {
             Ok(known) if known.runners.len() >= count => return Ok(()),
             Ok(_) | Err(ClientError::Unavailable(_)) if started.elapsed() < timeout => {
-                tokio::time::sleep(TRY_INTERVAL).await;
+                tokio::time::sleep(RETRY_INTERVAL).await;
             }
             Ok(_) => return Err(timed_out(format!("{count} runners to be known"), timeout)),
             Err(error) => return Err(error.into()),
--- a/crates/lab/src/simulate.rs
+++ b/crates/lab/src/simulate.rs
@@ -1,5 +1,5 @@
-//! `simulate`: whole fleets in one process, under faults drawn from seeds or
-//! written in a plan.
+//! `simulate`: runs whole fleets in one process, under faults drawn from seeds or
+//! read from a plan.
 
 mod report;
 
@@ -19,18 +19,18 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// Most threads when none are asked for.
-const DEFAULT_THREADS: usize = 4;
-/// Load when none is asked for, in percent of today's.
+/// Maximum number of threads by default.
+const MAX_DEFAULT_THREADS: usize = 4;
+/// Default load, in percent of today's.
 const DEFAULT_LOAD_PERCENT: u32 = 40;
-/// Seeds between two progress lines.
+/// Number of seeds between two progress lines.
 const PROGRESS_SEEDS: u64 = 100;
-/// Most runs that cutting down one plan may take.
-const SHRINK_RUNS: usize = 60;
-/// Most failing seeds that are cut down.
-const SHRINK_SEEDS: usize = 5;
+/// Maximum number of simulations to shrink one plan.
+const MAX_SHRINK_RUNS: usize = 60;
+/// Maximum number of failing seeds whose plans are shrunk.
+const MAX_SHRINK_SEEDS: usize = 5;
 
-/// What to run.
+/// Arguments of `lab simulate`.
 #[derive(Debug, Clone, Args)]
 pub struct SimulateArguments {
     /// How many seeds, one after the other.
@@ -72,7 +72,7 @@
     Json,
 }
 
-/// Runs the seeds or the plan.
+/// Runs the seeds or the plan and prints the report.
 pub fn run(arguments: SimulateArguments) -> Exit {
     simulate(&arguments).unwrap_or_else(|error| {
         eprintln!("{error}");
@@ -126,20 +126,20 @@
         planner: planner(arguments),
         mutation: arguments.mutation,
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     let finished = AtomicU64::new(0);
-    let bad = AtomicU64::new(0);
+    let failing = AtomicU64::new(0);
     run_campaign(&campaign, |result| {
         if let Some(found) = result.report.violations.first() {
             eprintln!("seed {}: {:?}", result.plan.seed, found.kind);
         }
-        let bad = bad.fetch_add(u64::from(!result.is_good()), Ordering::Relaxed);
+        let failing = failing.fetch_add(u64::from(!result.is_good()), Ordering::Relaxed);
         let finished = finished.fetch_add(1, Ordering::Relaxed) + 1;
         if finished.is_multiple_of(PROGRESS_SEEDS) {
-            let bad = bad + u64::from(!result.is_good());
-            let seconds = begun.elapsed().as_secs();
+            let failing = failing + u64::from(!result.is_good());
+            let seconds = started.elapsed().as_secs();
             eprintln!(
-                "{finished} of {} seeds, {bad} bad, {seconds} s",
+                "{finished} of {} seeds, {failing} bad, {seconds} s",
                 campaign.seeds
             );
         }
@@ -150,7 +150,7 @@
     let cores = || std::thread::available_parallelism().map_or(1, NonZeroUsize::get);
     arguments
         .threads
-        .map_or_else(|| cores().min(DEFAULT_THREADS), NonZeroUsize::get)
+        .map_or_else(|| cores().min(MAX_DEFAULT_THREADS), NonZeroUsize::get)
 }
 
 fn planner(arguments: &SimulateArguments) -> PlannerOptions {
@@ -163,7 +163,8 @@
     }
 }
 
-/// A run is the same each time, so the history is had by running again.
+/// Writes the history of the plan, or of the first seed. Simulations are
+/// deterministic, so it runs the plan a second time.
 fn save_history(path: &Path, arguments: &SimulateArguments) -> Result<(), LabError> {
     let plan = match &arguments.plan {
         Some(plan) => read_plan(plan, arguments)?,
@@ -179,23 +180,24 @@
 }
 
 fn describe(position: usize, result: &SeedResult, arguments: &SimulateArguments) -> FailedSeed {
-    let smallest = (arguments.shrink && position < SHRINK_SEEDS).then(|| minimize(result));
+    let smallest = (arguments.shrink && position < MAX_SHRINK_SEEDS).then(|| minimize(result));
     FailedSeed::new(result, repeat_command(result, arguments), smallest)
 }
 
-/// Keeps to plans that break the same promise.
+/// Shrinks the plan of a failing seed to one that still has a violation of the same
+/// kind, or still has an error.
 fn minimize(result: &SeedResult) -> Plan {
-    let wanted = result.report.violations.first().map(|found| found.kind);
-    shrink(&result.plan, SHRINK_RUNS, |plan| {
-        let again = run_plan(plan);
-        match wanted {
-            Some(kind) => again.breaks(kind),
-            None => again.error.is_some(),
+    let kind = result.report.violations.first().map(|found| found.kind);
+    shrink(&result.plan, MAX_SHRINK_RUNS, |plan| {
+        let repeated = run_plan(plan);
+        match kind {
+            Some(kind) => repeated.breaks(kind),
+            None => repeated.error.is_some(),
         }
     })
 }
 
-/// The one command that repeats a failing run.
+/// Returns the command that repeats a failing simulation.
 fn repeat_command(result: &SeedResult, arguments: &SimulateArguments) -> String {
     let mut command = "cargo run --release -p lab -- simulate".to_owned();
     match &arguments.plan {
--- a/crates/lab/src/simulate/report.rs
+++ b/crates/lab/src/simulate/report.rs
@@ -1,4 +1,4 @@
-//! What a campaign gave, for people and for programs.
+//! Report of a campaign, as text and as JSON.
 
 use crate::LabError;
 use checker::{Violation, ViolationKind};
@@ -7,10 +7,10 @@
 use simulation::{Plan, SeedResult, Summary};
 use std::collections::BTreeMap;
 
-/// Violations shown of one failing seed.
-const SHOWN_VIOLATIONS: usize = 5;
+/// Maximum number of violations printed for one failing seed.
+const MAX_PRINTED_VIOLATIONS: usize = 5;
 
-/// What a campaign gave.
+/// Results of a campaign.
 #[derive(Debug, Serialize)]
 pub(super) struct CampaignReport {
     seeds: u64,
@@ -24,7 +24,7 @@
     failed: Vec<FailedSeed>,
 }
 
-/// A seed in which a promise broke.
+/// Seed with a violation, or whose plan could not be run.
 #[derive(Debug, Serialize)]
 pub(super) struct FailedSeed {
     seed: u64,
@@ -41,7 +41,7 @@
             repeat,
             error: result.error.clone(),
             violations: result.report.violations.clone(),
-            smallest_plan: smallest.map(|plan| text_of(&plan)),
+            smallest_plan: smallest.map(|plan| plan_text(&plan)),
         }
     }
 
@@ -50,13 +50,13 @@
         if let Some(error) = &self.error {
             text.push_str(&format!("  not run: {error}\n"));
         }
-        for found in self.violations.iter().take(SHOWN_VIOLATIONS) {
+        for found in self.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
             text.push_str(&format!(
                 "  {:?} at {}: {}\n",
                 found.kind, found.at, found.detail
             ));
         }
-        let more = self.violations.len().saturating_sub(SHOWN_VIOLATIONS);
+        let more = self.violations.len().saturating_sub(MAX_PRINTED_VIOLATIONS);
         if more > 0 {
             text.push_str(&format!("  and {more} more\n"));
         }
@@ -68,7 +68,7 @@
     }
 }
 
-fn text_of(plan: &Plan) -> String {
+fn plan_text(plan: &Plan) -> String {
     plan.to_text().unwrap_or_else(|error| error.to_string())
 }
 
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -1,5 +1,5 @@
-//! A trial: today's fleet with its runners under both job mixes, one history,
-//! and whatever is done to it meanwhile.
+//! Trial: a fleet with its runners under both job mixes, and one history of all that
+//! happens, which the checker verifies at the end.
 
 use crate::callers::{CallerPlan, Callers};
 use crate::fleet::timed_out;
@@ -19,16 +19,17 @@
 use tokio::signal::unix::{SignalKind, signal};
 use types::{Milliseconds, Role};
 
-/// Longest wait for daemons to be ready.
-pub const READY_TIME: Duration = Duration::from_secs(30);
-/// Longest wait for all jobs to end once no more are sent.
-const END_TIME: Duration = Duration::from_secs(60);
-/// Time between two progress lines.
+/// Timeout until daemons are ready or runners are registered.
+pub const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout until all jobs have ended, from the last submit.
+const END_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval between two progress lines.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
-/// Name of the lab in the history.
+/// Name of the lab as an observer in the history.
 const OBSERVER: &str = "lab";
-/// Broken promises that are printed; the history has all.
-const MAX_VIOLATIONS_SHOWN: usize = 20;
+/// Maximum number of violations printed. The rest can be found by checking the
+/// history.
+const MAX_PRINTED_VIOLATIONS: usize = 20;
 
 /// Flags of every trial.
 #[derive(Debug, Clone, Args)]
@@ -47,19 +48,20 @@
     pub load: f64,
 }
 
-/// Which daemons and runners a trial has.
+/// Daemons and runners of a trial.
 #[derive(Debug, Clone)]
 pub struct TrialPlan {
-    /// How many daemons.
+    /// Number of daemons of each role.
     pub fleet: FleetPlan,
-    /// What they run at first.
+    /// Program that the daemons start with.
     pub program: Program,
-    /// What the runners are like, one for each agent in order.
+    /// Pool, rack, labels and capacity of the runners, one for each agent in order.
     pub runners: Vec<RunnerTemplate>,
 }
 
 impl TrialPlan {
-    /// Today's size; the first agents have the runners of the first pool.
+    /// Returns a plan of today's size. The first agents have the runners of the
+    /// first pool.
     pub fn today(program: Program) -> Self {
         let pools = [Mix::Media, Mix::Documents].into_iter();
         Self {
@@ -70,9 +72,9 @@
     }
 }
 
-/// A fleet under load. Dropping it ends every child.
+/// Fleet under load. Dropping it kills every child process.
 pub struct Trial {
-    /// The daemons.
+    /// Daemons of the fleet.
     pub fleet: Fleet,
     arguments: TrialArguments,
     history: History,
@@ -83,8 +85,7 @@
 }
 
 impl Trial {
-    /// Starts a fleet of today's size with the lab's own daemons, and begins to
-    /// send jobs.
+    /// Starts a fleet of today's size from the lab's executable, and its load.
     ///
     /// # Errors
     ///
@@ -94,7 +95,7 @@
         Self::start_plan(plan, arguments).await
     }
 
-    /// Starts the plan's daemons and runners, and begins to send jobs.
+    /// Starts the plan's daemons, runners and load.
     ///
     /// # Errors
     ///
@@ -106,13 +107,13 @@
         println!("fleet in {}", folder.path().display());
 
         fleet.start_all()?;
-        fleet.wait_all_ready(READY_TIME).await?;
+        fleet.wait_all_ready(READY_TIMEOUT).await?;
         let daemons = fleet.members().len();
         println!("{daemons} daemons are ready after {}", history.now());
         put_configuration(&fleet, &history, example_configuration()).await?;
         let runner_plans = runner_plans(&fleet, plan.runners, arguments.seed);
         let runners = Runners::start(runner_plans, &history).await?;
-        wait_for_runners(&fleet, runners.count(), READY_TIME).await?;
+        wait_for_runners(&fleet, runners.count(), READY_TIMEOUT).await?;
         println!(
             "{} runners are known after {}",
             runners.count(),
@@ -130,7 +131,7 @@
         })
     }
 
-    /// Lets the fleet work for a while, with a progress line each second.
+    /// Waits under load for this time, with a progress line each second.
     pub async fn work_for(&self, length: Duration) {
         let started = Instant::now();
         loop {
@@ -143,38 +144,38 @@
         }
     }
 
-    /// Records a fault that should stop service until [`Trial::record_healed`].
+    /// Records a fault that may interrupt service until [`Trial::record_healed`].
     pub fn record_fault(&self, what: String) {
         println!("{what}");
         self.history.record(OBSERVER, Event::Fault { what });
     }
 
-    /// Records that nothing is broken any more that should stop service.
+    /// Records that no fault may interrupt service any longer.
     pub fn record_healed(&self) {
         self.history.record(OBSERVER, Event::Healed);
     }
 
-    /// Records a fault that a fleet of this size must bear: service has to come
-    /// back although it lasts.
+    /// Records a fault that a fleet of this size must tolerate: the checker requires
+    /// service to resume while the fault lasts.
     pub fn record_tolerated_fault(&self, what: String) {
         self.record_fault(what);
         self.record_healed();
     }
 
-    /// Kills the coordinator that leads, and gives which it was.
+    /// Kills the leader and returns its id.
     ///
     /// # Errors
     ///
     /// Fails if there is no leader in time or it cannot be killed.
     pub async fn kill_leader(&mut self) -> Result<MemberId, LabError> {
-        let leader = self.fleet.wait_leader(READY_TIME).await?;
+        let leader = self.fleet.wait_leader(READY_TIMEOUT).await?;
         self.fleet.kill(leader)?;
         self.killed_at = Some(self.history.now());
         self.record_tolerated_fault(format!("killed {leader}, which leads"));
         Ok(leader)
     }
 
-    /// Sends no more jobs, waits until all have ended, and judges the history.
+    /// Stops submitting jobs, waits until all have ended, and checks the history.
     ///
     /// # Errors
     ///
@@ -197,15 +198,16 @@
             history.write(path)?;
             println!("history in {}", path.display());
         }
-        Ok(conclude(&history, killed_at))
+        Ok(check_and_print(&history, killed_at))
     }
 
-    /// Waits until every job is over; one that never is shows in the report.
+    /// Waits until every job has ended or the timeout is over. The checker reports
+    /// jobs that did not end.
     async fn wait_for_jobs(&self) {
         let started = Instant::now();
         while self.callers.progress().unfinished() > 0 {
-            if started.elapsed() > END_TIME {
-                eprintln!("{}", timed_out("all jobs to end", END_TIME));
+            if started.elapsed() > END_TIMEOUT {
+                eprintln!("{}", timed_out("all jobs to end", END_TIMEOUT));
                 return;
             }
             self.work_for(Duration::from_millis(500)).await;
@@ -225,13 +227,13 @@
     }
 }
 
-fn conclude(history: &History, killed_at: Option<Milliseconds>) -> Exit {
+fn check_and_print(history: &History, killed_at: Option<Milliseconds>) -> Exit {
     let observations = history.observations();
     let report = checker::check(&observations, &Limits::default());
     let summary = summarise(&observations, &report, killed_at);
     println!("\n{}", summary.render());
-    let shown = report.violations.iter().take(MAX_VIOLATIONS_SHOWN);
-    shown.for_each(print_violation);
+    let printed = report.violations.iter().take(MAX_PRINTED_VIOLATIONS);
+    printed.for_each(print_violation);
     if report.violations.is_empty() {
         Exit::Done
     } else {
@@ -244,12 +246,12 @@
     println!("broken at {at}: {kind:?}: {detail}");
 }
 
-/// Each runner stands beside its agent.
+/// Returns one runner for each agent, on the agent's address.
 fn runner_plans(fleet: &Fleet, templates: Vec<RunnerTemplate>, seed: u64) -> Vec<RunnerPlan> {
     fleet
         .of_role(Role::Agent)
         .zip(templates)
-        .map(|(agent, template)| RunnerPlan::beside(agent, template, seed))
+        .map(|(agent, template)| RunnerPlan::for_agent(agent, template, seed))
         .collect()
 }
 
@@ -266,17 +268,17 @@
     ]
 }
 
-/// Runs a trial to its end, or to SIGINT or SIGTERM. Either way no child is
-/// left behind.
+/// Runs a trial until it ends or the lab receives SIGINT or SIGTERM. In each case
+/// every child process is killed.
 pub fn run(trial: impl Future<Output = Result<Exit, LabError>>) -> Exit {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
-    let ended = match runtime {
+    let result = match runtime {
         Ok(runtime) => runtime.block_on(until_interrupted(trial)),
         Err(error) => Err(LabError::file("runtime")(error)),
     };
-    ended.unwrap_or_else(|error| {
+    result.unwrap_or_else(|error| {
         eprintln!("{error}");
         Exit::Unavailable
     })
@@ -289,7 +291,7 @@
     let mut interrupt = listen(SignalKind::interrupt())?;
     let mut terminate = listen(SignalKind::terminate())?;
     tokio::select! {
-        ended = trial => ended,
+        result = trial => result,
         _ = interrupt.recv() => Ok(interrupted()),
         _ = terminate.recv() => Ok(interrupted()),
     }
--- a/crates/lab/tests/small_fleet.rs
+++ b/crates/lab/tests/small_fleet.rs
@@ -29,7 +29,7 @@
     fleet
         .of_role(Role::Agent)
         .zip(largest)
-        .map(|(agent, template)| RunnerPlan::beside(agent, template, 1))
+        .map(|(agent, template)| RunnerPlan::for_agent(agent, template, 1))
         .collect()
 }
 
