--- a/crates/lab/src/callers/client.rs
+++ b/crates/lab/src/callers/client.rs
@@ -182,7 +182,7 @@
     }
 }
 
-/// Returns the rejection that a 503 without a readable body stands for.
+/// Returns the rejection for a 503 without a readable body.
 fn unavailable() -> RejectionBody {
     RejectionBody {
         code: Code::Unavailable,
--- a/crates/lab/src/capacity/figures.rs
+++ b/crates/lab/src/capacity/figures.rs
@@ -1,12 +1,12 @@
-//! The arithmetic behind the figures: percentiles and straight lines.
+//! Arithmetic of the capacity figures: percentiles and linear regression.
 
 use serde::Serialize;
 
-/// Parts of a thousand that percentiles are given in.
+/// Denominator of the ranks that [`quantile`] takes.
 const PER_MILLE: usize = 1_000;
 
-/// The value that `per_thousand` of all values do not exceed (nearest rank);
-/// none without values.
+/// Returns the smallest value that at least `per_thousand` thousandths of all values
+/// do not exceed (nearest rank), or `None` without values.
 pub fn quantile(values: &[u64], per_thousand: usize) -> Option<u64> {
     let mut sorted = values.to_vec();
     sorted.sort_unstable();
@@ -14,21 +14,21 @@
     sorted.get(rank.saturating_sub(1)).copied()
 }
 
-/// Middle and tail of a measured time.
+/// Median, 99th percentile and maximum of a set of values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct Spread {
-    /// How many values.
+pub struct Percentiles {
+    /// Number of values.
     pub count: usize,
-    /// Half of them are at most this.
+    /// Median; `None` without values.
     pub p50: Option<u64>,
-    /// 99 of 100 are at most this.
+    /// 99th percentile; `None` without values.
     pub p99: Option<u64>,
-    /// The largest.
+    /// Largest value; `None` without values.
     pub max: Option<u64>,
 }
 
-impl Spread {
-    /// The spread of these values.
+impl Percentiles {
+    /// Computes the percentiles of these values.
     pub fn of(values: &[u64]) -> Self {
         Self {
             count: values.len(),
@@ -39,20 +39,21 @@
     }
 }
 
-/// A straight line through measured points.
+/// Straight line fitted to points by least squares.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
-pub struct Line {
-    /// Its value at zero.
+pub struct LinearFit {
+    /// y at x = 0.
     pub intercept: f64,
-    /// What one more costs.
+    /// Increase of y for each unit of x.
     pub slope: f64,
-    /// Part of the variance it explains, 0 to 1.
+    /// Coefficient of determination (R²), from 0 to 1.
     pub fit: f64,
 }
 
-impl Line {
-    /// The line of least squares; none for fewer than two different places.
-    pub fn through(points: &[(f64, f64)]) -> Option<Self> {
+impl LinearFit {
+    /// Fits a line to `(x, y)` points, or returns `None` for fewer than two distinct
+    /// values of x.
+    pub fn of(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
@@ -73,7 +74,7 @@
         })
     }
 
-    /// Its value at a place, measured or not.
+    /// Returns the line's y at this x.
     pub fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
--- a/crates/lab/src/capacity/hollow.rs
+++ b/crates/lab/src/capacity/hollow.rs
@@ -1,10 +1,10 @@
-//! Hollow workers: real agent and runner cores, thousands to a process.
+//! Hollow workers: the state machines of agents and emulated runners, thousands of
+//! them in one process.
 //!
-//! Each has its own identity, loopback address, listener and connections, as a
-//! daemon has. Only the HTTP between runner and agent is left out: they call
-//! each other.
+//! Like a daemon, each worker has its own node id, loopback address, listener and
+//! connections. Only HTTP between runner and agent is replaced, by function calls.
 
-use super::observed::Observed;
+use super::observed::SharedObservations;
 use super::plan::{LoadPayload, POOL};
 use crate::LabError;
 use crate::ports::Addresses;
@@ -19,48 +19,49 @@
     RackName, Resources, Role, RunnerId, RunnerIncarnation, RunnerOrder, ZoneName,
 };
 
-/// Time between heartbeats, as the emulated runners have it.
+/// Heartbeat interval of a runner, equal to that of the emulated runners.
 const HEARTBEAT_INTERVAL: Milliseconds = Milliseconds(200);
-/// Least time between two heartbeats when runs end one after another.
+/// Minimum time between two heartbeats if runs end in quick succession.
 const HEARTBEAT_SPACING: Milliseconds = Milliseconds(20);
-/// First group of loopback addresses; those below belong to real daemons.
+/// First group of loopback addresses; real daemons use lower groups.
 const FIRST_GROUP: usize = 100;
-/// Machines in a group of addresses.
+/// Number of addresses used in a group.
 const GROUP_MACHINES: usize = 250;
-/// Agents started at once; the coordinators' unproven connections are bounded.
+/// Number of agents started without a pause; coordinators limit the number of
+/// unauthenticated connections.
 const START_BATCH: usize = 20;
 /// Pause between two batches.
 const START_PAUSE: Duration = Duration::from_millis(100);
-/// Messages held for one destination.
+/// Maximum number of messages queued for one destination.
 const QUEUE_LENGTH: usize = 1_024;
-/// Longest message, as the daemons have it.
+/// Maximum size of a message in bytes, equal to the daemons' default.
 const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
-/// Machines of one rack.
-const RACK_MACHINES: usize = 40;
-/// Zones in turn.
+/// Number of workers in one rack.
+const WORKERS_PER_RACK: usize = 40;
+/// Zones, assigned to the workers in round robin.
 const ZONES: [&str; 4] = ["zone-a", "zone-b", "zone-c", "zone-d"];
 
-/// What all hollow workers of a trial share.
+/// Settings that all hollow workers of a trial share.
 #[derive(Debug, Clone)]
 pub struct HollowPlan {
-    /// Peer sockets they are given.
+    /// Peer sockets that the agents connect to first.
     pub seeds: Vec<SocketAddr>,
-    /// Key of the cluster.
+    /// Key that authenticates members of the cluster.
     pub key: ClusterKey,
-    /// Capacity of each runner.
+    /// Capacity of every runner.
     pub capacity: Resources,
-    /// Where they note what they see.
-    pub observed: Observed,
+    /// Collector of the workers' observations.
+    pub observed: SharedObservations,
 }
 
-/// Running hollow workers; they end when this is dropped.
+/// Running hollow workers; dropping them stops all.
 #[derive(Debug, Default)]
 pub struct HollowWorkers {
     tasks: JoinSet<()>,
 }
 
 impl HollowWorkers {
-    /// Starts this many, a few at a time.
+    /// Starts `count` workers in batches.
     ///
     /// # Errors
     ///
@@ -69,8 +70,8 @@
         let addresses = Addresses::default();
         let mut workers = Self::default();
         for index in 0..count {
-            let (worker, arriving) = HollowWorker::build(plan, &addresses, index).await?;
-            workers.tasks.spawn(worker.run(arriving));
+            let (worker, inbox) = HollowWorker::build(plan, &addresses, index).await?;
+            workers.tasks.spawn(worker.run(inbox));
             if index % START_BATCH == START_BATCH - 1 {
                 tokio::time::sleep(START_PAUSE).await;
             }
@@ -79,13 +80,13 @@
     }
 }
 
-/// One agent with its runner.
+/// Agent with its runner.
 struct HollowWorker {
     agent: Agent,
     runner: Runner,
     name: RunnerId,
     transport: Transport,
-    observed: Observed,
+    observed: SharedObservations,
     next_heartbeat: Monotonic,
     last_heartbeat: Monotonic,
     is_ready: bool,
@@ -98,7 +99,7 @@
         index: usize,
     ) -> Result<(Self, transport::Inbox), LabError> {
         let name = format!("hollow-{index}");
-        let wrong = |message: String| LabError::Runner {
+        let invalid = |message: String| LabError::Runner {
             runner: name.clone(),
             message,
         };
@@ -106,7 +107,7 @@
         let own = Address {
             node: NodeId(rand::random()),
             role: Role::Agent,
-            zone: ZoneName::new(zone).map_err(|message| wrong(message.to_string()))?,
+            zone: ZoneName::new(zone).map_err(|message| invalid(message.to_string()))?,
             socket: SocketAddr::new(address(addresses, index)?, 0),
         };
         let options = TransportOptions {
@@ -115,11 +116,11 @@
             max_frame_bytes: MAX_FRAME_BYTES,
         };
         let started = Transport::start(options, plan.key.clone(), own).await;
-        let (transport, arriving) = started.map_err(|message| wrong(message.to_string()))?;
+        let (transport, inbox) = started.map_err(|message| invalid(message.to_string()))?;
         let runner =
-            runner_options(plan, &name, index).map_err(|message| wrong(message.to_string()))?;
+            runner_options(plan, &name, index).map_err(|message| invalid(message.to_string()))?;
         let now = transport::clock::now();
-        // Heartbeats of a real fleet are spread over the interval.
+        // Spreads the workers' heartbeats over the interval, as in a real fleet.
         let offset = Milliseconds(index as u64 % HEARTBEAT_INTERVAL.0);
         let worker = Self {
             agent: Agent::new(agent_options(plan, &transport, index), now),
@@ -131,21 +132,21 @@
             last_heartbeat: now.monotonic,
             is_ready: false,
         };
-        Ok((worker, arriving))
+        Ok((worker, inbox))
     }
 
-    async fn run(mut self, mut arriving: transport::Inbox) {
+    async fn run(mut self, mut inbox: transport::Inbox) {
         loop {
             self.advance(transport::clock::now());
             let pause = self.pause();
             tokio::select! {
-                Some(envelope) = arriving.recv() => self.take(envelope),
+                Some(envelope) = inbox.recv() => self.handle_message(envelope),
                 () = tokio::time::sleep(pause) => {}
             }
         }
     }
 
-    fn take(&mut self, envelope: Envelope) {
+    fn handle_message(&mut self, envelope: Envelope) {
         let configured = match &envelope.body {
             PeerMessage::Configuration { version, .. } => Some(*version),
             _ => None,
@@ -277,7 +278,7 @@
         runner: RunnerId::new(name)?,
         incarnation: RunnerIncarnation(1),
         pool: PoolName::new(POOL)?,
-        rack: RackName::new(format!("rack-{}", index / RACK_MACHINES))?,
+        rack: RackName::new(format!("rack-{}", index / WORKERS_PER_RACK))?,
         labels: Labels::new(),
         capacity: plan.capacity,
         behaviour: Behaviour::Healthy,
--- a/crates/lab/src/capacity/load.rs
+++ b/crates/lab/src/capacity/load.rs
@@ -1,5 +1,5 @@
-//! Open-loop callers: jobs and configurations at given rates, whatever the
-//! answers.
+//! Open-loop callers, which send jobs and configurations at given rates,
+//! independent of the answers.
 
 use super::plan::{LoadPayload, QUEUE, Size};
 use crate::LabError;
@@ -19,27 +19,28 @@
     StepSpec, Urgency,
 };
 
-/// Time between two looks at what is due.
+/// Interval at which due jobs are sent and long tasks are retried.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long a caller waits for its answer.
-const TIMEOUT: Duration = Duration::from_secs(3);
-/// Requests on their way at once; what is due beyond is counted and dropped.
+/// Longest time from sending a submit or a put to its complete answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum number of open submits. Jobs that are due beyond it are counted and
+/// dropped.
 const MAX_REQUESTS: usize = 512;
 /// Time limit of every run.
 const TIME_LIMIT: Milliseconds = Milliseconds(3_600_000);
 
-/// Counts of all callers of a trial.
+/// Job counts of all callers of a trial.
 #[derive(Debug, Default)]
 pub struct Counts {
-    /// Jobs acknowledged.
+    /// Submits that were acknowledged.
     pub acknowledged: AtomicU64,
-    /// Jobs rejected, or without an answer in time.
+    /// Submits that were rejected or not answered in time.
     pub unacknowledged: AtomicU64,
-    /// Jobs not sent: too many requests were on their way.
+    /// Jobs dropped because too many requests were open.
     pub unsent: AtomicU64,
 }
 
-/// The callers' side of a trial. Clones share all.
+/// Load of a trial. Clones share the connections, limits and counts.
 #[derive(Debug, Clone)]
 pub struct Load {
     shared: Arc<Shared>,
@@ -50,15 +51,15 @@
     size: Size,
     http: Client,
     gateways: Vec<String>,
-    turn: AtomicUsize,
+    next_gateway: AtomicUsize,
     requests: Arc<Semaphore>,
     counts: Counts,
     put_at: Mutex<BTreeMap<u64, Monotonic>>,
 }
 
-/// What a stream of jobs is like.
+/// Equal jobs that are sent at a constant rate.
 #[derive(Debug, Clone, Copy)]
-struct Stream {
+struct JobStream {
     name: &'static str,
     jobs_per_second: f64,
     tasks: u32,
@@ -67,7 +68,7 @@
 }
 
 impl Load {
-    /// Callers of these gateways; they send nothing yet.
+    /// Builds the load on these gateways. Sends nothing before [`Load::start`].
     ///
     /// # Errors
     ///
@@ -75,9 +76,12 @@
     pub fn new(size: Size, gateways: Vec<String>) -> Result<Self, LabError> {
         let shared = Shared {
             size,
-            http: Client::builder().no_proxy().timeout(TIMEOUT).build()?,
+            http: Client::builder()
+                .no_proxy()
+                .timeout(REQUEST_TIMEOUT)
+                .build()?,
             gateways,
-            turn: AtomicUsize::new(0),
+            next_gateway: AtomicUsize::new(0),
             requests: Arc::new(Semaphore::new(MAX_REQUESTS)),
             counts: Counts::default(),
             put_at: Mutex::default(),
@@ -87,29 +91,29 @@
         })
     }
 
-    /// Counts so far.
+    /// Returns the job counts so far.
     pub fn counts(&self) -> &Counts {
         &self.shared.counts
     }
 
-    /// When each configuration that was taken had been sent.
+    /// Returns the time of the first put of each configuration version.
     pub fn configurations_put(&self) -> BTreeMap<u64, Monotonic> {
         let put_at = self.shared.put_at.lock();
         put_at.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Sends for as long as the returned tasks live.
+    /// Starts to send jobs and configurations, until the returned tasks are dropped.
     pub fn start(&self) -> JoinSet<()> {
         let mut tasks = JoinSet::new();
         let size = &self.shared.size;
-        let ordinary = Stream {
+        let ordinary = JobStream {
             name: "ordinary",
             jobs_per_second: size.starts_per_second as f64 / f64::from(size.tasks_per_job),
             tasks: size.tasks_per_job,
             urgency: Urgency::Normal,
             length: size.task_length(),
         };
-        let urgent = Stream {
+        let urgent = JobStream {
             name: "urgent",
             jobs_per_second: size.urgent_per_second as f64,
             tasks: 1,
@@ -120,17 +124,18 @@
             tasks.spawn(self.clone().send_jobs(stream));
         }
         if size.starts_per_second == 0 && size.running > 0 {
-            tasks.spawn(self.clone().fill(ordinary));
+            tasks.spawn(self.clone().submit_long_tasks(ordinary));
         }
         tasks.spawn(self.clone().send_configurations());
         tasks
     }
 
-    /// Jobs whose tasks run through the whole trial.
-    async fn fill(self, stream: Stream) {
+    /// Submits the jobs whose tasks run throughout the trial.
+    async fn submit_long_tasks(self, stream: JobStream) {
         let jobs = self.shared.size.running.div_ceil(u64::from(stream.tasks));
         for index in 0..jobs {
-            // The window opens only when they run, so none may be lost.
+            // All of these tasks must be running when the window opens, so a failed
+            // submit is retried.
             while !self.submit(stream, index).await {
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
@@ -142,7 +147,7 @@
         clippy::cast_sign_loss,
         reason = "elapsed time times a rate is positive and far below the range"
     )]
-    async fn send_jobs(self, stream: Stream) {
+    async fn send_jobs(self, stream: JobStream) {
         let started = Instant::now();
         let mut polls = interval(POLL_INTERVAL);
         polls.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -157,7 +162,7 @@
         }
     }
 
-    fn send_job(&self, stream: Stream, index: u64) {
+    fn send_job(&self, stream: JobStream, index: u64) {
         let Ok(permit) = self.shared.requests.clone().try_acquire_owned() else {
             self.counts().unsent.fetch_add(1, Ordering::Relaxed);
             return;
@@ -169,7 +174,7 @@
         });
     }
 
-    async fn submit(&self, stream: Stream, index: u64) -> bool {
+    async fn submit(&self, stream: JobStream, index: u64) -> bool {
         let acknowledged = match self.job(stream, index) {
             Ok(job) => {
                 let url = format!("{}{}", self.gateway(), route::JOBS);
@@ -189,7 +194,7 @@
         acknowledged
     }
 
-    fn job(&self, stream: Stream, index: u64) -> Result<JobSpec, InvalidName> {
+    fn job(&self, stream: JobStream, index: u64) -> Result<JobSpec, InvalidName> {
         let tenant = usize::try_from(index).unwrap_or_default();
         let payload = LoadPayload {
             duration_ms: stream.length.0,
@@ -224,13 +229,15 @@
         })
     }
 
-    /// Version 1 is in force when the trial begins.
+    /// Puts configurations at a constant rate, from version 2: version 1 is in force
+    /// when the trial begins. A put that is not accepted is repeated with the same
+    /// version.
     async fn send_configurations(self) {
-        let a_minute = self.shared.size.configurations_per_minute;
-        if a_minute == 0 {
+        let per_minute = self.shared.size.configurations_per_minute;
+        if per_minute == 0 {
             return;
         }
-        let mut due = interval(Duration::from_secs_f64(60.0 / a_minute as f64));
+        let mut due = interval(Duration::from_secs_f64(60.0 / per_minute as f64));
         due.set_missed_tick_behavior(MissedTickBehavior::Delay);
         due.tick().await;
         let mut version = 2;
@@ -255,15 +262,15 @@
         let mut put_at = self.shared.put_at.lock();
         let put_at = put_at.as_deref_mut().ok();
         if let Some(put_at) = put_at {
-            // Sent again after a lost answer, it counts from the first time.
+            // A version that is put again keeps the time of its first put.
             put_at.entry(version).or_insert(sent_at);
         }
         accepted
     }
 
-    /// The gateway whose turn it is.
+    /// Returns the URL of the next gateway in round robin.
     fn gateway(&self) -> &str {
-        let turn = self.shared.turn.fetch_add(1, Ordering::Relaxed);
+        let turn = self.shared.next_gateway.fetch_add(1, Ordering::Relaxed);
         let gateways = &self.shared.gateways;
         let index = turn.checked_rem(gateways.len()).unwrap_or(0);
         gateways.get(index).map_or("", String::as_str)
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,8 +1,8 @@
-//! `capacity`: what a fleet costs, measured size by size.
+//! `capacity`: measures the resource usage of fleets of several sizes.
 //!
-//! Coordinators and gateways are real daemons with syncing disks. Workers are
-//! hollow: agent and runner cores with connections of their own, all in the
-//! lab process. The slopes go into docs/CAPACITY.md.
+//! Coordinators and gateways are real daemons that sync to disk. Workers are hollow:
+//! agents and emulated runners with their own connections, all in the lab process.
+//! docs/CAPACITY.md has the measured slopes.
 
 pub mod figures;
 pub mod hollow;
@@ -18,14 +18,15 @@
 use clap::Args;
 use cypressdrum::Exit;
 use plan::Size;
-use report::{Measured, render_slopes};
+use report::{Measurements, render_slopes};
 use std::path::PathBuf;
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Threads for hollow workers and callers; the daemons need the other cores.
+/// Number of threads for hollow workers and callers; the daemons need the other
+/// cores.
 const THREADS: usize = 4;
-/// Pause between two trials, for sockets to close.
+/// Pause between two trials, in which sockets are closed.
 const BETWEEN_TRIALS: Duration = Duration::from_secs(1);
 
 /// Sizes and loads to measure; lists are tried in all combinations.
@@ -74,7 +75,7 @@
 }
 
 impl CapacityArguments {
-    /// All combinations of the lists.
+    /// Returns all combinations of the listed sizes and loads.
     pub fn sizes(&self) -> Vec<Size> {
         let mut sizes = Vec::new();
         for &workers in &self.workers {
@@ -98,29 +99,30 @@
     }
 }
 
-/// Runs the trials.
+/// Runs a trial for each size and prints the results.
 pub fn run(arguments: CapacityArguments) -> Exit {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(THREADS)
         .enable_all()
         .build();
-    let ended = match runtime {
+    let result = match runtime {
         Ok(runtime) => runtime.block_on(until_interrupted(&arguments)),
         Err(error) => Err(LabError::file("runtime")(error)),
     };
-    ended.unwrap_or_else(|error| {
+    result.unwrap_or_else(|error| {
         eprintln!("{error}");
         Exit::Unavailable
     })
 }
 
-/// Dropping the trial ends every child.
+/// Runs the trials until they end or the lab receives SIGINT or SIGTERM. Dropping
+/// the current trial kills every child process.
 async fn until_interrupted(arguments: &CapacityArguments) -> Result<Exit, LabError> {
     let listen = |kind| signal(kind).map_err(LabError::file("signals"));
     let mut interrupt = listen(SignalKind::interrupt())?;
     let mut terminate = listen(SignalKind::terminate())?;
     tokio::select! {
-        ended = measure(arguments) => ended,
+        result = measure(arguments) => result,
         _ = interrupt.recv() => Ok(interrupted()),
         _ = terminate.recv() => Ok(interrupted()),
     }
@@ -135,7 +137,7 @@
     let mut trials = Vec::new();
     let mut exit = Exit::Done;
     for size in arguments.sizes() {
-        // A size that does not work is a result; the next one is tried.
+        // A failure at one size is a result too; the other sizes are still measured.
         match trial::run(size.clone(), arguments).await {
             Ok(measured) => {
                 println!("{}", measured.render());
@@ -153,21 +155,21 @@
     Ok(exit)
 }
 
-fn print_slopes(trials: &[Measured]) {
-    for (name, place) in [
+fn print_slopes(trials: &[Measurements]) {
+    for (name, dimension) in [
         ("workers", (|size| size.workers as f64) as fn(&Size) -> f64),
         ("tenants", |size| size.tenants as f64),
         ("offered starts/s", |size| size.starts_per_second as f64),
         ("running tasks", |size| size.running as f64),
     ] {
-        let slopes = render_slopes(trials, place, name);
+        let slopes = render_slopes(trials, dimension, name);
         if !slopes.is_empty() {
             println!("{slopes}");
         }
     }
 }
 
-fn write_output(arguments: &CapacityArguments, trials: &[Measured]) -> Result<(), LabError> {
+fn write_output(arguments: &CapacityArguments, trials: &[Measurements]) -> Result<(), LabError> {
     let Some(path) = &arguments.output else {
         return Ok(());
     };
--- a/crates/lab/src/capacity/plan.rs
+++ b/crates/lab/src/capacity/plan.rs
@@ -1,4 +1,4 @@
-//! Size and load of a trial, and the configuration it needs.
+//! Size and load of a trial, and the matching configuration.
 
 use configuration::{
     ClusterConfiguration, ErrorBudget, PoolSettings, QueueMode, QueueSettings, TenantSettings,
@@ -7,69 +7,72 @@
 use serde::{Deserialize, Serialize};
 use types::{InvalidName, Milliseconds, PoolName, QueueName, Resources, TenantId};
 
-/// The one pool.
+/// Name of the only pool.
 pub const POOL: &str = "hollow";
-/// The one queue.
+/// Name of the only queue.
 pub const QUEUE: &str = "work";
-/// Capacity the runners have beyond what runs, as a factor in tenths.
-const HEADROOM_TENTHS: u64 = 15;
-/// Least slots of a runner.
+/// Capacity of the runners in tenths of what the running tasks need.
+const CAPACITY_TENTHS: u64 = 15;
+/// Minimum number of slots of a runner.
 const MIN_SLOTS: u64 = 8;
-/// Length of tasks that are to run through the whole trial.
-const TRIAL_LENGTH: Milliseconds = Milliseconds(1_800_000);
-/// Length of tasks when only starts are asked for.
+/// Duration of tasks that run throughout the trial.
+const LONG_TASK: Milliseconds = Milliseconds(1_800_000);
+/// Duration of tasks if the number of running tasks is not given.
 const SHORT_TASK: Milliseconds = Milliseconds(100);
-/// Ended jobs are kept this long, the shortest that is allowed.
+/// Retention of ended jobs: the minimum that validation allows.
 const RETENTION: Milliseconds = Milliseconds(60_000);
-/// More than any trial holds.
-const PLENTY: u64 = 1_000_000;
+/// Limit on unfinished jobs, above the number in any trial.
+const MAX_UNFINISHED_JOBS: u64 = 1_000_000;
 
 /// Size and load of one trial.
 #[derive(Debug, Clone, Serialize)]
 pub struct Size {
-    /// Hollow workers.
+    /// Number of hollow workers, each an agent with one runner.
     pub workers: usize,
-    /// Tenants.
+    /// Number of tenants, which submit jobs in round robin.
     pub tenants: usize,
-    /// Task starts a second that are offered; zero for none.
+    /// Offered load in task starts per second; 0 for none.
     pub starts_per_second: u64,
-    /// Tasks that run at once; zero to let it follow from the starts.
+    /// Number of concurrently running tasks; 0 for short tasks, whose number
+    /// follows from the starts.
     pub running: u64,
-    /// Tasks in a job.
+    /// Number of tasks in an ordinary job.
     pub tasks_per_job: u32,
-    /// Urgent one-task jobs a second.
+    /// Urgent jobs per second, each with one task.
     pub urgent_per_second: u64,
-    /// Configurations a minute.
+    /// Configuration changes per minute; 0 for none.
     pub configurations_per_minute: u64,
 }
 
-/// What the runners read in a payload of this trial. The emulated runner reads
-/// `duration_ms` alone.
+/// Payload of a task. The emulated runner reads only `duration_ms`; the hollow
+/// worker also reads the other fields.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LoadPayload {
-    /// How long the task takes.
+    /// Duration of the task in milliseconds.
     pub duration_ms: u64,
-    /// When its job was sent, on this machine's monotonic clock.
+    /// Time at which the job was sent, in milliseconds of this machine's monotonic
+    /// clock.
     pub sent_at: u64,
     /// Whether the job is urgent.
     pub urgent: bool,
 }
 
 impl Size {
-    /// How long a task runs, so that as many run as are asked for.
+    /// Returns the duration of an ordinary task with which the offered starts lead
+    /// to the requested number of running tasks.
     pub fn task_length(&self) -> Milliseconds {
         match (self.running, self.starts_per_second) {
             (0, _) => SHORT_TASK,
-            (_, 0) => TRIAL_LENGTH,
+            (_, 0) => LONG_TASK,
             (running, starts) => Milliseconds((running * 1_000 / starts).max(1)),
         }
     }
 
-    /// Capacity of each runner.
+    /// Returns the capacity of each runner.
     pub fn capacity(&self) -> Resources {
         let running = self.running.max(self.starts_per_second);
         let workers = u64::try_from(self.workers).unwrap_or(u64::MAX).max(1);
-        let slots = (running * HEADROOM_TENTHS)
+        let slots = (running * CAPACITY_TENTHS)
             .div_ceil(10 * workers)
             .max(MIN_SLOTS);
         let slots = u32::try_from(slots).unwrap_or(u32::MAX);
@@ -81,33 +84,35 @@
         }
     }
 
-    /// Name of a tenant.
+    /// Returns the tenant at this index. Indexes wrap around at the number of
+    /// tenants.
     ///
     /// # Errors
     ///
-    /// Fails if the name made of the index is not valid.
-    pub fn tenant(&self, place: usize) -> Result<TenantId, InvalidName> {
-        TenantId::new(format!("team-{}", place % self.tenants.max(1)))
+    /// Fails if the resulting name is not valid.
+    pub fn tenant(&self, index: usize) -> Result<TenantId, InvalidName> {
+        TenantId::new(format!("team-{}", index % self.tenants.max(1)))
     }
 
-    /// The document of a version; each differs in the retention.
+    /// Returns the configuration document of a version. Versions differ only in the
+    /// retention.
     ///
     /// # Errors
     ///
-    /// Fails if a name of the document is not valid.
+    /// Fails if a name in the document is not valid.
     pub fn document(&self, version: u64) -> Result<ClusterConfiguration, InvalidName> {
         let pool = PoolName::new(POOL)?;
         let queue = QueueSettings {
             priority: 0,
             pool: pool.clone(),
             mode: QueueMode::Active,
-            max_unfinished_jobs: PLENTY,
+            max_unfinished_jobs: MAX_UNFINISHED_JOBS,
         };
         let settings = PoolSettings {
             largest_runner: self.capacity(),
         };
         let tenants = (0..self.tenants.max(1))
-            .map(|place| Ok((self.tenant(place)?, self.contract())))
+            .map(|index| Ok((self.tenant(index)?, self.tenant_settings())))
             .collect::<Result<_, InvalidName>>()?;
         Ok(ClusterConfiguration {
             replaces: None,
@@ -125,10 +130,10 @@
         })
     }
 
-    fn contract(&self) -> TenantSettings {
+    fn tenant_settings(&self) -> TenantSettings {
         let tenants = u32::try_from(self.tenants.max(1)).unwrap_or(u32::MAX);
         TenantSettings {
-            // Whole percents: 80 tenants have one each.
+            // A whole percentage of at least 1: each of 80 tenants has 1.
             share_percent: (100 / tenants).max(1),
             resource_limit: Resources::UNLIMITED,
             error_budget: ErrorBudget {
@@ -138,7 +143,7 @@
             },
             submits_per_second: 100_000,
             submit_burst: 100_000,
-            max_unfinished_jobs: PLENTY,
+            max_unfinished_jobs: MAX_UNFINISHED_JOBS,
         }
     }
 }
--- a/crates/lab/src/capacity/report.rs
+++ b/crates/lab/src/capacity/report.rs
@@ -1,89 +1,95 @@
-//! What a trial measured, as JSON and as a table.
+//! Measurements of a trial, as JSON and as text.
 
-use super::figures::{Line, Spread};
+use super::figures::{LinearFit, Percentiles};
 use super::plan::Size;
 use super::traffic::Traffic;
-use super::usage::Share;
+use super::usage::ResourceUsage;
 use serde::Serialize;
 use std::fmt::Write;
 
-/// Roles in the order of the table.
+/// Roles in the order in which they are printed.
 const ROLES: [&str; 4] = ["leader", "follower", "gateway", "agent"];
 
-/// What one trial measured.
+/// Measurements of one trial.
 #[derive(Debug, Clone, Serialize)]
-pub struct Measured {
-    /// Size and load.
+pub struct Measurements {
+    /// Size and load of the trial.
     pub size: Size,
-    /// Length of the window.
+    /// Length of the measured window in seconds.
     pub seconds: f64,
     /// The machine's load average at the end of the window.
     pub machine_load: f64,
-    /// Every real daemon.
+    /// Measurements of every real daemon that ran.
     pub members: Vec<MemberFigures>,
-    /// The lab process: all hollow workers and callers.
-    pub hollow: Share,
-    /// Task starts a second on hollow runners.
+    /// UsageSample of the lab process, which runs all hollow workers and callers.
+    pub hollow: ResourceUsage,
+    /// Task starts per second on hollow runners, in the window.
     pub starts_per_second: f64,
-    /// Starts the hollow runners rejected in the window.
+    /// Number of start orders in the window that did not start a run.
     pub not_started: u64,
-    /// Sessions the hollow agents lost in the window.
+    /// Number of sessions that hollow agents lost in the window.
     pub sessions_lost: u64,
-    /// Open runs at the leader, at the end of the window.
+    /// Number of open runs at the leader at the end of the window; 0 without a
+    /// leader.
     pub open_runs: f64,
-    /// Jobs acknowledged, warm-up included.
+    /// Number of jobs acknowledged, including the warm-up.
     pub jobs_acknowledged: u64,
-    /// Jobs rejected or not answered, warm-up included.
+    /// Number of submits rejected or not answered, including the warm-up.
     pub jobs_unacknowledged: u64,
-    /// Jobs the callers could not send, warm-up included.
+    /// Number of jobs dropped because too many requests were open, including the
+    /// warm-up.
     pub jobs_unsent: u64,
-    /// From submit to start of each ordinary task.
-    pub ordinary_start_ms: Spread,
-    /// From submit to start of each urgent task.
-    pub urgent_start_ms: Spread,
-    /// From put to the last hollow agent.
-    pub configuration_ms: Spread,
-    /// Configurations put that had not reached every hollow agent at the end.
+    /// Time from submit to start of the ordinary tasks, in milliseconds.
+    pub ordinary_start_ms: Percentiles,
+    /// Time from submit to start of the urgent tasks, in milliseconds.
+    pub urgent_start_ms: Percentiles,
+    /// Time from the put of a configuration to its arrival at the last hollow agent,
+    /// in milliseconds.
+    pub configuration_ms: Percentiles,
+    /// Number of configurations that had not reached every hollow agent at the end
+    /// of the window.
     pub configurations_incomplete: usize,
-    /// The election after the window, if the leader was killed.
+    /// Election after the window; `None` unless the leader was killed and a run
+    /// started under the next one.
     pub election: Option<Election>,
 }
 
-/// An election.
+/// Election after the kill of the leader.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Election {
-    /// From the leader's end to the first start under the next one.
+    /// Time from the kill to the first start in a later term, in milliseconds.
     pub to_first_start_ms: u64,
 }
 
-/// What one daemon used.
+/// Measurements of one daemon in the window.
 #[derive(Debug, Clone, Serialize)]
 pub struct MemberFigures {
-    /// Which one.
+    /// Id of the daemon, such as `gateway-2`.
     pub member: String,
-    /// Its part in the window.
+    /// `leader`, `follower`, `gateway` or `agent`; the leader is the one at the end
+    /// of the window.
     pub role: String,
-    /// Processor and memory.
-    pub share: Share,
-    /// Messages and bytes.
+    /// Processor and memory usage.
+    pub share: ResourceUsage,
+    /// Messages and bytes by kind.
     pub traffic: Traffic,
 }
 
-/// Means over the daemons of one role.
+/// Means of the measurements over the daemons of one role.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RoleFigures {
-    /// Percent of a core.
+    /// Processor usage in percent of one core.
     pub cpu_percent: f64,
-    /// Resident MiB.
+    /// Resident memory at the end of the window, in MiB.
     pub resident_mib: f64,
-    /// Messages a second, both ways.
+    /// Messages per second, sent and received.
     pub messages: f64,
-    /// KB a second, both ways.
+    /// Sent and received bytes per second, in units of 1,000 bytes.
     pub kilobytes: f64,
 }
 
-impl Measured {
-    /// Means over the daemons of a role; none if there are none.
+impl Measurements {
+    /// Returns the means over the daemons of a role, or `None` if it has none.
     pub fn role(&self, role: &str) -> Option<RoleFigures> {
         let members: Vec<_> = self.members.iter().filter(|m| m.role == role).collect();
         let count = members.len() as f64;
@@ -101,7 +107,7 @@
         })
     }
 
-    /// The trial as lines of text.
+    /// Renders the measurements as lines of text.
     pub fn render(&self) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
@@ -149,13 +155,13 @@
         writeln!(
             text,
             "  submit to start: {}; urgent: {}",
-            spread(&self.ordinary_start_ms),
-            spread(&self.urgent_start_ms)
+            render_percentiles(&self.ordinary_start_ms),
+            render_percentiles(&self.urgent_start_ms)
         )?;
         writeln!(
             text,
             "  configuration everywhere: {}, incomplete {}",
-            spread(&self.configuration_ms),
+            render_percentiles(&self.configuration_ms),
             self.configurations_incomplete
         )?;
         if let Some(election) = self.election {
@@ -186,8 +192,9 @@
     }
 }
 
-/// How each role's figures grow with `place` over several trials, as text.
-pub fn render_slopes(trials: &[Measured], place: fn(&Size) -> f64, name: &str) -> String {
+/// Fits each figure of each role against `dimension` over several trials, and renders
+/// the fits as text. `name` is the printed name of the dimension.
+pub fn render_slopes(trials: &[Measurements], dimension: fn(&Size) -> f64, name: &str) -> String {
     let mut text = String::new();
     for role in ROLES {
         for (figure, value) in [
@@ -198,16 +205,16 @@
         ] {
             let points: Vec<_> = trials
                 .iter()
-                .filter_map(|trial| Some((place(&trial.size), value(&trial.role(role)?))))
+                .filter_map(|trial| Some((dimension(&trial.size), value(&trial.role(role)?))))
                 .collect();
-            if let Some(line) = Line::through(&points) {
+            if let Some(fit) = LinearFit::of(&points) {
                 // Writing to a string cannot fail.
                 let _ = writeln!(
                     text,
                     "{role:<9} {figure:<10} = {:.3} + {:.6} x {name}  (fit {:.3}, {} points)",
-                    line.intercept,
-                    line.slope,
-                    line.fit,
+                    fit.intercept,
+                    fit.slope,
+                    fit.fit,
                     points.len()
                 );
             }
@@ -216,10 +223,10 @@
     text
 }
 
-fn spread(spread: &Spread) -> String {
-    match (spread.p50, spread.p99, spread.max) {
+fn render_percentiles(percentiles: &Percentiles) -> String {
+    match (percentiles.p50, percentiles.p99, percentiles.max) {
         (Some(p50), Some(p99), Some(max)) => {
-            format!("p50 {p50} p99 {p99} max {max} ms of {}", spread.count)
+            format!("p50 {p50} p99 {p99} max {max} ms of {}", percentiles.count)
         }
         _ => "none".to_owned(),
     }
--- a/crates/lab/src/capacity/traffic.rs
+++ b/crates/lab/src/capacity/traffic.rs
@@ -1,34 +1,35 @@
-//! Messages and bytes by kind, from the daemons' metrics.
+//! Rates of messages and bytes by kind, from the daemons' metrics.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Counters of one daemon at one time, by their whole name with labels.
+/// Metric values of one daemon at one time, by metric name with labels.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Counters {
     values: BTreeMap<String, f64>,
 }
 
-/// Messages and bytes of one kind and direction, a second.
+/// Rates of messages and bytes of one kind in one direction.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Flow {
-    /// Messages a second.
+    /// Messages per second.
     pub messages: f64,
-    /// Framed bytes a second.
+    /// Bytes per second, including the framing.
     pub bytes: f64,
 }
 
-/// Everything a daemon sent and received, by kind.
+/// Rates of a daemon's messages by kind.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Traffic {
-    /// What it sent.
+    /// Rates of sent messages by kind.
     pub sent: BTreeMap<String, Flow>,
-    /// What it received.
+    /// Rates of received messages by kind.
     pub received: BTreeMap<String, Flow>,
 }
 
 impl Counters {
-    /// Reads a metrics page.
+    /// Parses a metrics page in the Prometheus text format. Skips lines without a
+    /// numeric value.
     pub fn parse(text: &str) -> Self {
         let lines = text.lines().filter(|line| !line.starts_with('#'));
         let values = lines.filter_map(|line| {
@@ -40,12 +41,12 @@
         }
     }
 
-    /// One value; zero if it is not there.
+    /// Returns the value of a metric, or 0 if it is absent.
     pub fn get(&self, name: &str) -> f64 {
         self.values.get(name).copied().unwrap_or_default()
     }
 
-    /// What flowed since an earlier reading, a second.
+    /// Returns the rates since an earlier reading, taken `seconds` before.
     pub fn traffic_since(&self, earlier: &Self, seconds: f64) -> Traffic {
         Traffic {
             sent: self.flows(earlier, "sent", seconds),
@@ -71,7 +72,7 @@
 }
 
 impl Traffic {
-    /// All kinds and both directions together.
+    /// Returns the sum over all kinds and both directions.
     pub fn total(&self) -> Flow {
         let flows = self.sent.values().chain(self.received.values());
         flows.fold(Flow::default(), |sum, flow| Flow {
--- a/crates/lab/src/capacity/trial.rs
+++ b/crates/lab/src/capacity/trial.rs
@@ -1,15 +1,15 @@
-//! One trial: a fleet of real coordinators and gateways, hollow workers, a
-//! load, and a window in which everything is measured.
+//! Capacity trial: a fleet of real coordinators and gateways with hollow workers
+//! under load, measured over a window.
 
 use super::CapacityArguments;
-use super::figures::Spread;
+use super::figures::Percentiles;
 use super::hollow::{HollowPlan, HollowWorkers};
 use super::load::{Counts, Load};
-use super::observed::{Observed, Seen};
+use super::observed::{Observations, SharedObservations};
 use super::plan::{POOL, Size};
-use super::report::{Election, Measured, MemberFigures};
+use super::report::{Election, Measurements, MemberFigures};
 use super::traffic::Counters;
-use super::usage::Usage;
+use super::usage::UsageSample;
 use crate::fleet::{Member, timed_out};
 use crate::process::Program;
 use crate::runners::{RunnerPlan, Runners};
@@ -22,60 +22,60 @@
 use transport::ClusterKey;
 use types::{Labels, PoolName, RackName, Role, Term};
 
-/// Longest wait for daemons to be ready, and for workers to be known.
-const START_TIME: Duration = Duration::from_secs(60);
-/// Longest wait for the first start under a new leader.
-const ELECTION_TIME: Duration = Duration::from_secs(30);
-/// Time between two looks.
+/// Timeout until daemons are ready, and until workers are registered.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Timeout until the first start under a new leader.
+const ELECTION_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval at which the observations are polled after an election.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time between two looks at metrics.
-const WAIT_INTERVAL: Duration = Duration::from_millis(500);
-/// Where the kernel says how busy the machine is.
-const MACHINE_LOAD: &str = "/proc/loadavg";
+/// Interval at which the coordinators' metrics are polled.
+const METRICS_INTERVAL: Duration = Duration::from_millis(500);
+/// File with the machine's load averages.
+const LOAD_AVERAGE_FILE: &str = "/proc/loadavg";
 
-/// One reading of every daemon and of the hollow process.
+/// Sample of every daemon, of the lab process and of the observations at one time.
 struct Reading {
     at: Instant,
-    members: BTreeMap<MemberId, (Usage, Counters)>,
-    hollow: Usage,
+    members: BTreeMap<MemberId, (UsageSample, Counters)>,
+    hollow: UsageSample,
     starts: u64,
     not_started: u64,
     sessions_lost: u64,
 }
 
-/// A running trial; all of it ends when it is dropped.
+/// Running trial. Dropping it kills the daemons and stops the hollow workers.
 struct Trial {
     size: Size,
     fleet: Fleet,
-    observed: Observed,
+    observed: SharedObservations,
     http: reqwest::Client,
     real_runners: Runners,
     _hollow: HollowWorkers,
     _folder: TrialFolder,
 }
 
-/// Runs one trial from an empty disk.
+/// Runs one trial with new data folders.
 ///
 /// # Errors
 ///
 /// Fails if the fleet cannot be started, set up or measured.
-pub async fn run(size: Size, arguments: &CapacityArguments) -> Result<Measured, LabError> {
+pub async fn run(size: Size, arguments: &CapacityArguments) -> Result<Measurements, LabError> {
     let mut trial = Trial::start(size, arguments).await?;
     let load = Load::new(trial.size.clone(), trial.fleet.gateway_urls())?;
-    let sending = load.start();
+    let load_tasks = load.start();
     tokio::time::sleep(Duration::from_secs(arguments.warm_up)).await;
 
     trial.observed.begin_window();
     let before = trial.read().await?;
     tokio::time::sleep(Duration::from_secs(arguments.seconds)).await;
     let after = trial.read().await?;
-    let seen = trial.observed.seen();
+    let observations = trial.observed.snapshot();
     let leader = trial.fleet.leader().await?;
-    let mut measured = trial.conclude(leader, &before, &after, &seen, &load)?;
+    let mut measured = trial.measurements(leader, &before, &after, &observations, &load)?;
     if arguments.kill_leader {
         measured.election = trial.replace_leader(leader).await?;
     }
-    drop(sending);
+    drop(load_tasks);
     trial.real_runners.stop().await;
     trial.fleet.kill_all();
     Ok(measured)
@@ -91,13 +91,13 @@
         };
         let mut fleet = Fleet::build(&plan, Program::current()?, folder.path())?;
         fleet.start_all()?;
-        fleet.wait_all_ready(START_TIME).await?;
+        fleet.wait_all_ready(START_TIMEOUT).await?;
         let history = History::default();
-        let document = size.document(1).map_err(invalid)?;
+        let document = size.document(1).map_err(invalid_name)?;
         put_configuration(&fleet, &history, document).await?;
         let real_runners = start_real_runners(&fleet, &size, &history).await?;
-        let observed = Observed::default();
-        let hollow = start_hollow(&fleet, &size, &observed).await?;
+        let observed = SharedObservations::default();
+        let hollow = start_hollow_workers(&fleet, &size, &observed).await?;
         let workers = size.workers + real_runners.count();
         let trial = Self {
             size,
@@ -112,8 +112,8 @@
         Ok(trial)
     }
 
-    /// Waits until the leader's gauge counts all runners: the list of
-    /// thousands of them would be a load of its own.
+    /// Waits until the leader's gauge counts all runners. Reading the list of
+    /// thousands of runners instead would add load.
     async fn wait_for_runners(&self, count: usize) -> Result<(), LabError> {
         let started = Instant::now();
         loop {
@@ -125,11 +125,11 @@
             if known >= count as f64 {
                 return Ok(());
             }
-            if started.elapsed() > START_TIME {
+            if started.elapsed() > START_TIMEOUT {
                 let what = format!("{count} runners to be known, {known} are");
-                return Err(timed_out(what, START_TIME));
+                return Err(timed_out(what, START_TIMEOUT));
             }
-            tokio::time::sleep(WAIT_INTERVAL).await;
+            tokio::time::sleep(METRICS_INTERVAL).await;
         }
     }
 
@@ -140,16 +140,16 @@
                 continue;
             };
             let counters = self.counters(member).await?;
-            members.insert(member.id, (Usage::read(process)?, counters));
+            members.insert(member.id, (UsageSample::read(process)?, counters));
         }
-        let seen = self.observed.seen();
+        let observations = self.observed.snapshot();
         Ok(Reading {
             at: Instant::now(),
             members,
-            hollow: Usage::read(std::process::id())?,
-            starts: seen.starts,
-            not_started: seen.not_started,
-            sessions_lost: seen.sessions_lost,
+            hollow: UsageSample::read(std::process::id())?,
+            starts: observations.starts,
+            not_started: observations.not_started,
+            sessions_lost: observations.sessions_lost,
         })
     }
 
@@ -159,14 +159,14 @@
         Ok(Counters::parse(&text))
     }
 
-    fn conclude(
+    fn measurements(
         &self,
         leader: Option<MemberId>,
         before: &Reading,
         after: &Reading,
-        seen: &Seen,
+        observations: &Observations,
         load: &Load,
-    ) -> Result<Measured, LabError> {
+    ) -> Result<Measurements, LabError> {
         let seconds = (after.at - before.at).as_secs_f64();
         let leader_counters = leader.and_then(|leader| after.members.get(&leader));
         let Counts {
@@ -174,11 +174,11 @@
             unacknowledged,
             unsent,
         } = load.counts();
-        Ok(Measured {
+        Ok(Measurements {
             size: self.size.clone(),
             seconds,
             machine_load: machine_load()?,
-            members: member_figures(leader, before, after, seconds),
+            members: all_member_figures(leader, before, after, seconds),
             hollow: after.hollow.since(&before.hollow),
             starts_per_second: (after.starts - before.starts) as f64 / seconds,
             not_started: after.not_started - before.not_started,
@@ -188,32 +188,35 @@
             jobs_acknowledged: acknowledged.load(Ordering::Relaxed),
             jobs_unacknowledged: unacknowledged.load(Ordering::Relaxed),
             jobs_unsent: unsent.load(Ordering::Relaxed),
-            ordinary_start_ms: Spread::of(&seen.ordinary),
-            urgent_start_ms: Spread::of(&seen.urgent),
-            configuration_ms: Spread::of(&self.configuration_times(seen, load)),
-            configurations_incomplete: self.incomplete(seen, load),
+            ordinary_start_ms: Percentiles::of(&observations.ordinary),
+            urgent_start_ms: Percentiles::of(&observations.urgent),
+            configuration_ms: Percentiles::of(&self.configuration_times(observations, load)),
+            configurations_incomplete: self.count_incomplete(observations, load),
             election: None,
         })
     }
 
-    /// From put to the last hollow agent, for those that reached them all.
-    fn configuration_times(&self, seen: &Seen, load: &Load) -> Vec<u64> {
-        let put = load.configurations_put();
-        let reached = seen.configurations.iter();
+    /// Returns the times from put to arrival at the last hollow agent, in milliseconds,
+    /// of the configurations that reached all of them.
+    fn configuration_times(&self, observations: &Observations, load: &Load) -> Vec<u64> {
+        let put_times = load.configurations_put();
+        let reached = observations.configurations.iter();
         let complete = reached.filter(|(_, arrivals)| arrivals.count >= self.size.workers);
         let times = complete.filter_map(|(version, arrivals)| {
-            let put_at = put.get(&version.0)?;
+            let put_at = put_times.get(&version.0)?;
             Some(arrivals.last.since(*put_at).0)
         });
         times.collect()
     }
 
-    fn incomplete(&self, seen: &Seen, load: &Load) -> usize {
+    /// Returns the number of configurations that did not reach all hollow agents.
+    fn count_incomplete(&self, observations: &Observations, load: &Load) -> usize {
         let put = load.configurations_put();
-        put.len() - self.configuration_times(seen, load).len()
+        put.len() - self.configuration_times(observations, load).len()
     }
 
-    /// Kills the leader and waits for the first start under the next one.
+    /// Kills the leader and waits for the first start in a later term. Returns `None`
+    /// without a leader or on a timeout.
     async fn replace_leader(
         &mut self,
         leader: Option<MemberId>,
@@ -221,20 +224,24 @@
         let Some(leader) = leader else {
             return Ok(None);
         };
-        let last_term = |seen: &Seen| seen.first_starts.keys().next_back().copied();
-        let before = last_term(&self.observed.seen()).unwrap_or(Term(0));
+        let last_term =
+            |observations: &Observations| observations.first_starts.keys().next_back().copied();
+        let before = last_term(&self.observed.snapshot()).unwrap_or(Term(0));
         self.fleet.kill(leader)?;
         let killed_at = transport::clock::now().monotonic;
         let started = Instant::now();
         loop {
-            let seen = self.observed.seen();
-            let mut later = seen.first_starts.range(before.next()..);
+            let observations = self.observed.snapshot();
+            let mut later = observations.first_starts.range(before.next()..);
             if let Some((_, at)) = later.next() {
                 let to_first_start_ms = at.since(killed_at).0;
                 return Ok(Some(Election { to_first_start_ms }));
             }
-            if started.elapsed() > ELECTION_TIME {
-                eprintln!("{}", timed_out("a start after the election", ELECTION_TIME));
+            if started.elapsed() > ELECTION_TIMEOUT {
+                eprintln!(
+                    "{}",
+                    timed_out("a start after the election", ELECTION_TIMEOUT)
+                );
                 return Ok(None);
             }
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -248,8 +255,8 @@
     history: &History,
 ) -> Result<Runners, LabError> {
     let template = RunnerTemplate {
-        pool: PoolName::new(POOL).map_err(invalid)?,
-        rack: RackName::new("rack-real").map_err(invalid)?,
+        pool: PoolName::new(POOL).map_err(invalid_name)?,
+        rack: RackName::new("rack-real").map_err(invalid_name)?,
         labels: Labels::new(),
         capacity: size.capacity(),
     };
@@ -259,16 +266,16 @@
     Runners::start(plans.collect(), history).await
 }
 
-async fn start_hollow(
+async fn start_hollow_workers(
     fleet: &Fleet,
     size: &Size,
-    observed: &Observed,
+    observed: &SharedObservations,
 ) -> Result<HollowWorkers, LabError> {
     let path = fleet.folder().join("cluster.key");
     let secret = std::fs::read(&path).map_err(LabError::file(&path))?;
     let leader = fleet.leader().await?;
-    // A connection to each coordinator from each worker would go beyond the
-    // descriptors that one process may have, so they start at the leader.
+    // Connections from each worker to each coordinator would exceed the limit of
+    // file descriptors of one process, so the leader is the only seed.
     let seeds = fleet
         .of_role(Role::Coordinator)
         .filter(|member| leader.is_none_or(|leader| leader == member.id))
@@ -282,7 +289,7 @@
     HollowWorkers::start(&plan, size.workers).await
 }
 
-fn member_figures(
+fn all_member_figures(
     leader: Option<MemberId>,
     before: &Reading,
     after: &Reading,
@@ -305,12 +312,13 @@
 }
 
 fn machine_load() -> Result<f64, LabError> {
-    let text = std::fs::read_to_string(MACHINE_LOAD).map_err(LabError::file(MACHINE_LOAD))?;
+    let text =
+        std::fs::read_to_string(LOAD_AVERAGE_FILE).map_err(LabError::file(LOAD_AVERAGE_FILE))?;
     let first = text.split_whitespace().next();
     Ok(first.and_then(|load| load.parse().ok()).unwrap_or_default())
 }
 
-fn invalid(message: types::InvalidName) -> LabError {
+fn invalid_name(message: types::InvalidName) -> LabError {
     LabError::Runner {
         runner: "hollow".to_owned(),
         message: message.to_string(),
--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -3,7 +3,8 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Errors of the lab itself, as opposed to violations found in a tested fleet.
+/// Failure to set up or run a trial. Violations by the tested fleet are reported
+/// separately, by the checker.
 #[derive(Debug, Error)]
 pub enum LabError {
     /// A file operation failed.
--- a/crates/lab/src/losses/account.rs
+++ b/crates/lab/src/losses/account.rs
@@ -41,7 +41,7 @@
     /// The capacity was reserved for a larger task.
     #[serde(rename = "held")]
     ReservedForLargerTask,
-    /// No runner had yet registered with the leader.
+    /// No runner of the pool had reported to the new leader yet.
     NewLeader,
     /// No decision explains the delay, or the wait was too short for one: the
     /// scheduler's draw, log latency or the placement interval.
@@ -317,8 +317,8 @@
     Some(reason.unwrap_or(Cause::Draw))
 }
 
-/// Returns the cause that a reason stands for, or `None` for reasons that are no
-/// loss of their own.
+/// Maps a reason of the scheduler to its cause, or to `None` if the reason has no
+/// separate cause.
 fn cause_of(reason: &NotPlacedReason) -> Option<Cause> {
     match reason {
         NotPlacedReason::TenantAtLimit => Some(Cause::ResourceLimit),
--- a/crates/lab/src/ports.rs
+++ b/crates/lab/src/ports.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// Returns different free ports on the address. They are found by binding, so
-/// another process can take one before it is used.
+/// Returns sockets on the address with distinct free ports. The ports are released
+/// again, so another process can bind one before it is used.
 ///
 /// # Errors
 ///
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -78,7 +78,7 @@
             .stdin(Stdio::piped())
             .stdout(Stdio::null())
             .stderr(log_file)
-            // Ctrl-C at the terminal signals the lab alone, which stops its children.
+            // Ctrl-C at the terminal signals only the lab, which stops its children.
             .process_group(0)
             .spawn()
             .map_err(|source| LabError::Spawn {
--- a/crates/lab/src/trial.rs
+++ b/crates/lab/src/trial.rs
@@ -27,8 +27,7 @@
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 /// Name of the lab as an observer in the history.
 const OBSERVER: &str = "lab";
-/// Maximum number of violations printed. The rest can be found by checking the
-/// history.
+/// Maximum number of violations printed; the written history has the events of all.
 const MAX_PRINTED_VIOLATIONS: usize = 20;
 
 /// Flags of every trial.
--- a/crates/lab/tests/capacity_figures.rs
+++ b/crates/lab/tests/capacity_figures.rs
@@ -1,8 +1,8 @@
-//! The arithmetic of capacity figures.
+//! Arithmetic of the capacity figures, and the load that follows from a size.
 
 use clap::Parser;
 use lab::capacity::CapacityArguments;
-use lab::capacity::figures::{Line, Spread, quantile};
+use lab::capacity::figures::{LinearFit, Percentiles, quantile};
 use lab::capacity::plan::Size;
 use lab::capacity::traffic::Counters;
 use lab::capacity::usage::{parse_resident, parse_ticks};
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn quantiles_are_of_the_nearest_rank() {
+fn quantile_is_value_of_nearest_rank() {
     let values: Vec<u64> = (1..=100).rev().collect();
     assert_eq!(quantile(&values, 500), Some(50));
     assert_eq!(quantile(&values, 990), Some(99));
@@ -31,43 +31,44 @@
 }
 
 #[test]
-fn a_single_value_is_every_quantile_and_none_is_none() {
+fn quantile_of_single_value_is_that_value_and_of_no_values_is_none() {
     assert_eq!(quantile(&[7], 10), Some(7));
     assert_eq!(quantile(&[7], 990), Some(7));
     assert_eq!(quantile(&[], 500), None);
-    let none = Spread::of(&[]);
-    assert_eq!((none.count, none.p50, none.max), (0, None, None));
+    let empty = Percentiles::of(&[]);
+    assert_eq!((empty.count, empty.p50, empty.max), (0, None, None));
 }
 
 #[test]
-fn a_line_is_found_again() {
+fn linear_fit_recovers_slope_and_intercept_of_exact_line() {
     let points: Vec<_> = [100.0, 400.0, 1_000.0].map(|x| (x, 3.0 + 0.25 * x)).into();
-    let line = Line::through(&points).expect("three places");
-    assert!((line.slope - 0.25).abs() < 1e-9);
-    assert!((line.intercept - 3.0).abs() < 1e-9);
-    assert!((line.fit - 1.0).abs() < 1e-9);
-    assert!((line.at(3_300.0) - 828.0).abs() < 1e-9);
+    let fit = LinearFit::of(&points).expect("three distinct x values");
+    assert!((fit.slope - 0.25).abs() < 1e-9);
+    assert!((fit.intercept - 3.0).abs() < 1e-9);
+    assert!((fit.fit - 1.0).abs() < 1e-9);
+    assert!((fit.at(3_300.0) - 828.0).abs() < 1e-9);
 }
 
 #[test]
-fn the_fit_tells_a_bend() {
-    let bent = [(1.0, 1.0), (2.0, 4.0), (3.0, 9.0), (4.0, 16.0)];
-    let line = Line::through(&bent).expect("four places");
-    // By hand: means 2.5 and 7.5, sums 25, 5 and 129 of the deviations.
-    assert!((line.slope - 5.0).abs() < 1e-9);
-    assert!((line.intercept + 5.0).abs() < 1e-9);
-    assert!((line.fit - 625.0 / (5.0 * 129.0)).abs() < 1e-9);
+fn fit_of_nonlinear_points_is_below_one() {
+    let squares = [(1.0, 1.0), (2.0, 4.0), (3.0, 9.0), (4.0, 16.0)];
+    let fit = LinearFit::of(&squares).expect("four distinct x values");
+    // Computed by hand. The means are 2.5 and 7.5; the sums of the deviations'
+    // products are 25 (xy), 5 (xx) and 129 (yy).
+    assert!((fit.slope - 5.0).abs() < 1e-9);
+    assert!((fit.intercept + 5.0).abs() < 1e-9);
+    assert!((fit.fit - 625.0 / (5.0 * 129.0)).abs() < 1e-9);
 }
 
 #[test]
-fn no_line_goes_through_one_place() {
-    assert_eq!(Line::through(&[]), None);
-    assert_eq!(Line::through(&[(1.0, 2.0)]), None);
-    assert_eq!(Line::through(&[(1.0, 2.0), (1.0, 3.0)]), None);
+fn linear_fit_needs_two_distinct_x_values() {
+    assert_eq!(LinearFit::of(&[]), None);
+    assert_eq!(LinearFit::of(&[(1.0, 2.0)]), None);
+    assert_eq!(LinearFit::of(&[(1.0, 2.0), (1.0, 3.0)]), None);
 }
 
 #[test]
-fn processor_ticks_are_found_behind_any_name() {
+fn ticks_are_parsed_after_command_with_blanks_and_brackets() {
     let stat = "42 (a) b (c)) S 1 2 3 4 5 6 7 8 9 10 250 50 0 0 20 0";
     assert_eq!(parse_ticks(stat), Some(300));
     assert_eq!(parse_ticks("42 no brackets"), None);
@@ -75,14 +76,14 @@
 }
 
 #[test]
-fn resident_memory_is_found() {
+fn resident_memory_is_parsed_from_vmrss() {
     let status = "Name:\tx\nVmHWM:\t  900 kB\nVmRSS:\t  800 kB\n";
     assert_eq!(parse_resident(status), Some(800));
     assert_eq!(parse_resident("Name:\tx\n"), None);
 }
 
 #[test]
-fn traffic_is_the_difference_over_the_time() {
+fn traffic_is_counter_difference_per_second() {
     let page = |messages: u64, bytes: u64| {
         Counters::parse(&format!(
             "# TYPE cypressdrum_peer_kind_sent_total counter\n\
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn tasks_last_as_long_as_the_running_ones_ask_for() {
+fn task_length_follows_from_running_tasks_and_start_rate() {
     assert_eq!(
         size(3_300, 3_100, 15_000).task_length(),
         Milliseconds(4_838)
@@ -113,14 +114,14 @@
 }
 
 #[test]
-fn runners_have_room_for_half_as_much_again() {
+fn runners_have_capacity_for_one_and_a_half_times_the_running_tasks() {
     assert_eq!(size(3_300, 3_100, 15_000).capacity().slots, 8);
     assert_eq!(size(100, 3_100, 15_000).capacity().slots, 225);
     assert_eq!(size(0, 1, 0).capacity().slots, 8);
 }
 
 #[test]
-fn every_document_is_valid_and_differs_from_the_one_before() {
+fn configuration_versions_are_valid_and_differ() {
     let size = size(3_300, 3_100, 15_000);
     let documents = [1, 2].map(|version| size.document(version).expect("valid names"));
     for document in &documents {
@@ -131,16 +132,16 @@
 }
 
 #[test]
-fn lists_are_tried_in_all_combinations() {
+fn argument_lists_expand_to_all_combinations() {
     #[derive(Parser)]
-    struct Line {
+    struct CommandLine {
         #[command(flatten)]
         capacity: CapacityArguments,
     }
-    let words = ["lab", "--workers", "100,400", "--tenants", "1,6,80"];
-    let line = Line::try_parse_from(words).expect("good arguments");
-    let sizes = line.capacity.sizes();
-    let workers: Vec<_> = sizes.iter().map(|s| (s.workers, s.tenants)).collect();
-    let wanted = [(100, 1), (100, 6), (100, 80), (400, 1), (400, 6), (400, 80)];
-    assert_eq!(workers, wanted);
+    let arguments = ["lab", "--workers", "100,400", "--tenants", "1,6,80"];
+    let parsed = CommandLine::try_parse_from(arguments).expect("valid arguments");
+    let sizes = parsed.capacity.sizes();
+    let combinations: Vec<_> = sizes.iter().map(|s| (s.workers, s.tenants)).collect();
+    let expected = [(100, 1), (100, 6), (100, 80), (400, 1), (400, 6), (400, 80)];
+    assert_eq!(combinations, expected);
 }
--- a/crates/lab/tests/golden_help.rs
+++ b/crates/lab/tests/golden_help.rs
@@ -1,61 +1,62 @@
-//! The help of every command of the `lab` program, beside recorded text.
+//! Compares the help of every command of the `lab` program with recorded text.
 //!
-//! Its arguments stand in the program alone, so that the program itself is asked.
+//! The top-level commands are defined in the binary, not in the library, so the
+//! test runs the binary.
 
 mod golden;
 
 use golden::assert_text;
 use std::process::Command;
 
-/// Begins the list of subcommands in a command's help.
-const LIST: &str = "Commands:\n";
-/// Stands before each entry of the list.
+/// Heading of the list of subcommands in a command's help.
+const LIST_HEADING: &str = "Commands:\n";
+/// Indentation of the entries of the list.
 const INDENT: &str = "  ";
-/// The subcommand that the parser adds by itself.
-const ADDED_BY_THE_PARSER: &str = "help";
-/// A subcommand that no help lists.
-const HIDDEN: &str = "daemon";
+/// Subcommand that clap adds to each list.
+const CLAP_SUBCOMMAND: &str = "help";
+/// Subcommand that is hidden from the lists.
+const HIDDEN_SUBCOMMAND: &str = "daemon";
 
-/// What the program shows when it is called with these words and `--help`.
-fn help_of(words: &[&str]) -> String {
+/// Returns the output of the program for these subcommands and `--help`.
+fn run_help(subcommands: &[&str]) -> String {
     let mut program = Command::new(env!("CARGO_BIN_EXE_lab"));
-    // The values of these would be shown.
+    // The help shows the values of these variables.
     program.env_remove("CYPRESSDRUM_GATEWAY");
     program.env_remove("CYPRESSDRUM_KEY_FILE");
-    let output = program.args(words).arg("--help").output().unwrap();
-    assert!(output.status.success(), "{words:?}: {output:?}");
+    let output = program.args(subcommands).arg("--help").output().unwrap();
+    assert!(output.status.success(), "{subcommands:?}: {output:?}");
     String::from_utf8(output.stdout).unwrap()
 }
 
-/// The subcommands that a help lists. What it says of one may go on in a line
-/// that stands further in.
-fn listed(help: &str) -> Vec<&str> {
-    let Some((_, list)) = help.split_once(LIST) else {
+/// Returns the subcommands listed in a help text. Continuation lines of a
+/// description are indented further and are skipped.
+fn listed_subcommands(help: &str) -> Vec<&str> {
+    let Some((_, list)) = help.split_once(LIST_HEADING) else {
         return Vec::new();
     };
     let lines = list.lines().take_while(|line| !line.is_empty());
     let entries = lines.filter_map(|line| line.strip_prefix(INDENT));
     let names = entries.filter_map(|entry| entry.split(' ').next());
     names
-        .filter(|name| !name.is_empty() && *name != ADDED_BY_THE_PARSER)
+        .filter(|name| !name.is_empty() && *name != CLAP_SUBCOMMAND)
         .collect()
 }
 
-/// What `--help` shows of a command and of every command below it.
-fn help(words: &[&str]) -> String {
-    let own = help_of(words);
+/// Returns the help of a command, followed by that of all its subcommands.
+fn help(subcommands: &[&str]) -> String {
+    let own = run_help(subcommands);
     let mut text = format!(
         "=== lab {}\n{own}\n",
-        [words, &["--help"]].concat().join(" ")
+        [subcommands, &["--help"]].concat().join(" ")
     );
-    for name in listed(&own) {
-        text += &help(&[words, &[name]].concat());
+    for name in listed_subcommands(&own) {
+        text += &help(&[subcommands, &[name]].concat());
     }
     text
 }
 
 #[test]
-fn the_help_of_every_command_is_the_recorded_one() {
-    let text = help(&[]) + &help(&[HIDDEN]);
+fn help_of_every_command_matches_recorded_text() {
+    let text = help(&[]) + &help(&[HIDDEN_SUBCOMMAND]);
     assert_text("help.txt", &text);
 }
--- a/crates/lab/tests/losses.rs
+++ b/crates/lab/tests/losses.rs
@@ -1,5 +1,5 @@
-//! The table of lost credit: equal seeds give equal sums, and each cause is found
-//! where it was brought about.
+//! Lost credit of jobs: equal seeds give equal tables, no job loses more than its
+//! credit, and an outage of all coordinators counts as delay of acceptance.
 
 use lab::losses::account::{Accounts, Cause, account};
 use lab::losses::table::{SeedLosses, render};
@@ -7,7 +7,7 @@
 use simulation::{Fault, Plan, PlannedFault};
 use std::path::PathBuf;
 
-fn calm(seeds: u64) -> LossesArguments {
+fn calm_arguments(seeds: u64) -> LossesArguments {
     LossesArguments {
         seeds,
         first_seed: 7,
@@ -18,6 +18,7 @@
     }
 }
 
+/// Simulates 10 s of load under these faults and returns the accounts of its jobs.
 fn accounts(faults: Vec<PlannedFault>, load_percent: u32) -> Accounts {
     let mut plan = Plan::calm(3);
     plan.load_ms = 10_000;
@@ -26,15 +27,16 @@
     account(&simulation::run(&plan).unwrap())
 }
 
+/// Returns the credit lost to a cause, for each 100 jobs that are done.
 fn lost_to(accounts: &Accounts, cause: Cause) -> f64 {
     let sums = SeedLosses::new(1, accounts);
     sums.causes.get(&cause).copied().unwrap_or(0.0) * 100.0 / sums.done.max(1) as f64
 }
 
 #[test]
-fn equal_seeds_give_an_equal_table() {
-    let first = render(&losses(&calm(2)).unwrap());
-    let second = render(&losses(&calm(2)).unwrap());
+fn equal_seeds_give_equal_tables() {
+    let first = render(&losses(&calm_arguments(2)).unwrap());
+    let second = render(&losses(&calm_arguments(2)).unwrap());
     assert_eq!(first, second);
     assert!(
         first.contains("CAUSE") && first.contains("WINDOW"),
@@ -43,7 +45,7 @@
 }
 
 #[test]
-fn a_job_loses_no_more_than_its_worth() {
+fn job_loses_at_most_its_credit() {
     let accounts = accounts(Vec::new(), 100);
     assert!(accounts.jobs.len() > 50);
     for job in &accounts.jobs {
@@ -54,26 +56,26 @@
 }
 
 #[test]
-fn jobs_wait_to_be_accepted_while_no_coordinator_is_up() {
+fn outage_of_all_coordinators_counts_as_acceptance_delay() {
     let down = PlannedFault {
         at_ms: 3_000,
         fault: Fault::KillCoordinators { down_ms: 3_000 },
     };
-    let calm = lost_to(&accounts(Vec::new(), 40), Cause::Acceptance);
-    let dark = lost_to(&accounts(vec![down], 40), Cause::Acceptance);
-    assert!(dark > calm * 2.0, "{dark} against {calm}");
+    let baseline = lost_to(&accounts(Vec::new(), 40), Cause::Acceptance);
+    let outage = lost_to(&accounts(vec![down], 40), Cause::Acceptance);
+    assert!(outage > baseline * 2.0, "{outage} vs. {baseline}");
 }
 
 #[test]
-fn two_policies_stand_side_by_side() {
-    let folder = tempfile();
-    let without = folder.join("without.toml");
-    std::fs::write(&without, "[policy]\nshares = false\ngives_way = false\n").unwrap();
+fn two_policies_are_compared_by_seed() {
+    let folder = temporary_folder();
+    let no_shares = folder.join("without.toml");
+    std::fs::write(&no_shares, "[policy]\nshares = false\ngives_way = false\n").unwrap();
     let shipped = folder.join("shipped.toml");
     std::fs::write(&shipped, "zone = \"a\"\n").unwrap();
     let arguments = LossesArguments {
-        policy: vec![shipped, without],
-        ..calm(2)
+        policy: vec![shipped, no_shares],
+        ..calm_arguments(2)
     };
     let text = render(&losses(&arguments).unwrap());
     assert!(text.contains("seed by seed"), "{text}");
@@ -81,13 +83,13 @@
 }
 
 #[test]
-fn an_unknown_switch_is_an_error_that_names_the_file() {
-    let folder = tempfile();
-    let wrong = folder.join("wrong.toml");
-    std::fs::write(&wrong, "[policy]\nmagic = true\n").unwrap();
+fn unknown_policy_key_gives_error_with_file_name() {
+    let folder = temporary_folder();
+    let invalid = folder.join("wrong.toml");
+    std::fs::write(&invalid, "[policy]\nmagic = true\n").unwrap();
     let arguments = LossesArguments {
-        policy: vec![wrong],
-        ..calm(1)
+        policy: vec![invalid],
+        ..calm_arguments(1)
     };
     let error = losses(&arguments).unwrap_err().to_string();
     assert!(
@@ -97,8 +99,8 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// An empty folder of this test's own.
-fn tempfile() -> PathBuf {
+/// Creates an empty temporary folder with a random name.
+fn temporary_folder() -> PathBuf {
     let name = format!("losses-{}-{:x}", std::process::id(), rand::random::<u64>());
     let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder).unwrap();
@@ -106,7 +108,7 @@
 }
 
 #[test]
-fn the_days_of_the_examples_are_plans() {
+fn example_days_are_plans_with_faults() {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../examples/days");
     for name in ["small", "grown", "large"] {
         let text = std::fs::read_to_string(folder.join(format!("{name}.toml"))).unwrap();
--- a/crates/lab/tests/processes.rs
+++ b/crates/lab/tests/processes.rs
@@ -1,4 +1,5 @@
-//! Children of the lab: settings they accept, and no child left behind.
+//! Child processes of the lab: the daemons accept their settings files, and no child
+//! or folder outlives its trial.
 
 use lab::process::{Process, Program};
 use lab::setup::TrialFolder;
@@ -11,8 +12,10 @@
     TrialFolder::create_at(path, false).unwrap()
 }
 
+/// The lab writes the settings files itself. A key that a daemon rejects would fail every
+/// trial at its start.
 #[test]
-fn the_daemons_accept_the_settings_of_a_whole_fleet() {
+fn daemons_accept_settings_of_whole_fleet() {
     let folder = folder("settings");
     let program = Program::lab(env!("CARGO_BIN_EXE_lab"));
     let fleet = Fleet::build(&FleetPlan::TODAY, program, folder.path()).unwrap();
@@ -29,17 +32,17 @@
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        // A daemon ends when this pipe does.
-        let held_open = child.stdin.take();
+        // A daemon exits when this pipe is closed.
+        let stdin = child.stdin.take();
         let checked = child.wait_with_output().unwrap();
-        drop(held_open);
+        drop(stdin);
         let problems = String::from_utf8_lossy(&checked.stderr);
         assert!(checked.status.success(), "{}: {problems}", member.id);
     }
 }
 
 #[test]
-fn a_dropped_process_has_ended() {
+fn dropped_process_has_exited() {
     let folder = folder("dropped");
     let program = Program {
         path: "/bin/sleep".into(),
@@ -53,18 +56,20 @@
 }
 
 #[test]
-fn the_folder_goes_with_the_trial_unless_it_is_kept() {
-    let gone = folder("gone");
-    let path = gone.path().to_owned();
-    drop(gone);
+fn trial_folder_is_removed_on_drop_unless_kept() {
+    let removed = folder("removed");
+    let path = removed.path().to_owned();
+    drop(removed);
     assert!(!path.exists());
     let kept = TrialFolder::create_at(path.clone(), true).unwrap();
     drop(kept);
     assert!(path.exists());
 }
 
+/// A lab that is killed cannot stop its children, so each daemon watches its standard
+/// input for the end of the lab's pipe.
 #[test]
-fn a_daemon_ends_when_the_lab_is_gone() {
+fn daemon_exits_when_lab_closes_its_stdin() {
     let folder = folder("orphan");
     let program = Program::lab(env!("CARGO_BIN_EXE_lab"));
     let fleet = Fleet::build(&FleetPlan::TODAY, program, folder.path()).unwrap();
--- a/crates/lab/tests/report.rs
+++ b/crates/lab/tests/report.rs
@@ -1,4 +1,4 @@
-//! The numbers of the closing table, from histories written by hand.
+//! Summary of a trial, computed from handwritten histories.
 
 use checker::{Event, Limits, Observation, ReadState, check};
 use lab::report::{Wait, summarise};
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn jobs_are_counted_once_however_often_they_are_sent_and_read() {
+fn job_sent_and_read_repeatedly_is_counted_once() {
     let one = job("poster", "one");
     let two = job("poster", "two");
     let history = [
@@ -101,18 +101,20 @@
     assert_eq!(summary.failed, 0);
 }
 
+/// A runner's start event can precede the caller's acknowledgement, and a job can start
+/// again. Neither may distort the wait.
 #[test]
-fn the_wait_runs_from_the_first_acknowledgement_to_the_first_start() {
-    let slow = job("poster", "slow");
-    let quick = job("poster", "quick");
+fn wait_is_time_from_first_acknowledgement_to_first_start() {
+    let started_late = job("poster", "slow");
+    let started_first = job("poster", "quick");
     let other = job("editors", "other");
     let history = [
-        started(90, &quick, run(1, 1)),
-        acknowledged(100, &slow),
-        acknowledged(100, &quick),
+        started(90, &started_first, run(1, 1)),
+        acknowledged(100, &started_late),
+        acknowledged(100, &started_first),
         acknowledged(100, &other),
-        started(400, &slow, run(1, 2)),
-        started(900, &slow, run(1, 3)),
+        started(400, &started_late, run(1, 2)),
+        started(900, &started_late, run(1, 3)),
         started(107, &other, run(1, 4)),
     ];
     let summary = summarise(&history, &check(&[], &Limits::default()), None);
@@ -129,8 +131,10 @@
     );
 }
 
+/// A start order that the leader sent before its kill can reach the runner after the
+/// kill. Counting it would hide the time that the election takes.
 #[test]
-fn orders_of_the_dead_leader_do_not_count_as_its_successors() {
+fn late_start_of_killed_leader_is_not_first_start_after_kill() {
     let key = job("poster", "one");
     let history = [
         started(100, &key, run(3, 1)),
@@ -140,12 +144,12 @@
     let report = check(&[], &Limits::default());
     let summary = summarise(&history, &report, Some(Milliseconds(500)));
     assert_eq!(summary.first_start_after_kill, Some(Milliseconds(1_200)));
-    let none = summarise(&history[..2], &report, Some(Milliseconds(500)));
-    assert_eq!(none.first_start_after_kill, None);
+    let without_successor = summarise(&history[..2], &report, Some(Milliseconds(500)));
+    assert_eq!(without_successor.first_start_after_kill, None);
 }
 
 #[test]
-fn broken_promises_show_as_double_starts_and_lost_jobs() {
+fn violations_are_counted_as_double_starts_and_lost_jobs() {
     let key = job("poster", "one");
     let history = [
         sent(0, &key),
--- a/crates/lab/tests/rolling_change.rs
+++ b/crates/lab/tests/rolling_change.rs
@@ -1,5 +1,5 @@
-//! `lab rolling-change`: a small fleet changes from one program to another and back
-//! under load, and no promise breaks.
+//! `lab rolling-change`: a small fleet under load changes from one program to another
+//! and back without a violation.
 
 use cypressdrum::Exit;
 use emulator::workload::{Mix, pool_runners};
@@ -9,20 +9,21 @@
 use lab::{Fleet, FleetPlan};
 use std::path::{Path, PathBuf};
 
-/// Two gateways, so that callers always find one.
+/// Two gateways, so that one is always available to the callers.
 const FLEET: FleetPlan = FleetPlan {
     coordinators: 3,
     gateways: 2,
     agents: 2,
 };
-/// The fleet works this briefly between the steps.
+/// Short pauses between the steps, to keep the test fast.
 const PACE: Pace = Pace {
     mixed_seconds: 1,
     after_seconds: 1,
 };
-/// Times the ordinary load.
+/// Factor on the submit rate of the mixes.
 const LOAD: f64 = 0.1;
 
+/// Returns a path in the test's temporary folder, unique to this process.
 fn scratch(name: &str) -> PathBuf {
     let file = format!("{name}-{}", std::process::id());
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(file)
@@ -37,7 +38,7 @@
     }
 }
 
-/// One runner of each pool, both with accelerators.
+/// Returns a plan with the largest runner of each pool, both with accelerators.
 fn plan(program: Program) -> TrialPlan {
     let largest = [Mix::Media, Mix::Documents].map(|mix| pool_runners(mix).pop().unwrap());
     TrialPlan {
@@ -47,9 +48,10 @@
     }
 }
 
-/// The same program under another name, so that it can be seen which one runs.
-fn same_program_elsewhere(program: &Program) -> Program {
-    let path = scratch("lab-of-the-change");
+/// Links the program under another name, so that `/proc` shows which of the two a
+/// daemon runs.
+fn link_program(program: &Program) -> Program {
+    let path = scratch("linked-lab");
     std::fs::hard_link(&program.path, &path).unwrap();
     Program::lab(path)
 }
@@ -62,10 +64,12 @@
     }
 }
 
+/// Guards against jobs lost or started twice while daemons restart one by one with
+/// another program, and against daemons that keep running the old one.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_small_fleet_changes_there_and_back_and_breaks_no_promise() {
+async fn small_fleet_changes_program_and_reverts_without_violation() {
     let from = Program::lab(env!("CARGO_BIN_EXE_lab"));
-    let to = same_program_elsewhere(&from);
+    let to = link_program(&from);
     let history = scratch("rolling-change.jsonl");
     let arguments = trial_arguments(Some(history.clone()));
     let mut trial = Trial::start_plan(plan(from.clone()), arguments)
@@ -79,8 +83,8 @@
     assert_eq!(trial.finish().await.unwrap(), Exit::Done);
 
     let file = std::fs::File::open(&history).unwrap();
-    let seen = checker::read_history(std::io::BufReader::new(file)).unwrap();
-    let report = checker::check(&seen, &checker::Limits::default());
+    let observations = checker::read_history(std::io::BufReader::new(file)).unwrap();
+    let report = checker::check(&observations, &checker::Limits::default());
     assert_eq!(report.violations, []);
     assert!(report.acknowledged_jobs > 0);
     std::fs::remove_file(history).unwrap();
@@ -88,7 +92,7 @@
 }
 
 #[test]
-fn a_program_that_is_missing_is_a_fault_of_the_user() {
+fn missing_program_is_usage_error() {
     let arguments = RollingChangeArguments {
         from: None,
         to: Some(scratch("no-such-program")),
--- a/crates/lab/tests/simulate.rs
+++ b/crates/lab/tests/simulate.rs
@@ -1,17 +1,18 @@
-//! `lab simulate`: the exit code tells whether a promise broke.
+//! `lab simulate`: exit codes and the written history.
 
 use cypressdrum::Exit;
 use lab::simulate::{OutputFormat, SimulateArguments, run};
 use simulation::Mutation;
 use std::path::{Path, PathBuf};
 
-/// Its faults break a promise only with compare-and-set off.
-fn racing_operators() -> PathBuf {
+/// Returns the path of a plan in which operators race to put a configuration. It
+/// leads to a violation only if the version check is disabled.
+fn racing_operators_plan() -> PathBuf {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR"));
     folder.join("../simulation/tests/plans/any_configuration_version.toml")
 }
 
-fn of_plan(plan: PathBuf, mutation: Option<Mutation>) -> SimulateArguments {
+fn plan_arguments(plan: PathBuf, mutation: Option<Mutation>) -> SimulateArguments {
     SimulateArguments {
         seeds: 1,
         first_seed: 1,
@@ -26,25 +27,28 @@
 }
 
 #[test]
-fn a_kept_plan_ends_well_and_a_broken_one_does_not() {
-    assert_eq!(run(of_plan(racing_operators(), None)), Exit::Done);
+fn plan_succeeds_without_mutation_and_fails_with_it() {
+    assert_eq!(
+        run(plan_arguments(racing_operators_plan(), None)),
+        Exit::Done
+    );
     let mutation = Some(Mutation::AnyConfigurationVersion);
     assert_eq!(
-        run(of_plan(racing_operators(), mutation)),
+        run(plan_arguments(racing_operators_plan(), mutation)),
         Exit::PromiseBroken
     );
 }
 
 #[test]
-fn a_plan_that_cannot_be_read_is_a_fault_of_its_user() {
-    let missing = racing_operators().with_file_name("missing.toml");
-    assert_eq!(run(of_plan(missing, None)), Exit::Usage);
+fn unreadable_plan_is_usage_error() {
+    let missing = racing_operators_plan().with_file_name("missing.toml");
+    assert_eq!(run(plan_arguments(missing, None)), Exit::Usage);
 }
 
 #[test]
-fn the_history_of_a_plan_can_be_checked_again() {
+fn written_history_of_plan_passes_checker() {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("simulate-history.jsonl");
-    let mut arguments = of_plan(racing_operators(), None);
+    let mut arguments = plan_arguments(racing_operators_plan(), None);
     arguments.history = Some(path.clone());
     assert_eq!(run(arguments), Exit::Done);
     let file = std::fs::File::open(path).unwrap();
--- a/crates/lab/tests/small_fleet.rs
+++ b/crates/lab/tests/small_fleet.rs
@@ -1,4 +1,5 @@
-//! Real daemons: a small fleet takes a handful of jobs and ends them all.
+//! Small fleet of real daemons that accepts some jobs and runs all of them to their
+//! end.
 
 use checker::{Event, Limits, check};
 use emulator::workload::{Mix, example_configuration, pool_runners};
@@ -12,10 +13,11 @@
 use std::time::Duration;
 use types::Role;
 
-/// Far above what any step takes, so that a busy machine changes nothing.
-const LONG: Duration = Duration::from_secs(120);
-/// Jobs that must have been acknowledged before the callers stop.
-const JOBS: u64 = 20;
+/// Timeout of each step, far above its usual time, so that a busy machine does not
+/// fail the test.
+const TIMEOUT: Duration = Duration::from_secs(120);
+/// Number of acknowledged jobs after which the callers stop.
+const MIN_JOBS: u64 = 20;
 
 const PLAN: FleetPlan = FleetPlan {
     coordinators: 3,
@@ -23,7 +25,7 @@
     agents: 2,
 };
 
-/// One runner of each pool, both with accelerators.
+/// Returns the largest runner of each pool, both with accelerators.
 fn runner_plans(fleet: &Fleet) -> Vec<RunnerPlan> {
     let largest = [Mix::Media, Mix::Documents].map(|mix| pool_runners(mix).pop().unwrap());
     fleet
@@ -46,40 +48,44 @@
     ]
 }
 
-async fn until(what: &str, condition: impl Fn() -> bool) {
+/// Polls the condition and fails after [`TIMEOUT`].
+async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let waiting = async {
         while !condition() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    assert!(tokio::time::timeout(LONG, waiting).await.is_ok(), "{what}");
+    assert!(
+        tokio::time::timeout(TIMEOUT, waiting).await.is_ok(),
+        "{what}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_small_fleet_ends_every_job_and_breaks_no_promise() {
+async fn small_fleet_ends_every_job_without_violation() {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("fleet-{}", std::process::id()));
     let folder = TrialFolder::create_at(path, false).unwrap();
     let program = Program::lab(env!("CARGO_BIN_EXE_lab"));
     let mut fleet = Fleet::build(&PLAN, program, folder.path()).unwrap();
     let history = History::default();
     fleet.start_all().unwrap();
-    fleet.wait_all_ready(LONG).await.unwrap();
+    fleet.wait_all_ready(TIMEOUT).await.unwrap();
     put_configuration(&fleet, &history, example_configuration())
         .await
         .unwrap();
     let runners = Runners::start(runner_plans(&fleet), &history)
         .await
         .unwrap();
-    wait_for_runners(&fleet, 2, LONG).await.unwrap();
+    wait_for_runners(&fleet, 2, TIMEOUT).await.unwrap();
 
     let callers = Callers::start(caller_plans(), &fleet.gateway_urls(), &history).unwrap();
     let progress = callers.progress();
-    until("jobs acknowledged", || {
-        progress.acknowledged.load(Ordering::Relaxed) >= JOBS
+    wait_until("jobs acknowledged", || {
+        progress.acknowledged.load(Ordering::Relaxed) >= MIN_JOBS
     })
     .await;
     callers.stop_sending();
-    until("jobs ended", || progress.unfinished() == 0).await;
+    wait_until("jobs ended", || progress.unfinished() == 0).await;
 
     history.record("test", Event::Finished);
     runners.stop().await;
@@ -90,6 +96,6 @@
 
     let ids: Vec<_> = fleet.members().iter().map(|member| member.id).collect();
     for id in ids {
-        fleet.terminate(id, LONG).await.unwrap();
+        fleet.terminate(id, TIMEOUT).await.unwrap();
     }
 }
