--- a/crates/emulator/examples/runner.rs
+++ b/crates/emulator/examples/runner.rs
@@ -1,12 +1,13 @@
-//! One emulated runner beside a running agent, for trying a fleet by hand:
+//! Starts one emulated runner for a running agent, to try a cluster by hand:
 //!
 //! ```text
-//! cargo run --release -p standin --example runner -- stills-1 stills http://127.0.0.1:7480
+//! cargo run --release -p emulator --example runner -- stills-1 stills http://127.0.0.1:7480
 //! ```
 //!
-//! The arguments are its name, its pool, the URL of its agent and, where keys
-//! are in force, a file with the bearer token of a runner. It takes orders on a
-//! loopback port of the system's choice, and prints what happens in it.
+//! The arguments are the runner's name, its pool, the URL of its agent and, if the
+//! configuration has keys, a file with the bearer token of a runner. The runner
+//! accepts orders on a loopback port that the system assigns, and prints its
+//! events.
 
 use emulator::runner::{Behaviour, RunnerEvent, RunnerOptions};
 use emulator::shell::RunnerServer;
@@ -15,7 +16,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use types::{Labels, PoolName, RackName, Resources, RunnerId, RunnerIncarnation};
 
-/// All that the runner has.
+/// Capacity of the runner.
 const CAPACITY: Resources = Resources {
     slots: 8,
     cpu_milli: 16_000,
@@ -38,14 +39,15 @@
     let options = options(&name, &pool)?;
     let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let (handle, mut events) = RunnerServer::start(options, &agent_url, key, listen).await?;
-    println!("{name} takes orders on {}", handle.socket());
+    println!("{name} accepts orders on {}", handle.socket());
     while let Some(event) = events.recv().await {
         print_event(&event);
     }
     Ok(())
 }
 
-/// Each start is another incarnation, so its number is the time of the start.
+/// Returns the options of the runner. The number of the incarnation is the time of
+/// the start, so that each start is a new incarnation.
 fn options(name: &str, pool: &str) -> Result<RunnerOptions, Box<dyn Error>> {
     let started = SystemTime::now().duration_since(UNIX_EPOCH)?;
     let incarnation = u64::try_from(started.as_millis())?;
@@ -66,7 +68,7 @@
     match event {
         RunnerEvent::Started(run) => println!("started {} of job {}", run.run, run.job.job),
         RunnerEvent::Ended { run, outcome } => println!("ended {run}: {outcome:?}"),
-        RunnerEvent::EndRecorded { run } => println!("the record has the end of {run}"),
-        RunnerEvent::AcceptedStale(order) => println!("took an order of term {}", order.term),
+        RunnerEvent::EndRecorded { run } => println!("end of {run} is recorded"),
+        RunnerEvent::AcceptedStale(order) => println!("accepted an order of stale term {}", order.term),
     }
 }
