--- a/crates/emulator/examples/runner.rs
+++ b/crates/emulator/examples/runner.rs
@@ -38,7 +38,7 @@
     let options = options(&name, &pool)?;
     let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let (handle, mut events) = RunnerServer::start(options, &agent_url, key, listen).await?;
-    println!("{name} takes orders on {}", handle.socket());
+    println!("{name} accepts orders on {}", handle.socket());
     while let Some(event) = events.recv().await {
         print_event(&event);
     }
