--- a/crates/consensus/src/node/leadership_transfer.rs
+++ b/crates/consensus/src/node/leadership_transfer.rs
@@ -22,7 +22,7 @@
 impl Node {
     /// Returns whether this node is the leader and transfers leadership.
     /// Proposals are rejected meanwhile.
-    pub fn is_handing_over(&self) -> bool {
+    pub fn is_transferring_leadership(&self) -> bool {
         let leadership = self.role.leadership();
         leadership.is_some_and(Leadership::is_transferring)
     }
--- a/crates/coordinator/src/core/leadership.rs
+++ b/crates/coordinator/src/core/leadership.rs
@@ -133,7 +133,7 @@
         leader.send_starts(replica.state_machine(), now);
         // The consensus node rejects proposals during a leadership transfer. They
         // remain queued until it ends, usually after one round trip.
-        if replica.is_handing_over() {
+        if replica.is_transferring_leadership() {
             return false;
         }
         let proposals = leader.take_proposals(replica.state_machine(), now);
--- a/crates/coordinator/src/replica.rs
+++ b/crates/coordinator/src/replica.rs
@@ -155,8 +155,8 @@
     }
 
     /// Returns whether a leadership transfer is in progress.
-    pub(crate) fn is_handing_over(&self) -> bool {
-        self.node.is_handing_over()
+    pub(crate) fn is_transferring_leadership(&self) -> bool {
+        self.node.is_transferring_leadership()
     }
 
     /// Returns the time by which the next tick of the consensus node is due.
