--- a/crates/coordinator/src/core/joining.rs
+++ b/crates/coordinator/src/core/joining.rs
@@ -24,7 +24,7 @@
         if !self.identification.begin_round(now.monotonic) {
             return;
         }
-        self.directory.forget_unresponsive(now.monotonic);
+        self.directory.remove_unresponsive(now.monotonic);
         if self.identification.cluster().is_some() {
             self.resend_proposal(now, effects);
             self.rejoin_if_isolated(now, effects);
--- a/crates/coordinator/src/core/leadership.rs
+++ b/crates/coordinator/src/core/leadership.rs
@@ -168,7 +168,7 @@
             return;
         };
         for entry in entries {
-            leader.follow_entry(replica.state_machine(), entry, now);
+            leader.handle_applied_entry(replica.state_machine(), entry, now);
         }
     }
 }
--- a/crates/coordinator/src/identity/directory.rs
+++ b/crates/coordinator/src/identity/directory.rs
@@ -95,7 +95,7 @@
     }
 
     /// Removes processes without contact for [`REMOVE_AFTER`].
-    pub(crate) fn forget_unresponsive(&mut self, now: Monotonic) {
+    pub(crate) fn remove_unresponsive(&mut self, now: Monotonic) {
         self.known
             .retain(|_, known| now.since(known.last_contact) <= REMOVE_AFTER);
     }
--- a/crates/coordinator/src/leader/applied_entries.rs
+++ b/crates/coordinator/src/leader/applied_entries.rs
@@ -12,20 +12,20 @@
 
 impl Leader {
     /// Handles an entry that was applied to the state machine.
-    pub(crate) fn follow_entry(
+    pub(crate) fn handle_applied_entry(
         &mut self,
         state_machine: &StateMachine,
         entry: AppliedEntry,
         now: Now,
     ) {
         for change in entry.applied.changes {
-            self.follow_change(state_machine, change, now);
+            self.handle_change(state_machine, change, now);
         }
         let is_own = entry.term == self.identity.term;
         if let Some(origin) = self.proposals.remove(entry.index)
             && is_own
         {
-            self.follow_reply(origin, entry.applied.reply, now);
+            self.handle_reply(origin, entry.applied.reply, now);
         }
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Handles the state machine's reply to an entry of this leader.
-    fn follow_reply(&mut self, origin: ProposalOrigin, reply: CommandReply, now: Now) {
+    fn handle_reply(&mut self, origin: ProposalOrigin, reply: CommandReply, now: Now) {
         match origin {
             ProposalOrigin::Internal => {}
             ProposalOrigin::Placement(reservations) => {
@@ -110,7 +110,7 @@
 
     /// Handles a change of the state machine, proposed by this leader or an
     /// earlier one.
-    fn follow_change(&mut self, state_machine: &StateMachine, change: Change, now: Now) {
+    fn handle_change(&mut self, state_machine: &StateMachine, change: Change, now: Now) {
         self.placement.request();
         match change {
             Change::TaskReady(meta) => {
@@ -129,12 +129,12 @@
             }
             Change::RunOpened(run) => self.runs.add_reserved(run, now.monotonic),
             Change::RunClosed { run, close, again } => {
-                self.follow_close(state_machine, run, close, again, now);
+                self.handle_run_closed(state_machine, run, close, again, now);
             }
             Change::JobEnded {
                 key, state, waited, ..
-            } => self.follow_job_end(state_machine, key, state, waited, now),
-            Change::ConfigurationChanged(_) => self.follow_configuration(state_machine),
+            } => self.handle_job_end(state_machine, key, state, waited, now),
+            Change::ConfigurationChanged(_) => self.handle_configuration_change(state_machine),
             Change::RunnerDrainingChanged { runner, draining } => {
                 self.scheduler.set_draining(&runner, draining);
                 self.runners.set_ordered_draining(&runner, draining);
@@ -143,7 +143,7 @@
     }
 
     /// Counts a job that reached a final state.
-    fn follow_job_end(
+    fn handle_job_end(
         &mut self,
         state_machine: &StateMachine,
         key: JobKey,
@@ -163,7 +163,7 @@
 
     /// Applies a new configuration to the scheduler and sends it to every
     /// gateway and agent with a session.
-    fn follow_configuration(&mut self, state_machine: &StateMachine) {
+    fn handle_configuration_change(&mut self, state_machine: &StateMachine) {
         let (version, document) = state_machine.configuration();
         self.timings = document.timings.clone();
         self.scheduler.configure(document);
--- a/crates/coordinator/src/leader/orders.rs
+++ b/crates/coordinator/src/leader/orders.rs
@@ -23,7 +23,7 @@
 
 use crate::leader::Leader;
 use crate::leader::outbox::OrderContent;
-use crate::leader::run_tracker::{Phase, TrackedRun};
+use crate::leader::run_tracker::{StartPhase, TrackedRun};
 use crate::leader::runner_registry::RunnerState;
 use crate::leader::stall_detection::StallDetector;
 use crate::options::Mutation;
@@ -83,7 +83,7 @@
     fn start_group(&mut self, state_machine: &StateMachine, group: &[RunId], now: Now) {
         let is_startable = |run: &RunId| {
             let tracked = self.runs.get(*run);
-            tracked.is_some_and(|run| run.phase() == Phase::Reserved && !run.is_closing())
+            tracked.is_some_and(|run| run.phase() == StartPhase::Reserved && !run.is_closing())
         };
         let startable: Vec<RunId> = group.iter().copied().filter(is_startable).collect();
         let orders: Option<Vec<OrderKind>> = startable
@@ -136,7 +136,7 @@
             return;
         };
         let open_run = tracked.open_run().clone();
-        self.runs.set_phase(run, Phase::Ordered);
+        self.runs.set_phase(run, StartPhase::Ordered);
         self.send_order(state_machine, &open_run, kind, now.monotonic);
         self.log_start(state_machine, &open_run, now);
         metrics::counter!("cypressdrum_runs_ordered_total").increment(1);
@@ -243,7 +243,7 @@
             OrderAnswer::Started
             | OrderAnswer::Stopping
             | OrderAnswer::Active
-            | OrderAnswer::Ended => self.runs.set_phase(run, Phase::Active),
+            | OrderAnswer::Ended => self.runs.set_phase(run, StartPhase::Active),
             OrderAnswer::Revoked => self.close_run(run, RunClose::Revoked),
             OrderAnswer::Rejected(RejectionReason::KnownRun) | OrderAnswer::Unknown if is_start => {
                 self.revoke_uncertain(state_machine, run, now.monotonic);
@@ -268,7 +268,7 @@
     }
 
     fn revoke_uncertain(&mut self, state_machine: &StateMachine, run: RunId, now: Monotonic) {
-        self.runs.set_phase(run, Phase::Uncertain);
+        self.runs.set_phase(run, StartPhase::Uncertain);
         self.send_revoke(state_machine, run, now);
     }
 
@@ -317,18 +317,23 @@
         let is_repeat_due = waited >= REPEAT_INTERVAL;
         match tracked.phase() {
             // The lease expired before the start was sent, so it is never sent.
-            Phase::Reserved if !self.runs.is_start_queued(tracked.open_run().run) => {
+            StartPhase::Reserved if !self.runs.is_start_queued(tracked.open_run().run) => {
                 Some(RunAction::CloseRejected)
             }
-            Phase::Ordered if waited >= ORDER_TIMEOUT => Some(RunAction::Revoke),
-            Phase::Active if self.is_stalled(state_machine, tracked) => {
+            StartPhase::Ordered if waited >= ORDER_TIMEOUT => Some(RunAction::Revoke),
+            StartPhase::Active if self.is_stalled(state_machine, tracked) => {
                 Some(RunAction::StopStalled)
             }
-            Phase::Ordered | Phase::Active if tracked.is_stop_requested() && is_repeat_due => {
+            StartPhase::Ordered | StartPhase::Active
+                if tracked.is_stop_requested() && is_repeat_due =>
+            {
                 Some(RunAction::Stop)
             }
-            Phase::Uncertain if is_repeat_due => Some(RunAction::Revoke),
-            Phase::Reserved | Phase::Ordered | Phase::Active | Phase::Uncertain => None,
+            StartPhase::Uncertain if is_repeat_due => Some(RunAction::Revoke),
+            StartPhase::Reserved
+            | StartPhase::Ordered
+            | StartPhase::Active
+            | StartPhase::Uncertain => None,
         }
     }
 
@@ -378,7 +383,7 @@
     }
 
     /// Handles the close of a run. `retry` is the task if it is to run again.
-    pub(super) fn follow_close(
+    pub(super) fn handle_run_closed(
         &mut self,
         state_machine: &StateMachine,
         run: OpenRun,
--- a/crates/coordinator/src/leader/run_tracker.rs
+++ b/crates/coordinator/src/leader/run_tracker.rs
@@ -9,9 +9,9 @@
 /// should have stopped it before.
 const TIME_LIMIT_GRACE: Milliseconds = Milliseconds(1_000);
 
-/// Phase of a run's start, as known to the leader.
+/// StartPhase of a run's start, as known to the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Phase {
+pub(super) enum StartPhase {
     /// Reserved by this leader in this term. The start is not sent yet, and no
     /// other process can send it.
     Reserved,
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct TrackedRun {
     open_run: OpenRun,
-    phase: Phase,
+    phase: StartPhase,
     /// When the last order about the run was sent, or if there was none, when
     /// the run was added. 0 makes the next order due immediately.
     ordered_at: Monotonic,
@@ -48,7 +48,7 @@
 }
 
 impl TrackedRun {
-    fn new(open_run: OpenRun, phase: Phase, now: Monotonic) -> Self {
+    fn new(open_run: OpenRun, phase: StartPhase, now: Monotonic) -> Self {
         Self {
             open_run,
             phase,
@@ -67,7 +67,7 @@
     }
 
     /// Returns the phase of the run's start.
-    pub(super) fn phase(&self) -> Phase {
+    pub(super) fn phase(&self) -> StartPhase {
         self.phase
     }
 
@@ -107,12 +107,12 @@
     /// Adds a run that an earlier leader reserved. It is unknown whether its
     /// start was sent; the next heartbeat of its runner shows it.
     pub(super) fn adopt(&mut self, run: OpenRun, now: Monotonic) {
-        self.insert(TrackedRun::new(run, Phase::Active, now));
+        self.insert(TrackedRun::new(run, StartPhase::Active, now));
     }
 
     /// Adds a run that this leader reserved.
     pub(super) fn add_reserved(&mut self, run: OpenRun, now: Monotonic) {
-        self.insert(TrackedRun::new(run, Phase::Reserved, now));
+        self.insert(TrackedRun::new(run, StartPhase::Reserved, now));
     }
 
     fn insert(&mut self, tracked: TrackedRun) {
@@ -184,7 +184,7 @@
     }
 
     /// Sets the phase of the run's start.
-    pub(super) fn set_phase(&mut self, run: RunId, phase: Phase) {
+    pub(super) fn set_phase(&mut self, run: RunId, phase: StartPhase) {
         if let Some(tracked) = self.runs.get_mut(&run) {
             tracked.phase = phase;
         }
@@ -204,7 +204,7 @@
         let Some(tracked) = self.runs.get_mut(&run) else {
             return;
         };
-        tracked.phase = Phase::Active;
+        tracked.phase = StartPhase::Active;
         if let Some(progress) = active.progress {
             tracked
                 .progress
@@ -226,10 +226,10 @@
         let Some(tracked) = self.runs.get_mut(&run) else {
             return false;
         };
-        if tracked.phase != Phase::Active || tracked.closing {
+        if tracked.phase != StartPhase::Active || tracked.closing {
             return false;
         }
-        tracked.phase = Phase::Uncertain;
+        tracked.phase = StartPhase::Uncertain;
         true
     }
 
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -40,7 +40,7 @@
 //! 3. `propose_collected` proposes the command to the consensus node;
 //!    `Leader::record_proposed` (leader/applied_entries.rs) records its index.
 //! 4. `Replica::process_ready` (replica.rs) writes the entry and applies it when
-//!    a quorum has it; `Leader::follow_entry` (leader/applied_entries.rs)
+//!    a quorum has it; `Leader::handle_applied_entry` (leader/applied_entries.rs)
 //!    publishes the tasks to the scheduler and answers the request.
 //!
 //! A heartbeat:
@@ -57,7 +57,7 @@
 //! An order:
 //! 1. `Leader::place` (leader/placement.rs) proposes the scheduler's placements
 //!    as one `Reserve` command.
-//! 2. When it is applied, `Leader::follow_entry` (leader/applied_entries.rs)
+//! 2. When it is applied, `Leader::handle_applied_entry` (leader/applied_entries.rs)
 //!    adds the runs to the `RunTracker` and queues their starts.
 //! 3. `Leader::send_starts` (leader/orders.rs) builds the start of each run and
 //!    adds it to the `Outbox` (leader/outbox.rs), which packs the orders for one
@@ -68,7 +68,7 @@
 //! A configuration change:
 //! 1. `Leader::put_configuration` or `update_configuration`
 //!    (leader/requests.rs) checks the document and proposes it.
-//! 2. When it is applied, `Leader::follow_configuration`
+//! 2. When it is applied, `Leader::handle_configuration_change`
 //!    (leader/applied_entries.rs) configures the scheduler and sends the document
 //!    to every gateway and agent with a session.
 //! 3. `Leader::receive_keep_alive` (leader/keep_alives.rs) sends it again to a
