--- a/crates/coordinator/src/leader/applied_entries.rs
+++ b/crates/coordinator/src/leader/applied_entries.rs
@@ -128,8 +128,8 @@
                 }
             }
             Change::RunOpened(run) => self.runs.add_reserved(run, now.monotonic),
-            Change::RunClosed { run, close, again } => {
-                self.handle_run_closed(state_machine, run, close, again, now);
+            Change::RunClosed { run, close, retry } => {
+                self.handle_run_closed(state_machine, run, close, retry, now);
             }
             Change::JobEnded {
                 key, state, waited, ..
--- a/crates/state_machine/src/command.rs
+++ b/crates/state_machine/src/command.rs
@@ -311,7 +311,7 @@
         close: RunClose,
         /// Task of the run, if it may have another run now or at its `not_before`;
         /// otherwise `None`.
-        again: Option<TaskMeta>,
+        retry: Option<TaskMeta>,
     },
     /// A job reached a final state.
     JobEnded {
--- a/crates/state_machine/src/state/run_close.rs
+++ b/crates/state_machine/src/state/run_close.rs
@@ -57,13 +57,13 @@
             closed_at: at,
         };
         let failed = decides && apply_run_outcome(job, outcome, &self.document.timings);
-        let again = job.startable_meta(task);
+        let retry = job.startable_meta(task);
         self.indexes.refresh(task.job, job);
         self.record_if_lost(&run, close);
         changes.push(Change::RunClosed {
             run,
             close: close.clone(),
-            again,
+            retry,
         });
         if decides {
             self.apply_task_outcome(task, close, failed, at, changes);
--- a/crates/state_machine/tests/properties/harness.rs
+++ b/crates/state_machine/tests/properties/harness.rs
@@ -85,13 +85,13 @@
                 assert_eq!(reported, open.map(|run| run.run).collect());
             }
             Change::RunOpened(run) => self.observe_opened(run),
-            Change::RunClosed { run, close, again } => {
+            Change::RunClosed { run, close, retry } => {
                 assert_eq!(self.open_runs.remove(&run.run).as_ref(), Some(run));
                 assert!(self.closed_runs.insert(run.run));
                 if *close == DONE {
-                    assert!(again.is_none());
+                    assert!(retry.is_none());
                 }
-                if let Some(meta) = again {
+                if let Some(meta) = retry {
                     self.ready_tasks.insert(run.task, meta.clone());
                 }
             }
--- a/crates/state_machine/tests/runs.rs
+++ b/crates/state_machine/tests/runs.rs
@@ -97,7 +97,7 @@
             let run = driver.reserve(task(1, 0, 0)).unwrap();
             let changes = driver.close(run, close.clone());
             assert!(matches!(&changes[..],
-                [Change::RunClosed { again: Some(meta), .. }] if meta.not_before.is_none()));
+                [Change::RunClosed { retry: Some(meta), .. }] if meta.not_before.is_none()));
         }
         assert_eq!(driver.view("j").steps[0].failed_runs, 0);
     }
@@ -188,10 +188,10 @@
     for _ in 0..8 {
         let run = driver.reserve(task(1, 0, 0)).unwrap();
         let changes = driver.close(run, RunClose::TimedOut);
-        let Change::RunClosed { again, .. } = &changes[0] else {
+        let Change::RunClosed { retry, .. } = &changes[0] else {
             panic!("{changes:?}")
         };
-        let not_before = again.as_ref().unwrap().not_before.unwrap();
+        let not_before = retry.as_ref().unwrap().not_before.unwrap();
         backoffs.push(not_before.0 - driver.at.0);
     }
     assert_eq!(
@@ -257,7 +257,7 @@
     let changes = driver.close(first, failed());
     assert!(matches!(
         &changes[..],
-        [Change::RunClosed { again: None, .. }]
+        [Change::RunClosed { retry: None, .. }]
     ));
     assert_eq!(driver.task_states("j"), [TaskState::Done, TaskState::Ready]);
 }
@@ -299,7 +299,7 @@
     let changes = driver.close(run, DONE);
     assert!(matches!(
         &changes[..],
-        [Change::RunClosed { again: None, .. }]
+        [Change::RunClosed { retry: None, .. }]
     ));
     assert_eq!(driver.view("j").state, JobState::Cancelled);
     assert!(driver.close(run, failed()).is_empty(), "the run is closed");
