--- a/crates/agent/src/shell.rs
+++ b/crates/agent/src/shell.rs
@@ -69,7 +69,7 @@
     let listener = TcpListener::bind(listen)
         .await
         .map_err(|source| AgentError::Http { listen, source })?;
-    run_on(listener, options, stop).await
+    run_with_listener(listener, options, stop).await
 }
 
 /// Runs an agent as [`run`] does, on an HTTP socket that is already bound.
@@ -80,7 +80,7 @@
 /// # Errors
 ///
 /// Returns an [`AgentError`] if a listener cannot be bound or fails.
-pub async fn run_on(
+pub async fn run_with_listener(
     listener: TcpListener,
     options: ShellOptions,
     stop: watch::Receiver<bool>,
--- a/crates/agent/tests/shell/bench.rs
+++ b/crates/agent/tests/shell/bench.rs
@@ -208,7 +208,7 @@
             grace: Milliseconds(8_000),
         };
         let (stop, stopping) = watch::channel(false);
-        let task = tokio::spawn(agent::shell::run_on(listener, options, stopping));
+        let task = tokio::spawn(agent::shell::run_with_listener(listener, options, stopping));
         Self {
             url: format!("http://{http_listen}"),
             stop,
--- a/crates/gateway/src/shell.rs
+++ b/crates/gateway/src/shell.rs
@@ -66,7 +66,7 @@
     let listener = TcpListener::bind(listen)
         .await
         .map_err(|source| GatewayError::Http { listen, source })?;
-    run_on(listener, options, stop).await
+    run_with_listener(listener, options, stop).await
 }
 
 /// Resources that custom routes of a gateway share.
@@ -111,7 +111,7 @@
 /// # Errors
 ///
 /// Returns a [`GatewayError`] if a listener cannot be bound or fails.
-pub async fn run_on(
+pub async fn run_with_listener(
     listener: TcpListener,
     options: ShellOptions,
     stop: watch::Receiver<bool>,
--- a/crates/gateway/src/shell/http.rs
+++ b/crates/gateway/src/shell/http.rs
@@ -55,7 +55,7 @@
         let started_at = Instant::now();
         let answer = self
             .requests
-            .ask(requester.caller.clone(), requester.time_left, operation)
+            .execute(requester.caller.clone(), requester.time_left, operation)
             .await;
         let outcome = match &answer {
             Ok(_) => "ok",
--- a/crates/gateway/src/shell/requests.rs
+++ b/crates/gateway/src/shell/requests.rs
@@ -72,7 +72,7 @@
     ///
     /// Returns a [`Rejection`] if the operation was not carried out, or if its outcome
     /// is unknown.
-    pub async fn ask(
+    pub async fn execute(
         &self,
         caller: Caller,
         time_left: Milliseconds,
--- a/crates/gateway/tests/http/fixture.rs
+++ b/crates/gateway/tests/http/fixture.rs
@@ -1,7 +1,7 @@
 //! A gateway that runs in a task, with an emulated leader and an HTTP client.
 
 use configuration::ClusterConfiguration;
-use gateway::shell::{GatewayError, ShellOptions, run_on};
+use gateway::shell::{GatewayError, ShellOptions, run_with_listener};
 use reqwest::header::{HeaderMap, HeaderValue};
 use reqwest::{Method, RequestBuilder, Response};
 use serde_json::Value;
@@ -107,7 +107,7 @@
         let fixture = Self {
             http,
             stop,
-            gateway: tokio::spawn(run_on(listener, options, stop_receiver)),
+            gateway: tokio::spawn(run_with_listener(listener, options, stop_receiver)),
             client: client_with_long_deadline(),
         };
         fixture.wait_for_readiness(200).await;
