--- a/crates/agent/src/core.rs
+++ b/crates/agent/src/core.rs
@@ -291,7 +291,7 @@
         };
         let results = orders.iter().map(rejected).collect();
         let message = PeerMessage::OrderResults { results };
-        let (to, message) = session::answer_to(&self.options.address, envelope, message);
+        let (to, message) = session::reply_to(&self.options.address, envelope, message);
         effects.push(Effect::Send { to, message });
     }
 
--- a/crates/coordinator/src/core.rs
+++ b/crates/coordinator/src/core.rs
@@ -26,7 +26,7 @@
 use consensus::Recovered;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use session::route::{self, Opened};
+use session::route::{self, RelayDecision};
 use storage::Identity;
 use transport::{Envelope, PeerMessage};
 use types::{Address, Milliseconds, Monotonic, Now};
@@ -262,13 +262,13 @@
     /// Returns the message that this process must handle, unwrapped if it was
     /// relayed. Forwards a relay to another process, and drops an invalid one.
     fn open_relay(&self, envelope: Envelope, effects: &mut Vec<Effect>) -> Option<Envelope> {
-        match route::open(&self.own, envelope) {
-            Opened::Own(envelope) => Some(envelope),
-            Opened::Forward(to, message) => {
+        match route::unwrap_relay(&self.own, envelope) {
+            RelayDecision::Own(envelope) => Some(envelope),
+            RelayDecision::Forward(to, message) => {
                 effects.push(Effect::Send { to, message });
                 None
             }
-            Opened::Dropped => None,
+            RelayDecision::Dropped => None,
         }
     }
 }
--- a/crates/session/src/client.rs
+++ b/crates/session/src/client.rs
@@ -8,7 +8,7 @@
 use crate::leader::LeaderContact;
 use crate::lease::LeaseState;
 use crate::replica::Replica;
-use crate::route::{self, Opened, Outbox};
+use crate::route::{self, Outbox, RelayDecision};
 use crate::schedule::RoundSchedule;
 use configuration::ClusterConfiguration;
 use rand::{Rng, SeedableRng};
@@ -121,13 +121,13 @@
         if !events.is_empty() {
             self.send_round_if_due(now.monotonic, out);
         }
-        let envelope = match route::open(&self.options.address, envelope) {
-            Opened::Own(envelope) => envelope,
-            Opened::Forward(to, message) => {
+        let envelope = match route::unwrap_relay(&self.options.address, envelope) {
+            RelayDecision::Own(envelope) => envelope,
+            RelayDecision::Forward(to, message) => {
                 out.push((to, message));
                 return (events, None);
             }
-            Opened::Dropped => return (events, None),
+            RelayDecision::Dropped => return (events, None),
         };
         self.directory.add(&envelope.from);
         let other = self.handle_own(now.monotonic, envelope, out, &mut events);
--- a/crates/session/src/client/messages.rs
+++ b/crates/session/src/client/messages.rs
@@ -21,7 +21,7 @@
         match &envelope.body {
             PeerMessage::Discover => {
                 let members = PeerMessage::Members(self.members());
-                out.push(route::answer_to(&self.options.address, &envelope, members));
+                out.push(route::reply_to(&self.options.address, &envelope, members));
             }
             PeerMessage::Members(members) => self.on_members(now, members, out),
             PeerMessage::Lease(lease) => self.on_lease(now, &envelope, lease, events),
--- a/crates/session/src/lib.rs
+++ b/crates/session/src/lib.rs
@@ -20,4 +20,4 @@
 mod schedule;
 
 pub use client::{SessionClient, SessionEvent, SessionOptions};
-pub use route::answer_to;
+pub use route::reply_to;
--- a/crates/session/src/route.rs
+++ b/crates/session/src/route.rs
@@ -9,7 +9,7 @@
 
 /// Addresses a reply to the sender of `envelope`, through the member that
 /// relayed the envelope, if any.
-pub fn answer_to(
+pub fn reply_to(
     own: &Address,
     envelope: &Envelope,
     body: PeerMessage,
@@ -38,7 +38,7 @@
 
 /// Decision on an envelope that may contain a relay.
 #[derive(Debug)]
-pub enum Opened {
+pub enum RelayDecision {
     /// The message is addressed to this process, directly or through a relay.
     Own(Envelope),
     /// The message must be forwarded unchanged to the process at this socket.
@@ -54,18 +54,18 @@
 /// is not addressed to its origin. A relay within a relay is dropped. So a
 /// message takes at most two hops and cannot loop. A relay whose sender or
 /// origin is `own` is dropped as well.
-pub fn open(own: &Address, envelope: Envelope) -> Opened {
+pub fn unwrap_relay(own: &Address, envelope: Envelope) -> RelayDecision {
     let Envelope { from, via, body } = envelope;
     let PeerMessage::Relay(relay) = body else {
-        return Opened::Own(Envelope { from, via, body });
+        return RelayDecision::Own(Envelope { from, via, body });
     };
     let is_nested = via.is_some() || matches!(*relay.body, PeerMessage::Relay(_));
     let is_from_own = from.node == own.node || relay.origin.node == own.node;
     if is_nested || is_from_own {
-        return Opened::Dropped;
+        return RelayDecision::Dropped;
     }
     if relay.destination == own.socket {
-        return Opened::Own(Envelope {
+        return RelayDecision::Own(Envelope {
             from: relay.origin,
             via: Some(from.socket),
             body: *relay.body,
@@ -73,7 +73,7 @@
     }
     let returns_to_origin = relay.destination == relay.origin.socket;
     if from.node == relay.origin.node && !returns_to_origin {
-        return Opened::Forward(relay.destination, PeerMessage::Relay(relay));
+        return RelayDecision::Forward(relay.destination, PeerMessage::Relay(relay));
     }
-    Opened::Dropped
+    RelayDecision::Dropped
 }
