--- a/crates/coordinator/src/shell.rs
+++ b/crates/coordinator/src/shell.rs
@@ -193,7 +193,7 @@
                     Input::Stop
                 }
                 () = sleep_until(deadline), if deadline.is_some() => return Ok(()),
-                arrival = self.incoming.arrival() => match arrival {
+                arrival = self.incoming.recv_arrival() => match arrival {
                     Some(arrival) => self.receive_arrival(arrival),
                     None => return Ok(()),
                 },
@@ -210,7 +210,7 @@
 
     /// Records the wait of a message and converts it to an input of the core.
     fn receive_arrival(&mut self, arrival: Arrival) -> Input {
-        let waited = arrival.waited();
+        let waited = arrival.queue_time();
         self.load.record_arrival(&arrival, waited);
         let is_overdue = arrival.lane == Lane::Requests && waited > MAX_REQUEST_WAIT;
         if is_overdue {
@@ -231,7 +231,7 @@
         let started_at = Instant::now();
         let mut inputs = vec![input];
         while inputs.len() < MAX_STEP_INPUTS
-            && let Some(arrival) = self.incoming.try_arrival()
+            && let Some(arrival) = self.incoming.try_recv_arrival()
         {
             inputs.push(self.receive_arrival(arrival));
         }
--- a/crates/coordinator/src/shell/load.rs
+++ b/crates/coordinator/src/shell/load.rs
@@ -114,9 +114,9 @@
                 max_step_ms = as_milliseconds(self.max_step),
                 steps = self.steps,
                 inputs = self.inputs,
-                liveness = inbox.waiting(Lane::Liveness),
-                work = inbox.waiting(Lane::Work),
-                requests = inbox.waiting(Lane::Requests),
+                liveness = inbox.queued(Lane::Liveness),
+                work = inbox.queued(Lane::Work),
+                requests = inbox.queued(Lane::Requests),
                 "core loop is behind"
             );
         }
--- a/crates/transport/src/tcp/inbox.rs
+++ b/crates/transport/src/tcp/inbox.rs
@@ -73,9 +73,9 @@
 
 impl Arrival {
     /// Returns the time since the receipt of the message, in milliseconds.
-    pub fn waited(&self) -> Milliseconds {
-        let waited = self.received_at.elapsed().as_millis();
-        Milliseconds(u64::try_from(waited).unwrap_or(u64::MAX))
+    pub fn queue_time(&self) -> Milliseconds {
+        let queue_time = self.received_at.elapsed().as_millis();
+        Milliseconds(u64::try_from(queue_time).unwrap_or(u64::MAX))
     }
 }
 
@@ -139,16 +139,16 @@
 }
 
 impl Inbox {
-    /// Waits for the next message like [`Inbox::arrival`], and returns the message
+    /// Waits for the next message like [`Inbox::recv_arrival`], and returns the message
     /// without its lane. Returns `None` when the transport has stopped.
     pub async fn recv(&mut self) -> Option<Envelope> {
-        let arrival = self.arrival().await?;
+        let arrival = self.recv_arrival().await?;
         Some(arrival.envelope)
     }
 
     /// Waits until a message is queued, and returns the first message of the lane
     /// with the highest priority. Returns `None` when the transport has stopped.
-    pub async fn arrival(&mut self) -> Option<Arrival> {
+    pub async fn recv_arrival(&mut self) -> Option<Arrival> {
         tokio::select! {
             biased;
             Some(arrival) = self.liveness.recv() => Some(arrival),
@@ -160,13 +160,13 @@
 
     /// Returns the first message of the lane with the highest priority, or `None`
     /// if no message is queued.
-    pub fn try_arrival(&mut self) -> Option<Arrival> {
+    pub fn try_recv_arrival(&mut self) -> Option<Arrival> {
         let first = self.liveness.try_recv().or_else(|_| self.work.try_recv());
         first.or_else(|_| self.requests.try_recv()).ok()
     }
 
     /// Returns the number of messages queued in a lane.
-    pub fn waiting(&self, lane: Lane) -> usize {
+    pub fn queued(&self, lane: Lane) -> usize {
         match lane {
             Lane::Liveness => self.liveness.len(),
             Lane::Work => self.work.len(),
--- a/crates/transport/tests/lanes.rs
+++ b/crates/transport/tests/lanes.rs
@@ -33,7 +33,7 @@
         }
     }
     let request_queued = async {
-        while receiver.inbox.waiting(Lane::Requests) == 0 {
+        while receiver.inbox.queued(Lane::Requests) == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
@@ -42,14 +42,14 @@
         .transport
         .send(receiver.socket(), numbered_message(7));
     let liveness_queued = async {
-        while receiver.inbox.waiting(Lane::Liveness) == 0 {
+        while receiver.inbox.queued(Lane::Liveness) == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
     with_timeout(liveness_queued).await;
-    let first = with_timeout(receiver.inbox.arrival()).await.unwrap();
+    let first = with_timeout(receiver.inbox.recv_arrival()).await.unwrap();
     assert_eq!(first.lane, Lane::Liveness);
-    let second = receiver.inbox.try_arrival().unwrap();
+    let second = receiver.inbox.try_recv_arrival().unwrap();
     assert_eq!(second.lane, Lane::Requests);
 }
 
--- a/crates/transport/tests/strangers.rs
+++ b/crates/transport/tests/strangers.rs
@@ -69,7 +69,7 @@
     let recorded = proxy.next_closed().await;
     let handshake = hello_bytes(&recorded.bytes) + PROOF_BYTES;
     assert_eq!(recorded.bytes.len(), handshake);
-    assert!(intruder.inbox.try_arrival().is_none());
+    assert!(intruder.inbox.try_recv_arrival().is_none());
 }
 
 #[tokio::test]
