--- a/crates/agent/tests/agent/bench.rs
+++ b/crates/agent/tests/agent/harness.rs
@@ -89,7 +89,7 @@
 }
 
 /// The agent under test, with its clock and the effects of its last input.
-pub struct Bench {
+pub struct Harness {
     pub agent: Agent,
     pub now_ms: u64,
     /// Effects of the last input.
@@ -99,7 +99,7 @@
     last_readiness: Option<Result<(), NotReady>>,
 }
 
-impl Bench {
+impl Harness {
     pub fn new() -> Self {
         Self::build(|agent| agent)
     }
@@ -131,10 +131,10 @@
     /// Creates an agent with a session of term 1 and a runner that has sent a heartbeat in
     /// the session.
     pub fn with_session_and_runner() -> Self {
-        let mut bench = Self::new();
-        bench.open_session(1);
-        bench.receive_heartbeat();
-        bench
+        let mut harness = Self::new();
+        harness.open_session(1);
+        harness.receive_heartbeat();
+        harness
     }
 
     pub fn now(&self) -> Now {
--- a/crates/agent/tests/agent/main.rs
+++ b/crates/agent/tests/agent/main.rs
@@ -1,7 +1,7 @@
 //! Tests of the agent's core.
 
-mod bench;
 mod fencing;
+mod harness;
 mod heartbeats;
 mod orders;
 mod property;
--- a/crates/agent/tests/agent/property.rs
+++ b/crates/agent/tests/agent/property.rs
@@ -1,6 +1,6 @@
 //! Random sequences of messages, heartbeats and pauses, with checks of each delivery.
 
-use crate::bench::{Bench, FREEZE_AFTER_MS, order, report, update};
+use crate::harness::{FREEZE_AFTER_MS, Harness, order, report, update};
 use agent::Input;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -52,8 +52,8 @@
 }
 
 impl DeliveryChecker {
-    fn check(&mut self, bench: &Bench) {
-        for (term, sequence) in bench.delivered_with_terms() {
+    fn check(&mut self, harness: &Harness) {
+        for (term, sequence) in harness.delivered_with_terms() {
             assert!(self.may_deliver, "delivered without session or heartbeat");
             assert!(term >= self.highest_term, "delivered under a lower term");
             assert!(self.delivered.insert((term, sequence)), "delivered twice");
@@ -78,45 +78,45 @@
     fn orders_are_delivered_at_most_once_in_session_of_their_term(
         steps in prop::collection::vec(any_step(), 1..80),
     ) {
-        let mut bench = Bench::new();
+        let mut harness = Harness::new();
         let mut checker = DeliveryChecker::default();
         for step in steps {
             match step {
                 Step::Advance(pause) => {
-                    bench.now_ms += pause;
+                    harness.now_ms += pause;
                     // After a suspend no order may be delivered until the
                     // runner has sent a heartbeat in a new session.
                     checker.may_deliver &= pause < FREEZE_AFTER_MS;
-                    bench.input(Input::Tick);
+                    harness.input(Input::Tick);
                 }
                 Step::OpenSession(term) => {
-                    bench.open_session(term);
+                    harness.open_session(term);
                 }
                 Step::Heartbeat => {
-                    checker.may_deliver |= bench.is_ready();
-                    bench.receive_heartbeat();
+                    checker.may_deliver |= harness.is_ready();
+                    harness.receive_heartbeat();
                 }
                 Step::Orders { agent, term, from, count } => {
                     let orders = (from..from + count).map(|n| order(term, n)).collect();
-                    bench.send_orders_to(NodeId(agent), Term(term), orders);
+                    harness.send_orders_to(NodeId(agent), Term(term), orders);
                     if agent != 50 {
-                        prop_assert!(bench.delivered_orders().is_empty());
+                        prop_assert!(harness.delivered_orders().is_empty());
                     }
                 }
                 Step::Update(term) => {
-                    bench.receive(crate::bench::leader(), PeerMessage::RunnerUpdate(update(term, 1)));
+                    harness.receive(crate::harness::leader(), PeerMessage::RunnerUpdate(update(term, 1)));
                 }
                 Step::Answer { term, sequence } => {
-                    bench.answer_order(order(term, sequence), OrderAnswer::Revoked);
+                    harness.answer_order(order(term, sequence), OrderAnswer::Revoked);
                 }
                 Step::Restart(incarnation) => {
-                    checker.may_deliver |= bench.is_ready();
-                    bench.input(Input::Heartbeat(report(incarnation, 1_000)));
+                    checker.may_deliver |= harness.is_ready();
+                    harness.input(Input::Heartbeat(report(incarnation, 1_000)));
                 }
             }
-            checker.check(&bench);
-            checker.highest_term = checker.highest_term.max(bench.highest_term());
-            checker.may_deliver &= bench.is_ready();
+            checker.check(&harness);
+            checker.highest_term = checker.highest_term.max(harness.highest_term());
+            checker.may_deliver &= harness.is_ready();
         }
     }
 }
--- a/crates/agent/tests/shell/delivery.rs
+++ b/crates/agent/tests/shell/delivery.rs
@@ -1,6 +1,6 @@
 //! Orders and heartbeats between a leader, an agent and an emulated runner.
 
-use crate::bench::{
+use crate::harness::{
     Leader, RunningAgent, loopback, run_id, runner_id, runner_options, start_order, with_timeout,
 };
 use configuration::ClusterConfiguration;
@@ -30,7 +30,7 @@
     assert_eq!(report.ended[0].outcome, Outcome::Done);
     let update = RunnerUpdate {
         names: Vec::new(),
-        term: crate::bench::TERM,
+        term: crate::harness::TERM,
         runner: report.runner.clone(),
         incarnation: report.incarnation,
         confirmed: report.sequence,
--- a/crates/agent/tests/shell/http.rs
+++ b/crates/agent/tests/shell/http.rs
@@ -1,6 +1,6 @@
 //! Authorization and validation of heartbeats over HTTP.
 
-use crate::bench::{Leader, RunningAgent, configuration_with_keys};
+use crate::harness::{Leader, RunningAgent, configuration_with_keys};
 use api::rejection::{Code, RejectionBody};
 use api::runner::HeartbeatAnswerBody;
 use configuration::ClusterConfiguration;
@@ -81,7 +81,7 @@
         .json()
         .await
         .expect("the response has no answer body");
-    assert_eq!(answer.term, crate::bench::TERM.0);
+    assert_eq!(answer.term, crate::harness::TERM.0);
     assert_eq!(answer.incarnation, 4);
 }
 
--- a/crates/agent/tests/shell/main.rs
+++ b/crates/agent/tests/shell/main.rs
@@ -1,6 +1,6 @@
 //! Tests of the agent's shell with a scripted leader and emulated runners, over
 //! loopback sockets.
 
-mod bench;
 mod delivery;
+mod harness;
 mod http;
--- a/crates/gateway/tests/core/access.rs
+++ b/crates/gateway/tests/core/access.rs
@@ -1,6 +1,6 @@
 //! Authorization of requests by keys and their roles.
 
-use crate::bench::{Bench, job_key, submit};
+use crate::harness::{Harness, job_key, submit};
 use state_machine::CancelSelector;
 use transport::{JobFilter, Operation, OperationReply, RejectionCode};
 
@@ -50,22 +50,22 @@
 /// Sends the operation with `token`. Returns the code of the rejection, or `None` if the
 /// gateway did not reject it. A rejected operation must not reach a coordinator.
 fn rejection_code(token: Option<&str>, operation: Operation) -> Option<RejectionCode> {
-    let mut bench = Bench::with_keys();
-    let ticket = bench.ask_as(token, 1_000, operation);
-    let rejected = bench
+    let mut harness = Harness::with_keys();
+    let ticket = harness.ask_as(token, 1_000, operation);
+    let rejected = harness
         .answer(ticket)
         .and_then(|answer| answer.as_ref().err());
     let code = rejected.map(|rejection| rejection.code);
-    assert!(code.is_none() || bench.requests.is_empty());
+    assert!(code.is_none() || harness.requests.is_empty());
     code
 }
 
 #[test]
 fn configuration_without_operator_key_admits_requests_without_key() {
-    let mut bench = Bench::connected();
-    let ticket = bench.ask(1_000, submit("poster", "a"));
-    assert_eq!(bench.answer(ticket), None);
-    assert_eq!(bench.requests.len(), 1);
+    let mut harness = Harness::connected();
+    let ticket = harness.ask(1_000, submit("poster", "a"));
+    assert_eq!(harness.answer(ticket), None);
+    assert_eq!(harness.requests.len(), 1);
 }
 
 #[test]
@@ -119,13 +119,13 @@
 
 #[test]
 fn job_list_of_caller_is_restricted_to_its_tenant() {
-    let mut bench = Bench::with_keys();
+    let mut harness = Harness::with_keys();
     let filter = JobFilter {
         limit: 10,
         ..JobFilter::default()
     };
-    bench.ask_as(CALLER, 1_000, Operation::ListJobs(filter));
-    let Operation::ListJobs(forwarded) = &bench.requests[0].2.operation else {
+    harness.ask_as(CALLER, 1_000, Operation::ListJobs(filter));
+    let Operation::ListJobs(forwarded) = &harness.requests[0].2.operation else {
         panic!("forwarded operation is not ListJobs");
     };
     assert_eq!(forwarded.tenant, Some("poster".parse().unwrap()));
@@ -142,33 +142,36 @@
 
 #[test]
 fn configuration_is_answered_from_replica_without_leader() {
-    let mut bench = Bench::with_keys();
-    let ticket = bench.ask_as(OPERATOR, 1_000, Operation::GetConfiguration);
+    let mut harness = Harness::with_keys();
+    let ticket = harness.ask_as(OPERATOR, 1_000, Operation::GetConfiguration);
     let expected = OperationReply::Configuration {
         version: types::ConfigurationVersion(1),
-        document: bench.document.clone(),
+        document: harness.document.clone(),
     };
-    assert_eq!(bench.answer(ticket), Some(&Ok(expected)));
-    assert!(bench.requests.is_empty());
+    assert_eq!(harness.answer(ticket), Some(&Ok(expected)));
+    assert!(harness.requests.is_empty());
 }
 
 /// Guards against resends with a key that was revoked after the first attempt.
 #[test]
 fn revoked_key_is_rejected_and_its_pending_request_is_not_resent() {
-    let mut bench = Bench::with_keys();
-    let pending = bench.ask_as(CALLER, 20_000, submit("poster", "a"));
-    bench.document.keys.retain(|key| key.id.as_str() != "app");
-    bench.version = 2;
-    bench.advance(300);
-    let sent = bench.requests.len();
-    let later = bench.ask_as(CALLER, 1_000, submit("poster", "b"));
-    assert_eq!(bench.rejection(later).code, RejectionCode::Unauthenticated);
-    bench.advance(1_000);
+    let mut harness = Harness::with_keys();
+    let pending = harness.ask_as(CALLER, 20_000, submit("poster", "a"));
+    harness.document.keys.retain(|key| key.id.as_str() != "app");
+    harness.version = 2;
+    harness.advance(300);
+    let sent = harness.requests.len();
+    let later = harness.ask_as(CALLER, 1_000, submit("poster", "b"));
     assert_eq!(
-        bench.rejection(pending).code,
+        harness.rejection(later).code,
         RejectionCode::Unauthenticated
     );
-    assert_eq!(bench.requests.len(), sent);
+    harness.advance(1_000);
+    assert_eq!(
+        harness.rejection(pending).code,
+        RejectionCode::Unauthenticated
+    );
+    assert_eq!(harness.requests.len(), sent);
 }
 
 /// Guards against secrets in logs. A token without a dot may be a bare secret.
--- a/crates/gateway/tests/core/bench.rs
+++ b/crates/gateway/tests/core/harness.rs
@@ -31,7 +31,7 @@
 pub type Answer = (TicketId, Result<OperationReply, Rejection>);
 
 /// The gateway under test, its emulated coordinators and its recorded effects.
-pub struct Bench {
+pub struct Harness {
     pub gateway: Gateway,
     /// Current time, in milliseconds.
     pub now: u64,
@@ -59,7 +59,7 @@
     }
 }
 
-impl Bench {
+impl Harness {
     /// Creates a gateway without a session. Coordinator 0 of 2 is the leader.
     pub fn new() -> Self {
         Self::with_identity(9)
@@ -105,30 +105,30 @@
 
     /// Creates a gateway with the identity `node` that has a session and is ready.
     pub fn connected_as(node: u64) -> Self {
-        let mut bench = Self::with_identity(node);
-        bench.advance(500);
-        assert_eq!(bench.readiness.last(), Some(&Ok(())));
-        bench
+        let mut harness = Self::with_identity(node);
+        harness.advance(500);
+        assert_eq!(harness.readiness.last(), Some(&Ok(())));
+        harness
     }
 
     /// Creates a gateway with a session, whose configuration contains the keys `boss`
     /// (operator), `app` (caller of tenant poster) and `box` (runner). The secret of
     /// each key is `secret`.
     pub fn with_keys() -> Self {
-        let mut bench = Self::new();
+        let mut harness = Self::new();
         let key = |id: &str, role| Key {
             id: id.parse().unwrap(),
             role,
             hash: KeyHash::new([1; 16], b"secret"),
         };
-        bench.document.keys = vec![
+        harness.document.keys = vec![
             key("boss", KeyRole::Operator),
             key("app", KeyRole::Caller("poster".parse().unwrap())),
             key("box", KeyRole::Runner),
         ];
-        bench.version = 1;
-        bench.advance(500);
-        bench
+        harness.version = 1;
+        harness.advance(500);
+        harness
     }
 
     /// Advances the clock in steps of [`TICK_INTERVAL_MS`]. Each step passes a tick to
@@ -326,7 +326,7 @@
     }
 
     /// Returns the lease, and the document if the gateway's version is older.
-    /// [`Bench::input`] delivers the last message first, so the gateway receives the
+    /// [`Harness::input`] delivers the last message first, so the gateway receives the
     /// lease before the document.
     fn lease(&self, index: usize, keep_alive: &KeepAlive) -> Vec<PeerMessage> {
         let version = ConfigurationVersion(self.version);
--- a/crates/gateway/tests/core/main.rs
+++ b/crates/gateway/tests/core/main.rs
@@ -1,7 +1,7 @@
 //! Tests of the gateway's core with emulated coordinators.
 
 mod access;
-mod bench;
 mod forwarding;
+mod harness;
 mod overload;
 mod readiness;
--- a/crates/session/tests/session/main.rs
+++ b/crates/session/tests/session/main.rs
@@ -1,6 +1,6 @@
 //! Tests of the session client, with a simulated clock and without a network.
 
-mod bench;
+mod harness;
 mod membership;
 mod property;
 mod relay;
--- a/crates/session/tests/session/membership.rs
+++ b/crates/session/tests/session/membership.rs
@@ -1,6 +1,6 @@
 //! Discovery of the leader, leases, terms, freezes and the configuration replica.
 
-use crate::bench::{
+use crate::harness::{
     Harness, INTERVAL, LEASE, OWN, configuration, coordinator, lease, lease_with_version, socket,
 };
 use session::SessionEvent;
@@ -29,7 +29,7 @@
     for round in 0..5 {
         harness.tick_at(round * 2 * INTERVAL);
     }
-    let gateway = crate::bench::address(8, types::Role::Gateway);
+    let gateway = crate::harness::address(8, types::Role::Gateway);
     let members = transport::Members {
         members: vec![gateway.clone(), coordinator(2)],
         leader: None,
@@ -198,7 +198,7 @@
 fn discovery_reply_lists_coordinators_and_own_address() {
     let mut harness = Harness::with_session();
     harness.sent.clear();
-    let joining_agent = crate::bench::address(60, types::Role::Agent);
+    let joining_agent = crate::harness::address(60, types::Role::Agent);
     harness.receive(&joining_agent, PeerMessage::Discover);
     let [(to, PeerMessage::Members(members))] = harness.sent.as_slice() else {
         panic!("expected one reply, found {:?}", harness.sent);
--- a/crates/session/tests/session/property.rs
+++ b/crates/session/tests/session/property.rs
@@ -1,7 +1,7 @@
 //! Properties of a session that hold for random messages in any order, after
 //! pauses of any length.
 
-use crate::bench::{Harness, LEASE, configuration, coordinator, lease_with_version};
+use crate::harness::{Harness, LEASE, configuration, coordinator, lease_with_version};
 use proptest::prelude::*;
 use session::SessionEvent;
 use transport::{KeepAlive, PeerMessage};
--- a/crates/session/tests/session/relay.rs
+++ b/crates/session/tests/session/relay.rs
@@ -1,7 +1,7 @@
 //! Relays through followers while the direct path to the leader fails, and
 //! messages that must not be relayed.
 
-use crate::bench::{Harness, INTERVAL, OWN, coordinator, lease, socket};
+use crate::harness::{Harness, INTERVAL, OWN, coordinator, lease, socket};
 use session::SessionEvent;
 use transport::{PeerMessage, Relay};
 use types::{Address, Term};
@@ -53,7 +53,7 @@
         .to_leader(harness.now(), PeerMessage::Discover)
         .expect("a known leader");
     assert!([socket(2), socket(3)].contains(&to));
-    let own = crate::bench::address(OWN, types::Role::Agent);
+    let own = crate::harness::address(OWN, types::Role::Agent);
     assert_eq!(message, relay(&own, 1, PeerMessage::Discover));
     let mut time_ms = harness.time_ms;
     for _ in 0..40 {
