--- a/crates/checker/src/history.rs
+++ b/crates/checker/src/history.rs
@@ -17,7 +17,7 @@
     },
     /// A line is not the JSON text of an observation.
     #[error("line {line} is not a valid event: {source}")]
-    Line {
+    Malformed {
         /// Number of the malformed line, from 1.
         line: usize,
         /// Error of the JSON parser.
@@ -25,7 +25,7 @@
     },
     /// An observation is earlier than the previous one.
     #[error("line {line} has an earlier time than the previous event")]
-    Order {
+    OutOfOrder {
         /// Number of the earlier observation's line, from 1.
         line: usize,
     },
@@ -48,10 +48,10 @@
         if text.trim().is_empty() {
             continue;
         }
-        let observation: Observation =
-            serde_json::from_str(&text).map_err(|source| HistoryError::Line { line, source })?;
+        let observation: Observation = serde_json::from_str(&text)
+            .map_err(|source| HistoryError::Malformed { line, source })?;
         if history.last().is_some_and(|last| last.at > observation.at) {
-            return Err(HistoryError::Order { line });
+            return Err(HistoryError::OutOfOrder { line });
         }
         history.push(observation);
     }
--- a/crates/checker/tests/history.rs
+++ b/crates/checker/tests/history.rs
@@ -37,10 +37,10 @@
     let early = r#"{"at":4,"observer":"test","event":"healed"}"#;
     let torn = format!("{good}\n\n{{\"at\":6,");
     let error = read_history(torn.as_bytes()).unwrap_err();
-    assert!(matches!(error, HistoryError::Line { line: 3, .. }));
+    assert!(matches!(error, HistoryError::Malformed { line: 3, .. }));
     let unordered = format!("{good}\n{early}\n");
     let error = read_history(unordered.as_bytes()).unwrap_err();
-    assert!(matches!(error, HistoryError::Order { line: 2 }));
+    assert!(matches!(error, HistoryError::OutOfOrder { line: 2 }));
 }
 
 #[test]
