--- a/crates/configuration/src/update.rs
+++ b/crates/configuration/src/update.rs
@@ -64,7 +64,7 @@
 
 impl ConfigurationUpdate {
     /// Returns the update that changes the document `base` into `wanted`.
-    pub fn between(
+    pub fn diff(
         replaces: ConfigurationVersion,
         base: &ClusterConfiguration,
         wanted: &ClusterConfiguration,
@@ -121,7 +121,7 @@
 
     /// Returns the document that results from the update of `base`, without validation
     /// (see [`crate::validate()`]).
-    pub fn applied_to(&self, base: &ClusterConfiguration) -> ClusterConfiguration {
+    pub fn apply_to(&self, base: &ClusterConfiguration) -> ClusterConfiguration {
         let mut document = base.clone();
         let (upsert, remove) = (&self.upsert, &self.remove);
         apply_items(&mut document.pools, &upsert.pools, &remove.pools);
--- a/crates/configuration/tests/update.rs
+++ b/crates/configuration/tests/update.rs
@@ -79,7 +79,7 @@
         update.problems().is_empty(),
         "absent names are not a problem"
     );
-    let updated = update.applied_to(&base_document());
+    let updated = update.apply_to(&base_document());
     let queues: Vec<(&str, u8)> = updated
         .queues
         .iter()
@@ -122,9 +122,9 @@
     wanted.licences.clear();
     wanted.source = None;
     wanted.replaces = Some(ConfigurationVersion(4));
-    let update = ConfigurationUpdate::between(ConfigurationVersion(4), &base_document(), &wanted);
+    let update = ConfigurationUpdate::diff(ConfigurationVersion(4), &base_document(), &wanted);
     assert_eq!(update.upsert.queues.len(), 2);
     assert_eq!(update.upsert.keys.len(), 1);
     assert!(update.upsert.pools.is_empty());
-    assert_eq!(update.applied_to(&base_document()), wanted);
+    assert_eq!(update.apply_to(&base_document()), wanted);
 }
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator.rs
@@ -117,10 +117,10 @@
                 update: None,
             };
         }
-        let update = ConfigurationUpdate::between(self.known_version, &self.document, &document);
+        let update = ConfigurationUpdate::diff(self.known_version, &self.document, &document);
         ConfigurationChange {
             version,
-            document: update.applied_to(&self.document),
+            document: update.apply_to(&self.document),
             update: Some(update),
         }
     }
--- a/crates/state_machine/src/state/configuration.rs
+++ b/crates/state_machine/src/state/configuration.rs
@@ -54,7 +54,7 @@
         if !problems.is_empty() {
             return Err(CommandRejection::InvalidConfiguration { problems });
         }
-        let document = update.applied_to(&self.document);
+        let document = update.apply_to(&self.document);
         self.validate_and_apply(version, &document, digest, changes)
     }
 
