--- a/crates/cypressdrum/src/daemon/options.rs
+++ b/crates/cypressdrum/src/daemon/options.rs
@@ -36,7 +36,7 @@
         urgent_headroom: settings.urgent_headroom,
         backfill_reservations: settings.backfill_reservations,
         copies: settings.copies,
-        suspect_runners_last: settings.suspects_last,
+        suspect_runners_last: settings.suspect_runners_last,
         probation: settings.probation,
         rack_locality: settings.rack_locality,
         avoid_failed: settings.avoid_failed,
--- a/crates/settings/src/coordinator.rs
+++ b/crates/settings/src/coordinator.rs
@@ -174,8 +174,9 @@
     pub backfill_reservations: bool,
     /// Running tasks get further copies, where their step allows them.
     pub copies: bool,
-    /// Runners on which many recent runs failed get work after the others.
-    pub suspects_last: bool,
+    /// Key `suspects_last`: runners on which many recent runs failed get work after the
+    /// others.
+    pub suspect_runners_last: bool,
     /// Runners on which many jobs failed in a row get no work for `probation_ms`.
     pub probation: bool,
     /// Key `rack_patience`: a task waits for its preferred rack.
@@ -208,7 +209,7 @@
             urgent_headroom: switch("ceiling_reserve"),
             backfill_reservations: switch("holds"),
             copies: switch("copies"),
-            suspects_last: switch("suspects_last"),
+            suspect_runners_last: switch("suspects_last"),
             probation: switch("probation"),
             rack_locality: switch("rack_patience"),
             avoid_failed: switch("avoid_failed"),
--- a/crates/settings/tests/golden_keys/keyed.rs
+++ b/crates/settings/tests/golden_keys/keyed.rs
@@ -140,7 +140,7 @@
         urgent_headroom,
         backfill_reservations,
         copies,
-        suspects_last,
+        suspect_runners_last,
         probation,
         rack_locality,
         avoid_failed,
@@ -154,7 +154,7 @@
     insert("ceiling_reserve", urgent_headroom);
     insert("holds", backfill_reservations);
     insert("copies", copies);
-    insert("suspects_last", suspects_last);
+    insert("suspects_last", suspect_runners_last);
     insert("probation", probation);
     insert("rack_patience", rack_locality);
     insert("avoid_failed", avoid_failed);
