--- a/crates/agent/src/core/results.rs
+++ b/crates/agent/src/core/results.rs
@@ -6,8 +6,8 @@
 
 /// Maximum number of stored results. The oldest is dropped first.
 const MAX_RETAINED: usize = 256;
-/// Time for which a result is stored. A leader that has received no result by then revokes
-/// the run.
+/// Time for which the agent stores a result, counted from when the agent recorded it. A
+/// leader that has received no result by then revokes the run.
 const RETENTION: Milliseconds = Milliseconds::from_seconds(10);
 
 /// Results of recent orders, oldest first.
--- a/crates/api/src/configuration/tenant.rs
+++ b/crates/api/src/configuration/tenant.rs
@@ -17,18 +17,19 @@
     #[serde(default)]
     #[serde(rename = "most")]
     pub resource_limit: ResourceLimitBody,
-    /// Shares of late and of failed jobs that the contract allows.
+    /// Shares of late and of failed jobs that the tenant's contract allows.
     #[serde(default)]
     pub error_budget: ErrorBudgetBody,
     /// Submits accepted per second on average, default 100. Further submits
-    /// are rejected at once.
+    /// are rejected immediately.
     #[serde(default = "default_submits")]
     pub submits_per_second: u32,
-    /// Submits accepted at once after a pause, default 200.
+    /// Submits accepted without delay in one burst after a pause (capacity of the
+    /// token bucket), default 200.
     #[serde(default = "default_burst")]
     pub submit_burst: u32,
     /// Maximum number of unfinished jobs, default 10 000. Further submits are
-    /// rejected at once.
+    /// rejected immediately.
     #[serde(default = "default_tenant_jobs")]
     pub max_unfinished_jobs: u64,
 }
@@ -45,7 +46,8 @@
     10_000
 }
 
-/// Error budget: the shares of late and of failed jobs that a contract allows.
+/// Error budget: the shares of late and of failed jobs that a tenant's contract
+/// allows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ErrorBudgetBody {
--- a/crates/api/src/operator.rs
+++ b/crates/api/src/operator.rs
@@ -185,7 +185,7 @@
     /// Number of seats taken by open runs.
     #[serde(rename = "taken")]
     pub used: u32,
-    /// Number of tasks that wait for capacity or a seat.
+    /// Number of tasks that wait for capacity or a licence seat.
     pub waiting: u64,
 }
 
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document.rs
@@ -93,7 +93,7 @@
     pub priority: u8,
 }
 
-/// Contract of a tenant.
+/// Contract of a tenant: share, resource limit, error budget and submission limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantSettings {
     /// Fair share of each pool, in percent, 1 to 100. A tenant above its share is skipped
@@ -101,20 +101,20 @@
     pub share_percent: u32,
     /// Maximum resources that the runs of the tenant hold together, over all runners.
     pub resource_limit: Resources,
-    /// Late and failed jobs that the contract allows.
+    /// Late and failed jobs that the tenant's contract allows.
     pub error_budget: ErrorBudget,
     /// Average number of submissions accepted per second; excess ones are rejected
     /// immediately.
     pub submits_per_second: u32,
-    /// Number of submissions accepted at once, after a time without any (capacity of the
-    /// token bucket).
+    /// Number of submissions accepted without delay in one burst after a pause (capacity
+    /// of the token bucket).
     pub submit_burst: u32,
     /// Maximum number of unfinished jobs of the tenant; further submissions are rejected
     /// immediately.
     pub max_unfinished_jobs: u64,
 }
 
-/// Late and failed jobs that a contract allows.
+/// Late and failed jobs that a tenant's contract allows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBudget {
     /// Time from submission to first run above which a job is late.
--- a/crates/coordinator/src/leader.rs
+++ b/crates/coordinator/src/leader.rs
@@ -122,7 +122,7 @@
 impl Leader {
     /// Creates a leader whose lease holds from `now` on. Open runs are added
     /// immediately, so that resource limits count them; ready tasks are added
-    /// in slices. `scheduler` must be empty.
+    /// later by [`Self::rebuild_slice`]. `scheduler` must be empty.
     pub(crate) fn new(
         options: CoordinatorOptions,
         identity: LeaderIdentity,
--- a/crates/coordinator/src/leader/audit.rs
+++ b/crates/coordinator/src/leader/audit.rs
@@ -1,5 +1,8 @@
-//! Continuous audit, which compares the scheduler with the state machine in
-//! slices, and removal of jobs whose retention has passed.
+//! Continuous audit, which compares the scheduler with the state machine, and
+//! removal of jobs whose retention has passed.
+//!
+//! A slice is one step of the audit: it compares the next jobs in the order of
+//! their numbers.
 
 use crate::leader::Leader;
 use crate::leader::periodic_timer::PeriodicTimer;
@@ -9,7 +12,7 @@
 
 /// Time between the audits of two slices.
 const AUDIT_INTERVAL: Milliseconds = Milliseconds(200);
-/// Maximum number of jobs in a slice.
+/// Maximum number of jobs that one slice compares.
 const AUDIT_JOBS: usize = 64;
 /// Time between two commands that remove ended jobs.
 const FORGET_INTERVAL: Milliseconds = Milliseconds(10_000);
--- a/crates/coordinator/src/leader/proposals.rs
+++ b/crates/coordinator/src/leader/proposals.rs
@@ -1,4 +1,6 @@
 //! Commands that the leader proposes, and the origin of each.
+//!
+//! To close a run is to record its end in the replicated log; see [`ClosedRun`].
 
 use crate::leader::request_table::RequestKey;
 use state_machine::{ClosedRun, Command};
@@ -46,12 +48,13 @@
         self.collected.push(Proposal { command, origin });
     }
 
-    /// Adds a run to close. All runs to close share one command.
+    /// Adds a run to close. All runs added before the next [`Self::pack_closes`]
+    /// share one command.
     pub(super) fn add_close(&mut self, close: ClosedRun) {
         self.closes.push(close);
     }
 
-    /// Packs the runs to close into one command, if there are any.
+    /// Adds one command that closes the collected runs, if there are any.
     pub(super) fn pack_closes(&mut self, now: Now) {
         if self.closes.is_empty() {
             return;
@@ -66,7 +69,7 @@
         std::mem::take(&mut self.collected)
     }
 
-    /// Returns the runs to close that are not packed into a command yet, and
+    /// Returns the runs to close that are not yet in a proposed command, and
     /// clears them.
     pub(super) fn take_closes(&mut self) -> Vec<ClosedRun> {
         std::mem::take(&mut self.closes)
--- a/crates/coordinator/src/leader/rebuild.rs
+++ b/crates/coordinator/src/leader/rebuild.rs
@@ -1,19 +1,24 @@
-//! Rebuild of a new leader's scheduler from the state machine, in slices.
+//! Rebuild of a new leader's scheduler from the state machine.
+//!
+//! A slice is one step of the rebuild after an election: it publishes the ready
+//! tasks of the next jobs, that is, adds them to the tasks that the scheduler may
+//! place.
 
 use crate::leader::Leader;
 use state_machine::StateMachine;
 use types::{JobNumber, Now};
 
-/// Maximum number of jobs whose ready tasks are published in one slice.
+/// Maximum number of jobs whose ready tasks are published to the scheduler in
+/// one slice of the rebuild.
 const REBUILD_JOBS: usize = 512;
 
-/// Position of the rebuild.
+/// Position of the rebuild in the order of job numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RebuildCursor {
-    /// Tasks of jobs after this number are not published yet; with `None`, those
-    /// of all jobs.
+    /// Tasks of jobs after this number are not published to the scheduler yet;
+    /// with `None`, those of all jobs.
     After(Option<JobNumber>),
-    /// All ready tasks are published.
+    /// All ready tasks are published to the scheduler.
     Done,
 }
 
--- a/crates/coordinator/src/leader/run_tracker.rs
+++ b/crates/coordinator/src/leader/run_tracker.rs
@@ -1,4 +1,5 @@
-//! Open runs that the leader tracks from their reservation to their close.
+//! Open runs that the leader tracks from their reservation until the replicated
+//! log records their end, which closes them.
 
 use crate::leader::progress_history::ProgressHistory;
 use state_machine::ClosedRun;
@@ -39,7 +40,8 @@
     /// Whether the time limit passed, so that the end of the run counts as a
     /// failure.
     timed_out: bool,
-    /// Whether the close of the run is collected or proposed, but not applied.
+    /// Whether a command that closes the run is collected or proposed, but not
+    /// applied.
     closing: bool,
     /// Progress of the run. `None` if its runner reports no progress.
     progress: Option<ProgressHistory>,
@@ -81,8 +83,8 @@
         self.stop_requested
     }
 
-    /// Returns whether the close of the run is collected or proposed, but not
-    /// applied.
+    /// Returns whether a command that closes the run is collected or proposed,
+    /// but not applied.
     pub(super) fn is_closing(&self) -> bool {
         self.closing
     }
@@ -271,7 +273,7 @@
         })
     }
 
-    /// Records that the close of a run was not proposed.
+    /// Records that no command that closes the run was proposed.
     pub(super) fn cancel_close(&mut self, run: RunId) {
         if let Some(tracked) = self.runs.get_mut(&run) {
             tracked.closing = false;
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -6,6 +6,10 @@
 //! process is the leader, a `Leader` with the scheduler and the state of
 //! sessions, runners and runs.
 //!
+//! To publish a task is to add it to the tasks that the scheduler may place. To
+//! close a run is to record its end in the replicated log. A slice is a bounded
+//! number of jobs that one step of the rebuild or of the audit handles.
+//!
 //! # Structure
 //!
 //! A module imports only from its own row and the rows below it. The state of a
--- a/crates/emulator/tests/workload.rs
+++ b/crates/emulator/tests/workload.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Returns the mean number of seats that a mix uses.
+/// Returns the mean number of licence seats that a mix uses.
 fn mean_seats(mix: Mix) -> f64 {
     let jobs = draw(mix, 1);
     let steps = jobs.iter().flat_map(|job| &job.steps);
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -3,7 +3,9 @@
 //!
 //! The view is derived from the replicated state and never stored. A new leader
 //! rebuilds it with idempotent publishes and audits it, one range of jobs at a
-//! time.
+//! time. To publish a task is to add it to the view, from which it may be placed.
+//! A pull chooses work to start on one runner. A licence has a number of seats in
+//! the whole cluster; each run that needs the licence takes one seat.
 //!
 //! The design follows the Job Pump (Salsify Engineering, "Scaling Delayed Job
 //! for High Throughput Services", 2019): `jobs:<id>` entries, a pending list
--- a/crates/scheduler/src/licence.rs
+++ b/crates/scheduler/src/licence.rs
@@ -13,7 +13,7 @@
 pub(crate) struct Licence {
     seats: u32,
     used: u32,
-    /// Number of tasks that wait for capacity or a seat, by queue.
+    /// Number of tasks that wait for capacity or a licence seat, by queue.
     waiting: BTreeMap<QueueIndex, usize>,
 }
 
--- a/crates/scheduler/src/options.rs
+++ b/crates/scheduler/src/options.rs
@@ -98,7 +98,7 @@
 pub struct SeatUsage {
     /// Number of seats in use.
     pub used: u32,
-    /// Number of tasks that wait for capacity or a seat.
+    /// Number of tasks that wait for capacity or a licence seat.
     pub waiting_tasks: usize,
 }
 
--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -1,8 +1,8 @@
 //! Switches of the placement policies, used to measure the effect of each.
 //!
 //! All are on by default. Guarantees have no switch and always apply: resource
-//! limits, seats, the limit of a step's runs on a runner, gangs started as a
-//! whole, and the checks of the state machine.
+//! limits, licence seats, the limit of a step's runs on a runner, gangs started
+//! as a whole, and the checks of the state machine.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -155,7 +155,7 @@
     }
 
     /// Returns the seats of a licence in use and the tasks that wait for
-    /// capacity or a seat.
+    /// capacity or a licence seat.
     pub fn seat_usage(&self, licence: &LicenceName) -> SeatUsage {
         let licence = self.view.licences.get(licence);
         licence.map_or_else(SeatUsage::default, |licence| SeatUsage {
--- a/crates/scheduler/src/task.rs
+++ b/crates/scheduler/src/task.rs
@@ -1,4 +1,4 @@
-//! Table of published tasks with their status.
+//! Table of published tasks, those that were added to the view, with their status.
 
 use crate::index::{ListIndex, ShapeIndex};
 use crate::pending::TaskOrder;
@@ -24,7 +24,7 @@
 }
 
 impl TaskStatus {
-    /// Returns whether the task would start if it had capacity and a seat.
+    /// Returns whether the task would start if it had capacity and a licence seat.
     pub(crate) fn is_waiting(self) -> bool {
         matches!(self, Self::Pending | Self::InGang)
     }
--- a/crates/scheduler/src/tenant.rs
+++ b/crates/scheduler/src/tenant.rs
@@ -1,4 +1,5 @@
-//! Tenants: their contracts and the usage of their open runs.
+//! Tenants: their contracts (share and resource limit) and the usage of their
+//! open runs.
 
 use crate::index::{ListIndex, PoolIndex};
 use std::collections::BTreeMap;
--- a/crates/simulation/src/campaign.rs
+++ b/crates/simulation/src/campaign.rs
@@ -1,4 +1,4 @@
-//! Campaigns: runs of many seeds in parallel threads.
+//! Campaigns: simulations of many seeds in parallel threads.
 
 use crate::planner::{PlannerOptions, plan_from_seed};
 use crate::run::{Outcome, run};
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Range of seeds to run, with the options of their plans.
+/// Range of seeds to simulate, with the options of their plans.
 #[derive(Debug, Clone)]
 pub struct Campaign {
     /// First seed of the range.
@@ -19,30 +19,30 @@
     pub threads: usize,
     /// Limits for the plans.
     pub planner: PlannerOptions,
-    /// Mechanism to disable in every run; `None` disables nothing.
+    /// Mechanism to disable in every simulation; `None` disables nothing.
     pub mutation: Option<Mutation>,
 }
 
 /// Result of one seed, without the history.
 #[derive(Debug, Clone)]
 pub struct SeedResult {
-    /// Plan that was run.
+    /// Plan that was simulated.
     pub plan: Plan,
     /// The checker's report: violations and totals.
     pub report: checker::Report,
     /// Number of events handled.
     pub events: u64,
-    /// Error that prevented the run; `None` if it took place.
+    /// Error that prevented the simulation; `None` if it took place.
     pub error: Option<String>,
 }
 
 impl SeedResult {
-    /// Returns whether the run took place without a violation.
+    /// Returns whether the simulation took place without a violation.
     pub fn is_good(&self) -> bool {
         self.error.is_none() && self.report.violations.is_empty()
     }
 
-    /// Returns whether the run has a violation of this kind.
+    /// Returns whether the simulation has a violation of this kind.
     pub fn breaks(&self, kind: ViolationKind) -> bool {
         let mut violations = self.report.violations.iter();
         violations.any(|violation| violation.kind == kind)
@@ -58,7 +58,7 @@
     pub events: u64,
     /// Number of acknowledged jobs.
     pub jobs: u64,
-    /// Number of started runs.
+    /// Number of started runs of tasks.
     pub runs: u64,
     /// Number of runs that repeat a done task because its end could not be reported in
     /// time.
@@ -66,7 +66,7 @@
     /// Number of runs beyond the allowed failures of a task because one of the failures
     /// could not be reported in time.
     pub retried_unreported: u64,
-    /// Number of seeds whose run did not take place because of an error.
+    /// Number of seeds whose simulation did not take place because of an error.
     pub not_run: u64,
     /// Number of seeds with a violation, by its kind.
     pub broken: BTreeMap<ViolationKind, u64>,
--- a/crates/simulation/src/cluster.rs
+++ b/crates/simulation/src/cluster.rs
@@ -29,11 +29,11 @@
 /// [`Mutation::AcknowledgeBeforeSync`].
 const UNSYNCED_DELAY_MICROS: Micros = 2_000_000;
 
-/// State of a run.
+/// State of a simulation.
 pub struct SimulatedCluster {
     /// Current virtual time.
     pub now: Micros,
-    /// Generator of all random numbers of the run.
+    /// Generator of all random numbers of the simulation.
     pub random: ChaCha8Rng,
     /// Virtual network with the network faults in force.
     pub network: Network,
@@ -81,7 +81,7 @@
 /// An entry of a leader's decision log with its virtual time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TimedDecision {
-    /// Virtual time since the start of the run.
+    /// Virtual time since the start of the simulation.
     pub at: Milliseconds,
     /// Entry as the leader wrote it.
     pub entry: DecisionEntry,
--- a/crates/simulation/src/cluster_busy.rs
+++ b/crates/simulation/src/cluster_busy.rs
@@ -1,8 +1,8 @@
 //! Processor time of coordinators: messages to a busy coordinator are queued.
 //!
 //! By default a step takes no time. A plan may set the costs of a scan of the scheduler,
-//! an input and a step. A leader can then be overloaded, and the run shows whether it
-//! recovers or loses its sessions.
+//! an input and a step. A leader can then be overloaded, and the simulation shows whether
+//! it recovers or loses its sessions.
 
 use crate::cluster::SimulatedCluster;
 use crate::event::Event;
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -32,7 +32,9 @@
 const SESSION_INTERVAL: Milliseconds = Milliseconds(300);
 /// Time without a keep-alive after which a session expires.
 const SESSION_LEASE: Milliseconds = Milliseconds(1_500);
-/// Time for which a replica of the configuration is valid without contact.
+/// Time for which a gateway's or agent's replica of the configuration stays valid after
+/// the leader last confirmed it, counted from the sending of the keep-alive that the
+/// leader answered.
 const REPLICA_VALID: Milliseconds = Milliseconds(1_800);
 
 /// Builds the cluster of a plan. Daemons start at random times within the first second.
--- a/crates/simulation/src/ids.rs
+++ b/crates/simulation/src/ids.rs
@@ -1,6 +1,6 @@
 //! Identifiers and the unit of virtual time, shared by all parts of the simulation.
 
-/// Virtual time in microseconds since the start of the run.
+/// Virtual time in microseconds since the start of the simulation.
 pub type Micros = u64;
 
 /// Index of a machine in `SimulatedCluster::machines`.
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -5,7 +5,9 @@
 //! disks that lose unsynced writes at a power loss. Emulated runners, callers and
 //! operators use the cluster and record their observations in a history, which
 //! the `checker` crate verifies. A plan gives the seed, the sizes and the faults
-//! of a run; the same plan produces the same history to the byte.
+//! of a simulation; the same plan produces the same history to the byte. A plan may name
+//! a mutation, which disables one mechanism of the software on purpose, to prove that
+//! the checker notices.
 
 mod busy;
 pub mod caller;
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -4,7 +4,7 @@
 use crate::ids::Micros;
 use types::{Monotonic, Now, WallTime, ZoneName};
 
-/// Wall time at the start of every run, in milliseconds since the Unix epoch.
+/// Wall time at the start of every simulation, in milliseconds since the Unix epoch.
 pub const WALL_START_MS: u64 = 1_700_000_000_000;
 
 /// A machine, which carries one daemon and, if it is a side machine, one runner.
@@ -14,7 +14,7 @@
     pub name: String,
     /// Zone, which determines the network delay to other machines.
     pub zone: ZoneName,
-    /// Reading of the monotonic clock at the start of the run, in milliseconds.
+    /// Reading of the monotonic clock at the start of the simulation, in milliseconds.
     pub monotonic_start_ms: u64,
     /// Deviation of the wall clock from the true time, in milliseconds.
     pub wall_offset_ms: i64,
--- a/crates/simulation/src/mutation.rs
+++ b/crates/simulation/src/mutation.rs
@@ -1,5 +1,8 @@
-//! Mutations: mechanisms that a run can disable, to show that the checker then reports a
-//! violation.
+//! Mutations, which prove that the checker notices faults of the software.
+//!
+//! A mutation disables one mechanism of the software on purpose; the checker must then
+//! report a violation. A plan, which describes a simulation with its sizes and its list
+//! of faults, may name one mutation.
 //!
 //! Most mutations are implemented in the cores of the daemons. This module lists all of
 //! them and adds those of the simulated cluster, which concern its disks and the start of
@@ -13,7 +16,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// A mechanism that is disabled in a run.
+/// A mechanism that is disabled in a simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mutation {
@@ -91,7 +94,8 @@
         Self::AgentKeepsOrders,
     ];
 
-    /// Returns the equivalent mutation of consensus; `None` if it is not implemented there.
+    /// Returns the mutation as the consensus crate defines it; `None` if it disables no
+    /// mechanism of that crate.
     pub fn of_consensus(self) -> Option<consensus::Mutation> {
         match self {
             Self::VoteDespiteLeader => Some(consensus::Mutation::VoteDespiteLeader),
@@ -100,8 +104,8 @@
         }
     }
 
-    /// Returns the equivalent mutation of the coordinator and its state machine; `None` if
-    /// it is not implemented there.
+    /// Returns the mutation as the coordinator crate defines it; `None` if it disables no
+    /// mechanism of the coordinator or its state machine.
     pub fn of_coordinator(self) -> Option<coordinator::Mutation> {
         match self {
             Self::ResendStartInsteadOfRevoke => {
@@ -118,8 +122,8 @@
         }
     }
 
-    /// Returns the equivalent mutation of the state machine; `None` if it is not
-    /// implemented there.
+    /// Returns the mutation as the state machine crate defines it; `None` if it disables no
+    /// mechanism of that crate.
     fn of_state_machine(self) -> Option<state_machine::mutation::Mutation> {
         use state_machine::mutation::Mutation as StateMachineMutation;
         match self {
@@ -132,7 +136,8 @@
         }
     }
 
-    /// Returns the equivalent mutation of the agent; `None` if it is not implemented there.
+    /// Returns the mutation as the agent crate defines it; `None` if it disables no
+    /// mechanism of the agent.
     pub fn of_agent(self) -> Option<AgentMutation> {
         match self {
             Self::NoAgentTermFence => Some(AgentMutation::NoTermFence),
@@ -141,8 +146,8 @@
         }
     }
 
-    /// Returns the equivalent mutation of the emulated runner; `None` if it is not
-    /// implemented there.
+    /// Returns the mutation as the emulated runner defines it; `None` if it disables no
+    /// mechanism of the runner.
     pub fn of_runner(self) -> Option<RunnerMutation> {
         match self {
             Self::NoTombstones => Some(RunnerMutation::NoTombstones),
@@ -157,7 +162,8 @@
 impl FromStr for Mutation {
     type Err = NameError;
 
-    /// Parses the name that plans use, in snake case.
+    /// Parses a mutation's name as plans write it: the variant's serialized name in snake
+    /// case.
     fn from_str(name: &str) -> Result<Self, NameError> {
         Self::deserialize(name.into_deserializer())
     }
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -1,4 +1,4 @@
-//! Plans of simulated runs, which are written as TOML or drawn by the planner.
+//! Plans of simulations, which are written as TOML or drawn by the planner.
 
 use crate::Mutation;
 use serde::{Deserialize, Serialize};
@@ -8,11 +8,11 @@
 /// milliseconds; otherwise the fault is dropped.
 pub const MAX_REPAIR_MS: u64 = 15_000;
 
-/// Plan of a run: seed, sizes, times and faults.
+/// Plan of a simulation: seed, sizes, times and faults.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Seed of all random numbers of the run.
+    /// Seed of all random numbers of the simulation.
     pub seed: u64,
     /// Numbers of machines and the load.
     #[serde(default)]
@@ -59,7 +59,7 @@
     DEFAULT_CALM_MS
 }
 
-/// Numbers of machines and the load of a run.
+/// Numbers of machines and the load of a simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSize {
--- a/crates/simulation/src/planner.rs
+++ b/crates/simulation/src/planner.rs
@@ -5,8 +5,8 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Combined with a plan's seed, so that the planner and the run draw from different
-/// random streams.
+/// Combined with a plan's seed, so that the planner and the simulation draw from
+/// different random streams.
 const PLANNER_STREAM: u64 = 0x706c_616e;
 /// Upper bound of the duration of a fault such as a freeze or a partition, in
 /// milliseconds: longer than the 20 s that the requirements name.
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -12,28 +12,28 @@
 
 /// Time within which the fleet must be in service after its start.
 const FIRST_SERVICE_MICROS: Micros = 60_000_000;
-/// Time that the run continues after the last job has ended.
+/// Time that the simulation continues after the last job has ended.
 const SETTLE_MICROS: Micros = 3_000_000;
-/// Interval at which the run checks whether a phase has ended.
+/// Interval at which the simulation checks whether a phase has ended.
 const CHECK_INTERVAL_MICROS: Micros = 250_000;
 
-/// Result of a run.
+/// Result of a simulation.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcome {
     /// The checker's report: violations and totals.
     pub report: Report,
-    /// Observations of the run, in the order of time.
+    /// Observations of the simulation, in the order of time.
     pub history: Vec<Observation>,
     /// Decision logs of all leaders.
     #[serde(skip)]
     pub decisions: Vec<TimedDecision>,
-    /// SHA-256 of the history in hex, the same for each run of a plan.
+    /// SHA-256 of the history in hex, the same for each simulation of a plan.
     pub digest: String,
     /// Number of events handled.
     pub events: u64,
     /// Failures outside the history, such as a daemon that cannot start.
     pub broken: Vec<String>,
-    /// Duration of the run in virtual time.
+    /// Duration of the simulation in virtual time.
     pub virtual_time: Milliseconds,
     /// Longest wait of a message that keeps leases and sessions alive for a busy
     /// coordinator; 0 if the plan sets no processor time.
@@ -42,7 +42,7 @@
 }
 
 impl Outcome {
-    /// Returns whether the run has neither violations nor failures.
+    /// Returns whether the simulation has neither violations nor failures.
     pub fn is_good(&self) -> bool {
         self.report.violations.is_empty() && self.broken.is_empty()
     }
--- a/crates/state_machine/src/command.rs
+++ b/crates/state_machine/src/command.rs
@@ -122,6 +122,10 @@
 }
 
 /// Run to close, with the reason and the last checkpoint.
+///
+/// To close a run is to record its end and the reason with a
+/// [`Command::CloseRuns`] in the replicated log. A closed run no longer holds
+/// resources and is never reopened.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClosedRun {
     /// Identifier of the run; the run may be closed already.
--- a/crates/state_machine/src/state/indexes.rs
+++ b/crates/state_machine/src/state/indexes.rs
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Adds an open run with its resources and its seat.
+    /// Adds an open run with its resources and its licence seat.
     pub fn insert_run(&mut self, run: &OpenRun) {
         self.runs_of_task.insert((run.task, run.run));
         let usage = self.usage.entry(run.tenant.clone()).or_default();
@@ -128,7 +128,7 @@
     }
 
     /// Moves a run from the open to the closed runs, and releases its resources and
-    /// its seat.
+    /// its licence seat.
     pub fn close_run(&mut self, run: &OpenRun) {
         self.runs_of_task.remove(&(run.task, run.run));
         self.closed_runs.insert(run.run);
--- a/crates/state_machine/src/state/reservations.rs
+++ b/crates/state_machine/src/state/reservations.rs
@@ -61,7 +61,7 @@
     }
 
     /// Checks that a gang starts as a whole, each task once, within its tenant's
-    /// resource limit and the free seats.
+    /// resource limit and the free licence seats.
     fn check_gang(&self, runs: &[OpenRun]) -> Result<(), ReservationRejection> {
         let Some(first) = runs.first() else {
             return Ok(());
--- a/crates/state_machine/tests/seats.rs
+++ b/crates/state_machine/tests/seats.rs
@@ -19,14 +19,14 @@
     document
 }
 
-/// Returns a step whose tasks need one seat each.
+/// Returns a step whose tasks need one licence seat each.
 fn licensed_step(name: &str, tasks: u32) -> StepSpec {
     let mut step = step(name, tasks, &[]);
     step.rules.licence = Some(licence());
     step
 }
 
-/// Returns a driver with a job of four tasks that need a seat each.
+/// Returns a driver with a job of four tasks that need a licence seat each.
 fn driver_with_seats(seats: u32) -> Driver {
     let mut driver = Driver::new();
     driver.configure(2, document_with_seats(seats));
@@ -67,7 +67,7 @@
     }
 }
 
-/// The run of a cancelled job uses its seat until it has stopped. If the cancellation
+/// The run of a cancelled job uses its licence seat until it has stopped. If the cancellation
 /// released the seat, more runs than seats could be active.
 #[test]
 fn run_of_cancelled_job_keeps_its_seat_until_it_is_closed() {
--- a/crates/transport/src/tcp/outgoing.rs
+++ b/crates/transport/src/tcp/outgoing.rs
@@ -1,7 +1,7 @@
-//! Dialling end: one queue and one task per destination.
+//! Dialling end: one queue and one sender task per destination.
 //!
-//! The task connects when the queue has messages, and stops when the queue has
-//! been empty for the idle timeout.
+//! A sender task is a tokio task. It connects when the queue has messages, and
+//! stops when the queue has been empty for the idle timeout.
 
 use super::Context;
 use super::connection::{
@@ -36,7 +36,7 @@
 /// Length of an acknowledgement, the number of received frames as `u64`, in bytes.
 const ACKNOWLEDGEMENT_BYTES: usize = 8;
 
-/// Sender of messages, with one queue and one task per destination.
+/// Sender of messages, with one queue and one sender task per destination.
 #[derive(Debug, Clone)]
 pub(super) struct Outgoing {
     context: Arc<Context>,
@@ -44,7 +44,7 @@
     destinations: Arc<Destinations>,
 }
 
-/// Queues of the destinations that have a task, by socket.
+/// Queues of the destinations that have a sender task, by socket.
 #[derive(Debug, Default)]
 pub(super) struct Destinations {
     queues: Mutex<BTreeMap<SocketAddr, Arc<Queue>>>,
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Queues a message. For a new destination, also starts its task.
+    /// Queues a message. For a new destination, also starts its sender
+    /// task.
     pub fn send(&self, to: SocketAddr, message: PeerMessage, stop: &watch::Sender<bool>) {
         let mut queues = self.destinations.lock();
         if let Some(queue) = queues.get(&to) {
@@ -127,7 +128,7 @@
     Frame(#[from] FrameError),
 }
 
-/// State of the task of one destination.
+/// State of the sender task of one destination.
 struct Destination {
     to: SocketAddr,
     context: Arc<Context>,
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Retries to connect until an attempt succeeds. Returns `None` if the queue
+    /// Retries connecting until an attempt succeeds. Returns `None` if the queue
     /// becomes empty first, because all messages have exceeded their maximum age.
     async fn connect(&self) -> Option<(TcpStream, Authenticated)> {
         let mut backoff = MIN_BACKOFF;
--- a/crates/transport/src/view.rs
+++ b/crates/transport/src/view.rs
@@ -1,4 +1,5 @@
-//! Views of queues, tenants, licences and members, for operators.
+//! Views of queues, tenants, licences and members: what the leader returns when an
+//! operator lists them.
 
 use configuration::QueueMode;
 use serde::{Deserialize, Serialize};
@@ -57,7 +58,7 @@
     pub seats: u32,
     /// Number of seats in use by committed open runs.
     pub used: u32,
-    /// Number of tasks that wait for capacity or a seat.
+    /// Number of tasks that wait for capacity or a licence seat.
     pub waiting: u64,
 }
 
