--- a/crates/emulator/examples/runner.rs
+++ b/crates/emulator/examples/runner.rs
@@ -69,6 +69,6 @@
         RunnerEvent::Started(run) => println!("started {} of job {}", run.run, run.job.job),
         RunnerEvent::Ended { run, outcome } => println!("ended {run}: {outcome:?}"),
         RunnerEvent::EndRecorded { run } => println!("end of {run} is recorded"),
-        RunnerEvent::AcceptedStale(order) => println!("accepted an order of stale term {}", order.term),
+        RunnerEvent::AcceptedStale(order) => println!("accepted stale order, term {}", order.term),
     }
 }
